--- a/laburnumplacement/bench_test.go
+++ b/laburnumplacement/bench_test.go
@@ -8,11 +8,11 @@
 	"laburnumlever/laburnumplacement"
 )
 
-// fleetOf is a settled fleet with old and new engines of eight accelerators over
+// emptyFleet is a settled fleet with old and new engines of eight accelerators over
 // seven zones, and demand on every model.
-func fleetOf(engines, modelCount int) laburnumplacement.Snapshot {
+func emptyFleet(engines, modelCount int) laburnumplacement.Snapshot {
 	s := laburnumplacement.Snapshot{Demand: make(map[laburnumlever.ModelName]laburnumplacement.Demand)}
-	s.Catalogue = models(modelCount, 0)
+	s.Catalogue = catalogueOf(modelCount, 0)
 	for i := range s.Catalogue.Models {
 		m := &s.Catalogue.Models[i]
 		m.WeightsMiB = 8000 + 1500*(i%20)
@@ -35,21 +35,21 @@
 	return s
 }
 
-// filled plans until every model is resident.
-func filled(engines, modelCount int) laburnumplacement.Snapshot {
-	s := fleetOf(engines, modelCount)
+// settledFleet plans until every model is resident.
+func settledFleet(engines, modelCount int) laburnumplacement.Snapshot {
+	s := emptyFleet(engines, modelCount)
 	for range 200 {
 		plan := laburnumplacement.NewPlanner().Plan(s)
 		if len(plan.Moves) == 0 {
 			break
 		}
-		apply(&s, plan.Moves)
+		applyUnchecked(&s, plan.Moves)
 	}
 	return s
 }
 
-// apply makes moves without the checks of carryOut.
-func apply(s *laburnumplacement.Snapshot, moves []laburnumplacement.Move) {
+// applyUnchecked makes moves without the checks of carryOut.
+func applyUnchecked(s *laburnumplacement.Snapshot, moves []laburnumplacement.Move) {
 	at := make(map[laburnumlever.BackendID]int, len(s.Engines))
 	for i, e := range s.Engines {
 		at[e.ID] = i
@@ -64,9 +64,9 @@
 	}
 }
 
-// crowded fills the fleet with further copies, as a day's demand would.
-func crowded(engines, modelCount int) laburnumplacement.Snapshot {
-	s := filled(engines, modelCount)
+// fleetWithReplicas fills the fleet with further copies, as a day's demand would.
+func fleetWithReplicas(engines, modelCount int) laburnumplacement.Snapshot {
+	s := settledFleet(engines, modelCount)
 	for i := range s.Engines {
 		e := &s.Engines[i]
 		for a, acc := range e.Accelerators {
@@ -95,7 +95,7 @@
 func BenchmarkPlanFull(b *testing.B) {
 	for _, size := range [][2]int{{20, 30}, {300, 130}, {2100, 370}} {
 		b.Run(fmt.Sprintf("engines=%d", size[0]), func(b *testing.B) {
-			s := crowded(size[0], size[1])
+			s := fleetWithReplicas(size[0], size[1])
 			copies := 0
 			for _, e := range s.Engines {
 				copies += len(e.Copies)
@@ -113,7 +113,7 @@
 func BenchmarkPlanCold(b *testing.B) {
 	for _, size := range [][2]int{{20, 30}, {300, 130}, {2100, 370}} {
 		b.Run(fmt.Sprintf("engines=%d", size[0]), func(b *testing.B) {
-			s := fleetOf(size[0], size[1])
+			s := emptyFleet(size[0], size[1])
 			for b.Loop() {
 				laburnumplacement.NewPlanner().Plan(s)
 			}
@@ -125,7 +125,7 @@
 func BenchmarkFits(b *testing.B) {
 	for _, size := range [][2]int{{20, 30}, {2100, 370}} {
 		b.Run(fmt.Sprintf("engines=%d", size[0]), func(b *testing.B) {
-			s := fleetOf(size[0], size[1])
+			s := emptyFleet(size[0], size[1])
 			var backends []laburnumlever.Backend
 			for _, e := range s.Engines {
 				backends = append(backends, laburnumlever.Backend{Announcement: laburnumlever.Announcement{
--- a/laburnumplacement/estimator_test.go
+++ b/laburnumplacement/estimator_test.go
@@ -12,7 +12,7 @@
 
 // Signals come twice, late and with gaps; one VM goes silent. The estimate must not
 // count any of them twice, nor drop what another VM still asks for.
-func TestEstimatorTakesTheNewestOfEachVM(t *testing.T) {
+func TestEstimatorUsesNewestSignalPerVM(t *testing.T) {
 	e := laburnumplacement.NewEstimator()
 	now := time.Unix(0, 0)
 	signal := func(vm string, sequence uint64, rate float64) laburnumlever.ModelDemand {
--- a/laburnumplacement/explain.go
+++ b/laburnumplacement/explain.go
@@ -32,7 +32,7 @@
 	f.allocate()
 	lines := []string{fmt.Sprintf(
 		"wants %d MiB on each of %d accelerators; demand now %.2f requests/s, held %.2f requests/s; a move must bring %.2f requests/s",
-		mod.part, mod.span, mod.demand.Now.Requests, mod.demand.Hold.Requests, f.price())}
+		mod.partMiB, mod.span, mod.demand.Now.Requests, mod.demand.Hold.Requests, f.minMoveGain())}
 	for _, p := range mod.copies {
 		lines = append(lines, f.explainCopy(m, p))
 	}
@@ -50,7 +50,7 @@
 	return lines
 }
 
-func (f *fleet) explainCopy(m int, p *placed) string {
+func (f *fleet) explainCopy(m int, p *placement) string {
 	e := &f.engines[p.engine]
 	state := "loading"
 	switch {
@@ -66,33 +66,33 @@
 		ids[i] = string(id)
 	}
 	return fmt.Sprintf("%s: version %s on %s (%s) %s: %s, carries %.0f%% of the demand",
-		state, p.Version, e.ID, e.Zone, strings.Join(ids, "+"), f.purpose(m, p), 100*p.share)
+		state, p.Version, e.ID, e.Zone, strings.Join(ids, "+"), f.purpose(m, p), 100*p.demandShare)
 }
 
 // purpose is why a copy is kept.
-func (f *fleet) purpose(m int, p *placed) string {
+func (f *fleet) purpose(m int, p *placement) string {
 	if !p.current {
 		return "kept until the catalogue's version answers"
 	}
-	if !f.lasting(p) {
+	if !f.resident(p) {
 		return "does not count as resident"
 	}
-	zone, anywhere := 0, 0
+	inZone, total := 0, 0
 	for _, other := range f.models[m].copies {
-		if other == p || !f.lasting(other) {
+		if other == p || !f.resident(other) {
 			continue
 		}
-		anywhere++
+		total++
 		if f.engines[other.engine].Zone == f.engines[p.engine].Zone {
-			zone++
+			inZone++
 		}
 	}
 	switch {
-	case anywhere == 0:
+	case total == 0:
 		return "the only copy"
-	case zone == 0:
+	case inZone == 0:
 		return "the only copy in its zone"
-	case f.missedBy(p) > 0:
+	case f.peakDemandLost(p) > 0:
 		return "needed for the demand of the last half hour"
 	default:
 		return "surplus, kept because nothing needs the memory"
--- a/laburnumplacement/fits.go
+++ b/laburnumplacement/fits.go
@@ -13,13 +13,13 @@
 // or a zone, and zones that the weight store leaves no load for.
 func Fits(catalogue laburnumlever.Catalogue, backends []laburnumlever.Backend) (warnings []string, err error) {
 	engines := emptyEngines(backends)
-	if lack := pack(catalogue, engines); lack != nil {
-		return nil, lack
+	if shortfall := pack(catalogue, engines); shortfall != nil {
+		return nil, shortfall
 	}
 	warnings = append(warnings, zoneWarnings(catalogue, engines)...)
 	warnings = append(warnings, engineWarnings(catalogue, engines)...)
 	warnings = append(warnings, spreadWarnings(catalogue, engines)...)
-	return append(warnings, shareWarnings(catalogue.Deployment, zonesOf(engines))...), nil
+	return append(warnings, quotaWarnings(catalogue.Deployment, zonesOf(engines))...), nil
 }
 
 func emptyEngines(backends []laburnumlever.Backend) []Engine {
@@ -56,25 +56,25 @@
 // pack places one copy of every model on empty engines.
 func pack(catalogue laburnumlever.Catalogue, engines []Engine) *laburnumlever.DoesNotFitError {
 	f := newFleet(Snapshot{Catalogue: catalogue, Engines: engines})
-	f.packTightly()
+	f.packBestFit()
 	if len(f.unplaced) == 0 {
 		return nil
 	}
 	slices.Sort(f.unplaced)
-	lack := &laburnumlever.DoesNotFitError{Models: f.unplaced}
+	shortfall := &laburnumlever.DoesNotFitError{Models: f.unplaced}
 	for _, name := range f.unplaced {
 		m, _ := catalogue.Model(name)
-		lack.ShortfallMiB += m.SizeMiB()
+		shortfall.ShortfallMiB += m.SizeMiB()
 	}
-	return lack
+	return shortfall
 }
 
-// packTightly is repair by the tightest fit alone.
-func (f *fleet) packTightly() {
-	for _, m := range f.missing() {
-		best := spot{engine: -1}
+// packBestFit is repair by the tightest fit alone.
+func (f *fleet) packBestFit() {
+	for _, m := range f.missingModels() {
+		best := fit{engine: -1}
 		for at := range f.engines {
-			s, ok := f.room(at, f.models[m].part, f.models[m].span)
+			s, ok := f.fitOn(at, f.models[m].partMiB, f.models[m].span)
 			if ok && (best.engine < 0 || s.leftover < best.leftover) {
 				best = s
 			}
@@ -91,9 +91,9 @@
 	zones := zonesOf(engines)
 	var warnings []string
 	for _, zone := range zones {
-		rest := slices.DeleteFunc(slices.Clone(engines), func(e Engine) bool { return e.Zone == zone })
-		if lack := pack(catalogue, rest); lack != nil {
-			warnings = append(warnings, fmt.Sprintf("without zone %s the fleet lacks %d MiB: no place for %v", zone, lack.ShortfallMiB, lack.Models))
+		remaining := slices.DeleteFunc(slices.Clone(engines), func(e Engine) bool { return e.Zone == zone })
+		if shortfall := pack(catalogue, remaining); shortfall != nil {
+			warnings = append(warnings, fmt.Sprintf("without zone %s the fleet lacks %d MiB: no place for %v", zone, shortfall.ShortfallMiB, shortfall.Models))
 		}
 	}
 	return warnings
@@ -110,9 +110,9 @@
 			continue
 		}
 		tried = append(tried, e.Accelerators)
-		rest := slices.Delete(slices.Clone(engines), i, i+1)
-		if lack := pack(catalogue, rest); lack != nil {
-			warnings = append(warnings, fmt.Sprintf("without an engine like %s the fleet lacks %d MiB: no place for %v", e.ID, lack.ShortfallMiB, lack.Models))
+		remaining := slices.Delete(slices.Clone(engines), i, i+1)
+		if shortfall := pack(catalogue, remaining); shortfall != nil {
+			warnings = append(warnings, fmt.Sprintf("without an engine like %s the fleet lacks %d MiB: no place for %v", e.ID, shortfall.ShortfallMiB, shortfall.Models))
 		}
 	}
 	return warnings
@@ -122,26 +122,26 @@
 // copies in one zone only.
 func spreadWarnings(catalogue laburnumlever.Catalogue, engines []Engine) []string {
 	f := newFleet(Snapshot{Catalogue: catalogue, Engines: engines})
-	f.packTightly()
-	for _, m := range f.narrow() {
+	f.packBestFit()
+	for _, m := range f.singleZoneModels() {
 		f.spread(m)
 	}
-	var once, oneZone []laburnumlever.ModelName
+	var singleCopy, singleZone []laburnumlever.ModelName
 	for m := range f.models {
-		zones, n := f.where(m)
+		zones, n := f.locations(m)
 		switch {
 		case n < 2:
-			once = append(once, f.models[m].Name)
+			singleCopy = append(singleCopy, f.models[m].Name)
 		case len(zones) < 2:
-			oneZone = append(oneZone, f.models[m].Name)
+			singleZone = append(singleZone, f.models[m].Name)
 		}
 	}
 	var warnings []string
-	if len(once) > 0 {
-		warnings = append(warnings, fmt.Sprintf("no memory for a second copy of %v: the loss of an engine makes them unreachable until they are loaded again", once))
+	if len(singleCopy) > 0 {
+		warnings = append(warnings, fmt.Sprintf("no memory for a second copy of %v: the loss of an engine makes them unreachable until they are loaded again", singleCopy))
 	}
-	if len(oneZone) > 0 {
-		warnings = append(warnings, fmt.Sprintf("no memory in a second zone for %v: the loss of a zone makes them unreachable until they are loaded again", oneZone))
+	if len(singleZone) > 0 {
+		warnings = append(warnings, fmt.Sprintf("no memory in a second zone for %v: the loss of a zone makes them unreachable until they are loaded again", singleZone))
 	}
 	return warnings
 }
@@ -157,8 +157,8 @@
 	return zones
 }
 
-// shareWarnings names the zones that have engines but no part of the weight store.
-func shareWarnings(d laburnumlever.Deployment, zones []laburnumlever.ZoneName) []string {
+// quotaWarnings names the zones that have engines but no part of the weight store.
+func quotaWarnings(d laburnumlever.Deployment, zones []laburnumlever.ZoneName) []string {
 	var warnings []string
 	for _, zone := range zones {
 		switch {
--- a/laburnumplacement/fleet.go
+++ b/laburnumplacement/fleet.go
@@ -12,43 +12,43 @@
 // moves are planned. Loads planned in the round take their memory at once; unloads
 // free none, because the engine frees it only later.
 type fleet struct {
-	snapshot Snapshot
-	engines  []engine
-	models   []model
-	byName   map[laburnumlever.ModelName]int
-	moves    []Move
-	unplaced []laburnumlever.ModelName
-	shifting int // replicas loading or planned
-	loads    int // planned in this round
+	snapshot      Snapshot
+	engines       []engine
+	models        []model
+	byName        map[laburnumlever.ModelName]int
+	moves         []Move
+	unplaced      []laburnumlever.ModelName
+	movesInFlight int // replicas loading or planned
+	plannedLoads  int // planned in this round
 }
 
 type engine struct {
 	Engine
-	free   []int // per accelerator; may be negative when one was lost
-	most   int   // the most free memory of any accelerator
-	copies []*placed
-	load   float64 // busy share that the allocation gives it
-	// clearing tells that a copy there is being unloaded.
-	clearing bool
-	order    uint64
+	free        []int // per accelerator; may be negative when one was lost
+	maxFree     int   // the most free memory of any accelerator
+	copies      []*placement
+	utilization float64 // busy share that the allocation gives it
+	// unloading tells that a copy there is being unloaded.
+	unloading bool
+	tieBreak  uint64
 }
 
 type model struct {
 	laburnumlever.Model
-	part, span int
-	copies     []*placed
-	demand     Demand
-	unmet      float64 // share of the demand
+	partMiB, span int
+	copies        []*placement
+	demand        Demand
+	unmet         float64 // share of the demand
 }
 
-// placed is one copy: there already, or planned in this round.
-type placed struct {
+// placement is one copy: there already, or planned in this round.
+type placement struct {
 	Copy
-	engine  int
-	model   int // -1 when the catalogue has no such model
-	current bool
-	planned bool
-	share   float64 // part of the model's demand that it carries
+	engine      int
+	model       int // -1 when the catalogue has no such model
+	current     bool
+	planned     bool
+	demandShare float64 // part of the model's demand that it carries
 }
 
 func newFleet(s Snapshot) *fleet {
@@ -59,12 +59,12 @@
 		byName:   make(map[laburnumlever.ModelName]int, len(s.Catalogue.Models)),
 	}
 	for i, m := range s.Catalogue.Models {
-		f.models[i] = model{Model: m, part: m.PartMiB(), span: m.Span(), demand: s.Demand[m.Name]}
+		f.models[i] = model{Model: m, partMiB: m.PartMiB(), span: m.Span(), demand: s.Demand[m.Name]}
 		f.byName[m.Name] = i
 	}
 	for i, e := range s.Engines {
-		f.engines[i] = engine{Engine: e, free: freeMemory(e), order: hash(string(e.ID))}
-		f.take(i, nil, 0)
+		f.engines[i] = engine{Engine: e, free: freeMemory(e), tieBreak: hash(string(e.ID))}
+		f.reserve(i, nil, 0)
 		f.addCopies(i, e.Copies)
 	}
 	return f
@@ -82,10 +82,10 @@
 }
 
 func (f *fleet) addCopies(at int, copies []Copy) {
-	store := make([]placed, len(copies))
+	placements := make([]placement, len(copies))
 	for i, c := range copies {
-		p := &store[i]
-		*p = placed{Copy: c, engine: at, model: -1}
+		p := &placements[i]
+		*p = placement{Copy: c, engine: at, model: -1}
 		size := c.PartMiB
 		if m, ok := f.byName[c.Model]; ok {
 			p.model = m
@@ -94,40 +94,40 @@
 			if p.current {
 				// While the catalogue changes a model's size, its copies count at
 				// the larger of both: the update that follows needs that much.
-				size = max(size, f.models[m].part)
+				size = max(size, f.models[m].partMiB)
 			}
 		}
 		f.engines[at].copies = append(f.engines[at].copies, p)
-		f.engines[at].clearing = f.engines[at].clearing || leaving(p)
-		f.take(at, c.Accelerators, size)
+		f.engines[at].unloading = f.engines[at].unloading || unloading(p)
+		f.reserve(at, c.Accelerators, size)
 	}
 }
 
-func (f *fleet) take(at int, ids []laburnumlever.AcceleratorID, size int) {
+func (f *fleet) reserve(at int, ids []laburnumlever.AcceleratorID, size int) {
 	e := &f.engines[at]
-	e.most = 0
+	e.maxFree = 0
 	for i, a := range e.Accelerators {
 		if slices.Contains(ids, a.ID) {
 			e.free[i] -= size
 		}
-		e.most = max(e.most, e.free[i])
+		e.maxFree = max(e.maxFree, e.free[i])
 	}
 }
 
-// present tells that the copy answers or will: on a serving engine, not going.
-func (f *fleet) present(p *placed) bool {
+// active tells that the copy answers or will: on a serving engine, not going.
+func (f *fleet) active(p *placement) bool {
 	return f.engines[p.engine].Serving && !p.Going && !p.Draining
 }
 
-// lasting tells that the copy is present on an engine that stays.
-func (f *fleet) lasting(p *placed) bool { return f.present(p) && !f.engines[p.engine].Leaving }
+// resident tells that the copy is present on an engine that stays.
+func (f *fleet) resident(p *placement) bool { return f.active(p) && !f.engines[p.engine].Leaving }
 
-// answers tells that the copy takes requests and has for some time.
-func (f *fleet) answers(p *placed) bool { return f.present(p) && p.Ready && p.Stable }
+// stable tells that the copy takes requests and has for some time.
+func (f *fleet) stable(p *placement) bool { return f.active(p) && p.Ready && p.Stable }
 
-// spot is a place for a copy. The accelerators follow from the free memory, so
+// fit is a place for a copy. The accelerators follow from the free memory, so
 // they are worked out only for the place that is taken.
-type spot struct {
+type fit struct {
 	engine   int
 	leftover int
 }
@@ -135,32 +135,32 @@
 // maxSpan bounds how many accelerators of one engine a copy may be split over.
 const maxSpan = 64
 
-// room finds how tightly a copy fits on an engine: the memory that is left over on
-// the accelerators with the least room for it.
-func (f *fleet) room(at, part, span int) (spot, bool) {
+// fitOn finds how tightly a copy fits on an engine: the memory that is left over on
+// the accelerators with the least fitOn for it.
+func (f *fleet) fitOn(at, partMiB, span int) (fit, bool) {
 	e := &f.engines[at]
-	if !e.Usable || len(e.free) < span || span > maxSpan || e.most < part {
-		return spot{}, false
+	if !e.Usable || len(e.free) < span || span > maxSpan || e.maxFree < partMiB {
+		return fit{}, false
 	}
 	var tightest [maxSpan]int
 	n := 0
 	for _, free := range e.free {
-		if free >= part {
-			n = insert(tightest[:span], n, free)
+		if free >= partMiB {
+			n = insertSorted(tightest[:span], n, free)
 		}
 	}
 	if n < span {
-		return spot{}, false
+		return fit{}, false
 	}
-	s := spot{engine: at}
+	s := fit{engine: at}
 	for _, free := range tightest[:span] {
-		s.leftover += free - part
+		s.leftover += free - partMiB
 	}
 	return s, true
 }
 
-// insert keeps the smallest values in order; n of the list are set.
-func insert(list []int, n, value int) int {
+// insertSorted keeps the smallest values in order; n of the list are set.
+func insertSorted(list []int, n, value int) int {
 	i := n
 	if n == len(list) {
 		if value >= list[n-1] {
@@ -175,12 +175,12 @@
 	return min(n+1, len(list))
 }
 
-// tightest names the accelerators that room found.
-func (f *fleet) tightest(at, part, span int) []laburnumlever.AcceleratorID {
+// bestFitAccelerators names the accelerators that room found.
+func (f *fleet) bestFitAccelerators(at, partMiB, span int) []laburnumlever.AcceleratorID {
 	e := &f.engines[at]
 	fitting := make([]int, 0, len(e.free))
 	for i, free := range e.free {
-		if free >= part {
+		if free >= partMiB {
 			fitting = append(fitting, i)
 		}
 	}
@@ -193,32 +193,32 @@
 	return ids
 }
 
-// wanted is the copy of a model that the catalogue asks for.
-func (m *model) wanted(accelerators []laburnumlever.AcceleratorID) laburnumlever.Loaded {
-	l := laburnumlever.Loaded{Model: m.Name, Version: m.Version, Accelerators: accelerators, PartMiB: m.part}
+// desiredCopy is the copy of a model that the catalogue asks for.
+func (m *model) desiredCopy(accelerators []laburnumlever.AcceleratorID) laburnumlever.Loaded {
+	l := laburnumlever.Loaded{Model: m.Name, Version: m.Version, Accelerators: accelerators, PartMiB: m.partMiB}
 	for _, a := range m.Adapters {
 		l.Adapters = append(l.Adapters, a.Name)
 	}
 	return l
 }
 
-func (f *fleet) planLoad(m int, s spot, reason MoveReason, move Move) {
+func (f *fleet) planLoad(m int, s fit, reason MoveReason, move Move) {
 	mod := &f.models[m]
 	e := &f.engines[s.engine]
 	move.Kind = laburnumlever.Load
 	move.Engine = e.ID
 	move.Zone = e.Zone
-	move.Copy = mod.wanted(f.tightest(s.engine, mod.part, mod.span))
+	move.Copy = mod.desiredCopy(f.bestFitAccelerators(s.engine, mod.partMiB, mod.span))
 	move.Reason = reason
 	f.moves = append(f.moves, move)
-	p := &placed{Copy: Copy{Loaded: move.Copy}, engine: s.engine, model: m, current: true, planned: true}
+	p := &placement{Copy: Copy{Loaded: move.Copy}, engine: s.engine, model: m, current: true, planned: true}
 	mod.copies = append(mod.copies, p)
 	e.copies = append(e.copies, p)
-	f.take(s.engine, move.Copy.Accelerators, mod.part)
-	f.loads++
+	f.reserve(s.engine, move.Copy.Accelerators, mod.partMiB)
+	f.plannedLoads++
 }
 
-func (f *fleet) planUnload(p *placed, reason MoveReason, move Move) {
+func (f *fleet) planUnload(p *placement, reason MoveReason, move Move) {
 	e := &f.engines[p.engine]
 	if !e.Usable {
 		return
@@ -230,7 +230,7 @@
 	move.Reason = reason
 	f.moves = append(f.moves, move)
 	p.Going = true
-	e.clearing = true
+	e.unloading = true
 }
 
 func hash(parts ...string) uint64 {
--- a/laburnumplacement/makeroom.go
+++ b/laburnumplacement/makeroom.go
@@ -7,18 +7,18 @@
 	"laburnumlever"
 )
 
-// mayGo tells whether a copy can be given up without its model being lost, also when
+// canEvict tells whether a copy can be given up without its model being lost, also when
 // another zone's owner decides the same of its own copies at this moment: either
 // the copy's own zone keeps another that answers, or a zone that goes before
 // this one in the model's own order of zones does. Of two zones only one can be
 // the other's predecessor, so they can't each give up the last but one.
-func (f *fleet) mayGo(p *placed) bool {
+func (f *fleet) canEvict(p *placement) bool {
 	if p.model < 0 {
 		return true
 	}
-	own := f.engines[p.engine].Zone
+	ownZone := f.engines[p.engine].Zone
 	for _, other := range f.models[p.model].copies {
-		if other == p || !f.answers(other) || !f.lasting(other) {
+		if other == p || !f.stable(other) || !f.resident(other) {
 			continue
 		}
 		if p.current && !other.current {
@@ -26,17 +26,17 @@
 			continue
 		}
 		zone := f.engines[other.engine].Zone
-		if zone == own || !f.fresh(p.model) && f.precedes(p.model, zone, own) {
+		if zone == ownZone || !f.versionRecentlyChanged(p.model) && f.precedes(p.model, zone, ownZone) {
 			return true
 		}
 	}
 	return false
 }
 
-// fresh guards a copy in a zone whose owner acts on another version for a moment: it
+// versionRecentlyChanged guards a copy in a zone whose owner acts on another version for a moment: it
 // gives up its copy of the version before last for one here, while this one gives
 // that up for the other, and the model is lost.
-func (f *fleet) fresh(m int) bool { return f.snapshot.Fresh[f.models[m].Name] }
+func (f *fleet) versionRecentlyChanged(m int) bool { return f.snapshot.Fresh[f.models[m].Name] }
 
 func (f *fleet) precedes(m int, a, b laburnumlever.ZoneName) bool {
 	name := string(f.models[m].Name)
@@ -49,10 +49,10 @@
 // later round, once the memory is free. Only engines that are allowed count: room in a
 // zone whose owner does not act would keep the model away for as long as that lasts.
 func (f *fleet) makeRoom(m int, allowed func(at int) bool) bool {
-	if f.comingRoom(m, allowed) {
+	if f.roomPending(m, allowed) {
 		return true
 	}
-	best, ok := f.cheapestClearing(m, allowed)
+	best, ok := f.cheapestEviction(m, allowed)
 	if ok {
 		for _, p := range best.victims {
 			f.planUnload(p, ReasonMakeRoom, Move{For: f.models[m].Name})
@@ -62,25 +62,25 @@
 	return f.relocate(m, allowed)
 }
 
-// clearing is a set of copies whose unloading makes room on one engine.
-type clearing struct {
+// eviction is a set of copies whose unloading makes room on one engine.
+type eviction struct {
 	engine  int
-	victims []*placed
-	loss    float64
+	victims []*placement
+	cost    float64
 }
 
-func (f *fleet) cheapestClearing(m int, allowed func(at int) bool) (clearing, bool) {
-	var best clearing
+func (f *fleet) cheapestEviction(m int, allowed func(at int) bool) (eviction, bool) {
+	var best eviction
 	found := false
 	for at := range f.engines {
 		if !allowed(at) {
 			continue
 		}
-		c, ok := f.clearing(at, m, func(p *placed) bool { return p.Going || p.Draining || f.mayGo(p) }, f.worth)
+		c, ok := f.evictionOn(at, m, func(p *placement) bool { return p.Going || p.Draining || f.canEvict(p) }, f.demandPerCopy)
 		if !ok {
 			continue
 		}
-		c.victims = slices.DeleteFunc(c.victims, func(p *placed) bool { return p.Going || p.Draining })
+		c.victims = slices.DeleteFunc(c.victims, func(p *placement) bool { return p.Going || p.Draining })
 		if !found || c.cheaperThan(best) {
 			best, found = c, true
 		}
@@ -88,63 +88,63 @@
 	return best, found
 }
 
-// candidate is a copy that may go, and what it is worth.
-type candidate struct {
-	p     *placed
-	worth float64
+// evictionCandidate is a copy that may go, and what it is worth.
+type evictionCandidate struct {
+	copy *placement
+	cost float64
 }
 
-func (c clearing) cheaperThan(other clearing) bool {
-	return cmp.Or(cmp.Compare(c.loss, other.loss), cmp.Compare(len(c.victims), len(other.victims))) < 0
+func (c eviction) cheaperThan(other eviction) bool {
+	return cmp.Or(cmp.Compare(c.cost, other.cost), cmp.Compare(len(c.victims), len(other.victims))) < 0
 }
 
-// clearing finds the copies to unload so that the model fits on the engine,
+// evictionOn finds the copies to unload so that the model fits on the engine,
 // those whose models have the least demand first. A copy whose memory stays counted
 // is left alone: unloaded, it would free nothing yet, and the next round would load
 // it there again, in turns for as long as its order counts.
-func (f *fleet) clearing(at, m int, may func(p *placed) bool, worth func(p *placed) float64) (clearing, bool) {
+func (f *fleet) evictionOn(at, m int, evictable func(p *placement) bool, cost func(p *placement) float64) (eviction, bool) {
 	e := &f.engines[at]
 	mod := &f.models[m]
 	if !e.Usable || len(e.free) < mod.span {
-		return clearing{}, false
+		return eviction{}, false
 	}
 	free := slices.Clone(e.free)
-	var candidates []candidate
+	var candidates []evictionCandidate
 	for _, p := range e.copies {
-		if !p.planned && !p.Counted && p.model != m && may(p) {
-			candidates = append(candidates, candidate{p: p, worth: worth(p)})
+		if !p.planned && !p.Counted && p.model != m && evictable(p) {
+			candidates = append(candidates, evictionCandidate{copy: p, cost: cost(p)})
 		}
 	}
-	slices.SortStableFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.worth, b.worth), cmp.Compare(a.p.Model, b.p.Model))
+	slices.SortStableFunc(candidates, func(a, b evictionCandidate) int {
+		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.copy.Model, b.copy.Model))
 	})
-	c := clearing{engine: at}
-	for _, x := range candidates {
-		if fitsOn(free, mod.part, mod.span) {
+	c := eviction{engine: at}
+	for _, candidate := range candidates {
+		if hasRoom(free, mod.partMiB, mod.span) {
 			break
 		}
 		for i, a := range e.Accelerators {
-			if slices.Contains(x.p.Accelerators, a.ID) {
-				free[i] += x.p.PartMiB
+			if slices.Contains(candidate.copy.Accelerators, a.ID) {
+				free[i] += candidate.copy.PartMiB
 			}
 		}
-		c.victims = append(c.victims, x.p)
-		c.loss += x.worth
+		c.victims = append(c.victims, candidate.copy)
+		c.cost += candidate.cost
 	}
-	return c, fitsOn(free, mod.part, mod.span)
+	return c, hasRoom(free, mod.partMiB, mod.span)
 }
 
-func fitsOn(free []int, part, span int) bool {
+func hasRoom(free []int, partMiB, span int) bool {
 	for _, n := range free {
-		if n >= part {
+		if n >= partMiB {
 			span--
 		}
 	}
 	return span <= 0
 }
 
-// worth is the demand a copy stands for; one that is going already costs nothing.
-func (f *fleet) worth(p *placed) float64 {
+// demandPerCopy is the demand a copy stands for; one that is going already costs nothing.
+func (f *fleet) demandPerCopy(p *placement) float64 {
 	if p.model < 0 || p.Going || p.Draining {
 		return 0
 	}
@@ -161,10 +161,10 @@
 			continue
 		}
 		for _, p := range f.engines[at].copies {
-			if p.model < 0 || p.planned || !f.answers(p) || !p.current {
+			if p.model < 0 || p.planned || !f.stable(p) || !p.current {
 				continue
 			}
-			if _, ok := f.clearing(at, m, func(other *placed) bool { return other == p || f.mayGo(other) }, f.worth); !ok {
+			if _, ok := f.evictionOn(at, m, func(other *placement) bool { return other == p || f.canEvict(other) }, f.demandPerCopy); !ok {
 				continue
 			}
 			if f.relocateCopy(p, m) {
@@ -175,12 +175,12 @@
 	return false
 }
 
-func (f *fleet) relocateCopy(p *placed, m int) bool {
+func (f *fleet) relocateCopy(p *placement, m int) bool {
 	from := f.engines[p.engine].Zone
-	if f.underWay(p.model) {
+	if f.replacementPending(p.model) {
 		return true
 	}
-	s, ok := f.findSpot(p.model, func(at int) bool {
+	s, ok := f.findEngine(p.model, func(at int) bool {
 		to := f.engines[at].Zone
 		return at != p.engine && (to == from || f.precedes(p.model, to, from))
 	})
@@ -191,10 +191,10 @@
 	return true
 }
 
-// underWay tells whether another copy of the model is loading or has just been
+// replacementPending tells whether another copy of the model is loading or has just been
 // loaded, so that the move away has begun.
-func (f *fleet) underWay(m int) bool {
-	return slices.ContainsFunc(f.models[m].copies, func(p *placed) bool {
-		return f.lasting(p) && !f.answers(p)
+func (f *fleet) replacementPending(m int) bool {
+	return slices.ContainsFunc(f.models[m].copies, func(p *placement) bool {
+		return f.resident(p) && !f.stable(p)
 	})
 }
--- a/laburnumplacement/measures_test.go
+++ b/laburnumplacement/measures_test.go
@@ -18,11 +18,11 @@
 
 // The two weightings: the attainment that a move must bring, in requests a second.
 const (
-	attainmentFirst = 0.05
-	movesFirst      = 2.0
+	lowMoveCost  = 0.05
+	highMoveCost = 2.0
 )
 
-func oursPolicy() policy {
+func plannerPolicy() policy {
 	planner := laburnumplacement.NewPlanner()
 	return func(s laburnumplacement.Snapshot) []laburnumplacement.Move { return planner.Plan(s).Moves }
 }
@@ -36,27 +36,27 @@
 // price; the last copy stays.
 func proportionalPolicy() policy {
 	return func(s laburnumplacement.Snapshot) []laburnumplacement.Move {
-		p := newProportional(s)
+		p := newProportionalPlan(s)
 		for _, m := range s.Catalogue.Models {
-			p.drop(m)
+			p.unloadSurplus(m)
 		}
 		for _, m := range s.Catalogue.Models {
-			p.add(m)
+			p.loadMissing(m)
 		}
 		return p.moves
 	}
 }
 
-type proportional struct {
+type proportionalPlan struct {
 	s     laburnumplacement.Snapshot
 	want  map[laburnumlever.ModelName]int
 	free  []map[laburnumlever.AcceleratorID]int
 	moves []laburnumplacement.Move
 }
 
-func newProportional(s laburnumplacement.Snapshot) *proportional {
-	p := &proportional{s: s, want: make(map[laburnumlever.ModelName]int)}
-	memory, size, total := 0, 0, 0.0
+func newProportionalPlan(s laburnumplacement.Snapshot) *proportionalPlan {
+	p := &proportionalPlan{s: s, want: make(map[laburnumlever.ModelName]int)}
+	memory, modelMemory, requests := 0, 0, 0.0
 	for _, e := range s.Engines {
 		free := make(map[laburnumlever.AcceleratorID]int)
 		for _, a := range e.Accelerators {
@@ -73,17 +73,17 @@
 		p.free = append(p.free, free)
 	}
 	for _, m := range s.Catalogue.Models {
-		size += m.SizeMiB()
-		total += s.Demand[m.Name].Now.Requests
+		modelMemory += m.SizeMiB()
+		requests += s.Demand[m.Name].Now.Requests
 	}
-	copies := float64(memory*len(s.Catalogue.Models)) / float64(size)
+	copies := float64(memory*len(s.Catalogue.Models)) / float64(modelMemory)
 	for _, m := range s.Catalogue.Models {
-		p.want[m.Name] = max(1, int(math.Round(copies*s.Demand[m.Name].Now.Requests/max(total, 1))))
+		p.want[m.Name] = max(1, int(math.Round(copies*s.Demand[m.Name].Now.Requests/max(requests, 1))))
 	}
 	return p
 }
 
-func (p *proportional) copies(m laburnumlever.Model) (list []laburnumplacement.Move, ready int) {
+func (p *proportionalPlan) copies(m laburnumlever.Model) (list []laburnumplacement.Move, ready int) {
 	for _, e := range p.s.Engines {
 		for _, c := range e.Copies {
 			if c.Model == m.Name && c.Version == m.Version && e.Serving && !c.Draining {
@@ -97,7 +97,7 @@
 	return list, ready
 }
 
-func (p *proportional) drop(m laburnumlever.Model) {
+func (p *proportionalPlan) unloadSurplus(m laburnumlever.Model) {
 	list, ready := p.copies(m)
 	for i := 0; i < len(list) && len(list)-i > p.want[m.Name] && ready > 1; i++ {
 		p.moves = append(p.moves, list[i])
@@ -115,7 +115,7 @@
 	}
 }
 
-func (p *proportional) add(m laburnumlever.Model) {
+func (p *proportionalPlan) loadMissing(m laburnumlever.Model) {
 	list, _ := p.copies(m)
 	if len(list) >= p.want[m.Name] {
 		return
@@ -141,19 +141,19 @@
 	}
 }
 
-// bound is what the engines could do if each held every model and nothing had to be
+// upperBound is what the engines could do if each held every model and nothing had to be
 // moved.
-func bound(t require.TestingT, name, scenario string) float64 {
-	w := newMeasured(t, name, scenario, 0)
-	all := w.newSide(w.catalogue.Deployment.Zones, nil)
-	w.sides = []*side{all}
+func upperBound(t require.TestingT, name, scenario string) float64 {
+	w := newSimulation(t, name, scenario, 0)
+	all := w.newPartition(w.catalogue.Deployment.Zones, nil)
+	w.partitions = []*partition{all}
 	for w.second = 0; w.second < hour; w.second++ {
-		w.faults(all, nil)
-		for _, s := range w.sides {
+		w.injectFaults(all, nil)
+		for _, s := range w.partitions {
 			capacity, total := 0.0, 0.0
 			for i, e := range w.engines {
-				if w.sees(s, i) {
-					capacity += fullAt / requestCost(e.Announcement())
+				if w.reachable(s, i) {
+					capacity += maxUtilization / requestCost(e.Announcement())
 				}
 			}
 			for i, m := range w.catalogue.Models {
@@ -166,12 +166,12 @@
 }
 
 type result struct {
-	name     string
-	perAccel float64
-	share    float64
-	moves    int
-	absence  int // the longest, in seconds
-	seconds  int // of all models together
+	name          string
+	perAccel      float64
+	attainedShare float64
+	moves         int
+	longestOutage int // the longest, in seconds
+	outageSeconds int // of all models together
 }
 
 func measure(t require.TestingT, name, scenario string) []result {
@@ -181,16 +181,16 @@
 		cost   float64
 		policy policy
 	}{
-		{"attainment first", attainmentFirst, oursPolicy()},
-		{"moves first", movesFirst, oursPolicy()},
-		{"static", attainmentFirst, staticPolicy()},
-		{"proportional", attainmentFirst, proportionalPolicy()},
+		{"attainment first", lowMoveCost, plannerPolicy()},
+		{"moves first", highMoveCost, plannerPolicy()},
+		{"static", lowMoveCost, staticPolicy()},
+		{"proportional", lowMoveCost, proportionalPolicy()},
 	} {
-		w := newMeasured(t, name, scenario, p.cost)
+		w := newSimulation(t, name, scenario, p.cost)
 		w.run(p.name, p.policy)
 		list = append(list, result{
-			name: p.name, perAccel: w.attained / hour / float64(2*len(w.engines)), share: w.attained / w.offered,
-			moves: w.moves, absence: w.longestAbsence, seconds: w.absentSeconds,
+			name: p.name, perAccel: w.attained / hour / float64(2*len(w.engines)), attainedShare: w.attained / w.offered,
+			moves: w.moves, longestOutage: w.longestOutage, outageSeconds: w.outageSeconds,
 		})
 	}
 	return list
@@ -207,9 +207,9 @@
 			}
 			list := measure(t, name, scenario)
 			if *printMeasures {
-				fmt.Printf("| %s | %s | no-limit bound | %.3f | | | | |\n", name, scenario, bound(t, name, scenario))
+				fmt.Printf("| %s | %s | no-limit bound | %.3f | | | | |\n", name, scenario, upperBound(t, name, scenario))
 				for _, r := range list {
-					fmt.Printf("| %s | %s | %s | %.3f | %.1f%% | %d | %d | %d |\n", name, scenario, r.name, r.perAccel, 100*r.share, r.moves, r.absence, r.seconds)
+					fmt.Printf("| %s | %s | %s | %.3f | %.1f%% | %d | %d | %d |\n", name, scenario, r.name, r.perAccel, 100*r.attainedShare, r.moves, r.longestOutage, r.outageSeconds)
 				}
 				continue
 			}
--- a/laburnumplacement/planner.go
+++ b/laburnumplacement/planner.go
@@ -16,12 +16,12 @@
 // Plan decides the moves for the fleet as the snapshot shows it.
 func (p *Planner) Plan(s Snapshot) Plan {
 	f := newFleet(s)
-	f.removeForgotten()
+	f.unloadRemovedModels()
 	f.repair()
 	f.switchVersions()
-	f.update()
+	f.updateChangedCopies()
 	f.allocate()
-	f.fill()
+	f.fillFreeMemory()
 	return f.plan()
 }
 
--- a/laburnumplacement/planner_test.go
+++ b/laburnumplacement/planner_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func models(n, mib int) laburnumlever.Catalogue {
+func catalogueOf(n, mib int) laburnumlever.Catalogue {
 	c := laburnumlever.Catalogue{Deployment: laburnumlever.Deployment{MoveCost: 0.5}}
 	for i := range n {
 		c.Models = append(c.Models, laburnumlever.Model{Name: laburnumlever.ModelName(fmt.Sprintf("m%02d", i)), Version: "v1", WeightsMiB: mib})
@@ -29,8 +29,8 @@
 	return c
 }
 
-// carryOut makes the moves as engines would: all of them, and the copies are ready.
-func carryOut(t *testing.T, s *laburnumplacement.Snapshot, moves []laburnumplacement.Move) {
+// applyMoves makes the moves as engines would: all of them, and the copies are ready.
+func applyMoves(t *testing.T, s *laburnumplacement.Snapshot, moves []laburnumplacement.Move) {
 	for _, m := range moves {
 		i := slices.IndexFunc(s.Engines, func(e laburnumplacement.Engine) bool { return e.ID == m.Engine })
 		e := &s.Engines[i]
@@ -54,20 +54,20 @@
 	}
 }
 
-// settle plans and carries out until nothing moves, and returns the moves made.
-func settle(t *testing.T, s *laburnumplacement.Snapshot) []laburnumplacement.Move {
+// converge plans and carries out until nothing moves, and returns the moves made.
+func converge(t *testing.T, s *laburnumplacement.Snapshot) []laburnumplacement.Move {
 	var all []laburnumplacement.Move
-	reached := make(map[laburnumlever.ModelName]bool)
+	wasReachable := make(map[laburnumlever.ModelName]bool)
 	for range 30 {
 		plan := laburnumplacement.NewPlanner().Plan(*s)
 		if len(plan.Moves) == 0 {
 			return all
 		}
-		carryOut(t, s, plan.Moves)
+		applyMoves(t, s, plan.Moves)
 		for _, m := range s.Catalogue.Models {
-			now := len(zonesOf(*s, m.Name)) > 0
-			require.True(t, now || !reached[m.Name], "%s was reachable and no longer is", m.Name)
-			reached[m.Name] = now
+			reachable := len(zonesOf(*s, m.Name)) > 0
+			require.True(t, reachable || !wasReachable[m.Name], "%s was reachable and no longer is", m.Name)
+			wasReachable[m.Name] = reachable
 		}
 		all = append(all, plan.Moves...)
 	}
@@ -88,11 +88,11 @@
 }
 
 func TestEveryModelInTwoZones(t *testing.T) {
-	s := laburnumplacement.Snapshot{Catalogue: models(9, 40), Engines: []laburnumplacement.Engine{
+	s := laburnumplacement.Snapshot{Catalogue: catalogueOf(9, 40), Engines: []laburnumplacement.Engine{
 		engineIn("e1", "a", 100), engineIn("e2", "a", 100), engineIn("e3", "b", 100), engineIn("e4", "b", 120),
 	}}
 	s.Catalogue.Models[3].Accelerators = 2
-	settle(t, &s)
+	converge(t, &s)
 	for _, m := range s.Catalogue.Models {
 		require.Len(t, zonesOf(s, m.Name), 2, m.Name)
 	}
@@ -102,14 +102,14 @@
 // no room for all new copies beside the old ones. Callers must find every model
 // at every moment; settle checks that after each round.
 func TestVersionSwitchWithoutGap(t *testing.T) {
-	s := laburnumplacement.Snapshot{Catalogue: models(8, 40), Engines: []laburnumplacement.Engine{
+	s := laburnumplacement.Snapshot{Catalogue: catalogueOf(8, 40), Engines: []laburnumplacement.Engine{
 		engineIn("e1", "a", 100), engineIn("e2", "a", 100), engineIn("e3", "b", 100), engineIn("e4", "b", 100),
 	}}
-	settle(t, &s)
+	converge(t, &s)
 	for i := range s.Catalogue.Models {
 		s.Catalogue.Models[i].Version = "v2"
 	}
-	settle(t, &s)
+	converge(t, &s)
 	for _, e := range s.Engines {
 		for _, c := range e.Copies {
 			require.Equal(t, laburnumlever.Version("v2"), c.Version)
@@ -120,13 +120,13 @@
 // An engine dies and the fleet is full: callers of its models get refusals. Second
 // copies of other models have to make room, never a last one.
 func TestLostEngineIsRepairedFromSurplus(t *testing.T) {
-	s := laburnumplacement.Snapshot{Catalogue: models(8, 50), Engines: []laburnumplacement.Engine{
+	s := laburnumplacement.Snapshot{Catalogue: catalogueOf(8, 50), Engines: []laburnumplacement.Engine{
 		engineIn("e1", "a", 100), engineIn("e2", "a", 100), engineIn("e3", "b", 100), engineIn("e4", "b", 100),
 	}}
-	settle(t, &s)
+	converge(t, &s)
 	s.Engines[0].Serving, s.Engines[0].Usable = false, false
 	s.Engines[2].Serving, s.Engines[2].Usable = false, false
-	settle(t, &s)
+	converge(t, &s)
 	for _, m := range s.Catalogue.Models {
 		require.NotEmpty(t, zonesOf(s, m.Name), m.Name)
 	}
@@ -135,34 +135,34 @@
 // An engine announces that it leaves. Its models get their successors while it
 // still answers, and no more is placed on it.
 func TestLeavingEngineIsReplaced(t *testing.T) {
-	s := laburnumplacement.Snapshot{Catalogue: models(4, 40), Engines: []laburnumplacement.Engine{
+	s := laburnumplacement.Snapshot{Catalogue: catalogueOf(4, 40), Engines: []laburnumplacement.Engine{
 		engineIn("e1", "a", 100), engineIn("e2", "b", 100), engineIn("e3", "b", 100),
 	}}
-	settle(t, &s)
+	converge(t, &s)
 	s.Engines[0].Leaving, s.Engines[0].Usable = true, false
-	for _, m := range settle(t, &s) {
+	for _, m := range converge(t, &s) {
 		require.NotEqual(t, laburnumlever.BackendID("e1"), m.Engine)
 	}
 	s.Engines[0].Serving = false
-	require.Empty(t, settle(t, &s))
+	require.Empty(t, converge(t, &s))
 	for _, m := range s.Catalogue.Models {
 		require.NotEmpty(t, zonesOf(s, m.Name), m.Name)
 	}
 }
 
-func TestReplicasFollowDemandAndPrice(t *testing.T) {
+func TestReplicasFollowDemandAndMoveCost(t *testing.T) {
 	for _, c := range []struct {
 		price float64
 		loads int
 	}{{price: 0.1, loads: 2}, {price: 100, loads: 0}} {
-		s := laburnumplacement.Snapshot{Catalogue: models(2, 40), Engines: []laburnumplacement.Engine{
+		s := laburnumplacement.Snapshot{Catalogue: catalogueOf(2, 40), Engines: []laburnumplacement.Engine{
 			engineIn("e1", "a", 100), engineIn("e2", "a", 100), engineIn("e3", "b", 100), engineIn("e4", "b", 100),
 		}}
 		s.Catalogue.Deployment.MoveCost = c.price
-		settle(t, &s)
+		converge(t, &s)
 		rates := laburnumplacement.Rates{Requests: 40, AnswerTokens: 4000}
 		s.Demand = map[laburnumlever.ModelName]laburnumplacement.Demand{"m00": {Now: rates, Hold: rates}}
-		require.Len(t, settle(t, &s), c.loads)
+		require.Len(t, converge(t, &s), c.loads)
 	}
 }
 
@@ -173,80 +173,80 @@
 			Backend: laburnumlever.BackendID(fmt.Sprint(i)), Zone: zone, Accelerators: []laburnumlever.Accelerator{{ID: "a0", MemoryMiB: 100}},
 		}})
 	}
-	whole := models(2, 50)
-	whole.Deployment.Zones = []laburnumlever.ZoneName{"a", "b"}
-	whole.Deployment.WeightStore.ParallelLoads = 2
-	warnings, err := laburnumplacement.Fits(whole, backends)
+	fitting := catalogueOf(2, 50)
+	fitting.Deployment.Zones = []laburnumlever.ZoneName{"a", "b"}
+	fitting.Deployment.WeightStore.ParallelLoads = 2
+	warnings, err := laburnumplacement.Fits(fitting, backends)
 	require.NoError(t, err)
 	require.Empty(t, warnings)
-	whole.Deployment.Zones = whole.Deployment.Zones[:1]
-	warnings, err = laburnumplacement.Fits(whole, backends)
+	fitting.Deployment.Zones = fitting.Deployment.Zones[:1]
+	warnings, err = laburnumplacement.Fits(fitting, backends)
 	require.NoError(t, err)
 	require.Equal(t, []string{"zone b has engines but is not among the deployment's zones: nothing can be loaded there"}, warnings)
-	warnings, err = laburnumplacement.Fits(models(3, 50), backends)
+	warnings, err = laburnumplacement.Fits(catalogueOf(3, 50), backends)
 	require.NoError(t, err)
 	require.Contains(t, warnings[0], "without zone a the fleet lacks 50 MiB")
-	_, err = laburnumplacement.Fits(models(5, 50), backends)
-	var lack *laburnumlever.DoesNotFitError
-	require.ErrorAs(t, err, &lack)
-	require.Equal(t, 50, lack.ShortfallMiB)
+	_, err = laburnumplacement.Fits(catalogueOf(5, 50), backends)
+	var shortfall *laburnumlever.DoesNotFitError
+	require.ErrorAs(t, err, &shortfall)
+	require.Equal(t, 50, shortfall.ShortfallMiB)
 }
 
-func TestSharesNeverPassTheWhole(t *testing.T) {
+func TestZoneQuotasAddUpToStoreLimits(t *testing.T) {
 	d := laburnumlever.Deployment{
 		Zones:       []laburnumlever.ZoneName{"a", "b", "c", "d"},
 		WeightStore: laburnumlever.WeightStore{LoadsPerSecond: 1.5, ParallelLoads: 7},
 	}
 	parallel, rate := 0, 0.0
 	for _, zone := range d.Zones {
-		share := laburnumplacement.ShareOf(d, zone)
-		require.Positive(t, share.Parallel)
-		parallel += share.Parallel
-		rate += float64(time.Second) / float64(share.Interval)
+		quota := laburnumplacement.ShareOf(d, zone)
+		require.Positive(t, quota.Parallel)
+		parallel += quota.Parallel
+		rate += float64(time.Second) / float64(quota.Interval)
 	}
 	require.Equal(t, 7, parallel)
 	require.InDelta(t, 1.5, rate, 1e-6)
 	require.Zero(t, laburnumplacement.ShareOf(d, "elsewhere").Parallel)
 	now := time.Unix(0, 0)
-	share := laburnumplacement.ShareOf(d, "a")
-	pace := laburnumplacement.NewPace(now, share)
-	require.False(t, pace.Ready(now, share, 0))
-	require.True(t, pace.Ready(now.Add(share.Interval), share, 1))
-	require.False(t, pace.Ready(now.Add(share.Interval), share, 2))
+	quota := laburnumplacement.ShareOf(d, "a")
+	limiter := laburnumplacement.NewPace(now, quota)
+	require.False(t, limiter.Ready(now, quota, 0))
+	require.True(t, limiter.Ready(now.Add(quota.Interval), quota, 1))
+	require.False(t, limiter.Ready(now.Add(quota.Interval), quota, 2))
 }
 
 // A model needs the room of a copy that was loaded a moment ago, whose order still
 // counts. Unloaded now, that copy would free nothing, and the next round would load it
 // there again: the weight store works for nothing, and the model gets no room.
-func TestNoRoomIsMadeOfMemoryThatStaysCounted(t *testing.T) {
-	s := laburnumplacement.Snapshot{Catalogue: models(2, 60), Engines: []laburnumplacement.Engine{engineIn("e0", "a", 100)}}
-	settle(t, &s)
-	second := engineIn("e1", "a", 100)
-	second.Copies = []laburnumplacement.Copy{
+func TestCopyWithReservedMemoryIsNotEvicted(t *testing.T) {
+	s := laburnumplacement.Snapshot{Catalogue: catalogueOf(2, 60), Engines: []laburnumplacement.Engine{engineIn("e0", "a", 100)}}
+	converge(t, &s)
+	reserved := engineIn("e1", "a", 100)
+	reserved.Copies = []laburnumplacement.Copy{
 		{Loaded: s.Engines[0].Copies[0].Loaded, Stable: true, Counted: true},
 		{Loaded: s.Engines[0].Copies[1].Loaded, Stable: true, Counted: true},
 	}
-	s.Engines = []laburnumplacement.Engine{second, s.Engines[0]}
+	s.Engines = []laburnumplacement.Engine{reserved, s.Engines[0]}
 	s.Catalogue.Models = append(s.Catalogue.Models, laburnumlever.Model{Name: "new", Version: "v1", WeightsMiB: 70})
 	plan := laburnumplacement.NewPlanner().Plan(s)
 	for _, m := range plan.Moves {
 		require.NotEqual(t, laburnumlever.BackendID("e1"), m.Engine)
 	}
-	for i := range second.Copies {
+	for i := range reserved.Copies {
 		s.Engines[0].Copies[i].Counted = false
 	}
-	settle(t, &s)
-	isNew := func(c laburnumplacement.Copy) bool { return c.Model == "new" }
-	require.True(t, slices.ContainsFunc(s.Engines[0].Copies, isNew) || slices.ContainsFunc(s.Engines[1].Copies, isNew))
+	converge(t, &s)
+	isNewModel := func(c laburnumplacement.Copy) bool { return c.Model == "new" }
+	require.True(t, slices.ContainsFunc(s.Engines[0].Copies, isNewModel) || slices.ContainsFunc(s.Engines[1].Copies, isNewModel))
 }
 
 // An engine announces that it leaves and has the only copies of its models. They must be
 // on another engine before it ends, or their callers are refused until a repair.
-func TestOnlyCopiesOnALeavingEngineGetSuccessors(t *testing.T) {
-	s := laburnumplacement.Snapshot{Catalogue: models(4, 40), Engines: []laburnumplacement.Engine{engineIn("e1", "a", 100)}}
-	settle(t, &s)
+func TestOnlyCopiesOnLeavingEngineAreReplaced(t *testing.T) {
+	s := laburnumplacement.Snapshot{Catalogue: catalogueOf(4, 40), Engines: []laburnumplacement.Engine{engineIn("e1", "a", 100)}}
+	converge(t, &s)
 	s.Engines[0].Leaving, s.Engines[0].Usable = true, false
 	s.Engines = append(s.Engines, engineIn("e2", "a", 100))
-	settle(t, &s)
+	converge(t, &s)
 	require.Len(t, s.Engines[1].Copies, len(s.Catalogue.Models))
 }
--- a/laburnumplacement/share.go
+++ b/laburnumplacement/quota.go
@@ -27,14 +27,14 @@
 		return Share{}
 	}
 	n := len(d.Zones)
-	s := Share{Parallel: d.WeightStore.ParallelLoads / n}
+	quota := Share{Parallel: d.WeightStore.ParallelLoads / n}
 	if i < d.WeightStore.ParallelLoads%n {
-		s.Parallel++
+		quota.Parallel++
 	}
 	if d.WeightStore.LoadsPerSecond > 0 {
-		s.Interval = time.Duration(float64(n) / d.WeightStore.LoadsPerSecond * float64(time.Second))
+		quota.Interval = time.Duration(float64(n) / d.WeightStore.LoadsPerSecond * float64(time.Second))
 	}
-	return s
+	return quota
 }
 
 // Pace is the bucket of one zone's loads. It holds one load at most, and a new
@@ -42,12 +42,12 @@
 type Pace struct{ next time.Time }
 
 // NewPace makes an empty bucket.
-func NewPace(now time.Time, share Share) Pace { return Pace{next: now.Add(share.Interval)} }
+func NewPace(now time.Time, quota Share) Pace { return Pace{next: now.Add(quota.Interval)} }
 
 // Ready tells whether a load may begin, with that many under way.
-func (p Pace) Ready(now time.Time, share Share, underWay int) bool {
-	return underWay < share.Parallel && !now.Before(p.next)
+func (p Pace) Ready(now time.Time, quota Share, inFlight int) bool {
+	return inFlight < quota.Parallel && !now.Before(p.next)
 }
 
 // WithLoad is the bucket after a load has begun.
-func (p Pace) WithLoad(now time.Time, share Share) Pace { return Pace{next: now.Add(share.Interval)} }
+func (p Pace) WithLoad(now time.Time, quota Share) Pace { return Pace{next: now.Add(quota.Interval)} }
--- a/laburnumplacement/replicas.go
+++ b/laburnumplacement/replicas.go
@@ -8,97 +8,97 @@
 )
 
 const (
-	// shiftDivisor bounds the replicas loading at once to a tenth of the engines:
+	// inFlightDivisor bounds the replicas loading at once to a tenth of the engines:
 	// a wrong estimate can't turn over more of the fleet than that before its
 	// effect is seen in the next demand.
-	shiftDivisor = 10
-	// minShift lets a small fleet move at all.
-	minShift = 2
+	inFlightDivisor = 10
+	// minInFlight lets a small fleet move at all.
+	minInFlight = 2
 	// minGain keeps a move-cost of 0 from paying for moves that bring nothing.
 	minGain = 0.01
-	// exchangeFactor prices an exchange at two moves: the copy that goes will
+	// exchangeCostFactor prices an exchange at two moves: the copy that goes will
 	// have to come back when its own demand does.
-	exchangeFactor = 2
+	exchangeCostFactor = 2
 )
 
-// beginReplicas counts the copies that are loading or going, whatever for: they
+// countMovesInFlight counts the copies that are loading or going, whatever for: they
 // use the weight store, and their effect is not seen yet.
-func (f *fleet) beginReplicas() {
+func (f *fleet) countMovesInFlight() {
 	for i := range f.engines {
 		for _, p := range f.engines[i].copies {
-			if p.planned || leaving(p) || !p.Ready {
-				f.shifting++
+			if p.planned || unloading(p) || !p.Ready {
+				f.movesInFlight++
 			}
 		}
 	}
 }
 
-func (f *fleet) shiftLimit() int { return max(minShift, len(f.engines)/shiftDivisor) }
+func (f *fleet) maxMovesInFlight() int { return max(minInFlight, len(f.engines)/inFlightDivisor) }
 
-// replica is a copy that might be added.
-type replica struct {
+// replicaCandidate is a copy that might be added.
+type replicaCandidate struct {
 	model   int
-	spot    spot
+	fit     fit
 	gain    float64 // requests a second
-	victims []*placed
+	victims []*placement
 }
 
 // bestReplica finds the copy that gains most for each accelerator where the demand
 // of now is not met, if it is worth a move.
-func (f *fleet) bestReplica() (replica, bool) {
-	var best replica
+func (f *fleet) bestReplica() (replicaCandidate, bool) {
+	var best replicaCandidate
 	found := false
-	if f.shifting >= f.shiftLimit() || f.full() {
+	if f.movesInFlight >= f.maxMovesInFlight() || f.loadLimitReached() {
 		return best, false
 	}
-	for _, m := range f.unmetFirst() {
+	for _, m := range f.modelsByUnmetDemand() {
 		r, ok := f.replicaFor(m)
-		if ok && (!found || r.perAccelerator(f) > best.perAccelerator(f)) {
+		if ok && (!found || r.gainPerAccelerator(f) > best.gainPerAccelerator(f)) {
 			best, found = r, true
 		}
 	}
 	return best, found
 }
 
-func (r replica) perAccelerator(f *fleet) float64 {
+func (r replicaCandidate) gainPerAccelerator(f *fleet) float64 {
 	return r.gain / float64(f.models[r.model].span)
 }
 
-// maxUnmet bounds the models looked at for one replica: the rest have less to gain.
-const maxUnmet = 16
+// maxReplicaModels bounds the models looked at for one replica: the rest have less to gain.
+const maxReplicaModels = 16
 
-func (f *fleet) unmetFirst() []int {
-	var list []int
+func (f *fleet) modelsByUnmetDemand() []int {
+	var models []int
 	for m := range f.models {
-		if f.unmetRequests(m) > f.price() {
-			list = append(list, m)
+		if f.unmetRequests(m) > f.minMoveGain() {
+			models = append(models, m)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b int) int { return cmp.Compare(f.unmetRequests(b), f.unmetRequests(a)) })
-	return list[:min(len(list), maxUnmet)]
+	slices.SortStableFunc(models, func(a, b int) int { return cmp.Compare(f.unmetRequests(b), f.unmetRequests(a)) })
+	return models[:min(len(models), maxReplicaModels)]
 }
 
 func (f *fleet) unmetRequests(m int) float64 {
 	return f.models[m].unmet * f.models[m].demand.Now.Requests
 }
 
-func (f *fleet) price() float64 { return max(minGain, f.snapshot.Catalogue.Deployment.MoveCost) }
+func (f *fleet) minMoveGain() float64 { return max(minGain, f.snapshot.Catalogue.Deployment.MoveCost) }
 
 // replicaFor finds the engine whose spare room meets most of the model's unmet
 // demand: first in free memory, then in place of copies that are worth less.
-func (f *fleet) replicaFor(m int) (replica, bool) {
-	best := replica{model: m}
+func (f *fleet) replicaFor(m int) (replicaCandidate, bool) {
+	best := replicaCandidate{model: m}
 	found := false
 	for at := range f.engines {
-		if f.holds(at, m) {
+		if f.hasCopy(at, m) {
 			continue
 		}
 		gain := f.gainAt(at, m)
-		if gain <= f.price() || found && gain <= best.gain {
+		if gain <= f.minMoveGain() || found && gain <= best.gain {
 			continue
 		}
-		if s, ok := f.room(at, f.models[m].part, f.models[m].span); ok {
-			best.spot, best.gain, found = s, gain, true
+		if s, ok := f.fitOn(at, f.models[m].partMiB, f.models[m].span); ok {
+			best.fit, best.gain, found = s, gain, true
 		}
 	}
 	if found {
@@ -109,72 +109,72 @@
 
 func (f *fleet) gainAt(at, m int) float64 {
 	e := &f.engines[at]
-	cost := f.models[m].demand.Now.cost(e)
+	cost := f.models[m].demand.Now.utilization(e)
 	if !e.Usable || cost <= 0 {
 		return 0
 	}
-	spare := max(0, usableShare-e.load) / cost
+	spare := max(0, maxUtilization-e.utilization) / cost
 	return min(f.models[m].unmet, spare) * f.models[m].demand.Now.Requests
 }
 
 // exchangeFor finds an engine where copies that the last half hour did not need
 // can go for the model. What they would be missed by is taken from the gain.
-func (f *fleet) exchangeFor(m int) (replica, bool) {
-	best := replica{model: m}
+func (f *fleet) exchangeFor(m int) (replicaCandidate, bool) {
+	best := replicaCandidate{model: m}
 	found := false
-	if f.comingRoom(m, anywhere) {
+	if f.roomPending(m, anyEngine) {
 		return best, false
 	}
 	for at := range f.engines {
-		if f.holds(at, m) || f.unmetRequests(m) <= best.gain {
+		if f.hasCopy(at, m) || f.unmetRequests(m) <= best.gain {
 			continue
 		}
-		c, ok := f.clearing(at, m, f.mayBeExchanged, f.lossOf)
+		c, ok := f.evictionOn(at, m, f.canExchange, f.evictionLoss)
 		if !ok || len(c.victims) == 0 {
 			continue
 		}
-		gain := f.gainWithout(at, m, c.victims) - c.loss
-		if gain > exchangeFactor*f.price()*float64(len(c.victims)) && gain > best.gain {
-			best = replica{model: m, spot: spot{engine: at}, gain: gain, victims: c.victims}
+		gain := f.gainAfterEviction(at, m, c.victims) - c.cost
+		if gain > exchangeCostFactor*f.minMoveGain()*float64(len(c.victims)) && gain > best.gain {
+			best = replicaCandidate{model: m, fit: fit{engine: at}, gain: gain, victims: c.victims}
 			found = true
 		}
 	}
 	return best, found
 }
 
-// gainWithout is the gain on an engine once some copies have left it.
-func (f *fleet) gainWithout(at, m int, victims []*placed) float64 {
+// gainAfterEviction is the gain on an engine once some copies have left it.
+func (f *fleet) gainAfterEviction(at, m int, victims []*placement) float64 {
 	e := &f.engines[at]
-	cost := f.models[m].demand.Now.cost(e)
+	cost := f.models[m].demand.Now.utilization(e)
 	if !e.Usable || cost <= 0 {
 		return 0
 	}
-	load := e.load
+	load := e.utilization
 	for _, p := range victims {
-		load -= p.share * f.models[p.model].demand.Now.cost(e)
+		load -= p.demandShare * f.models[p.model].demand.Now.utilization(e)
 	}
-	return min(f.models[m].unmet, max(0, usableShare-load)/cost) * f.models[m].demand.Now.Requests
+	return min(f.models[m].unmet, max(0, maxUtilization-load)/cost) * f.models[m].demand.Now.Requests
 }
 
-// mayBeExchanged leaves copies that are loading alone: their effect is not seen yet.
-func (f *fleet) mayBeExchanged(p *placed) bool {
-	return p.model >= 0 && f.answers(p) && f.mayGo(p)
+// canExchange leaves copies that are loading alone: their effect is not seen yet.
+func (f *fleet) canExchange(p *placement) bool {
+	return p.model >= 0 && f.stable(p) && f.canEvict(p)
 }
 
-// lossOf is what giving the copy up costs, in requests a second.
-func (f *fleet) lossOf(p *placed) float64 {
-	loss := f.missedBy(p)
-	if f.endsSpread(p) {
-		loss += f.spreadWorth(p.model)
+// evictionLoss is what giving the copy up costs, in requests a second.
+func (f *fleet) evictionLoss(p *placement) float64 {
+	loss := f.peakDemandLost(p)
+	if f.leavesSingleZone(p) {
+		loss += f.spreadGain(p.model)
 	}
 	return loss
 }
 
-// endsSpread tells whether the model would be left in one zone without the copy.
-func (f *fleet) endsSpread(p *placed) bool {
+// leavesSingleZone tells whether the model would be left in one zone without the copy.
+func (f *fleet) leavesSingleZone(p *placement) bool {
 	var zone laburnumlever.ZoneName
 	for _, other := range f.models[p.model].copies {
-		if other == p || !f.lasting(other) {
+		if other == p || !f.resident(other) {
 			continue
 		}
 		if z := f.engines[other.engine].Zone; zone == "" {
@@ -186,31 +186,31 @@
 	return true
 }
 
-// missedBy is what the copy's model would lose with it, in requests a second, at
+// peakDemandLost is what the copy's model would lose with it, in requests a second, at
 // the demand of the last half hour.
-func (f *fleet) missedBy(p *placed) float64 {
+func (f *fleet) peakDemandLost(p *placement) float64 {
 	mod := &f.models[p.model]
 	capacity := 0.0
 	for _, other := range mod.copies {
-		if other == p || !f.present(other) {
+		if other == p || !f.active(other) {
 			continue
 		}
 		e := &f.engines[other.engine]
-		cost := mod.demand.Hold.cost(e)
+		cost := mod.demand.Hold.utilization(e)
 		if cost <= 0 {
 			return 0
 		}
-		own := other.share * mod.demand.Now.cost(e)
-		capacity += max(0, usableShare-e.load+own) / cost
+		own := other.demandShare * mod.demand.Now.utilization(e)
+		capacity += max(0, maxUtilization-e.utilization+own) / cost
 	}
 	return max(0, 1-capacity) * mod.demand.Hold.Requests
 }
 
 // planReplica plans the load, or the unloads that have to come before it. The load
 // then follows in a later round, if it is still worth it.
-func (f *fleet) planReplica(r replica) {
+func (f *fleet) planReplica(r replicaCandidate) {
 	mod := &f.models[r.model]
-	f.shifting += max(1, len(r.victims))
+	f.movesInFlight += max(1, len(r.victims))
 	if len(r.victims) > 0 {
 		for _, p := range r.victims {
 			f.planUnload(p, ReasonExchanged, Move{For: mod.Name, Gain: r.gain})
@@ -218,17 +218,17 @@
 		mod.unmet = 0
 		return
 	}
-	f.planLoad(r.model, r.spot, ReasonDemand, Move{Gain: r.gain})
-	f.carry(r.model, r.spot.engine, r.gain)
+	f.planLoad(r.model, r.fit, ReasonDemand, Move{Gain: r.gain})
+	f.assignDemand(r.model, r.fit.engine, r.gain)
 }
 
-// carry lays the gain of a planned copy on its engine.
-func (f *fleet) carry(m, at int, gain float64) {
+// assignDemand lays the gain of a planned copy on its engine.
+func (f *fleet) assignDemand(m, at int, gain float64) {
 	mod := &f.models[m]
 	if gain <= 0 {
 		return
 	}
-	taken := gain / mod.demand.Now.Requests
-	f.engines[at].load += taken * mod.demand.Now.cost(&f.engines[at])
-	mod.unmet = max(0, mod.unmet-taken)
+	share := gain / mod.demand.Now.Requests
+	f.engines[at].utilization += share * mod.demand.Now.utilization(&f.engines[at])
+	mod.unmet = max(0, mod.unmet-share)
 }
--- a/laburnumplacement/measureworld_test.go
+++ b/laburnumplacement/simulation_test.go
@@ -17,48 +17,48 @@
 
 // The made-up figures of the measured fleets; docs/placement-measures.md lists them.
 const (
-	answerTokens = 150
-	promptTokens = 400
-	meanLoad     = 0.6  // of what all engines can do
-	fullAt       = 0.85 // busy share up to which requests meet their targets
-	loadSeconds  = 4
-	hour         = 3600
-	faultAt      = 1200
-	faultEnds    = 1800
-	planEvery    = 2
-	signalLag    = 3
-	signalLoss   = 0.1
-	entryVMs     = 4
+	answerTokens    = 150
+	promptTokens    = 400
+	meanUtilization = 0.6  // of what all engines can do
+	maxUtilization  = 0.85 // busy share up to which requests meet their targets
+	loadSeconds     = 4
+	hour            = 3600
+	faultAt         = 1200
+	faultEnd        = 1800
+	planEvery       = 2
+	signalLag       = 3
+	signalLoss      = 0.1
+	entryVMs        = 4
 )
 
-// measured is one hour of one fleet under one policy, second by second.
-type measured struct {
-	t         require.TestingT
-	rng       *rand.Rand
-	timers    *laburnumtimer.Manual
-	catalogue laburnumlever.Catalogue
-	engines   []*laburnumstandin.Engine
-	base      map[laburnumlever.ModelName]float64
-	scenario  string
-	sides     []*side
-	lost      int // the engine that died, -1 for none
-	second    int
+// simulation is one hour of one fleet under one policy, second by second.
+type simulation struct {
+	t            require.TestingT
+	rng          *rand.Rand
+	timers       *laburnumtimer.Manual
+	catalogue    laburnumlever.Catalogue
+	engines      []*laburnumstandin.Engine
+	base         map[laburnumlever.ModelName]float64
+	scenario     string
+	partitions   []*partition
+	failedEngine int // the engine that died, -1 for none
+	second       int
 
 	offered, attained float64
 	moves             int
-	absent            map[absence]int
-	longestAbsence    int
-	absentSeconds     int
+	unavailableFor    map[partitionModel]int
+	longestOutage     int
+	outageSeconds     int
 }
 
-// side is the part of the fleet that can talk to itself: all of it but for a cut.
-type side struct {
-	zones     []laburnumlever.ZoneName
-	estimator *laburnumplacement.Estimator
-	pace      map[laburnumlever.ZoneName]laburnumplacement.Pace
-	since     map[copyKey]time.Time
-	policy    policy
-	signals   [][]laburnumlever.ModelDemand
+// partition is the part of the fleet that can talk to itself: all of it but for a cut.
+type partition struct {
+	zones      []laburnumlever.ZoneName
+	estimator  *laburnumplacement.Estimator
+	limiters   map[laburnumlever.ZoneName]laburnumplacement.Pace
+	readySince map[copyKey]time.Time
+	policy     policy
+	signals    [][]laburnumlever.ModelDemand
 }
 
 type copyKey struct {
@@ -71,7 +71,7 @@
 // policy decides the moves of one round.
 type policy func(s laburnumplacement.Snapshot) []laburnumplacement.Move
 
-func deployment(name string, moveCost float64) (laburnumlever.Catalogue, int) {
+func testDeployment(name string, moveCost float64) (laburnumlever.Catalogue, int) {
 	c := laburnumlever.Catalogue{Revision: 1, Deployment: laburnumlever.Deployment{Name: name, MoveCost: moveCost}}
 	engines, count, adapters := 20, 30, 100
 	c.Deployment.Zones = []laburnumlever.ZoneName{"rennes-a", "rennes-b", "brest", "vannes"}
@@ -93,11 +93,11 @@
 	return c, engines
 }
 
-func newMeasured(t require.TestingT, name, scenario string, moveCost float64) *measured {
-	catalogue, n := deployment(name, moveCost)
-	w := &measured{
+func newSimulation(t require.TestingT, name, scenario string, moveCost float64) *simulation {
+	catalogue, n := testDeployment(name, moveCost)
+	w := &simulation{
 		t: t, rng: rand.New(rand.NewPCG(1, 2)), timers: laburnumtimer.NewManual(time.Unix(1e6, 0)), catalogue: catalogue,
-		scenario: scenario, lost: -1, base: make(map[laburnumlever.ModelName]float64), absent: make(map[absence]int),
+		scenario: scenario, failedEngine: -1, base: make(map[laburnumlever.ModelName]float64), unavailableFor: make(map[partitionModel]int),
 	}
 	capacity := 0.0
 	for i := range n {
@@ -118,7 +118,7 @@
 		weights += 1 / float64(i+2)
 	}
 	for i, m := range catalogue.Models {
-		w.base[m.Name] = meanLoad * capacity / float64(i+2) / weights
+		w.base[m.Name] = meanUtilization * capacity / float64(i+2) / weights
 	}
 	return w
 }
@@ -129,7 +129,7 @@
 }
 
 // rate is the offered requests a second of a model now.
-func (w *measured) rate(i int, name laburnumlever.ModelName) float64 {
+func (w *simulation) rate(i int, name laburnumlever.ModelName) float64 {
 	r := w.base[name] * (0.9 + 0.2*w.rng.Float64())
 	if w.scenario != "tenfold-hour" {
 		return r
@@ -138,27 +138,27 @@
 	return r * math.Pow(10, 0.5*math.Sin(phase)) / 1.45
 }
 
-func (w *measured) newSide(zones []laburnumlever.ZoneName, p policy) *side {
-	s := &side{zones: zones, policy: p, estimator: laburnumplacement.NewEstimator(), since: make(map[copyKey]time.Time), pace: make(map[laburnumlever.ZoneName]laburnumplacement.Pace)}
+func (w *simulation) newPartition(zones []laburnumlever.ZoneName, p policy) *partition {
+	s := &partition{zones: zones, policy: p, estimator: laburnumplacement.NewEstimator(), readySince: make(map[copyKey]time.Time), limiters: make(map[laburnumlever.ZoneName]laburnumplacement.Pace)}
 	for _, zone := range zones {
-		s.pace[zone] = laburnumplacement.NewPace(w.timers.Now(), laburnumplacement.ShareOf(w.catalogue.Deployment, zone))
+		s.limiters[zone] = laburnumplacement.NewPace(w.timers.Now(), laburnumplacement.ShareOf(w.catalogue.Deployment, zone))
 	}
 	return s
 }
 
 // run settles the fleet on the base demand, then measures one hour.
-func (w *measured) run(name string, p policy) {
-	ours := oursPolicy()
-	all := w.newSide(w.catalogue.Deployment.Zones, ours)
-	w.sides = []*side{all}
+func (w *simulation) run(name string, p policy) {
+	ours := plannerPolicy()
+	all := w.newPartition(w.catalogue.Deployment.Zones, ours)
+	w.partitions = []*partition{all}
 	for w.second = -300; w.second < 0; w.second++ {
 		w.step()
 	}
 	all.policy = p
-	w.offered, w.attained, w.moves, w.longestAbsence, w.absentSeconds = 0, 0, 0, 0, 0
-	clear(w.absent)
+	w.offered, w.attained, w.moves, w.longestOutage, w.outageSeconds = 0, 0, 0, 0, 0
+	clear(w.unavailableFor)
 	for w.second = 0; w.second < hour; w.second++ {
-		w.faults(all, p)
+		w.injectFaults(all, p)
 		w.step()
 	}
 	for _, e := range w.engines {
@@ -166,23 +166,23 @@
 	}
 }
 
-func (w *measured) faults(all *side, p policy) {
+func (w *simulation) injectFaults(all *partition, p policy) {
 	switch {
 	case w.scenario == "engine loss" && w.second == faultAt:
-		w.lost = 1
+		w.failedEngine = 1
 	case w.scenario == "zone cut" && w.second == faultAt:
-		cut := w.newSide(all.zones[:1], p)
-		rest := *all
-		rest.zones = all.zones[1:]
-		w.sides = []*side{cut, &rest}
-	case w.scenario == "zone cut" && w.second == faultEnds:
-		w.sides = []*side{w.newSide(w.catalogue.Deployment.Zones, p)}
+		cut := w.newPartition(all.zones[:1], p)
+		others := *all
+		others.zones = all.zones[1:]
+		w.partitions = []*partition{cut, &others}
+	case w.scenario == "zone cut" && w.second == faultEnd:
+		w.partitions = []*partition{w.newPartition(w.catalogue.Deployment.Zones, p)}
 	case w.scenario == "catalogue change" && w.second == faultAt:
 		w.changeCatalogue()
 	}
 }
 
-func (w *measured) changeCatalogue() {
+func (w *simulation) changeCatalogue() {
 	models := slices.Clone(w.catalogue.Models)
 	for i := range 3 {
 		models[i].Version = "v2"
@@ -195,30 +195,30 @@
 	w.catalogue.Models = models
 }
 
-func (w *measured) sees(s *side, i int) bool {
-	return i != w.lost && slices.Contains(s.zones, w.engines[i].Announcement().Zone)
+func (w *simulation) reachable(s *partition, i int) bool {
+	return i != w.failedEngine && slices.Contains(s.zones, w.engines[i].Announcement().Zone)
 }
 
-func (w *measured) step() {
+func (w *simulation) step() {
 	w.timers.Advance(time.Second)
 	share := 1 / float64(len(w.catalogue.Deployment.Zones))
-	for _, s := range w.sides {
-		part := share * float64(len(s.zones))
-		w.serve(s, part)
+	for _, s := range w.partitions {
+		partitionShare := share * float64(len(s.zones))
+		w.serve(s, partitionShare)
 		if w.second%planEvery == 0 {
-			w.decide(s)
+			w.planRound(s)
 		}
 	}
 }
 
 // serve lays the second's requests on the ready copies, by spare time and in four
 // turns, and counts those that engines can serve inside their targets.
-func (w *measured) serve(s *side, part float64) {
+func (w *simulation) serve(s *partition, share float64) {
 	spare := make([]float64, len(w.engines))
 	holders := make([][]int, len(w.catalogue.Models))
 	for i, e := range w.engines {
-		if w.sees(s, i) {
-			spare[i] = fullAt
+		if w.reachable(s, i) {
+			spare[i] = maxUtilization
 			for _, c := range e.Report().Loaded {
 				m := slices.IndexFunc(w.catalogue.Models, func(m laburnumlever.Model) bool { return m.Name == c.Model })
 				if c.Ready && m >= 0 && !slices.Contains(holders[m], i) {
@@ -230,24 +230,24 @@
 	rates := make([]float64, len(w.catalogue.Models))
 	served := make([]float64, len(rates))
 	for m, model := range w.catalogue.Models {
-		rates[m] = w.rate(m, model.Name) * part
+		rates[m] = w.rate(m, model.Name) * share
 		w.offered += rates[m]
 	}
-	for turn := range 4 {
+	for step := range 4 {
 		for m := range rates {
-			served[m] += w.pour(holders[m], spare, rates[m]*float64(turn+1)/4-served[m])
+			served[m] += w.distribute(holders[m], spare, rates[m]*float64(step+1)/4-served[m])
 		}
 	}
-	heard := make([]bool, entryVMs)
-	for vm := range heard {
-		heard[vm] = w.rng.Float64() > signalLoss
+	delivered := make([]bool, entryVMs)
+	for vm := range delivered {
+		delivered[vm] = w.rng.Float64() > signalLoss
 	}
 	var signals []laburnumlever.ModelDemand
 	for m, model := range w.catalogue.Models {
 		w.attained += served[m]
-		w.noteAbsence(absence{s, model.Name}, len(holders[m]) == 0)
-		for vm := range heard {
-			if heard[vm] {
+		w.recordAvailability(partitionModel{s, model.Name}, len(holders[m]) == 0)
+		for vm := range delivered {
+			if delivered[vm] {
 				signals = append(signals, laburnumlever.ModelDemand{
 					Model: model.Name, VM: laburnumlever.VMID(fmt.Sprint(vm)), Sequence: uint64(w.second + 1000),
 					RequestsPerSecond: rates[m] / entryVMs, Refused: (rates[m] - served[m]) / entryVMs,
@@ -259,49 +259,49 @@
 	s.signals = append(s.signals, signals)
 }
 
-func (w *measured) pour(holders []int, spare []float64, amount float64) float64 {
-	total := 0.0
+func (w *simulation) distribute(holders []int, spare []float64, amount float64) float64 {
+	capacity := 0.0
 	for _, i := range holders {
-		total += spare[i] / requestCost(w.engines[i].Announcement())
+		capacity += spare[i] / requestCost(w.engines[i].Announcement())
 	}
-	if total <= 0 || amount <= 0 {
+	if capacity <= 0 || amount <= 0 {
 		return 0
 	}
-	fill := min(1, amount/total)
+	fraction := min(1, amount/capacity)
 	for _, i := range holders {
-		spare[i] -= spare[i] * fill
+		spare[i] -= spare[i] * fraction
 	}
-	return total * fill
+	return capacity * fraction
 }
 
-type absence struct {
-	side  *side
-	model laburnumlever.ModelName
+type partitionModel struct {
+	partition *partition
+	model     laburnumlever.ModelName
 }
 
-func (w *measured) noteAbsence(name absence, absent bool) {
-	if !absent {
-		w.absent[name] = 0
+func (w *simulation) recordAvailability(key partitionModel, unavailable bool) {
+	if !unavailable {
+		w.unavailableFor[key] = 0
 		return
 	}
-	w.absent[name]++
-	w.absentSeconds++
-	w.longestAbsence = max(w.longestAbsence, w.absent[name])
+	w.unavailableFor[key]++
+	w.outageSeconds++
+	w.longestOutage = max(w.longestOutage, w.unavailableFor[key])
 }
 
-func (w *measured) decide(s *side) {
+func (w *simulation) planRound(s *partition) {
 	now := w.timers.Now()
 	if len(s.signals) > signalLag {
 		s.estimator.Observe(now, s.signals[len(s.signals)-1-signalLag])
 	}
 	snapshot := laburnumplacement.Snapshot{Catalogue: w.catalogue, Demand: s.estimator.Demand()}
-	underWay := make(map[laburnumlever.ZoneName]int)
+	inFlight := make(map[laburnumlever.ZoneName]int)
 	for i, e := range w.engines {
-		snapshot.Engines = append(snapshot.Engines, w.seen(s, i, e, underWay))
+		snapshot.Engines = append(snapshot.Engines, w.observe(s, i, e, inFlight))
 	}
 	for _, m := range s.policy(snapshot) {
-		share := laburnumplacement.ShareOf(w.catalogue.Deployment, m.Zone)
-		if m.Kind == laburnumlever.Load && !s.pace[m.Zone].Ready(now, share, underWay[m.Zone]) {
+		quota := laburnumplacement.ShareOf(w.catalogue.Deployment, m.Zone)
+		if m.Kind == laburnumlever.Load && !s.limiters[m.Zone].Ready(now, quota, inFlight[m.Zone]) {
 			continue
 		}
 		i := slices.IndexFunc(w.engines, func(e *laburnumstandin.Engine) bool { return e.Announcement().Backend == m.Engine })
@@ -309,27 +309,27 @@
 		require.Equal(w.t, laburnumlever.OrderDone, answer.Outcome)
 		if m.Kind == laburnumlever.Load {
 			w.moves++
-			underWay[m.Zone]++
-			s.pace[m.Zone] = s.pace[m.Zone].WithLoad(now, share)
+			inFlight[m.Zone]++
+			s.limiters[m.Zone] = s.limiters[m.Zone].WithLoad(now, quota)
 		}
 	}
 }
 
-func (w *measured) seen(s *side, i int, e *laburnumstandin.Engine, underWay map[laburnumlever.ZoneName]int) laburnumplacement.Engine {
+func (w *simulation) observe(s *partition, i int, e *laburnumstandin.Engine, inFlight map[laburnumlever.ZoneName]int) laburnumplacement.Engine {
 	a := e.Announcement()
-	engine := laburnumplacement.EngineOf(laburnumlever.Backend{Announcement: a, Report: e.Report(), Down: !w.sees(s, i)})
+	engine := laburnumplacement.EngineOf(laburnumlever.Backend{Announcement: a, Report: e.Report(), Down: !w.reachable(s, i)})
 	for j := range engine.Copies {
 		c := &engine.Copies[j]
 		key := copyKey{a.Backend, c.Model, c.Version, c.Accelerators[0]}
 		if !c.Ready {
-			delete(s.since, key)
-			underWay[a.Zone]++
+			delete(s.readySince, key)
+			inFlight[a.Zone]++
 			continue
 		}
-		if _, ok := s.since[key]; !ok {
-			s.since[key] = w.timers.Now()
+		if _, ok := s.readySince[key]; !ok {
+			s.readySince[key] = w.timers.Now()
 		}
-		c.Stable = w.timers.Now().Sub(s.since[key]) >= 6*time.Second
+		c.Stable = w.timers.Now().Sub(s.readySince[key]) >= 6*time.Second
 	}
 	return engine
 }
--- a/laburnumplacement/switchversion.go
+++ b/laburnumplacement/switchversion.go
@@ -12,57 +12,57 @@
 // copy: the engine drains it.
 func (f *fleet) switchVersions() {
 	for m := range f.models {
-		old, fresh, answering := f.versions(m)
+		old, current, stable := f.versions(m)
 		if len(old) == 0 {
 			continue
 		}
-		full := f.loadNewVersions(m, len(old)-fresh)
-		if answering > 0 && (answering >= len(old) || full && answering == fresh) {
+		full := f.loadNewVersions(m, len(old)-current)
+		if stable > 0 && (stable >= len(old) || full && stable == current) {
 			for _, p := range old {
-				if !f.fresh(m) || f.answersIn(m, f.engines[p.engine].Zone) {
+				if !f.versionRecentlyChanged(m) || f.stableIn(m, f.engines[p.engine].Zone) {
 					f.planUnload(p, ReasonVersion, Move{})
 				}
 			}
 			continue
 		}
-		if full && fresh == 0 {
-			f.switchInTurn(m, old)
+		if full && current == 0 {
+			f.switchOneByOne(m, old)
 		}
 	}
 }
 
-// answersIn tells whether a copy of the catalogue's version answers in the zone.
-func (f *fleet) answersIn(m int, zone laburnumlever.ZoneName) bool {
-	return slices.ContainsFunc(f.models[m].copies, func(p *placed) bool {
-		return p.current && f.answers(p) && f.engines[p.engine].Zone == zone
+// stableIn tells whether a copy of the catalogue's version answers in the zone.
+func (f *fleet) stableIn(m int, zone laburnumlever.ZoneName) bool {
+	return slices.ContainsFunc(f.models[m].copies, func(p *placement) bool {
+		return p.current && f.stable(p) && f.engines[p.engine].Zone == zone
 	})
 }
 
 // versions finds a model's old copies, how many new ones there are, and how many
 // of those answer.
-func (f *fleet) versions(m int) (old []*placed, fresh, answering int) {
+func (f *fleet) versions(m int) (old []*placement, current, stable int) {
 	for _, p := range f.models[m].copies {
 		switch {
-		case !f.lasting(p):
+		case !f.resident(p):
 		case !p.current:
 			old = append(old, p)
 		default:
-			fresh++
-			if f.answers(p) {
-				answering++
+			current++
+			if f.stable(p) {
+				stable++
 			}
 		}
 	}
-	return old, fresh, answering
+	return old, current, stable
 }
 
 // loadNewVersions plans up to n new copies and reports whether one found no place.
 func (f *fleet) loadNewVersions(m, n int) (full bool) {
 	for range n {
-		if f.full() {
+		if f.loadLimitReached() {
 			return false
 		}
-		s, ok := f.findSpot(m, anywhere)
+		s, ok := f.findEngine(m, anyEngine)
 		if !ok {
 			return true
 		}
@@ -71,32 +71,32 @@
 	return false
 }
 
-// switchInTurn is for when there is no room beside the old copies: one of them
+// switchOneByOne is for when there is no room beside the old copies: one of them
 // goes first if another keeps answering, else other models make room.
-func (f *fleet) switchInTurn(m int, old []*placed) {
-	if slices.ContainsFunc(f.models[m].copies, func(p *placed) bool { return p.Going || p.Draining }) {
+func (f *fleet) switchOneByOne(m int, old []*placement) {
+	if slices.ContainsFunc(f.models[m].copies, func(p *placement) bool { return p.Going || p.Draining }) {
 		return
 	}
-	i := slices.IndexFunc(old, f.mayGo)
+	i := slices.IndexFunc(old, f.canEvict)
 	if i >= 0 {
 		f.planUnload(old[i], ReasonVersion, Move{})
 		return
 	}
-	f.makeRoom(m, anywhere)
+	f.makeRoom(m, anyEngine)
 }
 
-// update reloads, in place, copies whose adapters or size are no longer the
+// updateChangedCopies reloads, in place, copies whose adapters or size are no longer the
 // catalogue's. Memory for the larger size is there: addCopies counted it. A copy
 // that no longer fits where it is moves.
-func (f *fleet) update() {
+func (f *fleet) updateChangedCopies() {
 	for m := range f.models {
 		mod := &f.models[m]
 		for _, p := range slices.Clone(mod.copies) {
-			if !p.current || p.planned || !f.lasting(p) || !p.Ready {
+			if !p.current || p.planned || !f.resident(p) || !p.Ready {
 				continue
 			}
-			want := mod.wanted(p.Accelerators)
-			if want.PartMiB == p.PartMiB && slices.Equal(want.Adapters, p.Adapters) {
+			desired := mod.desiredCopy(p.Accelerators)
+			if desired.PartMiB == p.PartMiB && slices.Equal(desired.Adapters, p.Adapters) {
 				continue
 			}
 			f.updateCopy(m, p)
@@ -104,7 +104,7 @@
 	}
 }
 
-func (f *fleet) updateCopy(m int, p *placed) {
+func (f *fleet) updateCopy(m int, p *placement) {
 	mod := &f.models[m]
 	e := &f.engines[p.engine]
 	for i, a := range e.Accelerators {
@@ -114,22 +114,22 @@
 		}
 	}
 	f.moves = append(f.moves, Move{
-		Kind: laburnumlever.Load, Engine: e.ID, Zone: e.Zone, Copy: mod.wanted(p.Accelerators),
+		Kind: laburnumlever.Load, Engine: e.ID, Zone: e.Zone, Copy: mod.desiredCopy(p.Accelerators),
 		Reason: ReasonUpdate, Gain: mod.demand.Now.Requests,
 	})
 }
 
 // moveOversized replaces a copy that has outgrown its accelerators: a new one
 // elsewhere, and this one goes when another may be relied on.
-func (f *fleet) moveOversized(m int, p *placed) {
-	if f.mayGo(p) {
+func (f *fleet) moveOversized(m int, p *placement) {
+	if f.canEvict(p) {
 		f.planUnload(p, ReasonUpdate, Move{})
 		return
 	}
-	if f.underWay(m) {
+	if f.replacementPending(m) {
 		return
 	}
-	if s, ok := f.findSpot(m, func(at int) bool { return at != p.engine }); ok {
+	if s, ok := f.findEngine(m, func(at int) bool { return at != p.engine }); ok {
 		f.planLoad(m, s, ReasonUpdate, Move{Gain: f.models[m].demand.Now.Requests})
 	}
 }
