--- a/laburnumplacement/allocation.go
+++ b/laburnumplacement/allocation.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// maxUtilization is how busy an engine may be and still meet its targets: above
-	// it, queueing delay grows faster than the work done.
+	// maxUtilization is the utilization up to which an engine meets its latency targets. Above it,
+	// queueing delay grows faster than throughput.
 	maxUtilization = 0.85
-	// allocationSteps is in how many equal steps the demand is laid on the engines, so that
-	// models that share engines each get their part of them.
+	// allocationSteps is the number of equal steps in which demand is assigned to engines. Several
+	// steps give models that share engines a fair part of them.
 	allocationSteps = 4
 )
 
-// utilization is the busy share of an engine that the rates take.
+// utilization returns the fraction of the engine's capacity that the rates use.
 func (r Rates) utilization(e *engine) float64 {
 	total := 0.0
 	if e.TokensPerSecond > 0 {
@@ -26,8 +26,8 @@
 	return total
 }
 
-// allocate lays the demand of now on the copies, as routing by least load would, and
-// notes what they can't carry.
+// allocate distributes the current demand over the copies, as least-load routing would, and records
+// the demand that they cannot serve in model.unmet.
 func (f *fleet) allocate() {
 	order := f.modelsByCopies()
 	for i := range f.engines {
@@ -50,6 +50,7 @@
 	}
 }
 
+// modelsByDemand returns the indexes of all models, highest peak demand first.
 func (f *fleet) modelsByDemand() []int {
 	models := make([]int, len(f.models))
 	for i := range models {
@@ -63,7 +64,8 @@
 	return models
 }
 
-// modelsByCopies lets models with no choice of engine go before those with.
+// modelsByCopies returns the indexes of all models, fewest copies first, so that models without a
+// choice of engines are allocated before those with one.
 func (f *fleet) modelsByCopies() []int {
 	models := f.modelsByDemand()
 	slices.SortStableFunc(models, func(a, b int) int {
@@ -72,8 +74,8 @@
 	return models
 }
 
-// distribute lays a share of a model's demand on its copies by their spare room and
-// returns what is left over.
+// distribute assigns a share of a model's demand to its copies in proportion to their spare
+// capacity. It returns the share that is left over.
 func (f *fleet) distribute(m int, amount float64) float64 {
 	mod := &f.models[m]
 	spare := 0.0
@@ -93,7 +95,7 @@
 	return max(0, amount-spare)
 }
 
-// spareCapacity is the share of the model's demand that the copy's engine has room for.
+// spareCapacity returns the share of the model's demand that the copy's engine can still serve.
 func (f *fleet) spareCapacity(p *placement) float64 {
 	if !f.active(p) {
 		return 0
--- a/laburnumplacement/bench_test.go
+++ b/laburnumplacement/bench_test.go
@@ -8,8 +8,8 @@
 	"laburnumlever/laburnumplacement"
 )
 
-// emptyFleet is a settled fleet with old and new engines of eight accelerators over
-// seven zones, and demand on every model.
+// emptyFleet returns a fleet without copies: old and new engines with eight accelerators each in
+// seven zones, and demand for every model.
 func emptyFleet(engines, modelCount int) laburnumplacement.Snapshot {
 	s := laburnumplacement.Snapshot{Demand: make(map[laburnumlever.ModelName]laburnumplacement.Demand)}
 	s.Catalogue = catalogueOf(modelCount, 0)
@@ -35,7 +35,7 @@
 	return s
 }
 
-// settledFleet plans until every model is resident.
+// settledFleet plans and applies rounds until there are no more moves, at most 200.
 func settledFleet(engines, modelCount int) laburnumplacement.Snapshot {
 	s := emptyFleet(engines, modelCount)
 	for range 200 {
@@ -48,7 +48,7 @@
 	return s
 }
 
-// applyUnchecked makes moves without the checks of carryOut.
+// applyUnchecked carries out loads without the checks of applyMoves.
 func applyUnchecked(s *laburnumplacement.Snapshot, moves []laburnumplacement.Move) {
 	at := make(map[laburnumlever.BackendID]int, len(s.Engines))
 	for i, e := range s.Engines {
@@ -64,7 +64,8 @@
 	}
 }
 
-// fleetWithReplicas fills the fleet with further copies, as a day's demand would.
+// fleetWithReplicas fills the free memory of a settled fleet with more copies, as after a day of
+// demand.
 func fleetWithReplicas(engines, modelCount int) laburnumplacement.Snapshot {
 	s := settledFleet(engines, modelCount)
 	for i := range s.Engines {
@@ -91,7 +92,7 @@
 	return s
 }
 
-// BenchmarkPlanFull is one round in which everything is read anew.
+// BenchmarkPlanFull measures one round on a full fleet.
 func BenchmarkPlanFull(b *testing.B) {
 	for _, size := range [][2]int{{20, 30}, {300, 130}, {2100, 370}} {
 		b.Run(fmt.Sprintf("engines=%d", size[0]), func(b *testing.B) {
@@ -109,7 +110,7 @@
 	}
 }
 
-// BenchmarkPlanCold places every model on an empty fleet in one round.
+// BenchmarkPlanCold measures the first round on an empty fleet.
 func BenchmarkPlanCold(b *testing.B) {
 	for _, size := range [][2]int{{20, 30}, {300, 130}, {2100, 370}} {
 		b.Run(fmt.Sprintf("engines=%d", size[0]), func(b *testing.B) {
@@ -121,7 +122,7 @@
 	}
 }
 
-// BenchmarkFits is what one apply costs.
+// BenchmarkFits measures the check of a catalogue when it is applied.
 func BenchmarkFits(b *testing.B) {
 	for _, size := range [][2]int{{20, 30}, {2100, 370}} {
 		b.Run(fmt.Sprintf("engines=%d", size[0]), func(b *testing.B) {
--- a/laburnumplacement/doc.go
+++ b/laburnumplacement/doc.go
@@ -1,6 +1,5 @@
-// Package laburnumplacement decides which copy of which model is loaded where. It is
-// pure: it reads a Snapshot of the fleet and returns a Plan, with no network,
-// goroutine or clock of its own; time is passed in.
+// Package laburnumplacement plans which models are loaded on which engines. It is pure: it maps a
+// Snapshot of the fleet to a Plan, without network access, goroutines or a clock; time is passed in.
 //
 // # Usage
 //
@@ -8,32 +7,31 @@
 //	plan := planner.Plan(snapshot)
 //	for _, move := range plan.Moves { … }
 //
-// Every move of a plan can be made at once on the fleet as the snapshot shows it: a
-// copy is never planned into memory that another move has yet to free, and a copy is
-// unloaded only when what must replace it already answers. What has to come later
-// comes out of a later round. So a round that is lost, or made from an old view,
-// leaves nothing half done.
+// All moves of a plan can be carried out at once on the fleet that the snapshot shows: no load
+// depends on memory that another move has yet to free, and a copy is unloaded only when its
+// replacement is already ready. Dependent steps are planned in later rounds, so a round that is
+// lost, or planned from a stale snapshot, leaves no inconsistent state.
 //
-// Every zone's owner runs the same planner over its own view of the whole fleet and
-// carries out only the moves on its own zone's engines. docs/design/placement.md
-// says why two views that differ neither lose a model nor swing to and fro.
+// The owner of each zone runs the same planner over its own view of the whole fleet and carries out
+// only the moves on the engines of its zone. docs/design/placement.md explains why differing views
+// cause neither the loss of a model nor oscillation.
 //
-// # The patterns of load that it answers
+// # Load patterns
 //
-// Residency: models are many and accelerators few, so a copy that is lost has to be
-// loaded again before anybody asks for it. Repairs therefore come before spread over
-// two zones, and both before replicas.
+// Residency: there are many models and few accelerators, so a lost copy has to be reloaded before
+// the next request for it. Repairs therefore rank before spreading a model over two zones, and both
+// rank before replicas for demand.
 //
-// Demand that swings tenfold within an hour: a planner that follows each swing loads
-// weights all the time and its loads come too late. A replica is added for demand as
-// it is now, but what a copy is worth keeping is judged by the highest demand
-// of the last half hour (Estimator), and a surplus copy is unloaded only to
-// make room. Each move has a price, the deployment's move-cost.
+// Demand that changes tenfold within an hour: a planner that follows every change loads weights all
+// the time, and the loads finish too late. Replicas are added for the current demand, but the value
+// of keeping a copy is computed from the peak demand of the last half hour (Estimator), and a
+// surplus copy is unloaded only when its memory is needed. Every move has a price, the deployment's
+// move-cost.
 //
-// A burst on everything at once: the weight store is shared by all zones. Each has a
-// fixed part of its rate and parallel loads (Share), so that their sum is never
-// passed, also when the zones can't talk to each other; and replicas under way are
-// bounded (maxShift), so that a wrong estimate can't turn the fleet over.
+// A burst on all models at once: all zones share the weight store. Each zone has a fixed quota of
+// its load rate and parallel loads (LoadQuota), so their sum stays within the store's limits even
+// when the zones cannot communicate. Moves in flight are bounded (maxMovesInFlight), so a wrong
+// estimate cannot replace the whole fleet.
 package laburnumplacement
 
 //go:generate go tool -modfile=../tools/go.mod enumer -type=MoveReason -trimprefix=Reason -transform=kebab -text -json -output=enums_gen.go
--- a/laburnumplacement/estimator.go
+++ b/laburnumplacement/estimator.go
@@ -8,21 +8,20 @@
 )
 
 const (
-	// riseTimeConstant smooths single bursts of a few seconds away: a load takes longer
-	// than those last.
+	// riseTimeConstant smooths out bursts of a few seconds, which end before a load could finish.
 	riseTimeConstant = 15 * time.Second
-	// fallTimeConstant makes a gap in the signals no reason to give anything up.
+	// fallTimeConstant keeps copies through a short gap in the demand signals.
 	fallTimeConstant = 2 * time.Minute
-	// peakTimeConstant is how long a peak counts: demand that swings within an hour comes
-	// back within about that time.
+	// peakTimeConstant is the decay time of the peak demand: demand that changes within an hour
+	// returns within about half an hour.
 	peakTimeConstant = 30 * time.Minute
-	// signalTTL is when a VM that sends nothing stops counting: its callers
-	// have gone to other VMs by then, or it is cut off and serves them itself.
+	// signalTTL is the age at which the signal of a silent VM expires: by then its callers have
+	// moved to other VMs, or it is partitioned and serves them itself.
 	signalTTL = 30 * time.Second
 )
 
-// Estimator makes one estimate for each model of what the VMs saw. The signals lag,
-// some are missing, and they come in any order.
+// Estimator estimates the demand for each model from the signals of all VMs. Signals may be
+// delayed, lost or out of order.
 type Estimator struct {
 	signals   map[signalKey]signal
 	sequences map[laburnumlever.VMID]vmSequence
@@ -41,7 +40,7 @@
 	receivedAt time.Time
 }
 
-// NewEstimator makes an estimator that has seen nothing.
+// NewEstimator returns an Estimator without signals.
 func NewEstimator() *Estimator {
 	return &Estimator{
 		signals:   make(map[signalKey]signal),
@@ -50,7 +49,7 @@
 	}
 }
 
-// Observe takes the newest signals and moves the estimates on to now.
+// Observe records the newest signals and advances the estimates to now.
 func (e *Estimator) Observe(now time.Time, demand []laburnumlever.ModelDemand) {
 	newest := make(map[laburnumlever.VMID]uint64)
 	for _, d := range demand {
@@ -67,8 +66,8 @@
 	}
 	for key, s := range e.signals {
 		if now.Sub(s.receivedAt) > signalTTL || s.sequence != e.sequences[key.vm].accepted {
-			// The VM has gone silent, or its newest signal leaves the model out:
-			// nobody asks for it there any more.
+			// The VM is silent, or its newest signal leaves out the model: its callers no longer
+			// ask for it.
 			delete(e.signals, key)
 		}
 	}
@@ -83,9 +82,9 @@
 	e.advance(now, totals)
 }
 
-// accept tells whether a VM's sequence is news. The view goes on showing the last signal
-// of a VM that died, and a VM that restarted counts from 1 again: so after a silence a
-// lower sequence is taken too, but only once it has been seen to grow.
+// accept reports whether a VM's sequence number is new. The view keeps showing the last signal of a
+// dead VM, and a VM that restarts counts from 1 again. So after signalTTL without a new signal a
+// lower number is accepted too, once it increases.
 func (e *Estimator) accept(now time.Time, vm laburnumlever.VMID, sequence uint64) bool {
 	h := e.sequences[vm]
 	increased := sequence > h.observed
@@ -99,17 +98,17 @@
 	return isNew
 }
 
-// vmSequence is how far a VM's signals have come.
+// vmSequence holds the last sequence number observed from a VM and the last one accepted.
 type vmSequence struct {
 	observed, accepted uint64
 	acceptedAt         time.Time
 }
 
-// rateResolution is the part of a request or token that sums are counted in.
+// rateResolution is the unit of fixedPointRates, in requests or tokens per second.
 const rateResolution = 1e-6
 
-// fixedPointRates adds rates in whole units: the order of a map's keys differs from run to run,
-// and sums of floats with it, and two owners must decide alike.
+// fixedPointRates adds up rates as integers. Map iteration order is random and float addition
+// depends on the order, but owners with equal signals must reach equal decisions.
 type fixedPointRates struct{ requests, promptTokens, answerTokens int64 }
 
 func (s fixedPointRates) plus(r Rates) fixedPointRates {
@@ -128,14 +127,15 @@
 	}
 }
 
-// Demand is the estimate for each model. It must not be changed.
+// Demand returns the estimate for each model. The caller must not modify it.
 func (e *Estimator) Demand() map[laburnumlever.ModelName]Demand { return e.models }
 
-// ratesOf takes all that was asked, refused requests and their tokens included.
+// ratesOf returns the offered rates of a signal, including refused requests and their tokens.
 func ratesOf(d laburnumlever.ModelDemand) Rates {
 	return Rates{Requests: d.RequestsPerSecond, PromptTokens: d.PromptTokens, AnswerTokens: d.AnswerTokens}
 }
 
+// advance moves the estimates to now, given the total offered rates per model.
 func (e *Estimator) advance(now time.Time, totals map[laburnumlever.ModelName]Rates) {
 	elapsed := now.Sub(e.updatedAt)
 	first := e.updatedAt.IsZero()
@@ -182,7 +182,8 @@
 	}
 }
 
-// smoothTowards moves the rates to the target by what has passed, faster up than down.
+// smoothTowards applies exponential smoothing over the elapsed time, with a shorter time constant
+// for a rise than for a fall.
 func (r Rates) smoothTowards(target Rates, elapsed time.Duration) Rates {
 	timeConstant := fallTimeConstant
 	if target.Requests > r.Requests {
--- a/laburnumplacement/estimator_test.go
+++ b/laburnumplacement/estimator_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Signals come twice, late and with gaps; one VM goes silent. The estimate must not
-// count any of them twice, nor drop what another VM still asks for.
+// Guards against counting a duplicate or late signal twice, and against dropping the demand of one
+// VM when another falls silent.
 func TestEstimatorUsesNewestSignalPerVM(t *testing.T) {
 	e := laburnumplacement.NewEstimator()
 	now := time.Unix(0, 0)
@@ -24,9 +24,9 @@
 		now = now.Add(time.Second)
 		e.Observe(now, []laburnumlever.ModelDemand{signal("a", 3, 50), {Model: "other", VM: "b", Sequence: uint64(10 + now.Unix())}})
 	}
-	// a has been silent for longer than forgetAfter, b asks for another model.
+	// a has been silent for longer than signalTTL; b now signals demand for another model only.
 	d := e.Demand()["m"]
 	require.Less(t, d.Now.Requests, 7.3)
 	require.Greater(t, d.Now.Requests, 1.0)
-	require.Greater(t, d.Hold.Requests, 9.5, "a peak counts for half an hour")
+	require.Greater(t, d.Hold.Requests, 9.5, "the peak decays over half an hour")
 }
--- a/laburnumplacement/explain.go
+++ b/laburnumplacement/explain.go
@@ -8,7 +8,7 @@
 	"laburnumlever"
 )
 
-// String says what the move is and what for.
+// String returns a one-line description of the move and its reason.
 func (m Move) String() string {
 	text := fmt.Sprintf("%s of %s %s on %s (%s), reason %s", m.Kind, m.Copy.Model, m.Copy.Version, m.Engine, m.Zone, m.Reason)
 	if m.For != "" && m.For != m.Copy.Model {
@@ -20,8 +20,8 @@
 	return text
 }
 
-// Explain gives the reason for each copy of a model and for each move that a
-// round planned for it, a line each.
+// Explain returns one line for each copy of a model, with the reason it is kept, and one for each
+// move that the round planned for the model.
 func Explain(s Snapshot, plan Plan, name laburnumlever.ModelName) []string {
 	f := newFleet(s)
 	m, ok := f.byName[name]
@@ -31,16 +31,16 @@
 	mod := &f.models[m]
 	f.allocate()
 	lines := []string{fmt.Sprintf(
-		"wants %d MiB on each of %d accelerators; demand now %.2f requests/s, held %.2f requests/s; a move must bring %.2f requests/s",
+		"needs %d MiB on each of %d accelerators; current demand %.2f requests/s, peak demand %.2f requests/s; minimum gain of a move %.2f requests/s",
 		mod.partMiB, mod.span, mod.demand.Now.Requests, mod.demand.Hold.Requests, f.minMoveGain())}
 	for _, p := range mod.copies {
 		lines = append(lines, f.explainCopy(m, p))
 	}
 	if slices.Contains(plan.Unplaced, name) {
-		lines = append(lines, "no copy, and no engine has room or can make any")
+		lines = append(lines, "no copy: no engine has free memory for one, and no eviction can make room")
 	}
 	if unmet := plan.Unmet[name]; unmet > 0 {
-		lines = append(lines, fmt.Sprintf("the copies can't carry %.0f%% of the demand", 100*unmet))
+		lines = append(lines, fmt.Sprintf("the copies cannot serve %.0f%% of the demand", 100*unmet))
 	}
 	for _, move := range plan.Moves {
 		if move.Copy.Model == name || move.For == name {
@@ -55,7 +55,7 @@
 	state := "loading"
 	switch {
 	case !e.Serving:
-		state = "out of sight"
+		state = "engine unreachable"
 	case p.Going || p.Draining:
 		state = "being unloaded"
 	case p.Ready:
@@ -65,17 +65,17 @@
 	for i, id := range p.Accelerators {
 		ids[i] = string(id)
 	}
-	return fmt.Sprintf("%s: version %s on %s (%s) %s: %s, carries %.0f%% of the demand",
+	return fmt.Sprintf("%s: version %s on %s (%s) %s: %s, serves %.0f%% of the demand",
 		state, p.Version, e.ID, e.Zone, strings.Join(ids, "+"), f.purpose(m, p), 100*p.demandShare)
 }
 
-// purpose is why a copy is kept.
+// purpose returns the reason why a copy is kept.
 func (f *fleet) purpose(m int, p *placement) string {
 	if !p.current {
-		return "kept until the catalogue's version answers"
+		return "old version, kept until the catalogue's version is ready"
 	}
 	if !f.resident(p) {
-		return "does not count as resident"
+		return "not resident: engine unreachable or leaving, or copy being unloaded"
 	}
 	inZone, total := 0, 0
 	for _, other := range f.models[m].copies {
@@ -93,8 +93,8 @@
 	case inZone == 0:
 		return "the only copy in its zone"
 	case f.peakDemandLost(p) > 0:
-		return "needed for the demand of the last half hour"
+		return "needed for the peak demand of the last half hour"
 	default:
-		return "surplus, kept because nothing needs the memory"
+		return "surplus, kept because its memory is not needed"
 	}
 }
--- a/laburnumplacement/fits.go
+++ b/laburnumplacement/fits.go
@@ -7,10 +7,10 @@
 	"laburnumlever"
 )
 
-// Fits tells whether every model of the catalogue can be resident on the engines that
-// take work, from scratch. An error is a *laburnumlever.DoesNotFitError with the
-// shortfall. Warnings name what fits but would not survive the loss of an engine
-// or a zone, and zones that the weight store leaves no load for.
+// Fits checks whether every model of the catalogue can be resident on the engines that take work,
+// starting from empty engines. The error is a *laburnumlever.DoesNotFitError with the shortfall.
+// Warnings list the models that would not fit after the loss of an engine or a zone, and the zones
+// without a quota of the weight store.
 func Fits(catalogue laburnumlever.Catalogue, backends []laburnumlever.Backend) (warnings []string, err error) {
 	engines := emptyEngines(backends)
 	if shortfall := pack(catalogue, engines); shortfall != nil {
@@ -35,7 +35,7 @@
 	return engines
 }
 
-// EngineOf is a backend server as the planner reads it, from its last report.
+// EngineOf converts a backend server and its last report into a planner Engine.
 func EngineOf(b laburnumlever.Backend) Engine {
 	a := b.Announcement
 	e := Engine{
@@ -69,7 +69,7 @@
 	return shortfall
 }
 
-// packBestFit is repair by the tightest fit alone.
+// packBestFit places a copy of each missing model on the engine with the tightest fit.
 func (f *fleet) packBestFit() {
 	for _, m := range f.missingModels() {
 		best := fit{engine: -1}
@@ -87,6 +87,7 @@
 	}
 }
 
+// zoneWarnings lists the zones without which the catalogue does not fit.
 func zoneWarnings(catalogue laburnumlever.Catalogue, engines []Engine) []string {
 	zones := zonesOf(engines)
 	var warnings []string
@@ -99,8 +100,8 @@
 	return warnings
 }
 
-// engineWarnings tries the loss of one engine of each shape; engines with the
-// same accelerators would give the same answer.
+// engineWarnings checks the loss of one engine of each accelerator configuration; engines with
+// equal accelerators give the same result.
 func engineWarnings(catalogue laburnumlever.Catalogue, engines []Engine) []string {
 	var warnings []string
 	var tried [][]laburnumlever.Accelerator
@@ -118,8 +119,7 @@
 	return warnings
 }
 
-// spreadWarnings names the models that have room for one copy only, or for
-// copies in one zone only.
+// spreadWarnings lists the models for which there is memory for one copy only, or in one zone only.
 func spreadWarnings(catalogue laburnumlever.Catalogue, engines []Engine) []string {
 	f := newFleet(Snapshot{Catalogue: catalogue, Engines: engines})
 	f.packBestFit()
@@ -157,7 +157,7 @@
 	return zones
 }
 
-// quotaWarnings names the zones that have engines but no part of the weight store.
+// quotaWarnings lists the zones that have engines but no quota of the weight store.
 func quotaWarnings(d laburnumlever.Deployment, zones []laburnumlever.ZoneName) []string {
 	var warnings []string
 	for _, zone := range zones {
--- a/laburnumplacement/fleet.go
+++ b/laburnumplacement/fleet.go
@@ -8,9 +8,9 @@
 	"laburnumlever"
 )
 
-// fleet is the working state of one round: the snapshot with indices, changed as
-// moves are planned. Loads planned in the round take their memory at once; unloads
-// free none, because the engine frees it only later.
+// fleet is the working state of one round: an indexed snapshot that is updated as moves are
+// planned. A planned load reserves its memory at once; a planned unload frees none in this round,
+// because the engine frees it later.
 type fleet struct {
 	snapshot      Snapshot
 	engines       []engine
@@ -18,17 +18,17 @@
 	byName        map[laburnumlever.ModelName]int
 	moves         []Move
 	unplaced      []laburnumlever.ModelName
-	movesInFlight int // replicas loading or planned
-	plannedLoads  int // planned in this round
+	movesInFlight int // copies being loaded or unloaded, and planned replicas
+	plannedLoads  int // in this round
 }
 
 type engine struct {
 	Engine
-	free        []int // per accelerator; may be negative when one was lost
-	maxFree     int   // the most free memory of any accelerator
+	free        []int // MiB per accelerator; may be negative, as after the loss of one
+	maxFree     int   // the highest value in free
 	copies      []*placement
-	utilization float64 // busy share that the allocation gives it
-	// unloading tells that a copy there is being unloaded.
+	utilization float64 // fraction of the capacity that the allocated demand uses
+	// unloading is set while a copy on the engine is being unloaded.
 	unloading bool
 	tieBreak  uint64
 }
@@ -38,17 +38,17 @@
 	partMiB, span int
 	copies        []*placement
 	demand        Demand
-	unmet         float64 // share of the demand
+	unmet         float64 // share of the demand that no copy can serve
 }
 
-// placement is one copy: there already, or planned in this round.
+// placement is one copy of a model on an engine, existing or planned in this round.
 type placement struct {
 	Copy
 	engine      int
-	model       int // -1 when the catalogue has no such model
-	current     bool
+	model       int  // -1 if the catalogue has no such model
+	current     bool // has the catalogue's version
 	planned     bool
-	demandShare float64 // part of the model's demand that it carries
+	demandShare float64 // share of the model's demand that it serves
 }
 
 func newFleet(s Snapshot) *fleet {
@@ -92,8 +92,8 @@
 			p.current = c.Version == f.models[m].Version
 			f.models[m].copies = append(f.models[m].copies, p)
 			if p.current {
-				// While the catalogue changes a model's size, its copies count at
-				// the larger of both: the update that follows needs that much.
+				// While the catalogue changes a model's size, a copy counts with the larger of the
+				// old and new sizes, because updating it in place needs that much.
 				size = max(size, f.models[m].partMiB)
 			}
 		}
@@ -103,6 +103,7 @@
 	}
 }
 
+// reserve subtracts size from the free memory of the accelerators and updates maxFree.
 func (f *fleet) reserve(at int, ids []laburnumlever.AcceleratorID, size int) {
 	e := &f.engines[at]
 	e.maxFree = 0
@@ -114,29 +115,30 @@
 	}
 }
 
-// active tells that the copy answers or will: on a serving engine, not going.
+// active reports whether the copy is loaded or loading on a serving engine and is not being
+// unloaded.
 func (f *fleet) active(p *placement) bool {
 	return f.engines[p.engine].Serving && !p.Going && !p.Draining
 }
 
-// resident tells that the copy is present on an engine that stays.
+// resident reports whether the copy is active on an engine that is not leaving.
 func (f *fleet) resident(p *placement) bool { return f.active(p) && !f.engines[p.engine].Leaving }
 
-// stable tells that the copy takes requests and has for some time.
+// stable reports whether the copy is active and has been ready for some time.
 func (f *fleet) stable(p *placement) bool { return f.active(p) && p.Ready && p.Stable }
 
-// fit is a place for a copy. The accelerators follow from the free memory, so
-// they are worked out only for the place that is taken.
+// fit is a possible location for a copy. The accelerators follow from the free memory, so
+// bestFitAccelerators computes them only for the chosen location.
 type fit struct {
 	engine   int
 	leftover int
 }
 
-// maxSpan bounds how many accelerators of one engine a copy may be split over.
+// maxSpan is the maximum number of accelerators of one engine that a copy may be split over.
 const maxSpan = 64
 
-// fitOn finds how tightly a copy fits on an engine: the memory that is left over on
-// the accelerators with the least fitOn for it.
+// fitOn reports whether a copy fits on an engine, and how much memory is left over on the chosen
+// accelerators, those with the least free memory that is enough.
 func (f *fleet) fitOn(at, partMiB, span int) (fit, bool) {
 	e := &f.engines[at]
 	if !e.Usable || len(e.free) < span || span > maxSpan || e.maxFree < partMiB {
@@ -159,7 +161,8 @@
 	return s, true
 }
 
-// insertSorted keeps the smallest values in order; n of the list are set.
+// insertSorted inserts value into a sorted list of the smallest values, whose first n elements are
+// set, and returns the new n.
 func insertSorted(list []int, n, value int) int {
 	i := n
 	if n == len(list) {
@@ -175,7 +178,7 @@
 	return min(n+1, len(list))
 }
 
-// bestFitAccelerators names the accelerators that room found.
+// bestFitAccelerators returns the accelerators that fitOn chose.
 func (f *fleet) bestFitAccelerators(at, partMiB, span int) []laburnumlever.AcceleratorID {
 	e := &f.engines[at]
 	fitting := make([]int, 0, len(e.free))
@@ -193,7 +196,7 @@
 	return ids
 }
 
-// desiredCopy is the copy of a model that the catalogue asks for.
+// desiredCopy returns the copy of the model that the catalogue asks for.
 func (m *model) desiredCopy(accelerators []laburnumlever.AcceleratorID) laburnumlever.Loaded {
 	l := laburnumlever.Loaded{Model: m.Name, Version: m.Version, Accelerators: accelerators, PartMiB: m.partMiB}
 	for _, a := range m.Adapters {
@@ -202,6 +205,7 @@
 	return l
 }
 
+// planLoad adds a load to the plan and reserves its memory.
 func (f *fleet) planLoad(m int, s fit, reason MoveReason, move Move) {
 	mod := &f.models[m]
 	e := &f.engines[s.engine]
@@ -218,6 +222,7 @@
 	f.plannedLoads++
 }
 
+// planUnload adds an unload to the plan. It does nothing on an engine that takes no orders.
 func (f *fleet) planUnload(p *placement, reason MoveReason, move Move) {
 	e := &f.engines[p.engine]
 	if !e.Usable {
--- a/laburnumplacement/makeroom.go
+++ b/laburnumplacement/makeroom.go
@@ -7,11 +7,10 @@
 	"laburnumlever"
 )
 
-// canEvict tells whether a copy can be given up without its model being lost, also when
-// another zone's owner decides the same of its own copies at this moment: either
-// the copy's own zone keeps another that answers, or a zone that goes before
-// this one in the model's own order of zones does. Of two zones only one can be
-// the other's predecessor, so they can't each give up the last but one.
+// canEvict reports whether a copy can be unloaded without losing its model, even if the owner of
+// another zone unloads its own copies at the same moment. Either the copy's zone keeps another
+// stable copy, or a zone that precedes it in the model's order of zones does. Of two zones only one
+// precedes the other, so they cannot both unload and lose the last two copies.
 func (f *fleet) canEvict(p *placement) bool {
 	if p.model < 0 {
 		return true
@@ -22,7 +21,7 @@
 			continue
 		}
 		if p.current && !other.current {
-			// The other is about to go itself, on the strength of this one.
+			// The old version will be unloaded because this copy is there.
 			continue
 		}
 		zone := f.engines[other.engine].Zone
@@ -33,21 +32,23 @@
 	return false
 }
 
-// versionRecentlyChanged guards a copy in a zone whose owner acts on another version for a moment: it
-// gives up its copy of the version before last for one here, while this one gives
-// that up for the other, and the model is lost.
+// versionRecentlyChanged reports whether the owner of another zone may still act on the model's
+// previous version. To that owner, copies of the version before it are the old ones: it may unload
+// its copy of that version because of a copy of the previous version here, while this zone unloads
+// the latter because of the former, and the model would be lost.
 func (f *fleet) versionRecentlyChanged(m int) bool { return f.snapshot.Fresh[f.models[m].Name] }
 
+// precedes reports whether zone a comes before zone b in the model's order of zones.
 func (f *fleet) precedes(m int, a, b laburnumlever.ZoneName) bool {
 	name := string(f.models[m].Name)
 	return hash(name, string(a)) < hash(name, string(b))
 }
 
-// makeRoom frees memory for a model that has no copy and no place: it unloads
-// surplus copies of an engine, or begins to move the only copy of another model to
-// where it fits. It reports whether there is a way; the model itself follows in a
-// later round, once the memory is free. Only engines that are allowed count: room in a
-// zone whose owner does not act would keep the model away for as long as that lasts.
+// makeRoom frees memory for a model that has no copy and fits nowhere: it unloads surplus copies of
+// an engine, or starts to move the only copy of another model to where it fits. It reports whether
+// there is a way; the model itself is loaded in a later round, once the memory is free. Only
+// allowed engines count: relying on room in a zone whose owner does not act would keep the model
+// unavailable as long as that lasts.
 func (f *fleet) makeRoom(m int, allowed func(at int) bool) bool {
 	if f.roomPending(m, allowed) {
 		return true
@@ -88,7 +89,7 @@
 	return best, found
 }
 
-// evictionCandidate is a copy that may go, and what it is worth.
+// evictionCandidate is a copy that may be unloaded, and the cost of that.
 type evictionCandidate struct {
 	copy *placement
 	cost float64
@@ -98,10 +99,9 @@
 	return cmp.Or(cmp.Compare(c.cost, other.cost), cmp.Compare(len(c.victims), len(other.victims))) < 0
 }
 
-// evictionOn finds the copies to unload so that the model fits on the engine,
-// those whose models have the least demand first. A copy whose memory stays counted
-// is left alone: unloaded, it would free nothing yet, and the next round would load
-// it there again, in turns for as long as its order counts.
+// evictionOn selects the copies to unload so that the model fits on the engine, lowest cost first.
+// It skips copies whose memory stays reserved: unloading one frees nothing yet, and the next round
+// would reload it there, over and over until its load order expires.
 func (f *fleet) evictionOn(at, m int, evictable func(p *placement) bool, cost func(p *placement) float64) (eviction, bool) {
 	e := &f.engines[at]
 	mod := &f.models[m]
@@ -134,6 +134,7 @@
 	return c, hasRoom(free, mod.partMiB, mod.span)
 }
 
+// hasRoom reports whether at least span accelerators have partMiB free.
 func hasRoom(free []int, partMiB, span int) bool {
 	for _, n := range free {
 		if n >= partMiB {
@@ -143,7 +144,8 @@
 	return span <= 0
 }
 
-// demandPerCopy is the demand a copy stands for; one that is going already costs nothing.
+// demandPerCopy returns the model's peak demand divided by its copies; 0 for a copy that is already
+// being unloaded.
 func (f *fleet) demandPerCopy(p *placement) float64 {
 	if p.model < 0 || p.Going || p.Draining {
 		return 0
@@ -151,10 +153,9 @@
 	return f.models[p.model].demand.Hold.Requests / float64(len(f.models[p.model].copies))
 }
 
-// relocate moves the only copy of another model away: it is loaded where it fits
-// now, and unloaded here in a later round, once the new copy has answered for
-// some time. The target is in the same zone or in one that precedes it, or mayGo
-// would hold the old copy for ever.
+// relocate moves the only copy of another model away: it is loaded where it fits now, and unloaded
+// here in a later round, once the new copy is stable. The destination is in the same zone or in one
+// that precedes it; otherwise canEvict would never release the old copy.
 func (f *fleet) relocate(m int, allowed func(at int) bool) bool {
 	for at := range f.engines {
 		if !allowed(at) {
@@ -191,8 +192,8 @@
 	return true
 }
 
-// replacementPending tells whether another copy of the model is loading or has just been
-// loaded, so that the move away has begun.
+// replacementPending reports whether another copy of the model is loading or not yet stable, that
+// is, whether its move has started.
 func (f *fleet) replacementPending(m int) bool {
 	return slices.ContainsFunc(f.models[m].copies, func(p *placement) bool {
 		return f.resident(p) && !f.stable(p)
--- a/laburnumplacement/measures_test.go
+++ b/laburnumplacement/measures_test.go
@@ -16,7 +16,7 @@
 
 var printMeasures = flag.Bool("measures", false, "print the table of docs/placement-measures.md")
 
-// The two weightings: the attainment that a move must bring, in requests a second.
+// The two move costs compared: the minimum gain of a move, in requests per second.
 const (
 	lowMoveCost  = 0.05
 	highMoveCost = 2.0
@@ -31,9 +31,9 @@
 	return func(laburnumplacement.Snapshot) []laburnumplacement.Move { return nil }
 }
 
-// proportionalPolicy gives each model copies in proportion to its demand of now, at
-// every round: it unloads what is above and loads what is below. No hysteresis and no
-// price; the last copy stays.
+// proportionalPolicy keeps copies in proportion to the current demand: every round unloads the
+// copies above that number and loads those below it, without hysteresis or a move cost. It never
+// unloads the last copy.
 func proportionalPolicy() policy {
 	return func(s laburnumplacement.Snapshot) []laburnumplacement.Move {
 		p := newProportionalPlan(s)
@@ -106,7 +106,7 @@
 	if ready == 0 {
 		return
 	}
-	for _, e := range p.s.Engines { // old versions, once a new one answers
+	for _, e := range p.s.Engines { // old versions, once a new copy is ready
 		for _, c := range e.Copies {
 			if c.Model == m.Name && c.Version != m.Version && e.Usable && !c.Draining {
 				p.moves = append(p.moves, laburnumplacement.Move{Kind: laburnumlever.Unload, Engine: e.ID, Zone: e.Zone, Copy: c.Loaded})
@@ -141,8 +141,8 @@
 	}
 }
 
-// upperBound is what the engines could do if each held every model and nothing had to be
-// moved.
+// upperBound returns the attainable rate per accelerator if every engine held all models and no
+// moves were needed.
 func upperBound(t require.TestingT, name, scenario string) float64 {
 	w := newSimulation(t, name, scenario, 0)
 	all := w.newPartition(w.catalogue.Deployment.Zones, nil)
@@ -170,8 +170,8 @@
 	perAccel      float64
 	attainedShare float64
 	moves         int
-	longestOutage int // the longest, in seconds
-	outageSeconds int // of all models together
+	longestOutage int // the longest unavailability of one model, in seconds
+	outageSeconds int // unavailable seconds, summed over all models
 }
 
 func measure(t require.TestingT, name, scenario string) []result {
@@ -198,7 +198,8 @@
 
 var scenarios = []string{"steady", "tenfold-hour", "engine loss", "zone cut", "catalogue change"}
 
-// TestMeasures prints the table; without -measures it only checks one scenario.
+// TestMeasures compares the planner with a static and a proportional policy. With -measures it
+// prints the results of all scenarios; otherwise it checks one scenario.
 func TestMeasures(t *testing.T) {
 	for _, name := range []string{"armor-pose", "kvooditalitus"} {
 		for _, scenario := range scenarios {
--- a/laburnumplacement/planner.go
+++ b/laburnumplacement/planner.go
@@ -7,13 +7,13 @@
 	"laburnumlever"
 )
 
-// Planner plans rounds. It keeps no state that changes a decision.
+// Planner plans placement rounds. It is stateless.
 type Planner struct{}
 
-// NewPlanner makes a planner.
+// NewPlanner returns a Planner.
 func NewPlanner() *Planner { return &Planner{} }
 
-// Plan decides the moves for the fleet as the snapshot shows it.
+// Plan computes the moves for the fleet in the snapshot.
 func (p *Planner) Plan(s Snapshot) Plan {
 	f := newFleet(s)
 	f.unloadRemovedModels()
--- a/laburnumplacement/planner_test.go
+++ b/laburnumplacement/planner_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// engineIn is an engine with two accelerators of the given memory.
+// engineIn returns an engine with two accelerators of mib MiB each.
 func engineIn(id, zone string, mib int) laburnumplacement.Engine {
 	return laburnumplacement.Engine{
 		ID: laburnumlever.BackendID(id), Zone: laburnumlever.ZoneName(zone), Serving: true, Usable: true,
@@ -21,6 +21,7 @@
 	}
 }
 
+// catalogueOf returns a catalogue of n models of mib MiB each.
 func catalogueOf(n, mib int) laburnumlever.Catalogue {
 	c := laburnumlever.Catalogue{Deployment: laburnumlever.Deployment{MoveCost: 0.5}}
 	for i := range n {
@@ -29,7 +30,7 @@
 	return c
 }
 
-// applyMoves makes the moves as engines would: all of them, and the copies are ready.
+// applyMoves carries out all moves at once, as engines would; loaded copies are ready and stable.
 func applyMoves(t *testing.T, s *laburnumplacement.Snapshot, moves []laburnumplacement.Move) {
 	for _, m := range moves {
 		i := slices.IndexFunc(s.Engines, func(e laburnumplacement.Engine) bool { return e.ID == m.Engine })
@@ -54,7 +55,8 @@
 	}
 }
 
-// converge plans and carries out until nothing moves, and returns the moves made.
+// converge plans and applies rounds until there are no more moves and returns those made. After
+// each round it checks that no model has become unreachable.
 func converge(t *testing.T, s *laburnumplacement.Snapshot) []laburnumplacement.Move {
 	var all []laburnumplacement.Move
 	wasReachable := make(map[laburnumlever.ModelName]bool)
@@ -66,15 +68,16 @@
 		applyMoves(t, s, plan.Moves)
 		for _, m := range s.Catalogue.Models {
 			reachable := len(zonesOf(*s, m.Name)) > 0
-			require.True(t, reachable || !wasReachable[m.Name], "%s was reachable and no longer is", m.Name)
+			require.True(t, reachable || !wasReachable[m.Name], "%s became unreachable", m.Name)
 			wasReachable[m.Name] = reachable
 		}
 		all = append(all, plan.Moves...)
 	}
-	require.Fail(t, "the plan never comes to rest")
+	require.Fail(t, "planning did not converge in 30 rounds")
 	return all
 }
 
+// zonesOf returns the zones with a copy of the model on a serving engine.
 func zonesOf(s laburnumplacement.Snapshot, name laburnumlever.ModelName) []laburnumlever.ZoneName {
 	var zones []laburnumlever.ZoneName
 	for _, e := range s.Engines {
@@ -98,9 +101,8 @@
 	}
 }
 
-// A rolling release: the catalogue names another version while the fleet has
-// no room for all new copies beside the old ones. Callers must find every model
-// at every moment; settle checks that after each round.
+// Guards against an unreachable model during a version change when the fleet has no room for all
+// new copies beside the old ones. converge checks that after each round.
 func TestVersionSwitchWithoutGap(t *testing.T) {
 	s := laburnumplacement.Snapshot{Catalogue: catalogueOf(8, 40), Engines: []laburnumplacement.Engine{
 		engineIn("e1", "a", 100), engineIn("e2", "a", 100), engineIn("e3", "b", 100), engineIn("e4", "b", 100),
@@ -117,8 +119,8 @@
 	}
 }
 
-// An engine dies and the fleet is full: callers of its models get refusals. Second
-// copies of other models have to make room, never a last one.
+// Guards against refused requests after an engine fails in a full fleet: the repair must evict
+// second copies of other models, never the last copy of one.
 func TestLostEngineIsRepairedFromSurplus(t *testing.T) {
 	s := laburnumplacement.Snapshot{Catalogue: catalogueOf(8, 50), Engines: []laburnumplacement.Engine{
 		engineIn("e1", "a", 100), engineIn("e2", "a", 100), engineIn("e3", "b", 100), engineIn("e4", "b", 100),
@@ -132,8 +134,8 @@
 	}
 }
 
-// An engine announces that it leaves. Its models get their successors while it
-// still answers, and no more is placed on it.
+// Guards against placing copies on a leaving engine, and against its models being unreachable once
+// it stops: their replacements are loaded while it still serves.
 func TestLeavingEngineIsReplaced(t *testing.T) {
 	s := laburnumplacement.Snapshot{Catalogue: catalogueOf(4, 40), Engines: []laburnumplacement.Engine{
 		engineIn("e1", "a", 100), engineIn("e2", "b", 100), engineIn("e3", "b", 100),
@@ -215,9 +217,9 @@
 	require.False(t, limiter.Ready(now.Add(quota.Interval), quota, 2))
 }
 
-// A model needs the room of a copy that was loaded a moment ago, whose order still
-// counts. Unloaded now, that copy would free nothing, and the next round would load it
-// there again: the weight store works for nothing, and the model gets no room.
+// Guards against evicting a copy whose memory stays reserved because its load order may still
+// arrive. The eviction frees nothing, and the next round reloads the copy: the weight store does
+// useless loads and the other model never fits.
 func TestCopyWithReservedMemoryIsNotEvicted(t *testing.T) {
 	s := laburnumplacement.Snapshot{Catalogue: catalogueOf(2, 60), Engines: []laburnumplacement.Engine{engineIn("e0", "a", 100)}}
 	converge(t, &s)
@@ -240,8 +242,8 @@
 	require.True(t, slices.ContainsFunc(s.Engines[0].Copies, isNewModel) || slices.ContainsFunc(s.Engines[1].Copies, isNewModel))
 }
 
-// An engine announces that it leaves and has the only copies of its models. They must be
-// on another engine before it ends, or their callers are refused until a repair.
+// Guards against refused requests when a leaving engine has the only copies of its models: they
+// must be loaded on another engine before it stops.
 func TestOnlyCopiesOnLeavingEngineAreReplaced(t *testing.T) {
 	s := laburnumplacement.Snapshot{Catalogue: catalogueOf(4, 40), Engines: []laburnumplacement.Engine{engineIn("e1", "a", 100)}}
 	converge(t, &s)
--- a/laburnumplacement/quota.go
+++ b/laburnumplacement/quota.go
@@ -7,20 +7,20 @@
 	"laburnumlever"
 )
 
-// Share is one zone's part of the weight store. The parts of all zones add up to
-// no more than the whole, so no zone has to ask another: also when they are cut
-// apart, and while a zone changes its owner.
+// Share is one zone's fixed part of the weight store. The quotas of all zones add up to no more
+// than the store's limits, so zones need not coordinate, not even when they are partitioned or
+// while a zone changes its owner.
 type Share struct {
-	// Parallel is how many loads the zone may have under way.
+	// ParallelLoads is the maximum number of concurrent loads in the zone.
 	Parallel int
-	// Interval is the shortest time between the starts of two loads; 0 when
-	// the store sets no rate.
+	// Interval is the minimum time between the starts of two loads; 0 if the store has no rate
+	// limit.
 	Interval time.Duration
 }
 
-// ShareOf works out a zone's part: the rate in equal parts, the parallel loads in
-// whole ones, the first zones of the deployment taking what is left over. A zone
-// that the deployment does not list has no part.
+// ShareOf returns a zone's quota. The rate is divided equally; parallel loads are divided as
+// whole numbers, and the remainder goes to the first zones of the deployment. A zone that the
+// deployment does not list has no quota.
 func ShareOf(d laburnumlever.Deployment, zone laburnumlever.ZoneName) Share {
 	i := slices.Index(d.Zones, zone)
 	if i < 0 {
@@ -37,17 +37,17 @@
 	return quota
 }
 
-// Pace is the bucket of one zone's loads. It holds one load at most, and a new
-// owner's is empty: it does not know when the last owner began its last load.
+// Pace is a token bucket for the loads of one zone. It holds at most one token and starts
+// empty, because a new owner does not know when the previous owner started its last load.
 type Pace struct{ next time.Time }
 
-// NewPace makes an empty bucket.
+// NewPace returns an empty bucket.
 func NewPace(now time.Time, quota Share) Pace { return Pace{next: now.Add(quota.Interval)} }
 
-// Ready tells whether a load may begin, with that many under way.
+// Ready reports whether a load may start while inFlight loads are in flight.
 func (p Pace) Ready(now time.Time, quota Share, inFlight int) bool {
 	return inFlight < quota.Parallel && !now.Before(p.next)
 }
 
-// WithLoad is the bucket after a load has begun.
+// WithLoad returns the bucket after a load has started.
 func (p Pace) WithLoad(now time.Time, quota Share) Pace { return Pace{next: now.Add(quota.Interval)} }
--- a/laburnumplacement/replicas.go
+++ b/laburnumplacement/replicas.go
@@ -8,21 +8,20 @@
 )
 
 const (
-	// inFlightDivisor bounds the replicas loading at once to a tenth of the engines:
-	// a wrong estimate can't turn over more of the fleet than that before its
-	// effect is seen in the next demand.
+	// inFlightDivisor bounds the moves in flight to a tenth of the engines, so that a wrong
+	// estimate cannot change more of the fleet before its effect shows in the demand signals.
 	inFlightDivisor = 10
-	// minInFlight lets a small fleet move at all.
+	// minInFlight is the bound for small fleets, where a tenth would allow no move.
 	minInFlight = 2
-	// minGain keeps a move-cost of 0 from paying for moves that bring nothing.
+	// minGain prevents moves without any benefit when move-cost is 0.
 	minGain = 0.01
-	// exchangeCostFactor prices an exchange at two moves: the copy that goes will
-	// have to come back when its own demand does.
+	// exchangeCostFactor prices an exchange as two moves, because the evicted copy has to be
+	// reloaded when the demand for it returns.
 	exchangeCostFactor = 2
 )
 
-// countMovesInFlight counts the copies that are loading or going, whatever for: they
-// use the weight store, and their effect is not seen yet.
+// countMovesInFlight counts the copies being loaded or unloaded, for any reason: they use the
+// weight store, and their effect does not show in the demand signals yet.
 func (f *fleet) countMovesInFlight() {
 	for i := range f.engines {
 		for _, p := range f.engines[i].copies {
@@ -35,16 +34,16 @@
 
 func (f *fleet) maxMovesInFlight() int { return max(minInFlight, len(f.engines)/inFlightDivisor) }
 
-// replicaCandidate is a copy that might be added.
+// replicaCandidate is an additional copy of a model on one engine.
 type replicaCandidate struct {
 	model   int
 	fit     fit
-	gain    float64 // requests a second
+	gain    float64 // requests per second
 	victims []*placement
 }
 
-// bestReplica finds the copy that gains most for each accelerator where the demand
-// of now is not met, if it is worth a move.
+// bestReplica returns the replica with the highest gain per accelerator among the models with unmet
+// current demand, if one is worth a move.
 func (f *fleet) bestReplica() (replicaCandidate, bool) {
 	var best replicaCandidate
 	found := false
@@ -64,9 +63,11 @@
 	return r.gain / float64(f.models[r.model].span)
 }
 
-// maxReplicaModels bounds the models looked at for one replica: the rest have less to gain.
+// maxReplicaModels bounds the models considered for one replica; the remaining ones have less unmet
+// demand.
 const maxReplicaModels = 16
 
+// modelsByUnmetDemand returns the models whose unmet demand is worth a move, highest first.
 func (f *fleet) modelsByUnmetDemand() []int {
 	var models []int
 	for m := range f.models {
@@ -82,10 +83,11 @@
 	return f.models[m].unmet * f.models[m].demand.Now.Requests
 }
 
+// minMoveGain returns the gain that a move must exceed, in requests per second.
 func (f *fleet) minMoveGain() float64 { return max(minGain, f.snapshot.Catalogue.Deployment.MoveCost) }
 
-// replicaFor finds the engine whose spare room meets most of the model's unmet
-// demand: first in free memory, then in place of copies that are worth less.
+// replicaFor selects the engine that can serve most of the model's unmet demand: first in free
+// memory, then in exchange for copies with a lower value.
 func (f *fleet) replicaFor(m int) (replicaCandidate, bool) {
 	best := replicaCandidate{model: m}
 	found := false
@@ -107,6 +109,8 @@
 	return f.exchangeFor(m)
 }
 
+// gainAt returns the requests per second that a new copy on the engine would serve of the unmet
+// demand.
 func (f *fleet) gainAt(at, m int) float64 {
 	e := &f.engines[at]
 	cost := f.models[m].demand.Now.utilization(e)
@@ -117,8 +121,8 @@
 	return min(f.models[m].unmet, spare) * f.models[m].demand.Now.Requests
 }
 
-// exchangeFor finds an engine where copies that the last half hour did not need
-// can go for the model. What they would be missed by is taken from the gain.
+// exchangeFor selects an engine where the model can replace copies that were not needed in the last
+// half hour. The eviction loss is subtracted from the gain.
 func (f *fleet) exchangeFor(m int) (replicaCandidate, bool) {
 	best := replicaCandidate{model: m}
 	found := false
@@ -142,7 +146,7 @@
 	return best, found
 }
 
-// gainAfterEviction is the gain on an engine once some copies have left it.
+// gainAfterEviction returns the gain of a copy on an engine once the victims are unloaded.
 func (f *fleet) gainAfterEviction(at, m int, victims []*placement) float64 {
 	e := &f.engines[at]
 	cost := f.models[m].demand.Now.utilization(e)
@@ -156,12 +160,13 @@
 	return min(f.models[m].unmet, max(0, maxUtilization-load)/cost) * f.models[m].demand.Now.Requests
 }
 
-// canExchange leaves copies that are loading alone: their effect is not seen yet.
+// canExchange excludes copies that are not stable yet, whose effect does not show in the demand
+// signals.
 func (f *fleet) canExchange(p *placement) bool {
 	return p.model >= 0 && f.stable(p) && f.canEvict(p)
 }
 
-// evictionLoss is what giving the copy up costs, in requests a second.
+// evictionLoss returns the cost of unloading the copy, in requests per second.
 func (f *fleet) evictionLoss(p *placement) float64 {
 	loss := f.peakDemandLost(p)
 	if f.leavesSingleZone(p) {
@@ -170,7 +175,8 @@
 	return loss
 }
 
-// leavesSingleZone tells whether the model would be left in one zone without the copy.
+// leavesSingleZone reports whether the model would have copies in at most one zone without this
+// copy.
 func (f *fleet) leavesSingleZone(p *placement) bool {
 	var zone laburnumlever.ZoneName
 	for _, other := range f.models[p.model].copies {
@@ -186,8 +192,8 @@
 	return true
 }
 
-// peakDemandLost is what the copy's model would lose with it, in requests a second, at
-// the demand of the last half hour.
+// peakDemandLost returns how much of the model's peak demand the other copies could not serve
+// without this one, in requests per second.
 func (f *fleet) peakDemandLost(p *placement) float64 {
 	mod := &f.models[p.model]
 	capacity := 0.0
@@ -206,8 +212,8 @@
 	return max(0, 1-capacity) * mod.demand.Hold.Requests
 }
 
-// planReplica plans the load, or the unloads that have to come before it. The load
-// then follows in a later round, if it is still worth it.
+// planReplica plans the load, or the unloads that must come first. In that case the load follows in
+// a later round, if it is still worth it.
 func (f *fleet) planReplica(r replicaCandidate) {
 	mod := &f.models[r.model]
 	f.movesInFlight += max(1, len(r.victims))
@@ -222,7 +228,8 @@
 	f.assignDemand(r.model, r.fit.engine, r.gain)
 }
 
-// assignDemand lays the gain of a planned copy on its engine.
+// assignDemand adds the gain of a planned copy to the utilization of its engine and subtracts it
+// from the unmet demand.
 func (f *fleet) assignDemand(m, at int, gain float64) {
 	mod := &f.models[m]
 	if gain <= 0 {
--- a/laburnumplacement/residency.go
+++ b/laburnumplacement/residency.go
@@ -7,7 +7,7 @@
 	"laburnumlever"
 )
 
-// unloadRemovedModels unloads the copies of models that the catalogue has dropped.
+// unloadRemovedModels unloads the copies of models that are no longer in the catalogue.
 func (f *fleet) unloadRemovedModels() {
 	for i := range f.engines {
 		for _, p := range f.engines[i].copies {
@@ -18,9 +18,8 @@
 	}
 }
 
-// repair gives each model without a lasting copy one. The largest are placed
-// first, because they have the fewest places; the moves are made in the order of
-// demand.
+// repair plans a copy for each model without a resident one. Models are placed in the order of
+// size, largest first, because those fit on the fewest engines; the moves are ordered by demand.
 func (f *fleet) repair() {
 	for _, m := range f.missingModels() {
 		if f.loadLimitReached() {
@@ -42,12 +41,13 @@
 	}
 }
 
-// maxLoadsPerRound bounds the loads that one round plans: more than the weight store can
-// begin before the next round would only make the round longer.
+// maxLoadsPerRound bounds the loads that one round plans: the weight store cannot start more of
+// them before the next round, and planning them would only lengthen this one.
 const maxLoadsPerRound = 48
 
 func (f *fleet) loadLimitReached() bool { return f.plannedLoads >= maxLoadsPerRound }
 
+// missingModels returns the models without a resident copy, largest first.
 func (f *fleet) missingModels() []int {
 	var models []int
 	for m := range f.models {
@@ -65,10 +65,10 @@
 	return models
 }
 
-// repairFilter keeps a repair that is overdue in the own zone. Two owners whose
-// views differ may each leave a repair to the other, and the model would stay
-// away for as long as their views differ; so after a while each repairs it itself.
-// The second copy that this may give is no loss: it spreads the model.
+// repairFilter restricts an overdue repair to the own zone. Two owners with different views may
+// each expect the other to repair a model, which would stay unavailable as long as the views
+// differ; so each of them repairs it once it is overdue. A second copy that may result is not
+// wasted: it spreads the model over two zones.
 func (f *fleet) repairFilter(m int) func(at int) bool {
 	if !f.snapshot.Overdue[f.models[m].Name] {
 		return anyEngine
@@ -78,8 +78,7 @@
 
 func anyEngine(int) bool { return true }
 
-// usableZones counts the zones with an engine that can take copies. In a zone
-// that is cut off, second copies would only fill the memory for repairs.
+// usableZones counts the zones with an engine that takes orders.
 func (f *fleet) usableZones() int {
 	seen := make(map[laburnumlever.ZoneName]bool)
 	for i := range f.engines {
@@ -90,7 +89,7 @@
 	return len(seen)
 }
 
-// locations lists the zones of a model's lasting copies and counts their engines.
+// locations returns the zones of a model's resident copies and the number of their engines.
 func (f *fleet) locations(m int) ([]laburnumlever.ZoneName, int) {
 	var zones []laburnumlever.ZoneName
 	engines := make(map[int]bool)
@@ -106,8 +105,8 @@
 	return zones, len(engines)
 }
 
-// findEngine finds the best engine for one more copy: in a zone without one, then
-// where the model's demand leaves the engine least busy, then the tightest fit.
+// findEngine selects the engine for one more copy of a model: in a zone without a copy, then with
+// the lowest utilization at peak demand, then with the tightest fit.
 func (f *fleet) findEngine(m int, allowed func(at int) bool) (fit, bool) {
 	mod := &f.models[m]
 	zones, _ := f.locations(m)
@@ -129,7 +128,7 @@
 	return best, best.engine >= 0
 }
 
-// rank orders the places for a copy; the lower is better, field by field.
+// rank orders the possible engines for a copy: lower is better, compared field by field.
 type rank struct {
 	sameZone    int
 	utilization int
@@ -145,8 +144,8 @@
 		cmp.Compare(r.tieBreak, other.tieBreak)) < 0
 }
 
-// utilizationSteps is how finely engines are told apart by load: finer steps would put
-// copies by noise in the estimates rather than by fit.
+// utilizationSteps is the resolution at which utilization is compared. A finer one would choose
+// engines by noise in the estimates instead of by fit.
 const utilizationSteps = 5
 
 func (f *fleet) rank(m int, s fit, zones []laburnumlever.ZoneName) rank {
@@ -159,8 +158,8 @@
 	return r
 }
 
-// expectedUtilization is how busy the engine would be if each model spread its held demand
-// evenly over its copies.
+// expectedUtilization returns the utilization of the engine if each model distributed its peak
+// demand evenly over its copies.
 func (f *fleet) expectedUtilization(at int) float64 {
 	e := &f.engines[at]
 	total := 0.0
@@ -173,7 +172,7 @@
 	return total
 }
 
-// hasCopy tells whether the engine has a copy of the model already.
+// hasCopy reports whether the engine already has a copy of the model in the catalogue's version.
 func (f *fleet) hasCopy(at, m int) bool {
 	return slices.ContainsFunc(f.models[m].copies, func(p *placement) bool { return p.engine == at && p.current })
 }
--- a/laburnumplacement/simulation_test.go
+++ b/laburnumplacement/simulation_test.go
@@ -15,12 +15,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The made-up figures of the measured fleets; docs/placement-measures.md lists them.
+// Assumed parameters of the simulated fleets, as listed in docs/placement-measures.md.
 const (
 	answerTokens    = 150
 	promptTokens    = 400
-	meanUtilization = 0.6  // of what all engines can do
-	maxUtilization  = 0.85 // busy share up to which requests meet their targets
+	meanUtilization = 0.6  // fraction of the capacity of all engines
+	maxUtilization  = 0.85 // utilization up to which requests meet their latency targets
 	loadSeconds     = 4
 	hour            = 3600
 	faultAt         = 1200
@@ -31,7 +31,7 @@
 	entryVMs        = 4
 )
 
-// simulation is one hour of one fleet under one policy, second by second.
+// simulation simulates one hour of a fleet under one policy in steps of one second.
 type simulation struct {
 	t            require.TestingT
 	rng          *rand.Rand
@@ -41,7 +41,7 @@
 	base         map[laburnumlever.ModelName]float64
 	scenario     string
 	partitions   []*partition
-	failedEngine int // the engine that died, -1 for none
+	failedEngine int // index of the failed engine, -1 if none
 	second       int
 
 	offered, attained float64
@@ -51,7 +51,7 @@
 	outageSeconds     int
 }
 
-// partition is the part of the fleet that can talk to itself: all of it but for a cut.
+// partition is a set of zones whose VMs can communicate: all zones, except during a zone cut.
 type partition struct {
 	zones      []laburnumlever.ZoneName
 	estimator  *laburnumplacement.Estimator
@@ -68,9 +68,10 @@
 	first   laburnumlever.AcceleratorID
 }
 
-// policy decides the moves of one round.
+// policy plans the moves of one round.
 type policy func(s laburnumplacement.Snapshot) []laburnumplacement.Move
 
+// testDeployment returns the catalogue of a named fleet and its number of engines.
 func testDeployment(name string, moveCost float64) (laburnumlever.Catalogue, int) {
 	c := laburnumlever.Catalogue{Revision: 1, Deployment: laburnumlever.Deployment{Name: name, MoveCost: moveCost}}
 	engines, count, adapters := 20, 30, 100
@@ -101,7 +102,7 @@
 	}
 	capacity := 0.0
 	for i := range n {
-		memory, speed := 10000, 1.0 // an old engine
+		memory, speed := 10000, 1.0 // an old engine; every second one is new
 		if i%2 == 1 {
 			memory, speed = 20000, 2.7
 		}
@@ -123,12 +124,12 @@
 	return w
 }
 
-// requestCost is the engine's time that one request takes, in seconds.
+// requestCost returns the engine time of one request, in seconds.
 func requestCost(a laburnumlever.Announcement) float64 {
 	return answerTokens/a.TokensPerSecond + promptTokens/a.PrefillTokensPerSecond
 }
 
-// rate is the offered requests a second of a model now.
+// rate returns the offered requests per second of a model in the current second.
 func (w *simulation) rate(i int, name laburnumlever.ModelName) float64 {
 	r := w.base[name] * (0.9 + 0.2*w.rng.Float64())
 	if w.scenario != "tenfold-hour" {
@@ -146,7 +147,8 @@
 	return s
 }
 
-// run settles the fleet on the base demand, then measures one hour.
+// run lets the planner place the models for the base demand in 300 s, then measures one hour of the
+// policy.
 func (w *simulation) run(name string, p policy) {
 	ours := plannerPolicy()
 	all := w.newPartition(w.catalogue.Deployment.Zones, ours)
@@ -211,8 +213,8 @@
 	}
 }
 
-// serve lays the second's requests on the ready copies, by spare time and in four
-// turns, and counts those that engines can serve inside their targets.
+// serve distributes the second's requests over the ready copies by spare engine time, in four
+// steps, and counts those that meet their latency targets. It also records the demand signals.
 func (w *simulation) serve(s *partition, share float64) {
 	spare := make([]float64, len(w.engines))
 	holders := make([][]int, len(w.catalogue.Models))
@@ -274,6 +276,7 @@
 	return capacity * fraction
 }
 
+// partitionModel is a model as seen in one partition.
 type partitionModel struct {
 	partition *partition
 	model     laburnumlever.ModelName
--- a/laburnumplacement/spread.go
+++ b/laburnumplacement/spread.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// spreadWeight prices a model's second zone at a fifth of the model's demand. A
-// model that few ask for may so be left with one copy while another is short of
-// copies, but not one whose demand is several times what the exchange gains. Measured
-// at a half, Armor Pose's full fleet served less than without any such price; at 0
-// nearly every model would be down to one copy at the peak, and all of them away for
-// the seconds that a repair takes when an engine is lost.
+// spreadWeight values a model's second zone at a fifth of its peak demand. A model with little
+// demand may so be left with one copy while another lacks copies, but not one whose demand is
+// several times the gain of the exchange. Measured on the full Armor Pose fleet, 0.5 served less
+// than no weight at all; with 0, nearly every model would be down to one copy at the peak, and
+// after the loss of an engine the models on it would be unavailable for the seconds that a repair
+// takes.
 const spreadWeight = 0.2
 
-// fillFreeMemory uses the memory that residency leaves: for second zones and for replicas,
-// whichever is worth more for each accelerator. Second zones are not priced: where
-// memory allows, every model has one.
+// fillFreeMemory uses the memory that is left after repairs for second zones and replicas, in the
+// order of their gain per accelerator. A second zone has no minimum gain: every model gets one
+// where memory allows.
 func (f *fleet) fillFreeMemory() {
 	f.countMovesInFlight()
 	next, ok := f.bestReplica()
@@ -39,9 +39,9 @@
 	}
 }
 
-// singleZoneModels lists the models whose copies are all in one zone, those worth most first.
-// In a zone that is cut off there are none: second copies would only fill the
-// memory for repairs.
+// singleZoneModels returns the models whose resident copies are all in one zone, highest gain
+// first. It returns none when only one zone is usable, as in a zone that is cut off: second copies
+// would only fill the memory needed for repairs.
 func (f *fleet) singleZoneModels() []int {
 	if f.usableZones() < 2 {
 		return nil
@@ -58,10 +58,11 @@
 	return models
 }
 
+// spreadGain returns the value of a second zone for the model, in requests per second.
 func (f *fleet) spreadGain(m int) float64 { return spreadWeight * f.models[m].demand.Hold.Requests }
 
-// spread gives a model a copy in a second zone, else on a second engine, in free
-// memory or in place of copies that nobody would miss.
+// spread adds a copy of a model in a second zone, or else on a second engine, in free memory or in
+// place of surplus copies.
 func (f *fleet) spread(m int) {
 	zones, engines := f.locations(m)
 	otherZone := func(at int) bool { return f.engines[at].Zone != zones[0] }
@@ -80,8 +81,8 @@
 	f.assignDemand(m, s.engine, gain)
 }
 
-// evictSurplus unloads copies that the last half hour did not need, or waits for
-// such an unload to be done.
+// evictSurplus unloads copies that were not needed in the last half hour. It reports whether such
+// an unload is planned or in flight.
 func (f *fleet) evictSurplus(m int, allowed func(at int) bool) bool {
 	if f.roomPending(m, allowed) {
 		return true
@@ -106,13 +107,13 @@
 	return false
 }
 
-// isSurplus leaves second zones alone, also of models that nobody asks for: else
-// such models would take each other's in turn.
+// isSurplus excludes the copy in a second zone, even of a model without demand: otherwise such
+// models would evict each other's copies in turn.
 func (f *fleet) isSurplus(p *placement) bool {
 	return f.canExchange(p) && !f.leavesSingleZone(p) && f.peakDemandLost(p) == 0
 }
 
-// roomPending tells whether unloads under way will make room for the model.
+// roomPending reports whether unloads in flight will make room for the model.
 func (f *fleet) roomPending(m int, allowed func(at int) bool) bool {
 	for at := range f.engines {
 		if !f.engines[at].unloading || !allowed(at) || f.hasCopy(at, m) {
--- a/laburnumplacement/switchversion.go
+++ b/laburnumplacement/switchversion.go
@@ -6,10 +6,9 @@
 	"laburnumlever"
 )
 
-// switchVersions replaces copies of a version that the catalogue no longer names.
-// New copies are loaded beside the old ones; the old ones go when as many new
-// ones answer, or when no more new ones fit. Requests in flight finish on the old
-// copy: the engine drains it.
+// switchVersions replaces copies of a version that is no longer in the catalogue. New copies are
+// loaded beside the old ones. The old ones are unloaded when as many new copies are stable, or when
+// no more new copies fit. The engine drains an old copy, so requests in flight finish on it.
 func (f *fleet) switchVersions() {
 	for m := range f.models {
 		old, current, stable := f.versions(m)
@@ -31,15 +30,15 @@
 	}
 }
 
-// stableIn tells whether a copy of the catalogue's version answers in the zone.
+// stableIn reports whether the zone has a stable copy of the catalogue's version.
 func (f *fleet) stableIn(m int, zone laburnumlever.ZoneName) bool {
 	return slices.ContainsFunc(f.models[m].copies, func(p *placement) bool {
 		return p.current && f.stable(p) && f.engines[p.engine].Zone == zone
 	})
 }
 
-// versions finds a model's old copies, how many new ones there are, and how many
-// of those answer.
+// versions returns the resident copies of old versions, the number of copies of the current
+// version, and how many of these are stable.
 func (f *fleet) versions(m int) (old []*placement, current, stable int) {
 	for _, p := range f.models[m].copies {
 		switch {
@@ -56,7 +55,7 @@
 	return old, current, stable
 }
 
-// loadNewVersions plans up to n new copies and reports whether one found no place.
+// loadNewVersions plans up to n copies of the current version and reports whether one did not fit.
 func (f *fleet) loadNewVersions(m, n int) (full bool) {
 	for range n {
 		if f.loadLimitReached() {
@@ -71,8 +70,8 @@
 	return false
 }
 
-// switchOneByOne is for when there is no room beside the old copies: one of them
-// goes first if another keeps answering, else other models make room.
+// switchOneByOne handles a model without room for a new copy beside the old ones. It unloads one
+// old copy if another one stays stable, and otherwise makes room at the expense of other models.
 func (f *fleet) switchOneByOne(m int, old []*placement) {
 	if slices.ContainsFunc(f.models[m].copies, func(p *placement) bool { return p.Going || p.Draining }) {
 		return
@@ -85,9 +84,9 @@
 	f.makeRoom(m, anyEngine)
 }
 
-// updateChangedCopies reloads, in place, copies whose adapters or size are no longer the
-// catalogue's. Memory for the larger size is there: addCopies counted it. A copy
-// that no longer fits where it is moves.
+// updateChangedCopies reloads, in place, copies whose adapters or size differ from the catalogue.
+// addCopies has already reserved the memory for the larger size. A copy that no longer fits its
+// accelerators is moved.
 func (f *fleet) updateChangedCopies() {
 	for m := range f.models {
 		mod := &f.models[m]
@@ -119,8 +118,8 @@
 	})
 }
 
-// moveOversized replaces a copy that has outgrown its accelerators: a new one
-// elsewhere, and this one goes when another may be relied on.
+// moveOversized replaces a copy that no longer fits its accelerators: a new copy is loaded on
+// another engine, and this one is unloaded as soon as canEvict allows.
 func (f *fleet) moveOversized(m int, p *placement) {
 	if f.canEvict(p) {
 		f.planUnload(p, ReasonUpdate, Move{})
--- a/laburnumplacement/values.go
+++ b/laburnumplacement/values.go
@@ -4,78 +4,77 @@
 	"laburnumlever"
 )
 
-// MoveReason says what a move is for. Lower values are more urgent.
+// MoveReason is the reason for a move. Lower values are more urgent.
 type MoveReason int
 
-// The reasons for a move, the most urgent first.
+// The reasons for a move, most urgent first.
 const (
-	ReasonRepair    MoveReason = iota // the model has no copy at all
-	ReasonMakeRoom                    // room for a model that has no copy
-	ReasonVersion                     // the catalogue names another version
-	ReasonUpdate                      // the copy's adapters or size changed
+	ReasonRepair    MoveReason = iota // the model has no active copy
+	ReasonMakeRoom                    // an eviction or relocation for a model without a copy
+	ReasonVersion                     // the catalogue has another version
+	ReasonUpdate                      // the copy's adapters or size differ from the catalogue
 	ReasonRemoved                     // the catalogue no longer has the model
-	ReasonLeaving                     // the only copies are on engines that leave
-	ReasonSpread                      // a second copy, in another zone if there is room
-	ReasonDemand                      // the copies that there are can't carry the demand
-	ReasonExchanged                   // another copy brings more here
+	ReasonLeaving                     // all copies are on leaving engines
+	ReasonSpread                      // a second copy, in another zone if possible
+	ReasonDemand                      // the existing copies cannot serve the demand
+	ReasonExchanged                   // evicted for a copy with a higher gain
 )
 
-// Snapshot is all that one round reads. It is not changed.
+// Snapshot is the input of one round. The planner does not modify it.
 type Snapshot struct {
 	Catalogue laburnumlever.Catalogue
 	Engines   []Engine
-	// Demand per model; a model that is missing has none.
+	// Demand is per model; a missing model has none.
 	Demand map[laburnumlever.ModelName]Demand
-	// OwnZone limits repairs that other zones have not made in time to this zone,
-	// for the models in Overdue.
+	// OwnZone is the planning VM's zone, to which repairs of the models in Overdue are limited.
 	OwnZone laburnumlever.ZoneName
-	// Overdue are the models that have been without a copy for too long.
+	// Overdue holds the models whose repair has taken too long.
 	Overdue map[laburnumlever.ModelName]bool
-	// Fresh are the models whose version changed a moment ago: another zone's
-	// owner may still act on the last one, so its copies are not relied on.
+	// RecentlyChanged holds the models whose version changed recently. The owner of another
+	// zone may still act on the previous version, so its copies are not relied on.
 	Fresh map[laburnumlever.ModelName]bool
 }
 
-// Engine is one model engine as the planning VM knows it.
+// Engine is the state of one model engine as the planning VM knows it.
 type Engine struct {
 	ID           laburnumlever.BackendID
 	Zone         laburnumlever.ZoneName
 	Accelerators []laburnumlever.Accelerator
 	Copies       []Copy
-	// Reserved is committed on each accelerator, in the order of Accelerators,
-	// beside the copies: orders whose outcome is unknown.
+	// Reserved is the memory in MiB that is reserved on each accelerator in addition to the copies,
+	// in the order of Accelerators: that of orders with an unknown outcome.
 	Reserved []int
-	// Serving tells that its copies count as reachable.
+	// Serving reports whether the engine is reachable, so that its copies count as reachable.
 	Serving bool
-	// Leaving tells that its copies will soon be gone and need successors.
+	// Leaving reports whether the engine is about to stop, so that its copies need replacements.
 	Leaving bool
-	// Usable tells that it takes orders. One whose inventory is not known yet, or
-	// that must not be ordered without a quorum, keeps what it has.
+	// AcceptsOrders reports whether the engine may be sent orders. An engine whose inventory is not
+	// known yet, or that must not receive orders without a quorum, keeps its copies.
 	Usable                 bool
 	TokensPerSecond        float64
 	PrefillTokensPerSecond float64
 }
 
-// Copy is a copy that an engine holds or has been ordered to load.
+// Copy is a copy that is loaded on an engine or that the engine was ordered to load.
 type Copy struct {
 	laburnumlever.Loaded
-	// Stable tells that it has been seen ready for some time, so that it may
-	// be relied on when another copy is given up.
+	// Stable reports whether the copy has been ready for some time, so that another copy may be
+	// unloaded because of it.
 	Stable bool
-	// Going tells that its unload is under way.
+	// Unloading reports whether an unload of the copy is in flight.
 	Going bool
-	// Counted tells that its memory stays counted when it is unloaded: the order that
-	// loaded it may yet arrive once more.
+	// StaysReserved reports whether its memory stays reserved after an unload, because the order
+	// that loaded it may still be delivered again.
 	Counted bool
 }
 
-// Demand is what callers ask of one model, over all VMs.
+// Demand is the demand for one model, summed over all VMs.
 type Demand struct {
-	// Now follows rises at once; Hold is the highest of about the last half hour.
+	// Now follows a rise within seconds; Peak is the decaying peak of about the last half hour.
 	Now, Hold Rates
 }
 
-// Rates are a second.
+// Rates are per second.
 type Rates struct {
 	Requests, PromptTokens, AnswerTokens float64
 }
@@ -87,19 +86,19 @@
 	Zone   laburnumlever.ZoneName
 	Copy   laburnumlever.Loaded
 	Reason MoveReason
-	// For is the model that room is made for.
+	// For is the model that the move makes room for, if any.
 	For laburnumlever.ModelName
-	// Gain is the expected attainment, in requests inside their targets a second.
+	// Gain is the expected gain, in requests per second that meet their latency targets.
 	Gain float64
 }
 
-// Plan is what one round decided.
+// Plan is the result of one round.
 type Plan struct {
-	// Moves are ordered: the most urgent first.
+	// Moves are ordered by urgency, most urgent first.
 	Moves []Move
-	// Unplaced models have no copy and no room.
+	// Unplaced holds the models that have no copy and for which no room can be made.
 	Unplaced []laburnumlever.ModelName
-	// Unmet is the demand that the copies can't carry, as a share of each
-	// model's demand; models without any are left out.
+	// Unmet is the share of each model's demand that the copies cannot serve. Models with none are
+	// left out.
 	Unmet map[laburnumlever.ModelName]float64
 }
