--- a/laburnumplacement/bench_test.go
+++ b/laburnumplacement/bench_test.go
@@ -8,11 +8,11 @@
 	"laburnumlever/laburnumplacement"
 )
 
-// fleetOf is a settled fleet with old and new engines of eight accelerators over
-// seven zones, and demand on every model.
-func fleetOf(engines, modelCount int) laburnumplacement.Snapshot {
+// emptyFleet returns a fleet without copies: old and new engines with eight accelerators each in
+// seven zones, and demand for every model.
+func emptyFleet(engines, modelCount int) laburnumplacement.Snapshot {
 	s := laburnumplacement.Snapshot{Demand: make(map[laburnumlever.ModelName]laburnumplacement.Demand)}
-	s.Catalogue = models(modelCount, 0)
+	s.Catalogue = catalogueOf(modelCount, 0)
 	for i := range s.Catalogue.Models {
 		m := &s.Catalogue.Models[i]
 		m.WeightsMiB = 8000 + 1500*(i%20)
@@ -35,21 +35,21 @@
 	return s
 }
 
-// filled plans until every model is resident.
-func filled(engines, modelCount int) laburnumplacement.Snapshot {
-	s := fleetOf(engines, modelCount)
+// settledFleet plans and applies rounds until there are no more moves, at most 200.
+func settledFleet(engines, modelCount int) laburnumplacement.Snapshot {
+	s := emptyFleet(engines, modelCount)
 	for range 200 {
 		plan := laburnumplacement.NewPlanner().Plan(s)
 		if len(plan.Moves) == 0 {
 			break
 		}
-		apply(&s, plan.Moves)
+		applyUnchecked(&s, plan.Moves)
 	}
 	return s
 }
 
-// apply makes moves without the checks of carryOut.
-func apply(s *laburnumplacement.Snapshot, moves []laburnumplacement.Move) {
+// applyUnchecked carries out loads without the checks of applyMoves.
+func applyUnchecked(s *laburnumplacement.Snapshot, moves []laburnumplacement.Move) {
 	at := make(map[laburnumlever.BackendID]int, len(s.Engines))
 	for i, e := range s.Engines {
 		at[e.ID] = i
@@ -64,9 +64,10 @@
 	}
 }
 
-// crowded fills the fleet with further copies, as a day's demand would.
-func crowded(engines, modelCount int) laburnumplacement.Snapshot {
-	s := filled(engines, modelCount)
+// fleetWithReplicas fills the free memory of a settled fleet with more copies, as after a day of
+// demand.
+func fleetWithReplicas(engines, modelCount int) laburnumplacement.Snapshot {
+	s := settledFleet(engines, modelCount)
 	for i := range s.Engines {
 		e := &s.Engines[i]
 		for a, acc := range e.Accelerators {
@@ -91,11 +92,11 @@
 	return s
 }
 
-// BenchmarkPlanFull is one round in which everything is read anew.
+// BenchmarkPlanFull measures one round on a full fleet.
 func BenchmarkPlanFull(b *testing.B) {
 	for _, size := range [][2]int{{20, 30}, {300, 130}, {2100, 370}} {
 		b.Run(fmt.Sprintf("engines=%d", size[0]), func(b *testing.B) {
-			s := crowded(size[0], size[1])
+			s := fleetWithReplicas(size[0], size[1])
 			copies := 0
 			for _, e := range s.Engines {
 				copies += len(e.Copies)
@@ -109,11 +110,11 @@
 	}
 }
 
-// BenchmarkPlanCold places every model on an empty fleet in one round.
+// BenchmarkPlanCold measures the first round on an empty fleet.
 func BenchmarkPlanCold(b *testing.B) {
 	for _, size := range [][2]int{{20, 30}, {300, 130}, {2100, 370}} {
 		b.Run(fmt.Sprintf("engines=%d", size[0]), func(b *testing.B) {
-			s := fleetOf(size[0], size[1])
+			s := emptyFleet(size[0], size[1])
 			for b.Loop() {
 				laburnumplacement.NewPlanner().Plan(s)
 			}
@@ -121,11 +122,11 @@
 	}
 }
 
-// BenchmarkFits is what one apply costs.
+// BenchmarkFits measures the check of a catalogue when it is applied.
 func BenchmarkFits(b *testing.B) {
 	for _, size := range [][2]int{{20, 30}, {2100, 370}} {
 		b.Run(fmt.Sprintf("engines=%d", size[0]), func(b *testing.B) {
-			s := fleetOf(size[0], size[1])
+			s := emptyFleet(size[0], size[1])
 			var backends []laburnumlever.Backend
 			for _, e := range s.Engines {
 				backends = append(backends, laburnumlever.Backend{Announcement: laburnumlever.Announcement{
