--- a/laburnumlog/election.go
+++ b/laburnumlog/election.go
@@ -32,11 +32,11 @@
 	l.role = PreCandidate
 	l.resetTimeout()
 	l.votes = map[ReplicaID]bool{l.id: true}
-	if l.wonVotes() {
+	if l.hasVoteMajority() {
 		l.campaign(false)
 		return
 	}
-	l.askVotes(MessagePreVote, l.hard.Term+1, false)
+	l.requestVotes(MessagePreVote, l.hard.Term+1, false)
 }
 
 func (l *Log) campaign(force bool) {
@@ -46,12 +46,12 @@
 	l.hard.Vote = l.id
 	l.votes = map[ReplicaID]bool{}
 	l.resetTimeout()
-	l.askVotes(MessageVote, l.hard.Term, force)
+	l.requestVotes(MessageVote, l.hard.Term, force)
 	// The own vote goes the way of the others: it counts once it is durable.
 	l.sendDurable(Message{Kind: MessageVoteAnswer, To: l.id})
 }
 
-func (l *Log) askVotes(kind MessageKind, term uint64, force bool) {
+func (l *Log) requestVotes(kind MessageKind, term uint64, force bool) {
 	for _, m := range l.Configuration().Voters() {
 		if m.ID == l.id {
 			continue
@@ -61,7 +61,7 @@
 	}
 }
 
-func (l *Log) wonVotes() bool {
+func (l *Log) hasVoteMajority() bool {
 	return l.Configuration().HasMajority(func(m Member) bool { return l.votes[m.ID] })
 }
 
@@ -72,7 +72,7 @@
 	}
 	l.role = Follower
 	l.leader = leader
-	l.handOverTo = ""
+	l.transferTarget = ""
 	l.progress = map[ReplicaID]progress{}
 	l.resetTimeout()
 }
@@ -94,19 +94,19 @@
 	}
 	switch {
 	case m.Term > l.hard.Term:
-		if !l.takeHigherTerm(m) {
+		if !l.adoptHigherTerm(m) {
 			return
 		}
 	case m.Term < l.hard.Term:
-		l.refuseLowerTerm(m)
+		l.rejectLowerTerm(m)
 		return
 	}
 	l.dispatch(m)
 }
 
-// takeHigherTerm adopts the term of the message, and tells whether the message
+// adoptHigherTerm adopts the term of the message, and tells whether the message
 // is to be looked at.
-func (l *Log) takeHigherTerm(m Message) bool {
+func (l *Log) adoptHigherTerm(m Message) bool {
 	switch {
 	case m.Kind == MessagePreVote, m.Kind == MessagePreVoteAnswer && !m.Reject:
 		// Its term is only a plan.
@@ -121,8 +121,8 @@
 	return true
 }
 
-// refuseLowerTerm tells a replica of an older term the newer one.
-func (l *Log) refuseLowerTerm(m Message) {
+// rejectLowerTerm tells a replica of an older term the newer one.
+func (l *Log) rejectLowerTerm(m Message) {
 	switch m.Kind {
 	case MessagePreVote:
 		l.send(Message{Kind: MessagePreVoteAnswer, To: m.From, Reject: true})
@@ -186,14 +186,14 @@
 
 func (l *Log) onPreVoteAnswer(m Message) {
 	if l.role == PreCandidate && m.Reject {
-		l.noteRefusal(m.From)
+		l.recordRejection(m.From)
 		return
 	}
 	if l.role != PreCandidate || m.Term != l.hard.Term+1 {
 		return
 	}
 	l.votes[m.From] = true
-	if l.wonVotes() {
+	if l.hasVoteMajority() {
 		l.campaign(false)
 	}
 }
@@ -211,21 +211,21 @@
 
 func (l *Log) onVoteAnswer(m Message) {
 	if l.role == Candidate && m.Reject {
-		l.noteRefusal(m.From)
+		l.recordRejection(m.From)
 		return
 	}
 	if l.role != Candidate {
 		return
 	}
 	l.votes[m.From] = true
-	if l.wonVotes() {
+	if l.hasVoteMajority() {
 		l.becomeLeader()
 	}
 }
 
-// noteRefusal keeps a refusal for Ballot. A vote that was granted stands: the refusal
+// recordRejection keeps a refusal for Ballot. A vote that was granted stands: the refusal
 // is of an earlier round then.
-func (l *Log) noteRefusal(from ReplicaID) {
+func (l *Log) recordRejection(from ReplicaID) {
 	if _, answered := l.votes[from]; !answered {
 		l.votes[from] = false
 	}
--- a/laburnumlog/exhaustive_test.go
+++ b/laburnumlog/exhaustive_test.go
@@ -18,7 +18,7 @@
 	for _, r := range s.replicas {
 		copied := *r
 		copied.log = r.log.Clone()
-		copied.unsaved = slices.Clone(r.unsaved)
+		copied.unsynced = slices.Clone(r.unsynced)
 		copied.disk.Entries = slices.Clone(r.disk.Entries)
 		c.replicas = append(c.replicas, &copied)
 	}
@@ -59,7 +59,7 @@
 		e.explore(t, next, b)
 	}
 	for i, r := range s.replicas {
-		if len(r.unsaved) > 0 {
+		if len(r.unsynced) > 0 {
 			next := s.clone()
 			next.sync(next.replicas[i])
 			e.explore(t, next, b)
@@ -90,7 +90,7 @@
 	for _, r := range s.replicas {
 		text = append(r.log.Digest(text), byte(r.boot), byte(r.disk.Hard.Term), byte(len(r.disk.Entries)))
 		text = append(text, r.disk.Hard.Vote...)
-		for _, w := range r.unsaved {
+		for _, w := range r.unsynced {
 			text = append(text, byte(w.Hard.Term), byte(len(w.Entries)), '|')
 			text = append(text, w.Hard.Vote...)
 			for _, m := range w.After {
--- a/laburnumlog/tolerance_test.go
+++ b/laburnumlog/fleet_test.go
@@ -14,8 +14,8 @@
 const (
 	// secondTicks are a second.
 	secondTicks = 10
-	// helloTicks without a leader make a replica say that it is there.
-	helloTicks = 30
+	// joinRequestTicks without a leader make a replica say that it is there.
+	joinRequestTicks = 30
 	// replaceTicks of silence make a voter's place free: half of the 4 s in which a VM that
 	// comes back has to count again, at 100 ms a tick.
 	replaceTicks = 20
@@ -24,44 +24,44 @@
 	recoverTicks = 120
 )
 
-// place is what a VM meets besides what its replica goes through.
-type place struct {
-	side       int  // only VMs of one side reach each other
-	down       bool // without power
-	deaf       bool // the log does not get there, all else does
-	hung       bool // its disk answers nothing, neither a sync nor an error
-	leaderless int  // ticks
+// vmFaults is what a VM meets besides what its replica goes through.
+type vmFaults struct {
+	partition       int  // only VMs of one side reach each other
+	down            bool // without power
+	dropsAppends    bool // the log does not get there, all else does
+	diskHung        bool // its disk answers nothing, neither a sync nor an error
+	leaderlessTicks int  // ticks
 }
 
 // fleet is a simulation with VMs that are cut off, lost and replaced, whose leader tends
 // the members by the policy. It holds the promise of the settings: the loss of some disks.
 type fleet struct {
 	*simulation
-	places []place
+	faults []vmFaults
 	// target is how many voters there are to be; keepers are the VMs' own.
 	target  int
 	keepers []laburnumquorum.Keeper
-	// losses is how many disks may be lost at once, spent how many were since the log last
+	// losses is how many disks may be lost at once, lossesUsed how many were since the log last
 	// had all its voters.
-	losses, spent int
-	ticks         int
-	next          int  // names VMs that come new
-	confirmed     bool // a command was
-	// known remembers the states of the disks that were found to bear their losses; nil in
+	losses, lossesUsed int
+	ticks              int
+	nextVM             int  // names VMs that come new
+	confirmed          bool // a command was
+	// verified remembers the states of the disks that were found to bear their losses; nil in
 	// the middle of such a check.
-	known *knownStates
+	verified *verifiedStates
 	// pause, when set, stops an exchange of messages in its middle.
 	pause func() bool
 }
 
-// knownStates may be shared by the fleets of one size.
-type knownStates struct {
+// verifiedStates may be shared by the fleets of one size.
+type verifiedStates struct {
 	mu   sync.Mutex
 	seen map[uint64]bool
 }
 
 // add tells whether the state is new.
-func (k *knownStates) add(key uint64) bool {
+func (k *verifiedStates) add(key uint64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.seen[key] {
@@ -76,7 +76,7 @@
 
 func newFleet(n, losses int) *fleet {
 	f := &fleet{
-		simulation: newSimulation(n, 3), places: make([]place, n), losses: losses, next: n, known: &knownStates{},
+		simulation: newSimulation(n, 3), faults: make([]vmFaults, n), losses: losses, nextVM: n, verified: &verifiedStates{},
 		target: 2*losses + 1,
 	}
 	for range n {
@@ -92,14 +92,14 @@
 func (f *fleet) clone() *fleet {
 	c := *f
 	c.simulation = f.simulation.clone()
-	c.places, c.keepers = slices.Clone(f.places), slices.Clone(f.keepers)
+	c.faults, c.keepers = slices.Clone(f.faults), slices.Clone(f.keepers)
 	c.pause = nil
 	return &c
 }
 
 func (f *fleet) reaches(a, b int) bool {
-	from, to := f.places[a], f.places[b]
-	return !from.down && !to.down && from.side == to.side
+	from, to := f.faults[a], f.faults[b]
+	return !from.down && !to.down && from.partition == to.partition
 }
 
 func (f *fleet) index(id laburnumlog.ReplicaID) int {
@@ -110,7 +110,7 @@
 func (f *fleet) leader() int {
 	best := -1
 	for i, r := range f.replicas {
-		if !f.places[i].down && r.log.Role() == laburnumlog.Leader && (best < 0 || r.log.Term() > f.replicas[best].log.Term()) {
+		if !f.faults[i].down && r.log.Role() == laburnumlog.Leader && (best < 0 || r.log.Term() > f.replicas[best].log.Term()) {
 			best = i
 		}
 	}
@@ -121,22 +121,22 @@
 func (f *fleet) tick() {
 	f.ticks++
 	for i, r := range f.replicas {
-		if f.places[i].down {
+		if f.faults[i].down {
 			continue
 		}
 		f.step(r, laburnumlog.Tick{})
-		f.places[i].leaderless++
+		f.faults[i].leaderlessTicks++
 		if r.log.Leader() != "" {
-			f.places[i].leaderless = 0
+			f.faults[i].leaderlessTicks = 0
 		}
-		f.tend(i)
+		f.reconcileMembers(i)
 	}
 	f.exchange()
-	f.note()
+	f.resetLossesOnceRepaired()
 }
 
-// tend lets a leader look at the members.
-func (f *fleet) tend(i int) {
+// reconcileMembers lets a leader look at the members.
+func (f *fleet) reconcileMembers(i int) {
 	l := f.replicas[i].log
 	if l.Role() != laburnumlog.Leader {
 		return
@@ -155,7 +155,7 @@
 	var list []laburnumlog.Member
 	for i, r := range f.replicas {
 		_, in := r.log.Configuration().Find(r.id)
-		if i != leader && f.reaches(i, leader) && (!in || f.places[i].leaderless > helloTicks) {
+		if i != leader && f.reaches(i, leader) && (!in || f.faults[i].leaderlessTicks > joinRequestTicks) {
 			list = append(list, r.member())
 		}
 	}
@@ -175,13 +175,13 @@
 			f.deliverFirst()
 		}
 		for i, r := range f.replicas {
-			for len(r.unsaved) > 0 && !f.places[i].down && !f.places[i].hung {
+			for len(r.unsynced) > 0 && !f.faults[i].down && !f.faults[i].diskHung {
 				if f.paused() {
 					return
 				}
 				moved = true
 				f.sync(r)
-				f.checkDisks()
+				f.checkLossTolerance()
 			}
 		}
 	}
@@ -196,14 +196,14 @@
 	if from < 0 || to < 0 || !f.reaches(from, to) {
 		return
 	}
-	if f.places[to].deaf && (m.Kind == laburnumlog.MessageAppend || m.Kind == laburnumlog.MessageSnapshot) {
+	if f.faults[to].dropsAppends && (m.Kind == laburnumlog.MessageAppend || m.Kind == laburnumlog.MessageSnapshot) {
 		return
 	}
 	f.step(f.replicas[to], laburnumlog.Receive{Message: m})
 }
 
-// change is what an operator does: the leader takes it once the log has all its voters.
-func (f *fleet) change() {
+// proposeChange is what an operator does: the leader takes it once the log has all its voters.
+func (f *fleet) proposeChange() {
 	i := f.leader()
 	if i < 0 {
 		return
@@ -225,10 +225,10 @@
 	return r.log.ConfigurationAt(r.log.Commit()).Voters()
 }
 
-// note counts the losses anew once the log has all its voters again.
-func (f *fleet) note() {
+// resetLossesOnceRepaired counts the losses anew once the log has all its voters again.
+func (f *fleet) resetLossesOnceRepaired() {
 	i := f.leader()
-	if i < 0 || f.spent == 0 {
+	if i < 0 || f.lossesUsed == 0 {
 		return
 	}
 	l := f.replicas[i].log
@@ -240,15 +240,15 @@
 			return
 		}
 	}
-	f.spent = 0
+	f.lossesUsed = 0
 }
 
-// pass lets a second pass, with changes on the way.
-func (f *fleet) pass() {
+// runSecond lets a second runSecond, with changes on the way.
+func (f *fleet) runSecond() {
 	for i := range secondTicks {
 		f.tick()
 		if i%3 == 0 {
-			f.change()
+			f.proposeChange()
 		}
 	}
 }
@@ -262,7 +262,7 @@
 	defer func() { f.pause = nil }()
 	for range 4 * secondTicks {
 		f.tick()
-		f.change()
+		f.proposeChange()
 		if f.paused() {
 			return true
 		}
@@ -282,17 +282,17 @@
 func (f *fleet) restartAll() {
 	f.network = nil
 	for i, r := range f.replicas {
-		f.places[i], f.keepers[i] = place{}, f.newKeeper()
+		f.faults[i], f.keepers[i] = vmFaults{}, f.newKeeper()
 		f.restart(r)
 	}
 }
 
 // loseDiskOf empties the VM's disk, if the promise still covers that.
 func (f *fleet) loseDiskOf(i int) bool {
-	if f.spent >= f.losses {
+	if f.lossesUsed >= f.losses {
 		return false
 	}
-	f.spent++
+	f.lossesUsed++
 	f.newDisk(f.replicas[i])
 	return true
 }
@@ -303,33 +303,33 @@
 		return false
 	}
 	r := f.replicas[i]
-	f.next++
-	r.vm, r.life = string(rune('a'+f.next)), 0
+	f.nextVM++
+	r.vm, r.incarnation = string(rune('a'+f.nextVM)), 0
 	f.newDisk(r)
 	return true
 }
 
-// checkDisks holds the promise of the settings: whichever VMs lose their disks now, as many
+// checkLossTolerance holds the promise of the settings: whichever VMs lose their disks now, as many
 // as the settings say, and all others their power, the log leads again once they are back,
 // and holds all that was confirmed.
-func (f *fleet) checkDisks() {
-	if !f.confirmed || f.known == nil || f.problem != "" || !f.known.add(f.fingerprint()) {
+func (f *fleet) checkLossTolerance() {
+	if !f.confirmed || f.verified == nil || f.problem != "" || !f.verified.add(f.fingerprint()) {
 		return
 	}
 	f.checkRecovery(nil)
-	for _, lost := range choices(len(f.replicas), f.losses-f.spent) {
+	for _, lost := range combinations(len(f.replicas), f.losses-f.lossesUsed) {
 		f.checkRecovery(lost)
 	}
 }
 
 func (f *fleet) checkRecovery(lost []int) {
 	c := f.clone()
-	c.known = nil
+	c.verified = nil
 	for _, i := range lost {
 		c.newDisk(c.replicas[i])
 	}
 	c.restartAll()
-	newest := c.newest()
+	newest := c.newestCommitted()
 	for range recoverTicks {
 		c.tick()
 		if i := c.leader(); i >= 0 && c.replicas[i].applied >= newest {
@@ -353,9 +353,9 @@
 	}
 }
 
-// newest is the last index known committed by any replica, ever. The indexes have no gap:
+// newestCommitted is the last index known committed by any replica, ever. The indexes have no gap:
 // the first is that of the founding.
-func (f *fleet) newest() uint64 { return uint64(len(f.committed)) + 1 }
+func (f *fleet) newestCommitted() uint64 { return uint64(len(f.committed)) + 1 }
 
 func (f *fleet) vmsOf(list []int) []string {
 	vms := make([]string, 0, len(list))
@@ -369,12 +369,12 @@
 	text := ""
 	for _, r := range f.replicas {
 		recovered := laburnumlog.New(r.id, r.disk)
-		text += fmt.Sprintf("[%s last %d/%d: %s] ", r.id, recovered.TermAt(recovered.LastIndex()), recovered.LastIndex(), list(recovered.Configuration()))
+		text += fmt.Sprintf("[%s last %d/%d: %s] ", r.id, recovered.TermAt(recovered.LastIndex()), recovered.LastIndex(), memberList(recovered.Configuration()))
 	}
-	return fmt.Sprintf("%scommitted %d, %d of %d losses spent", text, f.newest(), f.spent, f.losses)
+	return fmt.Sprintf("%scommitted %d, %d of %d losses spent", text, f.newestCommitted(), f.lossesUsed, f.losses)
 }
 
-func list(c laburnumlog.Configuration) string {
+func memberList(c laburnumlog.Configuration) string {
 	text := ""
 	for _, m := range c.Members {
 		text += string(m.ID)
@@ -391,8 +391,8 @@
 	return text
 }
 
-// choices are all ways to pick k of n.
-func choices(n, k int) [][]int {
+// combinations are all ways to pick k of n.
+func combinations(n, k int) [][]int {
 	if k <= 0 {
 		return nil
 	}
@@ -414,10 +414,10 @@
 // fingerprint is the same for disks that differ only by how many commands went before:
 // indexes and terms count by their order, instances by their VM and whether they are gone.
 func (f *fleet) fingerprint() uint64 {
-	newest := f.newest()
+	newest := f.newestCommitted()
 	indexes, terms := []uint64{newest}, []uint64(nil)
 	for _, r := range f.replicas {
-		index, term := lastOn(r.disk)
+		index, term := lastEntry(r.disk)
 		indexes = append(indexes, index)
 		terms = append(terms, r.disk.Hard.Term, term)
 		for _, e := range r.disk.Entries {
@@ -429,9 +429,9 @@
 	slices.Sort(indexes)
 	slices.Sort(terms)
 	indexes, terms = slices.Compact(indexes), slices.Compact(terms)
-	text := []byte{rank(indexes, newest), byte(f.spent)}
+	text := []byte{rank(indexes, newest), byte(f.lossesUsed)}
 	for _, r := range f.replicas {
-		index, term := lastOn(r.disk)
+		index, term := lastEntry(r.disk)
 		text = append(text, '|', rank(terms, r.disk.Hard.Term), byte(f.index(r.disk.Hard.Vote)), rank(indexes, index), rank(terms, term))
 		text = f.appendMembers(text, r.disk.Snapshot.Configuration)
 		for _, e := range r.disk.Entries {
@@ -448,8 +448,8 @@
 	return byte(i)
 }
 
-// lastOn is the last entry that a disk holds.
-func lastOn(disk laburnumlog.Recovered) (index, term uint64) {
+// lastEntry is the last entry that a disk holds.
+func lastEntry(disk laburnumlog.Recovered) (index, term uint64) {
 	if n := len(disk.Entries); n > 0 && disk.Entries[n-1].Index > disk.Snapshot.Index {
 		return disk.Entries[n-1].Index, disk.Entries[n-1].Term
 	}
--- a/laburnumlog/follower.go
+++ b/laburnumlog/follower.go
@@ -1,6 +1,6 @@
 package laburnumlog
 
-func (l *Log) follow(m Message) {
+func (l *Log) followLeader(m Message) {
 	if l.role != Follower || l.leader != m.From {
 		l.becomeFollower(l.hard.Term, m.From)
 	}
@@ -8,7 +8,7 @@
 }
 
 func (l *Log) onHeartbeat(m Message) {
-	l.follow(m)
+	l.followLeader(m)
 	l.commitTo(min(m.Commit, l.LastIndex()))
 	l.send(Message{Kind: MessageHeartbeatAnswer, To: m.From})
 }
@@ -21,15 +21,15 @@
 }
 
 func (l *Log) onAppend(m Message) {
-	l.follow(m)
+	l.followLeader(m)
 	if m.Index < l.commit {
-		m = l.trim(m)
+		m = l.trimCommitted(m)
 	}
 	if l.out.Fault != nil {
 		return
 	}
 	if m.Index > l.LastIndex() || l.termAt(m.Index) != m.LogTerm {
-		l.send(Message{Kind: MessageAppendAnswer, To: m.From, Reject: true, Index: m.Index, Hint: l.hint(m.Index), Commit: l.LastIndex()})
+		l.send(Message{Kind: MessageAppendAnswer, To: m.From, Reject: true, Index: m.Index, Hint: l.conflictHint(m.Index), Commit: l.LastIndex()})
 		return
 	}
 	for i, e := range m.Entries {
@@ -51,8 +51,8 @@
 	l.sendDurable(Message{Kind: MessageAppendAnswer, To: m.From, Index: last})
 }
 
-// trim cuts off what is committed here already, after checking that it agrees.
-func (l *Log) trim(m Message) Message {
+// trimCommitted cuts off what is committed here already, after checking that it agrees.
+func (l *Log) trimCommitted(m Message) Message {
 	for len(m.Entries) > 0 && m.Entries[0].Index <= l.commit {
 		e := m.Entries[0]
 		held := l.termAt(e.Index)
@@ -65,9 +65,9 @@
 	return m
 }
 
-// hint is the last index that may match the leader's log: the whole of the
+// conflictHint is the last index that may match the leader's log: the whole of the
 // conflicting term is skipped, or a leader would step back one entry a message.
-func (l *Log) hint(index uint64) uint64 {
+func (l *Log) conflictHint(index uint64) uint64 {
 	if index > l.LastIndex() {
 		return l.LastIndex()
 	}
@@ -79,7 +79,7 @@
 }
 
 func (l *Log) onSnapshot(m Message) {
-	l.follow(m)
+	l.followLeader(m)
 	s := m.Snapshot
 	if s == nil {
 		return
--- a/laburnumlog/log.go
+++ b/laburnumlog/log.go
@@ -23,9 +23,9 @@
 	maxInFlight = 8
 	// maxBatchBytes bounds the entries of one message.
 	maxBatchBytes = 256 << 10
-	// retained is how many entries stay behind a snapshot, so that a replica
+	// retainedEntries is how many entries stay behind a snapshot, so that a replica
 	// a little behind needs no snapshot.
-	retained = 1024
+	retainedEntries = 1024
 )
 
 type pendingWrite struct {
@@ -63,7 +63,7 @@
 	elapsed        int
 	timeout        int
 	random         uint64
-	handOverTo     ReplicaID
+	transferTarget ReplicaID
 
 	seq         uint64
 	pending     []pendingWrite
@@ -105,7 +105,7 @@
 // one. The state machine starts from recovered.Snapshot, and the first step
 // hands out the entries known committed beyond it.
 func New(id ReplicaID, recovered Recovered, opts ...Option) *Log {
-	l := &Log{id: id, hard: recovered.Hard, snapshot: recovered.Snapshot, random: 1, retain: retained}
+	l := &Log{id: id, hard: recovered.Hard, snapshot: recovered.Snapshot, random: 1, retain: retainedEntries}
 	for _, opt := range opts {
 		opt(l)
 	}
@@ -119,7 +119,7 @@
 	l.stable, l.unwritten = l.LastIndex(), l.LastIndex()+1
 	l.emittedHard, l.durableHard = l.hard, l.hard
 	l.configurations = []configurationAt{{index: l.baseIndex, configuration: l.snapshot.Configuration}}
-	l.noteConfigurations(l.entries)
+	l.trackConfigurations(l.entries)
 	l.progress = map[ReplicaID]progress{}
 	l.resetTimeout()
 	return l
@@ -187,25 +187,25 @@
 	}
 }
 
-func (l *Log) from(index uint64) []Entry {
+func (l *Log) entriesFrom(index uint64) []Entry {
 	if index > l.LastIndex() {
 		return nil
 	}
-	return l.between(index, l.LastIndex())
+	return l.entriesBetween(index, l.LastIndex())
 }
 
-// between returns a copy of the entries from first to last, both included.
-func (l *Log) between(first, last uint64) []Entry {
+// entriesBetween returns a copy of the entries from first to last, both included.
+func (l *Log) entriesBetween(first, last uint64) []Entry {
 	return slices.Clone(l.entries[first-l.baseIndex-1 : last-l.baseIndex])
 }
 
 // appendEntries puts entries at the end and notes what they mean at once.
 func (l *Log) appendEntries(entries ...Entry) {
 	l.entries = append(l.entries, entries...)
-	l.noteConfigurations(entries)
+	l.trackConfigurations(entries)
 }
 
-func (l *Log) noteConfigurations(entries []Entry) {
+func (l *Log) trackConfigurations(entries []Entry) {
 	for _, e := range entries {
 		if e.Configuration != nil {
 			l.configurations = append(l.configurations, configurationAt{index: e.Index, configuration: *e.Configuration})
--- a/laburnumlog/members.go
+++ b/laburnumlog/members.go
@@ -27,32 +27,32 @@
 // settings promise to bear that. In the joint configuration each list by itself bears it.
 func (l *Log) changeMembers(to Configuration) {
 	from := l.Configuration()
-	if l.role != Leader || l.handOverTo != "" || l.ChangePending() || !l.ownTermCommitted() {
+	if l.role != Leader || l.transferTarget != "" || l.ChangePending() || !l.committedInOwnTerm() {
 		return
 	}
 	if from.Joint() || to.Joint() || len(to.Voters()) == 0 {
 		return
 	}
-	if from.changes(to) > 1 {
-		to = from.towards(to)
+	if from.voterChanges(to) > 1 {
+		to = from.jointTo(to)
 	}
 	l.out.Accepted = true
 	l.out.First = l.LastIndex() + 1
 	l.appendConfiguration(to)
 }
 
-// settleChange follows a joint configuration by what it leads to as soon as it is committed,
+// leaveJoint follows a joint configuration by what it leads to as soon as it is committed,
 // whichever leader began it.
-func (l *Log) settleChange() {
+func (l *Log) leaveJoint() {
 	if l.role != Leader || !l.Configuration().Joint() || l.ChangePending() {
 		return
 	}
-	if l.handOverTo == "" && l.ownTermCommitted() {
-		l.appendConfiguration(l.Configuration().settled())
+	if l.transferTarget == "" && l.committedInOwnTerm() {
+		l.appendConfiguration(l.Configuration().final())
 	}
 }
 
-func (l *Log) ownTermCommitted() bool {
+func (l *Log) committedInOwnTerm() bool {
 	return l.commit > 0 && l.termAt(l.commit) == l.hard.Term
 }
 
@@ -94,29 +94,29 @@
 	return found
 }
 
-// startHandOver picks the voter that is furthest on and asks it to campaign once
+// startTransfer picks the voter that is furthest on and asks it to campaign once
 // it has all; meanwhile nothing is taken, for at most one election timeout.
-func (l *Log) startHandOver() {
-	if l.role != Leader || l.handOverTo != "" {
+func (l *Log) startTransfer() {
+	if l.role != Leader || l.transferTarget != "" {
 		return
 	}
 	var best ReplicaID
 	for _, m := range l.Configuration().Voters() {
 		p, ok := l.progress[m.ID]
-		if ok && !m.Leaving && p.silent < electionTicks && (best == "" || p.match > l.progress[best].match) {
+		if ok && !m.Leaving && p.silentTicks < electionTicks && (best == "" || p.match > l.progress[best].match) {
 			best = m.ID
 		}
 	}
 	if best == "" {
 		return
 	}
-	l.handOverTo = best
+	l.transferTarget = best
 	l.elapsed = 0
-	l.finishHandOver(best)
+	l.finishTransfer(best)
 }
 
-func (l *Log) finishHandOver(id ReplicaID) {
-	if l.role == Leader && l.handOverTo == id && l.progress[id].match == l.LastIndex() {
+func (l *Log) finishTransfer(id ReplicaID) {
+	if l.role == Leader && l.transferTarget == id && l.progress[id].match == l.LastIndex() {
 		l.send(Message{Kind: MessageCampaignNow, To: id})
 	}
 }
--- a/laburnumlog/message_fuzz_test.go
+++ b/laburnumlog/message_fuzz_test.go
@@ -49,14 +49,14 @@
 	return laburnumlog.Member{ID: id, VM: "vm-" + "x", Address: string(id)}
 }
 
-func three() laburnumlog.Configuration {
+func threeVoters() laburnumlog.Configuration {
 	return laburnumlog.Configuration{Members: []laburnumlog.Member{member("a/1"), member("b/2"), member("c/3")}}
 }
 
 // follower is a replica of three that holds its first configuration.
 func follower(t *testing.T) *laburnumlog.Log {
 	log := laburnumlog.New("a/1", laburnumlog.Recovered{}, laburnumlog.WithSeed(1))
-	drive(log, laburnumlog.Bootstrap{Configuration: three()})
+	stepDurably(log, laburnumlog.Bootstrap{Configuration: threeVoters()})
 	require.EqualValues(t, 1, log.Commit())
 	return log
 }
@@ -65,18 +65,18 @@
 func leader(t *testing.T) *laburnumlog.Log {
 	log := follower(t)
 	for log.Role() != laburnumlog.Leader {
-		queue := drive(log, laburnumlog.Tick{})
+		queue := stepDurably(log, laburnumlog.Tick{})
 		for len(queue) > 0 {
 			m := queue[0]
-			queue = append(queue[1:], drive(log, laburnumlog.Receive{Message: granted(log.ID(), m)})...)
+			queue = append(queue[1:], stepDurably(log, laburnumlog.Receive{Message: answerTo(log.ID(), m)})...)
 		}
 	}
 	require.EqualValues(t, 2, log.Commit())
 	return log
 }
 
-// granted is what another replica answers, or a replica's message to itself.
-func granted(self laburnumlog.ReplicaID, m laburnumlog.Message) laburnumlog.Message {
+// answerTo is what another replica answers, or a replica's message to itself.
+func answerTo(self laburnumlog.ReplicaID, m laburnumlog.Message) laburnumlog.Message {
 	answer := laburnumlog.Message{From: m.To, To: self, Term: m.Term}
 	switch m.Kind {
 	case laburnumlog.MessagePreVote:
@@ -91,8 +91,8 @@
 	return answer
 }
 
-// drive steps an event with a disk that is done at once, and returns the messages.
-func drive(log *laburnumlog.Log, ev laburnumlog.Event) []laburnumlog.Message {
+// stepDurably steps an event with a disk that is done at once, and returns the messages.
+func stepDurably(log *laburnumlog.Log, ev laburnumlog.Event) []laburnumlog.Message {
 	out := log.Step(ev)
 	messages := out.Messages
 	for out.Write != nil {
--- a/laburnumlog/story_test.go
+++ b/laburnumlog/regression_test.go
@@ -17,14 +17,14 @@
 		for len(s.network) > 0 && !until() {
 			m := s.network[0]
 			s.network = s.network[1:]
-			from, to := s.to(m.From), s.to(m.To)
+			from, to := s.replicaByID(m.From), s.replicaByID(m.To)
 			if slices.Contains(among, from) && slices.Contains(among, to) {
 				moved = true
 				s.step(to, laburnumlog.Receive{Message: m})
 			}
 		}
 		for _, r := range among {
-			for len(r.unsaved) > 0 && !until() {
+			for len(r.unsynced) > 0 && !until() {
 				moved = true
 				s.sync(r)
 			}
@@ -41,7 +41,7 @@
 // down before an entry of its own term has. A third replica with a later entry is
 // elected and replaces the old one. If the old entry had counted as committed, an
 // acknowledged change would be gone.
-func TestEntryOfAnOlderTermIsNotCommittedByCount(t *testing.T) {
+func TestEntryOfOlderTermIsNotCommittedByCount(t *testing.T) {
 	s := newSimulation(3, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
 	elect := func(r *replica) {
@@ -73,7 +73,7 @@
 // A VM is restored from an older copy of its disk. It lacks what it had
 // acknowledged; were it counted as before, a majority could hold less than was
 // promised. A late copy of a refusal from before must not look the same.
-func TestDiskThatWentBackIsNoticed(t *testing.T) {
+func TestRolledBackDiskIsDetected(t *testing.T) {
 	s := newSimulation(3, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
 	old := b.disk
@@ -102,7 +102,7 @@
 // A leader that is cut off has appended a change of the members. The others elect
 // another and go on; when the first is back, its list must be theirs again, or it
 // would count majorities among the wrong voters.
-func TestUncommittedListOfMembersIsTakenBack(t *testing.T) {
+func TestUncommittedMembershipChangeIsRolledBack(t *testing.T) {
 	s := newSimulation(4, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
 	s.campaign(a)
@@ -126,7 +126,7 @@
 
 // A replica with a tail of its own gets the leader's snapshot. Its old tail must
 // be dropped on the disk too, or a restart would join it to the snapshot.
-func TestSnapshotResetsADivergentTail(t *testing.T) {
+func TestSnapshotDropsDivergentTail(t *testing.T) {
 	s := newSimulation(3, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
 	s.campaign(a)
@@ -151,7 +151,7 @@
 // A voter is down while a leader is elected, and comes back with all of the log.
 // The leader, which has not heard it yet, must find that out by its probe; a
 // whole snapshot sent instead kept a restarted voter waiting.
-func TestRestartedVoterIsSentNoSnapshot(t *testing.T) {
+func TestRestartedVoterGetsNoSnapshot(t *testing.T) {
 	s := newSimulation(3, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
 	s.campaign(a)
@@ -177,7 +177,7 @@
 // A replica had synced a tail that was then replaced. When it leads, new entries
 // at the same places are not synced yet; to count them as if they were would
 // commit what one crash can take away.
-func TestSyncedTailThatWasReplacedDoesNotCount(t *testing.T) {
+func TestReplacedTailIsNotCountedAsDurable(t *testing.T) {
 	s := newSimulation(3, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
 	s.campaign(a)
@@ -195,7 +195,7 @@
 		network := s.network
 		s.network = nil
 		for _, m := range network {
-			if to := s.to(m.To); to != c {
+			if to := s.replicaByID(m.To); to != c {
 				s.step(to, laburnumlog.Receive{Message: m})
 			}
 		}
@@ -210,7 +210,7 @@
 // settled. If it changed the members itself before an entry of its own term is
 // committed, its majority and that of the earlier change need not meet, and two
 // leaders could commit. It must refuse until then.
-func TestNoChangeOfMembersBeforeAnOwnCommit(t *testing.T) {
+func TestMembershipChangeRequiresCommitInOwnTerm(t *testing.T) {
 	s := newSimulation(4, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
 	s.campaign(a)
@@ -228,13 +228,13 @@
 // A voter that is alone votes for itself, and its disk is slow. If it led before the
 // vote is durable, a crash would take the vote away and it could lead the same term
 // a second time, with other entries.
-func TestOwnVoteCountsOnceItIsDurable(t *testing.T) {
+func TestOwnVoteCountsOnceDurable(t *testing.T) {
 	s := newSimulation(1, 1)
 	a := s.replicas[0]
 	for range 40 {
 		s.step(a, laburnumlog.Tick{})
 	}
-	require.NotEmpty(t, a.unsaved)
+	require.NotEmpty(t, a.unsynced)
 	require.NotEqual(t, laburnumlog.Leader, a.log.Role())
 	s.run(never, a)
 	require.Equal(t, laburnumlog.Leader, a.log.Role())
@@ -243,7 +243,7 @@
 // A leader removes itself and goes down after it has appended the list without itself, before
 // anybody else has that. Nobody could lead any more: the other voter lacks the last entry, so
 // the old leader, whose vote it needs, refuses it; and that one was not on its own last list.
-func TestLeaderGoesDownBeforeItsOwnRemovalIsCommitted(t *testing.T) {
+func TestLeaderRestartsBeforeItsRemovalIsCommitted(t *testing.T) {
 	s := newSimulation(2, 2)
 	a, b := s.replicas[0], s.replicas[1]
 	s.campaign(a)
@@ -252,14 +252,14 @@
 	require.False(t, a.log.Configuration().IsVoter(a.id))
 	s.run(never, a)
 	s.restart(a)
-	require.True(t, s.heal(), s.problem)
+	require.True(t, s.runWithoutFaults(), s.problem)
 	require.Equal(t, laburnumlog.Leader, b.log.Role())
 	require.NotEqual(t, laburnumlog.Leader, a.log.Role())
 }
 
 // The same by way of a joint list: the leader gives its place to a VM that has caught up, both
 // hold the joint list, and the one that it leads to is only on the leader's disk.
-func TestLeaderGoesDownBeforeItsReplacementIsCommitted(t *testing.T) {
+func TestLeaderRestartsBeforeItsReplacementIsCommitted(t *testing.T) {
 	s := newSimulation(2, 1)
 	a, b := s.replicas[0], s.replicas[1]
 	s.campaign(a)
@@ -275,7 +275,7 @@
 	s.network = nil
 	s.sync(a)
 	s.restart(a)
-	require.True(t, s.heal(), s.problem)
+	require.True(t, s.runWithoutFaults(), s.problem)
 	require.Equal(t, laburnumlog.Leader, b.log.Role())
 	require.NotEqual(t, laburnumlog.Leader, a.log.Role())
 }
--- a/laburnumlog/replication.go
+++ b/laburnumlog/replication.go
@@ -8,34 +8,34 @@
 	next  uint64 // the next to send
 	// probing sends one entry at a time until the place where the logs match
 	// is found.
-	probing  bool
-	paused   bool // a probe or snapshot is under way
-	snapshot uint64
-	inFlight int
-	boot     uint64 // the highest boot heard of
-	older    uint64 // a boot heard of that is not later than the highest
-	acked    uint64 // the boot that acknowledged match
-	lost     bool
-	unacked  int // ticks since the last acknowledgement that brought something new
-	silent   int // ticks since any answer
-	behind   int // ticks for which it has lacked entries and acknowledged none
+	probing         bool
+	paused          bool // a probe or snapshot is under way
+	snapshotIndex   uint64
+	inFlight        int
+	boot            uint64 // the highest boot heard of
+	conflictingBoot uint64 // a boot heard of that is not later than the highest
+	ackedBoot       uint64 // the boot that acknowledged match
+	dataLost        bool
+	unackedTicks    int // ticks since the last acknowledgement that brought something new
+	silentTicks     int // ticks since any answer
+	behindTicks     int // ticks for which it has lacked entries and acknowledged none
 }
 
 // probe starts over from the given index, keeping what is known for good.
 func (p progress) probe(next uint64) progress {
-	return progress{match: p.match, next: next, probing: true, silent: p.silent, behind: p.behind, boot: p.boot, older: p.older, acked: p.acked, lost: p.lost}
+	return progress{match: p.match, next: next, probing: true, silentTicks: p.silentTicks, behindTicks: p.behindTicks, boot: p.boot, conflictingBoot: p.conflictingBoot, ackedBoot: p.ackedBoot, dataLost: p.dataLost}
 }
 
-// heard notes an answer, and tells whether it is from the latest start of the
+// observeBoot notes an answer, and tells whether it is from the latest start of the
 // member.
-func (p *progress) heard(boot uint64) bool {
+func (p *progress) observeBoot(boot uint64) bool {
 	if boot != p.boot && boot>>nonceBits <= p.boot>>nonceBits && p.boot != 0 {
-		p.older = boot
+		p.conflictingBoot = boot
 		return false
 	}
-	p.older = 0
+	p.conflictingBoot = 0
 	p.boot = boot
-	p.silent = 0
+	p.silentTicks = 0
 	return true
 }
 
@@ -63,7 +63,7 @@
 		return MemberProgress{Match: l.stable}, true
 	}
 	return MemberProgress{
-		Match: p.match, SilentTicks: p.silent, BehindTicks: p.behind, Boot: p.boot, Older: p.older, Lost: p.lost,
+		Match: p.match, SilentTicks: p.silentTicks, BehindTicks: p.behindTicks, Boot: p.boot, Older: p.conflictingBoot, Lost: p.dataLost,
 	}, ok
 }
 
@@ -96,11 +96,11 @@
 
 func (l *Log) tickLeader() {
 	for id, p := range l.progress {
-		p.silent++
-		p.unacked++
-		p.behind++
+		p.silentTicks++
+		p.unackedTicks++
+		p.behindTicks++
 		if p.match >= l.LastIndex() {
-			p.behind = 0
+			p.behindTicks = 0
 		}
 		l.progress[id] = p
 	}
@@ -109,15 +109,15 @@
 			l.resend(m.ID)
 		}
 	}
-	heard := func(m Member) bool { return m.ID == l.id || l.progress[m.ID].silent < electionTicks }
+	heard := func(m Member) bool { return m.ID == l.id || l.progress[m.ID].silentTicks < electionTicks }
 	if !l.Configuration().HasMajority(heard) {
 		// Check-quorum: without it a leader that is cut off would go on taking
 		// commands that it can never commit.
 		l.becomeFollower(l.hard.Term, "")
 		return
 	}
-	if l.handOverTo != "" && l.elapsed >= electionTicks {
-		l.handOverTo = ""
+	if l.transferTarget != "" && l.elapsed >= electionTicks {
+		l.transferTarget = ""
 	}
 	l.heartbeat()
 }
@@ -126,10 +126,10 @@
 func (l *Log) resend(id ReplicaID) {
 	p := l.progress[id]
 	wait := resendTicks
-	if p.snapshot > 0 {
+	if p.snapshotIndex > 0 {
 		wait = snapshotResendTicks
 	}
-	if p.unacked < wait || p.match >= l.LastIndex() || p.lost {
+	if p.unackedTicks < wait || p.match >= l.LastIndex() || p.dataLost {
 		return
 	}
 	next := p.next
@@ -169,7 +169,7 @@
 // sendNext sends one append or snapshot and tells whether another may follow.
 func (l *Log) sendNext(id ReplicaID) bool {
 	p, ok := l.progress[id]
-	if !ok || p.lost || p.paused || p.inFlight >= maxInFlight || p.next > l.LastIndex() {
+	if !ok || p.dataLost || p.paused || p.inFlight >= maxInFlight || p.next > l.LastIndex() {
 		return false
 	}
 	if p.next <= l.baseIndex {
@@ -182,7 +182,7 @@
 		Entries: entries, Commit: l.commit,
 	})
 	if p.inFlight == 0 {
-		p.unacked = 0
+		p.unackedTicks = 0
 	}
 	if p.probing {
 		p.paused = true
@@ -198,8 +198,8 @@
 	snapshot := l.snapshot
 	l.send(Message{Kind: MessageSnapshot, To: id, Snapshot: &snapshot})
 	p.paused = true
-	p.snapshot = snapshot.Index
-	p.unacked = 0
+	p.snapshotIndex = snapshot.Index
+	p.unackedTicks = 0
 	l.progress[id] = p
 }
 
@@ -213,52 +213,52 @@
 		}
 		last++
 	}
-	return l.between(first, last)
+	return l.entriesBetween(first, last)
 }
 
 func (l *Log) onAppendAnswer(m Message) {
 	p, ok := l.progress[m.From]
-	if !ok || l.role != Leader || p.lost {
+	if !ok || l.role != Leader || p.dataLost {
 		return
 	}
-	if !p.heard(m.Boot) {
+	if !p.observeBoot(m.Boot) {
 		l.progress[m.From] = p
 		return
 	}
 	if m.Reject {
 		l.progress[m.From] = p
-		l.onRefusedAppend(m)
+		l.onRejectedAppend(m)
 		return
 	}
 	if m.Index >= p.match {
-		p.acked = p.boot
+		p.ackedBoot = p.boot
 	}
 	if m.Index > p.match {
 		p.match = m.Index
-		p.unacked, p.behind = 0, 0
+		p.unackedTicks, p.behindTicks = 0, 0
 	}
 	p.next = max(p.next, p.match+1)
 	p.inFlight = max(0, p.inFlight-1)
-	if p.probing && m.Index+1 >= p.next || p.snapshot > 0 && m.Index >= p.snapshot {
-		p.probing, p.paused, p.snapshot = false, false, 0
+	if p.probing && m.Index+1 >= p.next || p.snapshotIndex > 0 && m.Index >= p.snapshotIndex {
+		p.probing, p.paused, p.snapshotIndex = false, false, 0
 	}
 	l.progress[m.From] = p
 	l.advanceCommit()
 	l.replicate(m.From)
-	l.finishHandOver(m.From)
+	l.finishTransfer(m.From)
 }
 
-func (l *Log) onRefusedAppend(m Message) {
+func (l *Log) onRejectedAppend(m Message) {
 	p := l.progress[m.From]
-	if m.Boot > p.acked && p.acked > 0 && m.Commit < p.match {
+	if m.Boot > p.ackedBoot && p.ackedBoot > 0 && m.Commit < p.match {
 		// Of the same boot this would be a late message; from a later one it
 		// says that the disk lost what had been acknowledged.
-		p.lost = true
+		p.dataLost = true
 		l.progress[m.From] = p
 		return
 	}
 	stale := m.Index < p.match || m.Index >= p.next || (p.probing && m.Index != p.next-1)
-	if stale || p.snapshot > 0 || m.Hint < p.match {
+	if stale || p.snapshotIndex > 0 || m.Hint < p.match {
 		return
 	}
 	l.progress[m.From] = p.probe(max(p.match+1, min(m.Hint+1, m.Index)))
@@ -267,10 +267,10 @@
 
 func (l *Log) onHeartbeatAnswer(m Message) {
 	p, ok := l.progress[m.From]
-	if !ok || l.role != Leader || p.lost {
+	if !ok || l.role != Leader || p.dataLost {
 		return
 	}
-	if !p.heard(m.Boot) {
+	if !p.observeBoot(m.Boot) {
 		l.progress[m.From] = p
 		return
 	}
@@ -285,18 +285,18 @@
 		return
 	}
 	index := l.LastIndex()
-	for _, voters := range l.Configuration().lists() {
-		index = min(index, l.heldByMajority(voters))
+	for _, voters := range l.Configuration().voterSets() {
+		index = min(index, l.majorityMatch(voters))
 	}
 	if index > l.commit && l.termAt(index) == l.hard.Term {
 		l.commit = index
 		l.hard.Commit = index
-		l.leaveIfRemoved()
+		l.stepDownIfRemoved()
 	}
 }
 
-// heldByMajority is the last index that a majority of the voters has on disk.
-func (l *Log) heldByMajority(voters []Member) uint64 {
+// majorityMatch is the last index that a majority of the voters has on disk.
+func (l *Log) majorityMatch(voters []Member) uint64 {
 	var held []uint64
 	for _, m := range voters {
 		if m.ID == l.id {
@@ -312,15 +312,15 @@
 	return held[len(held)-majority(len(held))]
 }
 
-// leaveIfRemoved ends the leadership of a replica whose removal is committed.
-func (l *Log) leaveIfRemoved() {
+// stepDownIfRemoved ends the leadership of a replica whose removal is committed.
+func (l *Log) stepDownIfRemoved() {
 	if !l.ChangePending() && !l.Configuration().IsVoter(l.id) {
 		l.becomeFollower(l.hard.Term, "")
 	}
 }
 
 func (l *Log) propose(data [][]byte) {
-	if l.role != Leader || l.handOverTo != "" {
+	if l.role != Leader || l.transferTarget != "" {
 		return
 	}
 	l.out.Accepted = true
--- a/laburnumlog/schedule_test.go
+++ b/laburnumlog/schedule_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// act does one of the things that can happen, as the numbers say. All numbers mean
+// applyAction does one of the things that can happen, as the numbers say. All numbers mean
 // something, so that a failing schedule can be made shorter.
-func (s *simulation) act(kind, who, which int) {
+func (s *simulation) applyAction(kind, who, which int) {
 	r := s.replicas[who%len(s.replicas)]
 	switch {
 	case kind < 30:
@@ -27,13 +27,13 @@
 	case kind < 58:
 		s.step(r, laburnumlog.Tick{})
 	case kind < 60:
-		s.abandonLeader(r)
+		s.tickAllButLeader(r)
 	case kind < 64:
 		s.campaign(r)
 	case kind < 70:
 		s.propose(r, 1+which%2)
 	case kind < 74:
-		s.propose(s.head(r), 1)
+		s.propose(s.currentLeader(r), 1)
 	case kind < 77:
 		s.deliver(which, true)
 	case kind < 79:
@@ -49,18 +49,18 @@
 	case kind < 89:
 		s.changeMembers(r, which)
 	case kind < 93:
-		s.repair(s.head(r), which)
+		s.repair(s.currentLeader(r), which)
 	case kind < 95:
 		s.compact(r)
 	case kind < 96:
-		s.step(s.head(r), laburnumlog.HandOver{})
+		s.step(s.currentLeader(r), laburnumlog.HandOver{})
 	default:
-		s.calm(1 + which%3)
+		s.deliverAll(1 + which%3)
 	}
 }
 
-// abandonLeader lets time pass for all but a leader, as when it is frozen.
-func (s *simulation) abandonLeader(first *replica) {
+// tickAllButLeader lets time pass for all but a leader, as when it is frozen.
+func (s *simulation) tickAllButLeader(first *replica) {
 	for _, r := range s.replicas {
 		if r.log.Role() == laburnumlog.Leader {
 			continue
@@ -87,8 +87,8 @@
 	})
 }
 
-// head is the leader of the highest term, or the given replica if none leads.
-func (s *simulation) head(or *replica) *replica {
+// currentLeader is the leader of the highest term, or the given replica if none leads.
+func (s *simulation) currentLeader(or *replica) *replica {
 	best := or
 	for _, r := range s.replicas {
 		if r.log.Role() == laburnumlog.Leader && (best.log.Role() != laburnumlog.Leader || r.log.Term() > best.log.Term()) {
@@ -106,7 +106,7 @@
 		switch {
 		case s.dead[m.ID]:
 			to := c.Without(m.ID)
-			if learner, ok := s.aliveLearner(c); ok && which%3 > 0 {
+			if learner, ok := s.liveLearner(c); ok && which%3 > 0 {
 				to = to.WithMember(learner)
 			}
 			s.step(r, laburnumlog.ChangeMembers{Configuration: to})
@@ -122,8 +122,8 @@
 	}
 }
 
-// aliveLearner is a learner as the voter that it is to be.
-func (s *simulation) aliveLearner(c laburnumlog.Configuration) (laburnumlog.Member, bool) {
+// liveLearner is a learner as the voter that it is to be.
+func (s *simulation) liveLearner(c laburnumlog.Configuration) (laburnumlog.Member, bool) {
 	for _, m := range c.Members {
 		if m.Learner && !s.dead[m.ID] {
 			m.Learner = false
@@ -133,21 +133,21 @@
 	return laburnumlog.Member{}, false
 }
 
-// calm delivers and syncs all, some rounds over.
-func (s *simulation) calm(rounds int) {
+// deliverAll delivers and syncs all, some rounds over.
+func (s *simulation) deliverAll(rounds int) {
 	for range rounds {
 		for range len(s.network) {
 			s.deliver(0, false)
 		}
 		for _, r := range s.replicas {
-			for len(r.unsaved) > 0 {
+			for len(r.unsynced) > 0 {
 				s.sync(r)
 			}
 		}
 	}
 }
 
-func (s *simulation) to(id laburnumlog.ReplicaID) *replica {
+func (s *simulation) replicaByID(id laburnumlog.ReplicaID) *replica {
 	for _, r := range s.replicas {
 		if r.id == id {
 			return r
@@ -165,7 +165,7 @@
 	if !again {
 		s.drop(i)
 	}
-	if r := s.to(m.To); r != nil {
+	if r := s.replicaByID(m.To); r != nil {
 		s.step(r, laburnumlog.Receive{Message: m})
 	}
 }
@@ -194,14 +194,14 @@
 		if !now.IsVoter(other.id) && !other.log.ChangePending() {
 			continue
 		}
-		if s.tooManyLost(now, r) || s.tooManyLost(before, r) {
+		if s.losesMajority(now, r) || s.losesMajority(before, r) {
 			return
 		}
 	}
 	s.newDisk(r)
 }
 
-func (s *simulation) tooManyLost(c laburnumlog.Configuration, r *replica) bool {
+func (s *simulation) losesMajority(c laburnumlog.Configuration, r *replica) bool {
 	return !c.HasMajority(func(m laburnumlog.Member) bool { return !s.dead[m.ID] && m.ID != r.id })
 }
 
@@ -210,7 +210,7 @@
 		return
 	}
 	c := r.log.Configuration()
-	learner, caughtUp := s.aliveLearner(c)
+	learner, caughtUp := s.liveLearner(c)
 	if len(c.Members) > 0 && which%2 == 0 {
 		m := c.Members[which/2%len(c.Members)]
 		switch {
@@ -231,14 +231,14 @@
 		m.Learner = true
 		c = c.WithMember(m)
 	}
-	if s.canLead(c) {
+	if s.hasLiveMajority(c) {
 		s.step(r, laburnumlog.ChangeMembers{Configuration: c})
 	}
 }
 
-// canLead tells whether a majority of the voters is alive; without one the
+// hasLiveMajority tells whether a majority of the voters is alive; without one the
 // configuration would be a mistake of whoever asks for it.
-func (s *simulation) canLead(c laburnumlog.Configuration) bool {
+func (s *simulation) hasLiveMajority(c laburnumlog.Configuration) bool {
 	return c.HasMajority(func(m laburnumlog.Member) bool { return !s.dead[m.ID] })
 }
 
@@ -246,8 +246,8 @@
 	s.step(r, laburnumlog.Compact{Snapshot: laburnumlog.Snapshot{Index: r.applied, Data: fmt.Appendf(nil, "%x", r.hash)}})
 }
 
-// heal runs the replicas without faults and tells whether they got anywhere.
-func (s *simulation) heal() bool {
+// runWithoutFaults runs the replicas without faults and tells whether they got anywhere.
+func (s *simulation) runWithoutFaults() bool {
 	s.network = nil
 	before := len(s.committed)
 	for round := range 400 {
@@ -263,28 +263,28 @@
 				s.deliver(0, false)
 			}
 			for _, r := range s.replicas {
-				for len(r.unsaved) > 0 {
+				for len(r.unsynced) > 0 {
 					moved = true
 					s.sync(r)
 				}
 			}
 		}
-		if len(s.committed) > before+2 && s.votersAgree() {
+		if len(s.committed) > before+2 && s.membersCaughtUp() {
 			return true
 		}
 	}
 	return false
 }
 
-// votersAgree tells whether every member alive has applied all that the leader has.
+// membersCaughtUp tells whether every member alive has applied all that the leader has.
 // A replica that was removed may believe in an older list and a higher term.
-func (s *simulation) votersAgree() bool {
-	leader := s.head(s.replicas[0])
+func (s *simulation) membersCaughtUp() bool {
+	leader := s.currentLeader(s.replicas[0])
 	if leader.log.Role() != laburnumlog.Leader {
 		return false
 	}
 	for _, m := range leader.log.Configuration().Members {
-		if r := s.to(m.ID); r != nil && r.applied != leader.applied {
+		if r := s.replicaByID(m.ID); r != nil && r.applied != leader.applied {
 			return false
 		}
 	}
@@ -298,12 +298,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(4, rapid.IntRange(1, 3).Draw(t, "voters"))
 		for i := range rapid.IntRange(0, 400).Draw(t, "steps") {
-			s.act(rapid.IntRange(0, 99).Draw(t, "kind"), rapid.IntRange(0, 3).Draw(t, "who"), rapid.IntRange(0, 255).Draw(t, "which"))
+			s.applyAction(rapid.IntRange(0, 99).Draw(t, "kind"), rapid.IntRange(0, 3).Draw(t, "who"), rapid.IntRange(0, 255).Draw(t, "which"))
 			if s.problem != "" {
 				t.Fatalf("step %d: %s", i, s.problem)
 			}
 		}
-		if !s.heal() || s.problem != "" {
+		if !s.runWithoutFaults() || s.problem != "" {
 			t.Fatalf("no progress after all is well again: %s", s.problem)
 		}
 	})
@@ -314,12 +314,12 @@
 	for seed := range uint64(150) {
 		n := 3 + int(seed%3)
 		s := newSimulation(n, 3)
-		next := numbers(seed)
+		next := seededRandom(seed)
 		for i := range 4000 {
-			s.act(next(100), next(n), next(1<<16))
+			s.applyAction(next(100), next(n), next(1<<16))
 			require.Empty(t, s.problem, "seed %d step %d", seed, i)
 		}
-		require.True(t, s.heal(), "seed %d: no progress: %s", seed, s.problem)
+		require.True(t, s.runWithoutFaults(), "seed %d: no progress: %s", seed, s.problem)
 		require.Empty(t, s.problem, "seed %d", seed)
 	}
 }
--- a/laburnumlog/simulation_test.go
+++ b/laburnumlog/simulation_test.go
@@ -13,16 +13,16 @@
 // replica is one VM in a simulation: a log, a disk that holds what was synced, and
 // writes not yet synced.
 type replica struct {
-	vm      string
-	id      laburnumlog.ReplicaID
-	life    int // how many disks the VM has had
-	boot    uint64
-	log     *laburnumlog.Log
-	disk    laburnumlog.Recovered
-	unsaved []laburnumlog.Write
-	applied uint64
-	hash    uint64 // of all entries applied
-	led     uint64 // the last term seen leading
+	vm          string
+	id          laburnumlog.ReplicaID
+	incarnation int // how many disks the VM has had
+	boot        uint64
+	log         *laburnumlog.Log
+	disk        laburnumlog.Recovered
+	unsynced    []laburnumlog.Write
+	applied     uint64
+	hash        uint64 // of all entries applied
+	lastLedTerm uint64 // the last term seen leading
 }
 
 type committedEntry struct {
@@ -69,11 +69,11 @@
 }
 
 func (s *simulation) newDisk(r *replica) {
-	if r.life > 0 {
+	if r.incarnation > 0 {
 		s.dead[r.id] = true
 	}
-	r.life++
-	r.id = laburnumlog.ReplicaID(fmt.Sprintf("%s/%d", r.vm, r.life))
+	r.incarnation++
+	r.id = laburnumlog.ReplicaID(fmt.Sprintf("%s/%d", r.vm, r.incarnation))
 	r.disk = laburnumlog.Recovered{}
 	r.boot = 0
 	s.restart(r)
@@ -82,8 +82,8 @@
 // restart starts the replica from what its disk holds.
 func (s *simulation) restart(r *replica) {
 	r.boot++
-	r.unsaved = nil
-	r.led = 0
+	r.unsynced = nil
+	r.lastLedTerm = 0
 	recovered := r.disk
 	recovered.Entries = slices.Clone(r.disk.Entries)
 	seed := xxhash.Sum64String(string(r.id)) + r.boot
@@ -104,7 +104,7 @@
 	}
 	s.network = append(s.network, out.Messages...)
 	if out.Write != nil {
-		r.unsaved = append(r.unsaved, *out.Write)
+		r.unsynced = append(r.unsynced, *out.Write)
 	}
 	if out.Install != nil {
 		r.applied, r.hash = out.Install.Index, hashOf(out.Install.Data)
@@ -141,17 +141,17 @@
 // checkLeader holds that a term has one leader, and that it has all that was
 // committed before it was elected.
 func (s *simulation) checkLeader(r *replica) {
-	if r.log.Role() != laburnumlog.Leader || r.led == r.log.Term() {
+	if r.log.Role() != laburnumlog.Leader || r.lastLedTerm == r.log.Term() {
 		return
 	}
-	r.led = r.log.Term()
-	if other, ok := s.leaders[r.led]; ok && other != r.id {
-		s.fail("term %d has the leaders %s and %s", r.led, other, r.id)
+	r.lastLedTerm = r.log.Term()
+	if other, ok := s.leaders[r.lastLedTerm]; ok && other != r.id {
+		s.fail("term %d has the leaders %s and %s", r.lastLedTerm, other, r.id)
 	}
-	s.leaders[r.led] = r.id
+	s.leaders[r.lastLedTerm] = r.id
 	for index, c := range s.committed {
 		if index > r.log.SnapshotIndex() && r.log.TermAt(index) != c.entry.Term {
-			s.fail("%s leads term %d without committed entry %d", r.id, r.led, index)
+			s.fail("%s leads term %d without committed entry %d", r.id, r.lastLedTerm, index)
 		}
 	}
 }
@@ -164,11 +164,11 @@
 
 // sync makes the oldest unsaved write durable.
 func (s *simulation) sync(r *replica) {
-	if len(r.unsaved) == 0 {
+	if len(r.unsynced) == 0 {
 		return
 	}
-	w := r.unsaved[0]
-	r.unsaved = r.unsaved[1:]
+	w := r.unsynced[0]
+	r.unsynced = r.unsynced[1:]
 	save(&r.disk, w)
 	s.step(r, laburnumlog.Written{Seq: w.Seq})
 	s.network = append(s.network, w.After...)
--- a/laburnumlog/step.go
+++ b/laburnumlog/step.go
@@ -89,10 +89,10 @@
 	case Bootstrap:
 		l.bootstrap(ev.Configuration)
 	case HandOver:
-		l.startHandOver()
+		l.startTransfer()
 	}
 	l.advanceCommit()
-	l.settleChange()
+	l.leaveJoint()
 	l.emitCommitted()
 	l.emitWrite()
 	out := l.out
@@ -102,7 +102,7 @@
 
 // send sends at once, unless the term is not durable yet.
 func (l *Log) send(m Message) {
-	if l.hardDirty() {
+	if l.hardStateDirty() {
 		l.sendDurable(m)
 		return
 	}
@@ -121,13 +121,13 @@
 	return m
 }
 
-func (l *Log) hardDirty() bool {
+func (l *Log) hardStateDirty() bool {
 	return l.hard.Term != l.durableHard.Term || l.hard.Vote != l.durableHard.Vote
 }
 
 func (l *Log) emitWrite() {
 	hard := l.hard.Term != l.emittedHard.Term || l.hard.Vote != l.emittedHard.Vote
-	entries := l.from(l.unwritten)
+	entries := l.entriesFrom(l.unwritten)
 	changed := hard || len(entries) > 0 || l.newSnapshot
 	if !changed && (len(l.after) == 0 || len(l.pending) == 0) {
 		l.out.Messages = append(l.out.Messages, l.after...)
@@ -162,6 +162,6 @@
 	if l.commit <= l.applied {
 		return
 	}
-	l.out.Committed = l.between(l.applied+1, l.commit)
+	l.out.Committed = l.entriesBetween(l.applied+1, l.commit)
 	l.applied = l.commit
 }
--- a/laburnumlog/values.go
+++ b/laburnumlog/values.go
@@ -161,9 +161,9 @@
 	return slices.ContainsFunc(c.Members, func(m Member) bool { return m.Joining || m.Leaving })
 }
 
-// lists are the lists of voters of each of which a majority must agree: one, or the one
+// voterSets are the voterSets of voters of each of which a majority must agree: one, or the one
 // before and the one to come.
-func (c Configuration) lists() [][]Member {
+func (c Configuration) voterSets() [][]Member {
 	if !c.Joint() {
 		return [][]Member{c.Voters()}
 	}
@@ -177,7 +177,7 @@
 // configuration, still agrees; it is negative when there is none.
 func (c Configuration) Spare(agrees func(Member) bool) int {
 	spare := len(c.Members)
-	for _, voters := range c.lists() {
+	for _, voters := range c.voterSets() {
 		n := 0
 		for _, m := range voters {
 			if agrees(m) {
@@ -204,8 +204,8 @@
 	return kept
 }
 
-// towards returns the joint configuration that leads to another.
-func (c Configuration) towards(to Configuration) Configuration {
+// jointTo returns the joint configuration that leads to another.
+func (c Configuration) jointTo(to Configuration) Configuration {
 	var joint Configuration
 	for _, m := range to.Members {
 		m.Joining = !m.Learner && !c.IsVoter(m.ID)
@@ -220,8 +220,8 @@
 	return joint
 }
 
-// settled returns what a joint configuration leads to.
-func (c Configuration) settled() Configuration {
+// final returns what a joint configuration leads to.
+func (c Configuration) final() Configuration {
 	var to Configuration
 	for _, m := range c.Members {
 		if !m.Leaving {
@@ -249,8 +249,8 @@
 	return Configuration{Members: members}
 }
 
-// changes counts the voters that differ between two configurations.
-func (c Configuration) changes(to Configuration) int {
+// voterChanges counts the voters that differ between two configurations.
+func (c Configuration) voterChanges(to Configuration) int {
 	n := 0
 	for _, m := range c.Voters() {
 		if !to.IsVoter(m.ID) {
