--- a/laburnumquorum/policy.go
+++ b/laburnumquorum/policy.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// answersTicks is how long a member may be silent and still count as up.
-	answersTicks = 10
+	// maxSilentTicks is how long a member may be silent and still count as up.
+	maxSilentTicks = 10
 	// stuckTicks is how long a learner may acknowledge nothing before another VM is tried:
 	// as long as the log waits for a snapshot.
 	stuckTicks = 50
@@ -72,8 +72,8 @@
 // Keeper applies a policy, and remembers which VMs did not catch up.
 type Keeper struct {
 	policy Policy
-	// gaveUp are those VMs, the latest last.
-	gaveUp []laburnumlever.VMID
+	// failedVMs are those VMs, the latest last.
+	failedVMs []laburnumlever.VMID
 }
 
 // NewKeeper makes a keeper.
@@ -83,20 +83,20 @@
 // then replaces a voter in one step. A VM whose replica did not catch up comes last the next
 // time, since one with a stalled disk would otherwise block all others.
 func (k *Keeper) Next(v View) (Change, bool) {
-	v.Joiners = k.order(v.Joiners)
+	v.Joiners = k.sortJoiners(v.Joiners)
 	change, due := k.policy.next(v)
 	if due && change.Event == laburnumlever.EventLearnerRemoved {
 		vm := change.Member.VM
-		k.gaveUp = append(slices.DeleteFunc(slices.Clone(k.gaveUp), func(id laburnumlever.VMID) bool { return id == vm }), vm)
+		k.failedVMs = append(slices.DeleteFunc(slices.Clone(k.failedVMs), func(id laburnumlever.VMID) bool { return id == vm }), vm)
 	}
 	return change, due
 }
 
-// order sorts the joiners by name, those given up last.
-func (k *Keeper) order(joiners []laburnumlog.Member) []laburnumlog.Member {
+// sortJoiners sorts the joiners by name, those given up last.
+func (k *Keeper) sortJoiners(joiners []laburnumlog.Member) []laburnumlog.Member {
 	joiners = slices.Clone(joiners)
 	slices.SortFunc(joiners, func(a, b laburnumlog.Member) int {
-		byTurn := slices.Index(k.gaveUp, a.VM) - slices.Index(k.gaveUp, b.VM)
+		byTurn := slices.Index(k.failedVMs, a.VM) - slices.Index(k.failedVMs, b.VM)
 		return cmp.Or(byTurn, strings.Compare(string(a.VM), string(b.VM)))
 	})
 	return joiners
@@ -108,14 +108,14 @@
 	}
 	for _, m := range v.Configuration.Members {
 		if m.Learner {
-			return p.tendLearner(v, m)
+			return p.promoteOrRemove(v, m)
 		}
 	}
 	for _, m := range v.Joiners {
 		if _, in := v.Configuration.Find(m.ID); in {
 			continue
 		}
-		if _, cause, wanted := p.place(v, m.VM); wanted {
+		if _, cause, wanted := p.replacedVoter(v, m.VM); wanted {
 			m.Learner = true
 			return Change{Event: laburnumlever.EventLearnerAdded, Cause: cause, Member: m, To: v.Configuration.WithMember(m)}, true
 		}
@@ -123,7 +123,7 @@
 	return Change{}, false
 }
 
-func (p Policy) tendLearner(v View, m laburnumlog.Member) (Change, bool) {
+func (p Policy) promoteOrRemove(v View, m laburnumlog.Member) (Change, bool) {
 	progress, _ := v.Progress(m.ID)
 	remove := func(cause Cause) (Change, bool) {
 		return Change{Event: laburnumlever.EventLearnerRemoved, Cause: cause, Member: m, To: v.Configuration.Without(m.ID)}, true
@@ -135,10 +135,10 @@
 		return remove(CauseLearnerSilent)
 	case progress.BehindTicks > stuckTicks:
 		return remove(CauseLearnerStuck)
-	case progress.SilentTicks > answersTicks || progress.Match < v.Commit:
+	case progress.SilentTicks > maxSilentTicks || progress.Match < v.Commit:
 		return Change{}, false // not caught up
 	}
-	old, cause, wanted := p.place(v, m.VM)
+	old, cause, wanted := p.replacedVoter(v, m.VM)
 	if !wanted {
 		return remove(CauseNotNeeded)
 	}
@@ -150,9 +150,9 @@
 	return change, true
 }
 
-// place finds the voter that a replica on the VM would replace: that of the same VM, none if
+// replacedVoter finds the voter that a replica on the VM would replace: that of the same VM, none if
 // voters are missing, else one that has been silent for long.
-func (p Policy) place(v View, vm laburnumlever.VMID) (old laburnumlog.ReplicaID, cause Cause, wanted bool) {
+func (p Policy) replacedVoter(v View, vm laburnumlever.VMID) (old laburnumlog.ReplicaID, cause Cause, wanted bool) {
 	voters := v.Configuration.Voters()
 	for _, m := range voters {
 		if m.VM == vm {
