--- a/laburnumlog/doc.go
+++ b/laburnumlog/doc.go
@@ -1,28 +1,28 @@
-// Package laburnumlog is the replicated log of the voters as a pure step
-// function: an event goes in, and messages, writes and committed entries come
-// out. It does no I/O, reads no clock and starts no goroutine, so that every
-// schedule of messages, ticks, restarts and losses can be tried in a test.
+// Package laburnumlog implements a Raft-style replicated log as a deterministic state
+// machine: Step takes an event and returns messages, writes and committed entries. It does
+// no I/O, reads no clock and starts no goroutine, so tests can explore any schedule of
+// messages, ticks, restarts and disk losses.
 //
-// The protocol is a majority log: a leader elected for a term by a majority
-// orders the entries, and an entry is committed once a majority of the voters has
-// it on disk. Pre-vote keeps a replica that was cut off from raising the term;
-// check-quorum makes a leader step down that hears no majority; learners receive
-// the log without counting.
+// A leader, elected for a term by a majority of the voters, orders the entries. An entry is
+// committed once a majority of the voters has it on disk. Pre-vote keeps a partitioned
+// replica from raising the term. Check-quorum makes a leader step down when it hears from
+// no majority. Learners receive the log but do not count toward any majority.
 //
-// A voter is added or removed by itself: two majorities that differ by one voter share
-// one. A voter whose place goes to another is replaced in one step by way of a joint
-// configuration, in which elections and commits need a majority of the voters before and of
-// those to come; the leader follows it by the new list as soon as it is committed. So
-// there is no moment at which the log bears fewer lost disks than either list does.
+// A single voter is added or removed directly, because majorities of two configurations that
+// differ by one voter always overlap. Replacing a voter goes through a joint configuration,
+// in which elections and commits need a majority of both the old and the new voters. The
+// leader appends the new configuration as soon as the joint one is committed. The log
+// therefore never tolerates fewer lost disks than either configuration does.
 //
 // # Usage
 //
 //	log := laburnumlog.New("vm-a/1f", laburnumlog.Recovered{}, laburnumlog.WithSeed(1))
 //	out := log.Step(laburnumlog.Tick{})
 //
-// The driver sends out.Messages at once, makes out.Write durable in the order
-// given, then sends its After messages and steps Written with its Seq. It
-// applies out.Committed in order, after out.Install when that is set.
+// The driver sends out.Messages at once and makes each out.Write durable, in the order in
+// which they were returned. Once a write is durable, it sends the write's DeferredMessages
+// and steps Written with the write's Seq. It installs out.Install, if set, and then applies
+// out.Committed in order.
 package laburnumlog
 
 //go:generate go tool -modfile=../tools/go.mod enumer -type=MessageKind,EntryKind,Role,Ballot -transform=kebab -text -json -output=enums_gen.go
--- a/laburnumlog/election.go
+++ b/laburnumlog/election.go
@@ -16,18 +16,19 @@
 	}
 }
 
-// mayCampaign tells whether the replica is a voter, or was one before a change that it does
-// not know committed. Without the second a leader that goes down before its own removal is
-// committed leaves nobody to lead: its log is the longest, so it votes for no other. It leads
-// only with the votes of the list in force, and ends once the change is committed.
+// mayCampaign reports whether the replica is a voter, or was one before a change that is not
+// known to be committed. The second case is needed when a leader restarts before its own
+// removal is committed: it has the longest log and grants no other replica its vote, so no one
+// else could be elected. It still needs the votes of the configuration in effect, and steps
+// down once the change is committed.
 func (l *Log) mayCampaign() bool {
 	return l.Configuration().IsVoter(l.id) ||
 		l.ChangePending() && l.ConfigurationAt(l.commit).IsVoter(l.id)
 }
 
-// preCampaign asks whether an election could be won, without a new term: a
-// replica that was cut off would otherwise come back with a higher term and
-// depose a leader that works.
+// preCampaign starts a pre-vote, which asks whether an election could be won without raising
+// the term. Without it, a partitioned replica would return with a higher term and depose a
+// working leader.
 func (l *Log) preCampaign() {
 	l.role = PreCandidate
 	l.resetTimeout()
@@ -47,7 +48,7 @@
 	l.votes = map[ReplicaID]bool{}
 	l.resetTimeout()
 	l.requestVotes(MessageVote, l.hard.Term, force)
-	// The own vote goes the way of the others: it counts once it is durable.
+	// The replica's own vote is sent as a message too, so it counts only once it is durable.
 	l.sendDurable(Message{Kind: MessageVoteAnswer, To: l.id})
 }
 
@@ -104,12 +105,12 @@
 	l.dispatch(m)
 }
 
-// adoptHigherTerm adopts the term of the message, and tells whether the message
-// is to be looked at.
+// adoptHigherTerm handles the term of a message that is higher than the replica's, and
+// reports whether the message should be processed.
 func (l *Log) adoptHigherTerm(m Message) bool {
 	switch {
 	case m.Kind == MessagePreVote, m.Kind == MessagePreVoteAnswer && !m.Reject:
-		// Its term is only a plan.
+		// The sender has not adopted this term; it is the term that it would campaign in.
 		return true
 	case m.Kind == MessageVote && l.hasLeader() && !m.Force:
 		return false
@@ -121,7 +122,7 @@
 	return true
 }
 
-// rejectLowerTerm tells a replica of an older term the newer one.
+// rejectLowerTerm rejects a message of an older term, so that its sender learns the newer one.
 func (l *Log) rejectLowerTerm(m Message) {
 	switch m.Kind {
 	case MessagePreVote:
@@ -132,9 +133,9 @@
 	}
 }
 
-// hasLeader tells whether a leader was heard within the shortest election
-// timeout. A vote is refused then, so that a removed or cut-off replica can't
-// disturb a group that works.
+// hasLeader reports whether the replica leads or heard from a leader within the minimum
+// election timeout. Votes are rejected then, so that a removed or partitioned replica cannot
+// disrupt a working group.
 func (l *Log) hasLeader() bool {
 	return l.role == Leader || (l.leader != "" && l.elapsed < electionTicks)
 }
@@ -223,15 +224,15 @@
 	}
 }
 
-// recordRejection keeps a refusal for Ballot. A vote that was granted stands: the refusal
-// is of an earlier round then.
+// recordRejection records a rejected vote request for VoteResponse. It does not override a granted
+// vote, as the rejection then belongs to an earlier round.
 func (l *Log) recordRejection(from ReplicaID) {
 	if _, answered := l.votes[from]; !answered {
 		l.votes[from] = false
 	}
 }
 
-// Ballot is what a member answered when this replica last asked for votes.
+// Ballot returns a member's response to this replica's last vote request.
 func (l *Log) Ballot(id ReplicaID) Ballot {
 	granted, answered := l.votes[id]
 	switch {
--- a/laburnumlog/exhaustive_test.go
+++ b/laburnumlog/exhaustive_test.go
@@ -27,25 +27,25 @@
 	return &c
 }
 
-// budget is what may still happen in an exhaustive run.
+// budget limits the events that may still happen in an exhaustive run.
 type budget struct {
 	campaigns [3]int
 	crashes   [3]int
 	proposals int
 }
 
-// explorer tries every order of deliveries, losses, syncs, campaigns and crashes
-// that the budget allows, each state once.
+// explorer tries every order of deliveries, losses, syncs, campaigns, crashes and proposals that
+// the budget allows, and visits each state once.
 type explorer struct {
 	seen  map[uint64]bool
-	kinds []laburnumlog.MessageKind // all others are lost
+	kinds []laburnumlog.MessageKind // messages of other kinds are lost
 	limit int
 }
 
 func (e *explorer) explore(t *testing.T, s *simulation, b budget) {
 	s.network = slices.DeleteFunc(s.network, func(m laburnumlog.Message) bool { return !slices.Contains(e.kinds, m.Kind) })
 	if len(e.seen) >= e.limit {
-		t.Fatal("more states than expected: the run would not be exhaustive")
+		t.Fatal("more states than the limit: the run is not exhaustive")
 	}
 	key := fingerprint(s, b)
 	if e.seen[key] {
@@ -106,8 +106,8 @@
 	return xxhash.Sum64(fmt.Append(text, messages, b))
 }
 
-// Every order of what can happen in small elections: no term may get two leaders,
-// and no committed entry may be lost, whatever crashes between a vote and its sync.
+// Guards against two leaders in a term and against lost committed entries, in every order of events
+// in small elections, such as a crash between a vote and its sync.
 func TestSmallSchedulesExhaustively(t *testing.T) {
 	votes := []laburnumlog.MessageKind{laburnumlog.MessageVote, laburnumlog.MessageVoteAnswer}
 	all := append(votes, laburnumlog.MessageAppend, laburnumlog.MessageAppendAnswer)
--- a/laburnumlog/export_test.go
+++ b/laburnumlog/export_test.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Digest appends all of the replica's state that decides what it does next, but
-// for its timeouts: the exhaustive runs let no time pass.
+// Digest appends the state that determines the replica's next steps. It leaves out the timeouts,
+// as no time passes in the exhaustive runs.
 func (l *Log) Digest(to []byte) []byte {
 	for _, n := range []uint64{
 		uint64(l.role), l.hard.Term, l.durableHard.Term, l.commit, l.applied, l.stable, l.unwritten,
@@ -26,7 +26,7 @@
 	return to
 }
 
-// Digest appends what tells the message from others.
+// Digest returns the fields that distinguish the message from others.
 func (m Message) Digest() string {
 	to := []byte(m.From)
 	to = append(to, m.To...)
--- a/laburnumlog/fleet_test.go
+++ b/laburnumlog/fleet_test.go
@@ -12,55 +12,56 @@
 )
 
 const (
-	// secondTicks are a second.
+	// secondTicks is the number of ticks per second.
 	secondTicks = 10
-	// joinRequestTicks without a leader make a replica say that it is there.
+	// joinRequestTicks is how long a replica has no leader before it asks to join.
 	joinRequestTicks = 30
-	// replaceTicks of silence make a voter's place free: half of the 4 s in which a VM that
-	// comes back has to count again, at 100 ms a tick.
+	// replaceTicks is how long a voter is silent before it may be replaced: half of the 4 s
+	// within which a returning VM has to be a voter again, at 100 ms a tick.
 	replaceTicks = 20
-	// recoverTicks is how long a log may take to lead again once all VMs are back. The
-	// promise of the settings is 12 s; elections and repairs take a few.
+	// recoverTicks is the time limit for a leader to be elected and commit once all VMs are
+	// back. The settings promise 12 s; elections and repairs take a few seconds.
 	recoverTicks = 120
 )
 
-// vmFaults is what a VM meets besides what its replica goes through.
+// vmFaults are the faults of a VM that are not part of its replica's state.
 type vmFaults struct {
-	partition       int  // only VMs of one side reach each other
-	down            bool // without power
-	dropsAppends    bool // the log does not get there, all else does
-	diskHung        bool // its disk answers nothing, neither a sync nor an error
-	leaderlessTicks int  // ticks
+	partition       int  // only VMs with the same number reach each other
+	down            bool // powered off
+	dropsAppends    bool // appends and snapshots to it are lost, other messages arrive
+	diskHung        bool // its disk completes no write and returns no error
+	leaderlessTicks int  // time without a known leader
 }
 
-// fleet is a simulation with VMs that are cut off, lost and replaced, whose leader tends
-// the members by the policy. It holds the promise of the settings: the loss of some disks.
+// fleet is a simulation in which VMs are partitioned, lost and replaced, and the leader changes
+// the members by the policy. It verifies that the log tolerates the number of lost disks that
+// the settings promise.
 type fleet struct {
 	*simulation
 	faults []vmFaults
-	// target is how many voters there are to be; keepers are the VMs' own.
+	// target is the number of voters that the policy aims at. Each VM has its own keeper.
 	target  int
 	keepers []laburnumquorum.Keeper
-	// losses is how many disks may be lost at once, lossesUsed how many were since the log last
-	// had all its voters.
+	// losses is how many disks may be lost at once, lossesUsed how many have been lost since the
+	// log last had all its voters.
 	losses, lossesUsed int
 	ticks              int
-	nextVM             int  // names VMs that come new
-	confirmed          bool // a command was
-	// verified remembers the states of the disks that were found to bear their losses; nil in
-	// the middle of such a check.
+	nextVM             int  // number for the name of the next new VM
+	confirmed          bool // whether a command has been committed
+	// verified holds the disk states that are known to tolerate the losses; nil while such a
+	// check runs.
 	verified *verifiedStates
-	// pause, when set, stops an exchange of messages in its middle.
+	// pause, if set, stops exchange as soon as it returns true.
 	pause func() bool
 }
 
-// verifiedStates may be shared by the fleets of one size.
+// verifiedStates is a set of state fingerprints that fleets of the same size may share.
 type verifiedStates struct {
 	mu   sync.Mutex
 	seen map[uint64]bool
 }
 
-// add tells whether the state is new.
+// add adds the state and reports whether it is new.
 func (k *verifiedStates) add(key uint64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -106,7 +107,7 @@
 	return slices.IndexFunc(f.replicas, func(r *replica) bool { return r.id == id })
 }
 
-// leader is the one of the highest term, -1 when there is none.
+// leader returns the index of the leader of the highest term, or -1 if there is none.
 func (f *fleet) leader() int {
 	best := -1
 	for i, r := range f.replicas {
@@ -117,7 +118,7 @@
 	return best
 }
 
-// tick lets a tenth of a second pass for all.
+// tick advances all VMs by one tick, a tenth of a second.
 func (f *fleet) tick() {
 	f.ticks++
 	for i, r := range f.replicas {
@@ -135,7 +136,7 @@
 	f.resetLossesOnceRepaired()
 }
 
-// reconcileMembers lets a leader look at the members.
+// reconcileMembers lets a leader start the next membership change, if one is due.
 func (f *fleet) reconcileMembers(i int) {
 	l := f.replicas[i].log
 	if l.Role() != laburnumlog.Leader {
@@ -150,7 +151,8 @@
 	}
 }
 
-// joiners are the replicas that say hello: those without a place or without a leader.
+// joiners returns the replicas that ask to join: those that are not members, or have had no
+// leader for joinRequestTicks.
 func (f *fleet) joiners(leader int) []laburnumlog.Member {
 	var list []laburnumlog.Member
 	for i, r := range f.replicas {
@@ -162,8 +164,8 @@
 	return list
 }
 
-// exchange delivers and syncs until nothing moves. Whatever the disks hold after a sync must
-// bear the losses that the settings promise.
+// exchange delivers messages and syncs writes until nothing is left. After each sync it checks
+// that the disks' state tolerates the losses that the settings promise.
 func (f *fleet) exchange() {
 	for moved := true; moved; {
 		moved = false
@@ -202,7 +204,8 @@
 	f.step(f.replicas[to], laburnumlog.Receive{Message: m})
 }
 
-// proposeChange is what an operator does: the leader takes it once the log has all its voters.
+// proposeChange proposes a command as an operator does. The first one waits until the log has
+// all its voters.
 func (f *fleet) proposeChange() {
 	i := f.leader()
 	if i < 0 {
@@ -220,12 +223,13 @@
 	}
 }
 
-// committedVoters are those of the last configuration that the replica knows committed.
+// committedVoters returns the voters of the last configuration that the replica knows to be
+// committed.
 func (f *fleet) committedVoters(r *replica) []laburnumlog.Member {
 	return r.log.ConfigurationAt(r.log.Commit()).Voters()
 }
 
-// resetLossesOnceRepaired counts the losses anew once the log has all its voters again.
+// resetLossesOnceRepaired resets the count of losses once the log has all its voters again.
 func (f *fleet) resetLossesOnceRepaired() {
 	i := f.leader()
 	if i < 0 || f.lossesUsed == 0 {
@@ -243,7 +247,7 @@
 	f.lossesUsed = 0
 }
 
-// runSecond lets a second runSecond, with changes on the way.
+// runSecond advances the fleet by one second, with some proposals during it.
 func (f *fleet) runSecond() {
 	for i := range secondTicks {
 		f.tick()
@@ -253,9 +257,9 @@
 	}
 }
 
-// untilMembersChange lets time pass up to the moment at which some replica appends a new list
-// of members, in the middle of what follows from it; false when nothing of that kind happens
-// for some seconds.
+// untilMembersChange advances time until some replica appends a new configuration, and stops
+// right there, with messages and writes still pending. It returns false if that does not happen
+// within four seconds.
 func (f *fleet) untilMembersChange() bool {
 	before := f.newestConfiguration()
 	f.pause = func() bool { return f.newestConfiguration() > before }
@@ -278,7 +282,7 @@
 	return newest
 }
 
-// restartAll is a loss of power of all VMs at once, after which all are back and linked.
+// restartAll restarts all VMs at once, as after a power loss, and removes all faults.
 func (f *fleet) restartAll() {
 	f.network = nil
 	for i, r := range f.replicas {
@@ -287,7 +291,7 @@
 	}
 }
 
-// loseDiskOf empties the VM's disk, if the promise still covers that.
+// loseDiskOf empties the VM's disk, unless that would exceed the tolerated losses.
 func (f *fleet) loseDiskOf(i int) bool {
 	if f.lossesUsed >= f.losses {
 		return false
@@ -297,7 +301,7 @@
 	return true
 }
 
-// replaceVM takes the VM away for good and puts an empty one at another address.
+// replaceVM removes the VM permanently and adds an empty one at another address.
 func (f *fleet) replaceVM(i int) bool {
 	if !f.loseDiskOf(i) {
 		return false
@@ -309,9 +313,9 @@
 	return true
 }
 
-// checkLossTolerance holds the promise of the settings: whichever VMs lose their disks now, as many
-// as the settings say, and all others their power, the log leads again once they are back,
-// and holds all that was confirmed.
+// checkLossTolerance verifies the settings' promise for the current disks: if any of the
+// tolerated number of VMs lose their disks and all others lose power, the log elects a leader
+// once all are back and still holds every committed entry.
 func (f *fleet) checkLossTolerance() {
 	if !f.confirmed || f.verified == nil || f.problem != "" || !f.verified.add(f.fingerprint()) {
 		return
@@ -347,14 +351,14 @@
 	i := c.leader()
 	switch {
 	case c.problem != "":
-		f.fail("%s, after the loss of %s: %s", f.describe(), f.vmsOf(lost), c.problem)
+		f.fail("%s, after the disks of %s were lost: %s", f.describe(), f.vmsOf(lost), c.problem)
 	case i < 0 || c.replicas[i].log.Commit() <= newest:
-		f.fail("no leader any more after the loss of %s, with %s", f.vmsOf(lost), f.describe())
+		f.fail("no leader that commits after the disks of %s were lost, with %s", f.vmsOf(lost), f.describe())
 	}
 }
 
-// newestCommitted is the last index known committed by any replica, ever. The indexes have no gap:
-// the first is that of the founding.
+// newestCommitted returns the last index that any replica has ever known to be committed. The
+// committed indexes are contiguous, and the bootstrap snapshot has the first one.
 func (f *fleet) newestCommitted() uint64 { return uint64(len(f.committed)) + 1 }
 
 func (f *fleet) vmsOf(list []int) []string {
@@ -371,7 +375,7 @@
 		recovered := laburnumlog.New(r.id, r.disk)
 		text += fmt.Sprintf("[%s last %d/%d: %s] ", r.id, recovered.TermAt(recovered.LastIndex()), recovered.LastIndex(), memberList(recovered.Configuration()))
 	}
-	return fmt.Sprintf("%scommitted %d, %d of %d losses spent", text, f.newestCommitted(), f.lossesUsed, f.losses)
+	return fmt.Sprintf("%scommitted %d, %d of %d tolerated losses used", text, f.newestCommitted(), f.lossesUsed, f.losses)
 }
 
 func memberList(c laburnumlog.Configuration) string {
@@ -391,7 +395,7 @@
 	return text
 }
 
-// combinations are all ways to pick k of n.
+// combinations returns all ways to pick k of n.
 func combinations(n, k int) [][]int {
 	if k <= 0 {
 		return nil
@@ -411,8 +415,9 @@
 	return all
 }
 
-// fingerprint is the same for disks that differ only by how many commands went before:
-// indexes and terms count by their order, instances by their VM and whether they are gone.
+// fingerprint returns the same hash for disks that differ only in how many commands came
+// before: indexes and terms are replaced by their ranks, and replica IDs by their VM's index,
+// or by -1 for a lost replica.
 func (f *fleet) fingerprint() uint64 {
 	newest := f.newestCommitted()
 	indexes, terms := []uint64{newest}, []uint64(nil)
@@ -448,7 +453,7 @@
 	return byte(i)
 }
 
-// lastEntry is the last entry that a disk holds.
+// lastEntry returns the index and term of the last entry on a disk.
 func lastEntry(disk laburnumlog.Recovered) (index, term uint64) {
 	if n := len(disk.Entries); n > 0 && disk.Entries[n-1].Index > disk.Snapshot.Index {
 		return disk.Entries[n-1].Index, disk.Entries[n-1].Term
@@ -456,7 +461,7 @@
 	return disk.Snapshot.Index, disk.Snapshot.Term
 }
 
-// appendMembers tells who counts for what; an instance that is gone has no index.
+// appendMembers appends each member's VM index and kind; a lost replica has the index -1.
 func (f *fleet) appendMembers(text []byte, c laburnumlog.Configuration) []byte {
 	for _, m := range c.Members {
 		kind := byte('v')
--- a/laburnumlog/follower.go
+++ b/laburnumlog/follower.go
@@ -51,7 +51,8 @@
 	l.sendDurable(Message{Kind: MessageAppendAnswer, To: m.From, Index: last})
 }
 
-// trimCommitted cuts off what is committed here already, after checking that it agrees.
+// trimCommitted removes the entries that are already committed on this replica, after checking
+// that their terms match.
 func (l *Log) trimCommitted(m Message) Message {
 	for len(m.Entries) > 0 && m.Entries[0].Index <= l.commit {
 		e := m.Entries[0]
@@ -65,8 +66,8 @@
 	return m
 }
 
-// conflictHint is the last index that may match the leader's log: the whole of the
-// conflicting term is skipped, or a leader would step back one entry a message.
+// conflictHint returns the last index that may match the leader's log. It skips all entries of
+// the conflicting term; otherwise the leader would step back by one entry per round trip.
 func (l *Log) conflictHint(index uint64) uint64 {
 	if index > l.LastIndex() {
 		return l.LastIndex()
@@ -90,8 +91,8 @@
 	l.sendDurable(Message{Kind: MessageAppendAnswer, To: m.From, Index: l.commit})
 }
 
-// install replaces the log by the snapshot, keeping entries after it only when
-// the log agrees with it.
+// install replaces the log by the snapshot, unless the log already holds the snapshot's last
+// entry; then it only advances the commit index.
 func (l *Log) install(s Snapshot) {
 	if s.Index <= l.LastIndex() && l.termAt(s.Index) == s.Term {
 		l.commitTo(s.Index)
--- a/laburnumlog/log.go
+++ b/laburnumlog/log.go
@@ -6,25 +6,24 @@
 )
 
 const (
-	// electionTicks is how long a follower waits for a leader at least; the
-	// wait is drawn between one and two times this. At 100 ms a tick, ten
-	// ticks outlast a slow fsync and a lost heartbeat or two.
+	// electionTicks is the minimum election timeout; each timeout is drawn at random
+	// between one and two times this. At 100 ms a tick, ten ticks tolerate a slow fsync
+	// and one or two lost heartbeats.
 	electionTicks = 10
-	// retryTicks is the shortest wait after an election that was not won; it
-	// outlasts the round and the fsync that an election takes.
+	// retryTicks is the minimum timeout of a candidate before it starts another election.
+	// It is longer than the round trip and the fsync that an election takes.
 	retryTicks = 2
-	// resendTicks is how long the leader waits for an acknowledgement before
-	// it takes messages for lost.
+	// resendTicks is how long the leader waits for an acknowledgement before it resends.
 	resendTicks = 3
-	// snapshotResendTicks is the same for a snapshot, which is large.
+	// snapshotResendTicks is resendTicks for a snapshot, which takes longer to transfer.
 	snapshotResendTicks = 50
-	// maxInFlight bounds the appends under way to one member; what is proposed
-	// meanwhile goes out together when one comes back.
+	// maxInFlight bounds the unacknowledged appends to one member. Entries proposed
+	// meanwhile are sent in one batch after the next acknowledgement.
 	maxInFlight = 8
-	// maxBatchBytes bounds the entries of one message.
+	// maxBatchBytes bounds the total data size of the entries in one message.
 	maxBatchBytes = 256 << 10
-	// retainedEntries is how many entries stay behind a snapshot, so that a replica
-	// a little behind needs no snapshot.
+	// retainedEntries is how many entries before a snapshot's index stay in the log, so that
+	// a replica that is slightly behind catches up without a snapshot.
 	retainedEntries = 1024
 )
 
@@ -40,7 +39,7 @@
 	configuration Configuration
 }
 
-// Log is one replica. It is not safe for concurrent use.
+// Log is the state of one replica. It is not safe for concurrent use.
 type Log struct {
 	id     ReplicaID
 	boot   uint64
@@ -49,14 +48,14 @@
 	leader ReplicaID
 
 	snapshot  Snapshot
-	baseIndex uint64 // entries start right after it
+	baseIndex uint64 // index of the last entry before entries
 	baseTerm  uint64
 	entries   []Entry
 	commit    uint64
 	applied   uint64
 	retain    uint64
 
-	// configurations are those in the log, oldest first; the last is in force.
+	// configurations are those in the log, oldest first; the last one is in effect.
 	configurations []configurationAt
 	progress       map[ReplicaID]progress
 	votes          map[ReplicaID]bool
@@ -67,8 +66,8 @@
 
 	seq         uint64
 	pending     []pendingWrite
-	unwritten   uint64 // the first entry not handed to the disk
-	stable      uint64 // the last entry known durable here
+	unwritten   uint64 // index of the first entry not yet returned in a Write
+	stable      uint64 // index of the last entry known to be durable on this replica
 	newSnapshot bool
 	reset       bool
 	emittedHard HardState
@@ -78,32 +77,32 @@
 	after []Message
 }
 
-// Option changes a new log.
+// Option configures a new Log.
 type Option func(*Log)
 
-// WithSeed sets the seed of the election timeouts. Replicas need different ones.
+// WithSeed sets the seed of the random election timeouts. Each replica needs a different one.
 func WithSeed(seed uint64) Option { return func(l *Log) { l.random = seed } }
 
-// nonceBits is how much of a boot is random.
+// nonceBits is the number of low bits of a boot that hold its random number.
 const nonceBits = 20
 
-// Boot names one start of a replica: how often it was started on its disk, this
-// time included, and a random number. A disk that went back counts a number of
-// starts again, but under another random number.
+// Boot identifies one start of a replica by the number of starts recorded on its disk,
+// this one included, and a random number. A disk that was rolled back to an older state
+// repeats a number of starts, but with another random number.
 func Boot(starts uint64, random uint32) uint64 {
 	return starts<<nonceBits | uint64(random)&(1<<nonceBits-1)
 }
 
-// WithBoot sets the start's name, from Boot. The leader tells by it a disk that
-// went back from a late message.
+// WithBoot sets the identifier of this start, as returned by Boot. The leader uses it to
+// tell a disk that was rolled back from a delayed message.
 func WithBoot(n uint64) Option { return func(l *Log) { l.boot = n } }
 
-// WithRetained sets how many entries stay in the log behind a snapshot.
+// WithRetained sets how many entries before a snapshot's index stay in the log.
 func WithRetained(n int) Option { return func(l *Log) { l.retain = uint64(max(0, n)) } }
 
-// New makes a replica from what its disk held; the zero Recovered is an empty
-// one. The state machine starts from recovered.Snapshot, and the first step
-// hands out the entries known committed beyond it.
+// New returns a replica in the state recovered from its disk; the zero Recovered is an empty
+// replica. The state machine starts from recovered.Snapshot, and the first step returns the
+// later entries that are known to be committed.
 func New(id ReplicaID, recovered Recovered, opts ...Option) *Log {
 	l := &Log{id: id, hard: recovered.Hard, snapshot: recovered.Snapshot, random: 1, retain: retainedEntries}
 	for _, opt := range opts {
@@ -125,8 +124,8 @@
 	return l
 }
 
-// Clone returns an independent copy, for tests that follow several schedules
-// from one state.
+// Clone returns an independent copy, for tests that explore several schedules from the same
+// state.
 func (l *Log) Clone() *Log {
 	c := *l
 	c.entries = slices.Clone(l.entries)
@@ -137,41 +136,42 @@
 	return &c
 }
 
-// ID is the replica's own.
+// ID returns the replica's own ID.
 func (l *Log) ID() ReplicaID { return l.id }
 
-// Role is the replica's in its term.
+// Role returns the replica's role in its current term.
 func (l *Log) Role() Role { return l.role }
 
-// Term is the highest that the replica has seen.
+// Term returns the highest term that the replica has seen.
 func (l *Log) Term() uint64 { return l.hard.Term }
 
-// Leader is the leader known in the term, empty when none is.
+// Leader returns the known leader of the current term, or the empty ID.
 func (l *Log) Leader() ReplicaID { return l.leader }
 
-// Commit is the last index known committed.
+// Commit returns the last index known to be committed.
 func (l *Log) Commit() uint64 { return l.commit }
 
-// Configuration is the one in force: the last in the log, committed or not.
+// Configuration returns the configuration in effect: the last in the log, committed or not.
 func (l *Log) Configuration() Configuration {
 	return l.configurations[len(l.configurations)-1].configuration
 }
 
-// ConfigurationIndex is the index of the entry or snapshot that put it in force.
+// ConfigurationIndex returns the index of the entry or snapshot that holds the configuration
+// in effect.
 func (l *Log) ConfigurationIndex() uint64 { return l.configurations[len(l.configurations)-1].index }
 
-// ChangePending tells whether a change of the members is not yet committed.
+// ChangePending reports whether the configuration in effect is not yet committed.
 func (l *Log) ChangePending() bool {
 	return l.configurations[len(l.configurations)-1].index > l.commit
 }
 
-// SnapshotIndex is the last index that the latest snapshot covers.
+// SnapshotIndex returns the last index that the latest snapshot covers.
 func (l *Log) SnapshotIndex() uint64 { return l.snapshot.Index }
 
-// LastIndex is the last index in the log.
+// LastIndex returns the last index in the log.
 func (l *Log) LastIndex() uint64 { return l.baseIndex + uint64(len(l.entries)) }
 
-// TermAt is the term of the entry at the index, 0 when it is not held.
+// TermAt returns the term of the entry at the index, or 0 if the log does not hold it.
 func (l *Log) TermAt(index uint64) uint64 { return l.termAt(index) }
 
 func (l *Log) termAt(index uint64) uint64 {
@@ -194,12 +194,12 @@
 	return l.entriesBetween(index, l.LastIndex())
 }
 
-// entriesBetween returns a copy of the entries from first to last, both included.
+// entriesBetween returns a copy of the entries from first to last, inclusive.
 func (l *Log) entriesBetween(first, last uint64) []Entry {
 	return slices.Clone(l.entries[first-l.baseIndex-1 : last-l.baseIndex])
 }
 
-// appendEntries puts entries at the end and notes what they mean at once.
+// appendEntries appends the entries; a configuration among them takes effect at once.
 func (l *Log) appendEntries(entries ...Entry) {
 	l.entries = append(l.entries, entries...)
 	l.trackConfigurations(entries)
@@ -213,7 +213,7 @@
 	}
 }
 
-// truncate drops all entries from the index on.
+// truncate drops all entries at or after the index.
 func (l *Log) truncate(index uint64) {
 	l.entries = slices.Clone(l.entries[:index-l.baseIndex-1])
 	l.unwritten = min(l.unwritten, index)
@@ -224,20 +224,18 @@
 }
 
 func (l *Log) resetTimeout() {
-	// xorshift: the timeouts must differ between replicas and be the same in
-	// every run of a test.
+	// xorshift: timeouts must differ between replicas but repeat in every run of a test.
 	l.random ^= l.random << 13
 	l.random ^= l.random >> 7
 	l.random ^= l.random << 17
 	l.timeout = electionTicks + int(l.random%electionTicks)
 	if l.role == Candidate || l.role == PreCandidate {
-		// Two candidates that split the votes try again soon: there is no
-		// leader left to wait for, and a whole timeout each doubled the time
-		// without one.
+		// After a split vote the candidates retry soon: there is no leader to wait for,
+		// and a full election timeout each doubled the time without a leader.
 		l.timeout = retryTicks + int(l.random%electionTicks)
 	}
 	if voters := l.Configuration().Voters(); len(voters) == 1 && voters[0].ID == l.id {
-		l.timeout = 1 // there is nobody whose leadership could be disturbed
+		l.timeout = 1 // a single voter cannot disturb another leader
 	}
 	l.elapsed = 0
 }
--- a/laburnumlog/loss_tolerance_test.go
+++ b/laburnumlog/loss_tolerance_test.go
@@ -11,36 +11,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-// deeper is how many events more than in CI TestPromiseHoldsExhaustively tries in a row, for
-// runs by hand.
-var deeper = flag.Int("deeper", 0, "events more in a row of the exhaustive check")
+// deeper is how many more events in sequence than in CI TestLossToleranceExhaustively tries, for
+// manual runs.
+var deeper = flag.Int("deeper", 0, "additional events in sequence in the exhaustive check")
 
-// A voter is cut off, and a spare VM takes its place; meanwhile an operator's change is
-// confirmed. Then the leader loses its disk and the other VMs their power. All come back, two
-// of them hold the change, but no read of it was answered ever again and no change taken: the
-// silent voter had been removed a second before the spare one was added, and of the two voters
-// in between one was gone with its disk. Every VM's lines of its voters and of the votes that it
-// waited for showed it; so did the check here, at the first sync of the removal.
+// Guards against removing a partitioned voter a second before its replacement is added: if one of
+// the two remaining voters then loses its disk, the log never again answers a read or accepts a
+// change, although two VMs hold the change. checkLossTolerance reports it at the removal's first sync.
 func TestChangeCommittedDuringVoterReplacementSurvivesDiskLoss(t *testing.T) {
 	f := newFleet(4, 1)
 	f.settle(t)
-	cut := (f.leader() + 1) % 3
-	f.faults[cut].partition = 1
+	isolated := (f.leader() + 1) % 3
+	f.faults[isolated].partition = 1
 	for range 6 {
 		f.runSecond()
 		require.Empty(t, f.problem)
 	}
 	require.Len(t, f.committedVoters(f.replicas[f.leader()]), 3)
-	_, in := f.replicas[f.leader()].log.Configuration().Find(f.replicas[cut].id)
-	require.False(t, in, "the spare VM has the place")
+	_, in := f.replicas[f.leader()].log.Configuration().Find(f.replicas[isolated].id)
+	require.False(t, in, "the spare VM has replaced it")
 }
 
-// Guards against replacing a voter by way of configurations that don't bear a lost disk.
+// Guards against replacing a voter through configurations that do not tolerate a lost disk.
 func TestVoterIsReplacedInOneStep(t *testing.T) {
 	f := newFleet(4, 1)
 	f.settle(t)
-	cut := (f.leader() + 1) % 3
-	f.faults[cut].partition = 1
+	isolated := (f.leader() + 1) % 3
+	f.faults[isolated].partition = 1
 	var steps []string
 	for f.untilMembersChange() {
 		leader := f.replicas[f.leader()].log
@@ -52,7 +49,8 @@
 	}, steps)
 }
 
-// Guards against a learner that never catches up and keeps another VM from replacing a voter.
+// Guards against a learner that never catches up and so prevents any other VM from replacing a
+// voter.
 func TestStuckLearnerIsReplacedByAnotherVM(t *testing.T) {
 	f := newFleet(5, 1)
 	f.settle(t)
@@ -66,7 +64,7 @@
 	require.Empty(t, f.problem)
 }
 
-// settle lets a new log elect, grow to all its voters and confirm a change.
+// settle runs a new log until it has a leader, all its voters and a committed change.
 func (f *fleet) settle(t *testing.T) {
 	t.Helper()
 	for range 12 {
@@ -77,13 +75,13 @@
 	require.Len(t, f.replicas[f.leader()].log.Configuration().Voters(), f.target)
 }
 
-// event is something that happens to one VM, named by its part, or to all.
+// event is a fault or a repair of one VM or of all.
 type event struct {
 	name   string
 	inject func(f *fleet) bool
 }
 
-// faultTargets are the VMs by what they are in the log: whoever else would be tried is one of them.
+// faultTargets select a VM by its role in the log. Other VMs with the same role are equivalent.
 var faultTargets = []struct {
 	name string
 	find func(f *fleet) int
@@ -91,10 +89,11 @@
 	{"the leader", (*fleet).leader},
 	{"a voter", func(f *fleet) int { return f.nonLeaderVoter(0) }},
 	{"another voter", func(f *fleet) int { return f.nonLeaderVoter(1) }},
-	{"a VM beside", (*fleet).nonVoter},
+	{"a non-voter", (*fleet).nonVoter},
 }
 
-// nonLeaderVoter is the nth nonLeaderVoter that is not the leader, by the newest list, -1 when there is none.
+// nonLeaderVoter returns the nth voter other than the leader, in the leader's configuration, or -1
+// if there is none.
 func (f *fleet) nonLeaderVoter(n int) int {
 	c := f.replicas[max(0, f.leader())].log.Configuration()
 	for i, r := range f.replicas {
@@ -109,7 +108,7 @@
 	return -1
 }
 
-// nonVoter is a learner or a VM without a place.
+// nonVoter returns a VM that is a learner or no member, or -1 if there is none.
 func (f *fleet) nonVoter() int {
 	c := f.replicas[max(0, f.leader())].log.Configuration()
 	for i, r := range f.replicas {
@@ -120,26 +119,26 @@
 	return -1
 }
 
-// faultEvents are those that the exhaustive check puts into every order.
+// faultEvents returns the events that the exhaustive check combines in every order.
 func faultEvents() []event {
 	list := []event{
-		{"all is linked", func(f *fleet) bool { f.clearFaults(); return true }},
+		{"all faults end", func(f *fleet) bool { f.clearFaults(); return true }},
 		{"all lose power", func(f *fleet) bool { f.restartAll(); return true }},
 	}
-	for _, part := range faultTargets {
+	for _, target := range faultTargets {
 		for _, do := range []struct {
 			name string
 			to   func(f *fleet, i int) bool
 		}{
-			{"is cut off", func(f *fleet, i int) bool { f.faults[i].partition = i + 1; return true }},
+			{"is partitioned", func(f *fleet, i int) bool { f.faults[i].partition = i + 1; return true }},
 			{"is killed", func(f *fleet, i int) bool { f.restart(f.replicas[i]); return true }},
-			{"goes dark", func(f *fleet, i int) bool { f.faults[i].down = true; return true }},
+			{"is powered off", func(f *fleet, i int) bool { f.faults[i].down = true; return true }},
 			{"loses its disk", (*fleet).loseDiskOf},
 			{"is replaced at another address", (*fleet).replaceVM},
 			{"does not catch up", func(f *fleet, i int) bool { f.faults[i].dropsAppends = true; return true }},
 		} {
-			list = append(list, event{part.name + " " + do.name, func(f *fleet) bool {
-				i := part.find(f)
+			list = append(list, event{target.name + " " + do.name, func(f *fleet) bool {
+				i := target.find(f)
 				return i >= 0 && do.to(f, i)
 			}})
 		}
@@ -147,12 +146,12 @@
 	return list
 }
 
-// diskStalls are events of disks that answer nothing for a while.
+// diskStalls returns the events in which a disk hangs for a while.
 func diskStalls() []event {
 	var list []event
-	for _, part := range faultTargets {
-		list = append(list, event{part.name + "'s disk hangs", func(f *fleet) bool {
-			i := part.find(f)
+	for _, target := range faultTargets {
+		list = append(list, event{target.name + "'s disk hangs", func(f *fleet) bool {
+			i := target.find(f)
 			if i >= 0 {
 				f.faults[i].diskHung = true
 			}
@@ -162,7 +161,7 @@
 	return list
 }
 
-// clearFaults links all VMs and brings back those that are dark, and disks that hang.
+// clearFaults reconnects all VMs, restarts those that are powered off and unblocks hung disks.
 func (f *fleet) clearFaults() {
 	for i, p := range f.faults {
 		if p.down {
@@ -172,44 +171,43 @@
 	}
 }
 
-// maxChanges of the members follow from one event at most, a learner and its count each.
+// maxChanges bounds the membership changes that follow one event: a learner is added and then
+// promoted, for each voter to replace.
 const maxChanges = 8
 
-// explore lets an event take its course, and tries the next ones at once and at each moment
-// at which the members change.
-func (f *fleet) explore(t *testing.T, story []string, left int) {
+// explore runs the fleet after an event, and tries every next event at once and after each
+// membership change.
+func (f *fleet) explore(t *testing.T, trace []string, left int) {
 	for n := range maxChanges {
 		if f.problem != "" {
-			t.Fatalf("%s: %s", strings.Join(story, ", "), f.problem)
+			t.Fatalf("%s: %s", strings.Join(trace, ", "), f.problem)
 		}
 		if left > 0 {
-			f.exploreNext(t, story, n, left)
+			f.exploreNext(t, trace, n, left)
 		}
 		if !f.untilMembersChange() {
 			break
 		}
 	}
 	if f.problem != "" {
-		t.Fatalf("%s: %s", strings.Join(story, ", "), f.problem)
+		t.Fatalf("%s: %s", strings.Join(trace, ", "), f.problem)
 	}
 }
 
-// exploreNext puts one more event behind the story, in every way.
-func (f *fleet) exploreNext(t *testing.T, story []string, changes, left int) {
+// exploreNext tries every event as the next one after the trace.
+func (f *fleet) exploreNext(t *testing.T, trace []string, changes, left int) {
 	for _, ev := range append(faultEvents(), diskStalls()...) {
 		c := f.clone()
 		if ev.inject(c) {
-			next := fmt.Sprintf("%d changes later %s", changes, ev.name)
-			c.explore(t, append(story[:len(story):len(story)], next), left-1)
+			next := fmt.Sprintf("%d membership changes later %s", changes, ev.name)
+			c.explore(t, append(trace[:len(trace):len(trace)], next), left-1)
 		}
 	}
 }
 
-// At every moment from the first confirmed change on, whichever VMs lose their disks, as many
-// as the settings promise to bear, and the others their power: once all are back, the log
-// elects a leader, holds all that was confirmed and goes on. Every order of a few events is
-// tried, among them a leader lost in the middle of a change of the members, a VM that comes
-// back behind or empty, and a replica that never catches up.
+// Guards against a disk state from which the tolerated disk losses and a power loss lose a committed
+// change or leave no leader. Tries every sequence of a few events, such as a leader lost during a
+// membership change, a VM that returns outdated or empty, or a replica that never catches up.
 func TestLossToleranceExhaustively(t *testing.T) {
 	cases := []struct{ vms, losses, depth int }{{3, 1, 2}, {4, 1, 2}, {5, 1, 1}, {5, 2, 1}, {6, 2, 1}}
 	if testing.Short() {
@@ -231,21 +229,22 @@
 	}
 }
 
-// walks is how many random walks TestPromiseHoldsAtRandom takes; more by hand.
-var walks = flag.Int("walks", 6, "random walks of the check of the promise")
+// walks is the number of random walks of each TestLossToleranceOnRandomWalks test; manual runs
+// use more.
+var walks = flag.Int("walks", 6, "number of random walks in the loss tolerance tests")
 
-// randomWalk lets many events happen, each at any moment: in the middle of an exchange of messages, of
-// a change of the members, or of an election.
+// randomWalk injects many random events at random moments, also in the middle of a message
+// exchange, a membership change or an election.
 func (f *fleet) randomWalk(t *testing.T, seed uint64, steps int, all []event) {
 	next := seededRandom(seed)
-	var story []string
+	var trace []string
 	for range steps {
 		ev := all[next(len(all))]
 		if next(3) == 0 {
-			ev = all[next(2)] // linked or dark as a whole more often, or the fleet stays in pieces
+			ev = all[next(2)] // events of the whole fleet more often, else it stays partitioned
 		}
 		if ev.inject(f) {
-			story = append(story, ev.name)
+			trace = append(trace, ev.name)
 		}
 		switch next(4) {
 		case 0:
@@ -261,11 +260,11 @@
 				f.proposeChange()
 			}
 		}
-		require.Empty(t, f.problem, "seed %d: %s", seed, strings.Join(story, ", "))
+		require.Empty(t, f.problem, "seed %d: %s", seed, strings.Join(trace, ", "))
 	}
 }
 
-// seededRandom is a sequence of seededRandom below n that the seed decides.
+// seededRandom returns a generator of numbers below n that depends only on the seed.
 func seededRandom(seed uint64) func(n int) int {
 	state := seed*2654435761 + 88172645463325252
 	return func(n int) int {
@@ -276,8 +275,8 @@
 	}
 }
 
-// The same promise along random walks of many events, which begin with the founding of the log:
-// founders are lost before it has all its voters, too.
+// Guards against the same as TestLossToleranceExhaustively in long sequences of random events that
+// start at the bootstrap, so VMs are lost even before the log has all its voters.
 func TestLossToleranceOnRandomWalks(t *testing.T) {
 	sizes := []struct{ vms, losses int }{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {6, 2}, {8, 2}}
 	if testing.Short() {
@@ -293,8 +292,8 @@
 	}
 }
 
-// Guards against a promise that holds only while disks answer: the random walks again, with disks
-// that hang.
+// Guards against loss tolerance that holds only while disks respond: the same random walks with
+// disks that hang.
 func TestLossToleranceOnRandomWalksWithHungDisks(t *testing.T) {
 	sizes := []struct{ vms, losses int }{{3, 1}, {5, 2}, {6, 2}}
 	if testing.Short() {
@@ -310,27 +309,26 @@
 	}
 }
 
-// Guards against a disk that hangs and holds up the changes of all others: the leader's, one
-// voter's, or a learner's.
+// Guards against one hung disk, of the leader, a voter or a learner, that blocks all commits.
 func TestHungDiskDoesNotBlockCommits(t *testing.T) {
 	for _, size := range []struct{ vms, losses int }{{3, 1}, {4, 1}, {6, 2}} {
-		for _, part := range faultTargets {
-			t.Run(fmt.Sprintf("%d VMs, %s", size.vms, part.name), func(t *testing.T) {
+		for _, target := range faultTargets {
+			t.Run(fmt.Sprintf("%d VMs, %s", size.vms, target.name), func(t *testing.T) {
 				f := newFleet(size.vms, size.losses)
 				f.settle(t)
-				i := part.find(f)
+				i := target.find(f)
 				if i < 0 {
-					t.Skip("there is none")
+					t.Skip("no such VM in this fleet")
 				}
 				f.faults[i].diskHung = true
-				const tickLimit = 30 // a change of its own, or an election and a change
+				const tickLimit = 30 // enough for a membership change, or for an election and a change
 				before := f.replicas[f.leader()].log.Commit()
 				for range tickLimit {
 					f.tick()
 					f.proposeChange()
 				}
 				leader := f.leader()
-				require.GreaterOrEqual(t, leader, 0, "somebody leads")
+				require.GreaterOrEqual(t, leader, 0, "there is a leader")
 				require.Greater(t, f.replicas[leader].log.Commit(), before+5)
 				f.clearFaults()
 				for range 3 {
@@ -342,16 +340,17 @@
 	}
 }
 
-// Guards against a repair that isn't done 4 s after a VM with a lost disk is back or replaced.
+// Guards against a repair that takes longer than 4 s after a VM whose disk was lost returns or is
+// replaced.
 func TestRepairCompletesWithinDeadline(t *testing.T) {
 	const catchUpTicks, darkTicks = 40, 10
 	for _, size := range []struct{ vms, losses int }{{3, 1}, {4, 1}, {5, 2}, {8, 2}} {
-		for _, part := range faultTargets[:3] {
+		for _, target := range faultTargets[:3] {
 			for name, lose := range map[string]func(*fleet, int) bool{"at its address": (*fleet).loseDiskOf, "at another": (*fleet).replaceVM} {
-				t.Run(fmt.Sprintf("%d VMs, %s, back %s", size.vms, part.name, name), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d VMs, %s, back %s", size.vms, target.name, name), func(t *testing.T) {
 					f := newFleet(size.vms, size.losses)
 					f.settle(t)
-					lost := []int{part.find(f), (part.find(f) + 1) % 3}[:size.losses]
+					lost := []int{target.find(f), (target.find(f) + 1) % 3}[:size.losses]
 					for _, i := range lost {
 						f.faults[i].down = true
 					}
--- a/laburnumlog/members.go
+++ b/laburnumlog/members.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// bootstrapTerm is the term of the first snapshot, which holds only the first
+// bootstrapTerm is the term of the bootstrap snapshot, which holds only the first
 // configuration.
 const bootstrapTerm = 1
 
@@ -16,15 +16,16 @@
 	l.resetTimeout()
 }
 
-// changeMembers appends another configuration, by itself when one voter changes, else the
-// joint one that leads there. Any majority of one shares a voter with any of the next, so
-// that no second leader or commit can arise. A second change waits until the first is
-// committed, and none is taken before the leader has committed an entry of its own term.
+// changeMembers appends the given configuration if at most one voter differs, otherwise the
+// joint configuration that leads to it. Any majority of a configuration overlaps with any
+// majority of the next one, so there is never a second leader or a conflicting commit. A
+// change is accepted only when the previous one is committed and the leader has committed an
+// entry of its own term.
 //
-// A voter is replaced by another in one joint step. In two steps, out first or in first,
-// the log stands for a while with as many voters as it needs or with one that is gone among
-// an even number: one lost disk then takes the majority away for good, though the
-// settings promise to bear that. In the joint configuration each list by itself bears it.
+// A voter is replaced by another in one joint change. Two separate changes would leave the log
+// with no voter to spare for a while, either one voter short or with an even number that
+// includes the failed one. Losing one disk then would destroy the majority for good, although
+// the settings promise to tolerate it. In a joint configuration each voter set tolerates it.
 func (l *Log) changeMembers(to Configuration) {
 	from := l.Configuration()
 	if l.role != Leader || l.transferTarget != "" || l.ChangePending() || !l.committedInOwnTerm() {
@@ -41,8 +42,8 @@
 	l.appendConfiguration(to)
 }
 
-// leaveJoint follows a joint configuration by what it leads to as soon as it is committed,
-// whichever leader began it.
+// leaveJoint appends the final configuration as soon as a joint one is committed, whichever
+// leader started the change.
 func (l *Log) leaveJoint() {
 	if l.role != Leader || !l.Configuration().Joint() || l.ChangePending() {
 		return
@@ -62,8 +63,8 @@
 	l.replicateAll()
 }
 
-// compact takes a snapshot and drops the entries that it covers, but for the
-// last few.
+// compact stores a snapshot and drops the entries that it covers, except for the last retain
+// entries.
 func (l *Log) compact(s Snapshot) {
 	if s.Index <= l.snapshot.Index || s.Index > l.applied {
 		return
@@ -83,7 +84,7 @@
 	l.newSnapshot = true
 }
 
-// ConfigurationAt is the configuration in force at an index that is held.
+// ConfigurationAt returns the configuration in effect at an index that the log holds.
 func (l *Log) ConfigurationAt(index uint64) Configuration {
 	found := l.configurations[0].configuration
 	for _, c := range l.configurations {
@@ -94,8 +95,8 @@
 	return found
 }
 
-// startTransfer picks the voter that is furthest on and asks it to campaign once
-// it has all; meanwhile nothing is taken, for at most one election timeout.
+// startTransfer picks the most up-to-date voter and asks it to campaign once it has the whole
+// log. Until then the leader accepts no proposals or changes, for at most electionTicks.
 func (l *Log) startTransfer() {
 	if l.role != Leader || l.transferTarget != "" {
 		return
--- a/laburnumlog/message_fuzz_test.go
+++ b/laburnumlog/message_fuzz_test.go
@@ -9,8 +9,8 @@
 	"laburnumlever/laburnumlog"
 )
 
-// FuzzMessages guards against a message of another VM, as decoded from its JSON, that makes a
-// replica panic, now or at what follows, or commit less than it had.
+// FuzzMessages guards against messages decoded from another VM's JSON that make a replica panic,
+// at once or in later steps, or decrease its commit index.
 func FuzzMessages(f *testing.F) {
 	f.Add([]byte(`[{"kind":"message-append","from":"b/2","to":"a/1","term":3,"index":2,"log-term":1,"commit":9,"entries":[{"index":3,"term":3}]}]`))
 	f.Add([]byte(`[{"kind":"message-append","from":"b/2","to":"a/1","term":3,"index":2,"log-term":1,"entries":[{"index":9,"term":3},{"index":4,"term":2}]}]`))
@@ -53,7 +53,7 @@
 	return laburnumlog.Configuration{Members: []laburnumlog.Member{member("a/1"), member("b/2"), member("c/3")}}
 }
 
-// follower is a replica of three that holds its first configuration.
+// follower returns a follower, one of three voters, with only the bootstrap configuration.
 func follower(t *testing.T) *laburnumlog.Log {
 	log := laburnumlog.New("a/1", laburnumlog.Recovered{}, laburnumlog.WithSeed(1))
 	stepDurably(log, laburnumlog.Bootstrap{Configuration: threeVoters()})
@@ -61,7 +61,7 @@
 	return log
 }
 
-// leader is one that leads, with an entry that is committed.
+// leader returns a leader, one of three voters, with one committed entry.
 func leader(t *testing.T) *laburnumlog.Log {
 	log := follower(t)
 	for log.Role() != laburnumlog.Leader {
@@ -75,7 +75,7 @@
 	return log
 }
 
-// answerTo is what another replica answers, or a replica's message to itself.
+// answerTo returns another replica's positive answer to m, or m itself if it needs none.
 func answerTo(self laburnumlog.ReplicaID, m laburnumlog.Message) laburnumlog.Message {
 	answer := laburnumlog.Message{From: m.To, To: self, Term: m.Term}
 	switch m.Kind {
@@ -91,7 +91,7 @@
 	return answer
 }
 
-// stepDurably steps an event with a disk that is done at once, and returns the messages.
+// stepDurably steps an event with a disk that completes writes at once, and returns the messages.
 func stepDurably(log *laburnumlog.Log, ev laburnumlog.Event) []laburnumlog.Message {
 	out := log.Step(ev)
 	messages := out.Messages
--- a/laburnumlog/regression_test.go
+++ b/laburnumlog/regression_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// run delivers and syncs among the given replicas until nothing moves or the
-// condition holds; what goes to others is lost.
+// run delivers messages and syncs writes among the given replicas until nothing is left or the
+// condition holds. Messages to other replicas are lost.
 func (s *simulation) run(until func() bool, among ...*replica) {
 	for moved := true; moved; {
 		moved = false
@@ -37,10 +37,9 @@
 
 func never() bool { return false }
 
-// An entry of an old term reaches a majority under a new leader, which then goes
-// down before an entry of its own term has. A third replica with a later entry is
-// elected and replaces the old one. If the old entry had counted as committed, an
-// acknowledged change would be gone.
+// Guards against committing an entry of an older term because a majority holds it. If the leader
+// then restarts before an entry of its own term is committed, a replica with a later entry can
+// win the election and replace the old one, and an acknowledged change would be lost.
 func TestEntryOfOlderTermIsNotCommittedByCount(t *testing.T) {
 	s := newSimulation(3, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
@@ -53,7 +52,7 @@
 				return
 			}
 		}
-		t.Fatalf("%s is not elected", r.id)
+		t.Fatalf("%s was not elected", r.id)
 	}
 	elect(a)
 	elect(c)
@@ -70,9 +69,9 @@
 	require.EqualValues(t, 3, s.committed[2].entry.Term)
 }
 
-// A VM is restored from an older copy of its disk. It lacks what it had
-// acknowledged; were it counted as before, a majority could hold less than was
-// promised. A late copy of a refusal from before must not look the same.
+// Guards against counting a VM that was restored from an older copy of its disk: it lacks entries
+// that it had acknowledged, so a majority could hold less than was committed. A delayed rejection
+// from before the restart must not be mistaken for a rolled-back disk.
 func TestRolledBackDiskIsDetected(t *testing.T) {
 	s := newSimulation(3, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
@@ -96,12 +95,11 @@
 	}
 	p, _ = a.log.Progress(b.id)
 	require.True(t, p.Lost)
-	require.Equal(t, a.log.LastIndex(), a.log.Commit(), "a and c go on")
+	require.Equal(t, a.log.LastIndex(), a.log.Commit(), "a and c still commit")
 }
 
-// A leader that is cut off has appended a change of the members. The others elect
-// another and go on; when the first is back, its list must be theirs again, or it
-// would count majorities among the wrong voters.
+// Guards against a partitioned leader that keeps an uncommitted membership change after the
+// others have elected a new leader: it would count majorities among the wrong voters.
 func TestUncommittedMembershipChangeIsRolledBack(t *testing.T) {
 	s := newSimulation(4, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
@@ -124,8 +122,8 @@
 	require.Equal(t, b.log.Commit(), a.log.Commit())
 }
 
-// A replica with a tail of its own gets the leader's snapshot. Its old tail must
-// be dropped on the disk too, or a restart would join it to the snapshot.
+// Guards against a replica that installs the leader's snapshot but keeps its divergent log tail
+// on disk: after a restart the tail would follow the snapshot.
 func TestSnapshotDropsDivergentTail(t *testing.T) {
 	s := newSimulation(3, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
@@ -148,9 +146,9 @@
 	require.Empty(t, s.problem)
 }
 
-// A voter is down while a leader is elected, and comes back with all of the log.
-// The leader, which has not heard it yet, must find that out by its probe; a
-// whole snapshot sent instead kept a restarted voter waiting.
+// Guards against a leader that sends a whole snapshot to a voter that was down during the
+// election but has the complete log, which delayed the restarted voter. The leader must find
+// the matching index by probing.
 func TestRestartedVoterGetsNoSnapshot(t *testing.T) {
 	s := newSimulation(3, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
@@ -174,9 +172,8 @@
 	require.Equal(t, b.log.LastIndex(), c.log.LastIndex())
 }
 
-// A replica had synced a tail that was then replaced. When it leads, new entries
-// at the same places are not synced yet; to count them as if they were would
-// commit what one crash can take away.
+// Guards against a leader that counts new entries as durable because it had synced others,
+// since replaced, at the same indexes: a single crash could lose committed entries.
 func TestReplacedTailIsNotCountedAsDurable(t *testing.T) {
 	s := newSimulation(3, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
@@ -206,10 +203,9 @@
 	require.Equal(t, before+1, a.log.Commit())
 }
 
-// A leader is elected while a change of the members by the one before is not yet
-// settled. If it changed the members itself before an entry of its own term is
-// committed, its majority and that of the earlier change need not meet, and two
-// leaders could commit. It must refuse until then.
+// Guards against a new leader that changes the members before it has committed an entry of its
+// own term. A previous leader's change may still be pending; majorities of the two
+// configurations need not overlap, so two leaders could commit.
 func TestMembershipChangeRequiresCommitInOwnTerm(t *testing.T) {
 	s := newSimulation(4, 3)
 	a, b, c := s.replicas[0], s.replicas[1], s.replicas[2]
@@ -225,9 +221,8 @@
 	require.True(t, a.log.ChangePending())
 }
 
-// A voter that is alone votes for itself, and its disk is slow. If it led before the
-// vote is durable, a crash would take the vote away and it could lead the same term
-// a second time, with other entries.
+// Guards against a single voter that leads before its own vote is durable: after a crash it could
+// lead the same term a second time, with different entries.
 func TestOwnVoteCountsOnceDurable(t *testing.T) {
 	s := newSimulation(1, 1)
 	a := s.replicas[0]
@@ -240,9 +235,9 @@
 	require.Equal(t, laburnumlog.Leader, a.log.Role())
 }
 
-// A leader removes itself and goes down after it has appended the list without itself, before
-// anybody else has that. Nobody could lead any more: the other voter lacks the last entry, so
-// the old leader, whose vote it needs, refuses it; and that one was not on its own last list.
+// Guards against a log without a possible leader, after a leader restarts when only it has
+// appended its own removal. The other voter lacks that entry, so the old leader, whose vote it
+// needs, rejects it; and the old leader is no voter of its own last configuration.
 func TestLeaderRestartsBeforeItsRemovalIsCommitted(t *testing.T) {
 	s := newSimulation(2, 2)
 	a, b := s.replicas[0], s.replicas[1]
@@ -257,8 +252,8 @@
 	require.NotEqual(t, laburnumlog.Leader, a.log.Role())
 }
 
-// The same by way of a joint list: the leader gives its place to a VM that has caught up, both
-// hold the joint list, and the one that it leads to is only on the leader's disk.
+// Guards against the same with a joint configuration: the leader is replaced by a learner that
+// caught up. Both hold the joint configuration, but only the leader's disk holds the final one.
 func TestLeaderRestartsBeforeItsReplacementIsCommitted(t *testing.T) {
 	s := newSimulation(2, 1)
 	a, b := s.replicas[0], s.replicas[1]
--- a/laburnumlog/replication.go
+++ b/laburnumlog/replication.go
@@ -2,32 +2,33 @@
 
 import "slices"
 
-// progress is what a leader knows of one member.
+// progress is the leader's view of one member's replication state.
 type progress struct {
-	match uint64 // known durable there
-	next  uint64 // the next to send
-	// probing sends one entry at a time until the place where the logs match
-	// is found.
+	match uint64 // last index known to be durable on the member
+	next  uint64 // index of the next entry to send
+	// probing is set while the leader sends one entry at a time to find the last index at
+	// which the logs match.
 	probing         bool
-	paused          bool // a probe or snapshot is under way
+	paused          bool // waiting for the answer to a probe or snapshot
 	snapshotIndex   uint64
 	inFlight        int
-	boot            uint64 // the highest boot heard of
-	conflictingBoot uint64 // a boot heard of that is not later than the highest
-	ackedBoot       uint64 // the boot that acknowledged match
+	boot            uint64 // latest boot that answered
+	conflictingBoot uint64 // another boot that answered with the same or an earlier start
+	ackedBoot       uint64 // boot that acknowledged match
 	dataLost        bool
-	unackedTicks    int // ticks since the last acknowledgement that brought something new
-	silentTicks     int // ticks since any answer
-	behindTicks     int // ticks for which it has lacked entries and acknowledged none
+	unackedTicks    int // ticks since the last acknowledgement of new entries, or since sending to an idle member
+	silentTicks     int // ticks since the last answer
+	behindTicks     int // ticks for which the member has lacked entries without acknowledging any
 }
 
-// probe starts over from the given index, keeping what is known for good.
+// probe returns the progress reset to probing from the given index; match, the boots and the
+// tick counts of the member stay valid.
 func (p progress) probe(next uint64) progress {
 	return progress{match: p.match, next: next, probing: true, silentTicks: p.silentTicks, behindTicks: p.behindTicks, boot: p.boot, conflictingBoot: p.conflictingBoot, ackedBoot: p.ackedBoot, dataLost: p.dataLost}
 }
 
-// observeBoot notes an answer, and tells whether it is from the latest start of the
-// member.
+// observeBoot records an answer's boot, and reports whether it is from the latest start of
+// the member.
 func (p *progress) observeBoot(boot uint64) bool {
 	if boot != p.boot && boot>>nonceBits <= p.boot>>nonceBits && p.boot != 0 {
 		p.conflictingBoot = boot
@@ -39,24 +40,27 @@
 	return true
 }
 
-// MemberProgress is what the leader knows of one member.
+// MemberProgress is the leader's view of one member.
 type MemberProgress struct {
+	// Match is the last index known to be durable on the member.
 	Match uint64
-	// SilentTicks is how long the member has not answered.
+	// SilentTicks is the number of ticks since the member's last answer.
 	SilentTicks int
-	// BehindTicks is how long it has lacked entries without acknowledging any.
+	// BehindTicks is the number of ticks for which the member has lacked entries without
+	// acknowledging any.
 	BehindTicks int
-	// Boot is the highest that the member has answered with.
+	// Boot is the latest boot that the member has answered with.
 	Boot uint64
-	// Older is another start that answered though it is not later: a late
-	// message, or a disk that went back. Only the member can tell which.
+	// ConflictingBoot is a boot that answered after Boot but is not later, or 0. It is either a
+	// delayed message or a disk that was rolled back; only the member can tell which.
 	Older uint64
-	// Lost tells that the member, since it was started again, lacks entries
-	// that it had acknowledged before: its disk went back.
+	// DataLost is set when the member, after a restart, lacks entries that it had acknowledged
+	// before: its disk was rolled back to an older state.
 	Lost bool
 }
 
-// Progress returns what the leader knows of the member; false elsewhere.
+// Progress returns the leader's view of the member, false if there is none. Only a leader has
+// one.
 func (l *Log) Progress(id ReplicaID) (MemberProgress, bool) {
 	p, ok := l.progress[id]
 	if id == l.id && l.role == Leader {
@@ -67,9 +71,9 @@
 	}, ok
 }
 
-// LossesBorne is how many more voters may be lost for good, disks and all, so that those
-// left are still a majority. A leader counts only the voters that answer; others count
-// all that are on the list. It is negative when a majority is gone already.
+// LossesBorne returns how many more voters may be lost permanently, including their disks,
+// while the rest still form a majority. A leader counts only voters that answer; other
+// replicas count all voters. It is negative when there is no majority already.
 func (l *Log) LossesBorne() int {
 	return l.Configuration().Spare(func(m Member) bool {
 		p, ok := l.Progress(m.ID)
@@ -77,7 +81,7 @@
 	})
 }
 
-// syncProgress makes the progress table follow the configuration.
+// syncProgress adds and removes members of the progress table to match the configuration.
 func (l *Log) syncProgress() {
 	old := l.progress
 	l.progress = map[ReplicaID]progress{}
@@ -111,8 +115,8 @@
 	}
 	heard := func(m Member) bool { return m.ID == l.id || l.progress[m.ID].silentTicks < electionTicks }
 	if !l.Configuration().HasMajority(heard) {
-		// Check-quorum: without it a leader that is cut off would go on taking
-		// commands that it can never commit.
+		// Check-quorum: otherwise a partitioned leader would keep accepting commands that it
+		// can never commit.
 		l.becomeFollower(l.hard.Term, "")
 		return
 	}
@@ -122,7 +126,8 @@
 	l.heartbeat()
 }
 
-// resend takes what is under way for lost when nothing was acknowledged for long.
+// resend restarts replication to a member that has acknowledged nothing for resendTicks, or
+// snapshotResendTicks for a snapshot, as its messages may be lost.
 func (l *Log) resend(id ReplicaID) {
 	p := l.progress[id]
 	wait := resendTicks
@@ -136,8 +141,8 @@
 	if !p.probing {
 		next = p.match + 1
 	}
-	// A probe that was lost goes out again as it was: a member that was only
-	// down while the leader was elected would otherwise be sent a snapshot.
+	// A lost probe is sent again from the same index. Starting from match, which is 0 for a
+	// member that was down during the election, would send it a whole snapshot.
 	l.progress[id] = p.probe(next)
 	l.replicate(id)
 }
@@ -166,7 +171,7 @@
 	}
 }
 
-// sendNext sends one append or snapshot and tells whether another may follow.
+// sendNext sends one append or snapshot, and reports whether another may follow at once.
 func (l *Log) sendNext(id ReplicaID) bool {
 	p, ok := l.progress[id]
 	if !ok || p.dataLost || p.paused || p.inFlight >= maxInFlight || p.next > l.LastIndex() {
@@ -251,8 +256,8 @@
 func (l *Log) onRejectedAppend(m Message) {
 	p := l.progress[m.From]
 	if m.Boot > p.ackedBoot && p.ackedBoot > 0 && m.Commit < p.match {
-		// Of the same boot this would be a late message; from a later one it
-		// says that the disk lost what had been acknowledged.
+		// From the same boot this would be a delayed message; from a later one it means that
+		// the disk lost acknowledged entries.
 		p.dataLost = true
 		l.progress[m.From] = p
 		return
@@ -277,9 +282,9 @@
 	l.progress[m.From] = p
 }
 
-// advanceCommit commits what a majority has, of each list of a joint configuration, if it
-// is of the leader's own term: an entry of an older term held by a majority could still be
-// replaced.
+// advanceCommit commits the entries that a majority has on disk, in a joint configuration a
+// majority of each voter set, if the last of them is of the leader's own term: an entry of an
+// older term that a majority holds could still be replaced.
 func (l *Log) advanceCommit() {
 	if l.role != Leader {
 		return
@@ -295,7 +300,7 @@
 	}
 }
 
-// majorityMatch is the last index that a majority of the voters has on disk.
+// majorityMatch returns the last index that a majority of the voters has on disk.
 func (l *Log) majorityMatch(voters []Member) uint64 {
 	var held []uint64
 	for _, m := range voters {
@@ -312,7 +317,7 @@
 	return held[len(held)-majority(len(held))]
 }
 
-// stepDownIfRemoved ends the leadership of a replica whose removal is committed.
+// stepDownIfRemoved makes the leader step down once its own removal is committed.
 func (l *Log) stepDownIfRemoved() {
 	if !l.ChangePending() && !l.Configuration().IsVoter(l.id) {
 		l.becomeFollower(l.hard.Term, "")
--- a/laburnumlog/schedule_test.go
+++ b/laburnumlog/schedule_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// applyAction does one of the things that can happen, as the numbers say. All numbers mean
-// something, so that a failing schedule can be made shorter.
+// applyAction performs the action that the numbers select. Every combination of numbers is
+// valid, so rapid can shrink a failing schedule.
 func (s *simulation) applyAction(kind, who, which int) {
 	r := s.replicas[who%len(s.replicas)]
 	switch {
@@ -59,7 +59,8 @@
 	}
 }
 
-// tickAllButLeader lets time pass for all but a leader, as when it is frozen.
+// tickAllButLeader advances time for all replicas except leaders, as if they were frozen, and
+// then for the given one.
 func (s *simulation) tickAllButLeader(first *replica) {
 	for _, r := range s.replicas {
 		if r.log.Role() == laburnumlog.Leader {
@@ -74,7 +75,7 @@
 	}
 }
 
-// campaign is a late or doubled message of a leader that hands over.
+// campaign delivers a delayed or duplicated request to campaign from a leadership transfer.
 func (s *simulation) campaign(r *replica) {
 	if r.log.Term() > 0 {
 		s.step(r, laburnumlog.Receive{Message: laburnumlog.Message{Kind: laburnumlog.MessageCampaignNow, To: r.id, Term: r.log.Term()}})
@@ -87,7 +88,7 @@
 	})
 }
 
-// currentLeader is the leader of the highest term, or the given replica if none leads.
+// currentLeader returns the leader of the highest term, or the given replica if there is none.
 func (s *simulation) currentLeader(or *replica) *replica {
 	best := or
 	for _, r := range s.replicas {
@@ -98,8 +99,8 @@
 	return best
 }
 
-// repair makes one step towards three voters that are alive: a learner takes a dead voter's
-// place at once, or the dead one goes first.
+// repair makes one step toward three live voters: a learner replaces a dead voter in one
+// change, or the dead voter is removed first.
 func (s *simulation) repair(r *replica, which int) {
 	c := r.log.Configuration()
 	for _, m := range c.Members {
@@ -122,7 +123,7 @@
 	}
 }
 
-// liveLearner is a learner as the voter that it is to be.
+// liveLearner returns a learner whose disk is not lost, as a voter.
 func (s *simulation) liveLearner(c laburnumlog.Configuration) (laburnumlog.Member, bool) {
 	for _, m := range c.Members {
 		if m.Learner && !s.dead[m.ID] {
@@ -133,7 +134,7 @@
 	return laburnumlog.Member{}, false
 }
 
-// deliverAll delivers and syncs all, some rounds over.
+// deliverAll delivers all messages and syncs all writes, for some rounds.
 func (s *simulation) deliverAll(rounds int) {
 	for range rounds {
 		for range len(s.network) {
@@ -186,8 +187,8 @@
 	s.step(r, laburnumlog.Propose{Data: data})
 }
 
-// loseDisk replaces the disk by an empty one, unless too many of some majority
-// would then be gone: what a lost majority held is lost in any protocol.
+// loseDisk replaces the disk by an empty one, unless that would destroy a majority: no
+// protocol can recover what a lost majority held.
 func (s *simulation) loseDisk(r *replica) {
 	for _, other := range s.replicas {
 		now, before := other.log.Configuration(), other.log.ConfigurationAt(other.log.Commit())
@@ -218,7 +219,7 @@
 			m.Learner = false
 			c = c.WithMember(m)
 		case caughtUp && which%5 > 0:
-			// Any voter's place goes to the learner, the leader's own too.
+			// The learner replaces any voter, even the leader itself.
 			c = c.Without(m.ID).WithMember(learner)
 		case len(c.Voters()) > 2:
 			c = c.Without(m.ID)
@@ -236,8 +237,8 @@
 	}
 }
 
-// hasLiveMajority tells whether a majority of the voters is alive; without one the
-// configuration would be a mistake of whoever asks for it.
+// hasLiveMajority reports whether a majority of the voters still has its disk. A change to any
+// other configuration would be the caller's mistake.
 func (s *simulation) hasLiveMajority(c laburnumlog.Configuration) bool {
 	return c.HasMajority(func(m laburnumlog.Member) bool { return !s.dead[m.ID] })
 }
@@ -246,7 +247,8 @@
 	s.step(r, laburnumlog.Compact{Snapshot: laburnumlog.Snapshot{Index: r.applied, Data: fmt.Appendf(nil, "%x", r.hash)}})
 }
 
-// runWithoutFaults runs the replicas without faults and tells whether they got anywhere.
+// runWithoutFaults runs the replicas without faults, and reports whether they commit new
+// entries and all members apply them.
 func (s *simulation) runWithoutFaults() bool {
 	s.network = nil
 	before := len(s.committed)
@@ -276,8 +278,8 @@
 	return false
 }
 
-// membersCaughtUp tells whether every member alive has applied all that the leader has.
-// A replica that was removed may believe in an older list and a higher term.
+// membersCaughtUp reports whether every live member has applied all that the leader has. It
+// ignores removed replicas, which may have an older configuration and a higher term.
 func (s *simulation) membersCaughtUp() bool {
 	leader := s.currentLeader(s.replicas[0])
 	if leader.log.Role() != laburnumlog.Leader {
@@ -291,9 +293,9 @@
 	return true
 }
 
-// Messages are lost, doubled and reordered, replicas restart, disks are lost and
-// voters change, at any step. No committed entry may be lost or changed, no term
-// may have two leaders, and once all is well the log must go on.
+// Guards against committed entries that are lost or changed, two leaders in a term, and a log
+// that makes no progress once the faults end. At any step messages may be lost, duplicated or
+// reordered, replicas may restart, disks may be lost and voters may change.
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(4, rapid.IntRange(1, 3).Draw(t, "voters"))
@@ -304,12 +306,13 @@
 			}
 		}
 		if !s.runWithoutFaults() || s.problem != "" {
-			t.Fatalf("no progress after all is well again: %s", s.problem)
+			t.Fatalf("no progress after the faults ended: %s", s.problem)
 		}
 	})
 }
 
-// TestLongSchedules drives far longer runs from fixed seeds than rapid would draw.
+// TestLongSchedules checks the same as TestRandomSchedules over much longer runs than rapid
+// would draw, from fixed seeds.
 func TestLongSchedules(t *testing.T) {
 	for seed := range uint64(150) {
 		n := 3 + int(seed%3)
--- a/laburnumlog/simulation_test.go
+++ b/laburnumlog/simulation_test.go
@@ -10,19 +10,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// replica is one VM in a simulation: a log, a disk that holds what was synced, and
-// writes not yet synced.
+// replica is one VM in a simulation: its log, a disk with the synced state, and the writes
+// that are not synced yet.
 type replica struct {
 	vm          string
 	id          laburnumlog.ReplicaID
-	incarnation int // how many disks the VM has had
+	incarnation int // number of disks that the VM has had
 	boot        uint64
 	log         *laburnumlog.Log
 	disk        laburnumlog.Recovered
 	unsynced    []laburnumlog.Write
 	applied     uint64
-	hash        uint64 // of all entries applied
-	lastLedTerm uint64 // the last term seen leading
+	hash        uint64 // over all applied entries
+	lastLedTerm uint64 // last term in which the replica was seen as leader
 }
 
 type committedEntry struct {
@@ -30,8 +30,8 @@
 	hash  uint64
 }
 
-// simulation holds the replicas, the messages under way and what has been
-// committed. problem says the first thing found wrong.
+// simulation holds the replicas, the messages in flight and the committed entries. problem
+// describes the first violated invariant.
 type simulation struct {
 	replicas  []*replica
 	network   []laburnumlog.Message
@@ -79,7 +79,7 @@
 	s.restart(r)
 }
 
-// restart starts the replica from what its disk holds.
+// restart starts the replica from the state on its disk.
 func (s *simulation) restart(r *replica) {
 	r.boot++
 	r.unsynced = nil
@@ -118,13 +118,13 @@
 
 func (s *simulation) apply(r *replica, e laburnumlog.Entry) {
 	if e.Index != r.applied+1 {
-		s.fail("%s applies %d after %d", r.id, e.Index, r.applied)
+		s.fail("%s applies index %d after %d", r.id, e.Index, r.applied)
 	}
 	r.applied = e.Index
 	r.hash = xxhash.Sum64String(fmt.Sprintf("%x %d %d %s", r.hash, e.Index, e.Term, e.Data))
 	known, ok := s.committed[e.Index]
 	if ok && (known.entry.Term != e.Term || string(known.entry.Data) != string(e.Data)) {
-		s.fail("%s applies term %d at %d, committed was term %d", r.id, e.Term, e.Index, known.entry.Term)
+		s.fail("%s applies term %d at index %d, which is committed with term %d", r.id, e.Term, e.Index, known.entry.Term)
 	}
 	if !ok {
 		s.committed[e.Index] = committedEntry{entry: e, hash: r.hash}
@@ -134,24 +134,24 @@
 
 func (s *simulation) checkHash(r *replica) {
 	if known, ok := s.committed[r.applied]; ok && known.hash != r.hash {
-		s.fail("%s has another state at %d", r.id, r.applied)
+		s.fail("%s has a different state at index %d", r.id, r.applied)
 	}
 }
 
-// checkLeader holds that a term has one leader, and that it has all that was
-// committed before it was elected.
+// checkLeader verifies that a term has only one leader, and that a new leader's log holds all
+// entries committed so far.
 func (s *simulation) checkLeader(r *replica) {
 	if r.log.Role() != laburnumlog.Leader || r.lastLedTerm == r.log.Term() {
 		return
 	}
 	r.lastLedTerm = r.log.Term()
 	if other, ok := s.leaders[r.lastLedTerm]; ok && other != r.id {
-		s.fail("term %d has the leaders %s and %s", r.lastLedTerm, other, r.id)
+		s.fail("term %d has two leaders, %s and %s", r.lastLedTerm, other, r.id)
 	}
 	s.leaders[r.lastLedTerm] = r.id
 	for index, c := range s.committed {
 		if index > r.log.SnapshotIndex() && r.log.TermAt(index) != c.entry.Term {
-			s.fail("%s leads term %d without committed entry %d", r.id, r.lastLedTerm, index)
+			s.fail("%s leads term %d but lacks committed entry %d", r.id, r.lastLedTerm, index)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 	}
 }
 
-// sync makes the oldest unsaved write durable.
+// sync makes the oldest unsynced write durable.
 func (s *simulation) sync(r *replica) {
 	if len(r.unsynced) == 0 {
 		return
@@ -174,7 +174,7 @@
 	s.network = append(s.network, w.After...)
 }
 
-// save does to the disk what the data folder does.
+// save applies a write to the simulated disk as the data folder does.
 func save(disk *laburnumlog.Recovered, w laburnumlog.Write) {
 	if w.Empty {
 		return
--- a/laburnumlog/step.go
+++ b/laburnumlog/step.go
@@ -1,28 +1,28 @@
 package laburnumlog
 
-// Event is an input to Step.
+// Event is an input of Step.
 type Event interface{ isEvent() }
 
 type (
-	// Resume is the first event of a replica that starts from what its disk holds: it gives
-	// what is known committed at once, not with the first tick.
+	// Resume is the first event of a replica that recovered from its disk. It returns the
+	// entries known to be committed at once instead of at the first tick.
 	Resume struct{}
-	// Tick says that one tick of the driver's clock has passed.
+	// Tick reports that one tick of the driver's clock has passed.
 	Tick struct{}
-	// Receive hands in a message from another replica.
+	// Receive delivers a message from another replica.
 	Receive struct{ Message Message }
 	// Propose asks the leader to append commands, one entry each.
 	Propose struct{ Data [][]byte }
-	// ChangeMembers asks the leader for another configuration. When more than one
-	// voter changes, the log goes there by way of a joint one.
+	// ChangeMembers asks the leader to change to the given configuration. If more than one
+	// voter differs, the change goes through a joint configuration.
 	ChangeMembers struct{ Configuration Configuration }
-	// Written says that all writes up to Seq are durable.
+	// Written reports that all writes up to Seq are durable.
 	Written struct{ Seq uint64 }
-	// Compact hands in a snapshot of the state after an applied entry.
+	// Compact passes a snapshot of the state machine as of an applied entry.
 	Compact struct{ Snapshot Snapshot }
 	// Bootstrap gives an empty replica its first configuration.
 	Bootstrap struct{ Configuration Configuration }
-	// HandOver asks the leader to let the voter that is furthest on take over.
+	// HandOver asks the leader to transfer leadership to the most up-to-date voter.
 	HandOver struct{}
 )
 
@@ -36,40 +36,41 @@
 func (Bootstrap) isEvent()     {}
 func (HandOver) isEvent()      {}
 
-// Write is what must become durable, in the order of Seq, snapshot first.
-// Entries replace all with the same or a higher index.
+// Write is the state to make durable: writes in the order of Seq, the snapshot of each first.
+// Entries replace all stored entries with the same or a higher index.
 type Write struct {
 	Seq      uint64
 	Hard     HardState
 	Entries  []Entry
 	Snapshot *Snapshot
-	// Reset says that the snapshot came from the leader: no entry written
-	// before it is part of the log any more.
+	// Reset is set when the snapshot came from the leader: entries written before it are no
+	// longer part of the log.
 	Reset bool
-	// After may be sent only once this write is durable.
+	// DeferredMessages are messages that may be sent only once this write is durable.
 	After []Message
-	// Empty says that nothing is to be written: After only waits its turn.
+	// Empty is set when there is nothing to write and DeferredMessages only wait for earlier
+	// writes.
 	Empty bool
 }
 
-// Output is what one step asks of the driver.
+// Output is what the driver has to do after one step.
 type Output struct {
 	Messages []Message
 	Write    *Write
-	// Install replaces the state machine before Committed is applied.
+	// Install, if set, replaces the state machine's state before Committed is applied.
 	Install   *Snapshot
 	Committed []Entry
-	// Accepted says that a Propose or ChangeMembers was appended, its first
-	// entry at First; otherwise nothing was appended.
+	// Accepted is set when a Propose or ChangeMembers was appended, with its first entry at
+	// index First. Otherwise nothing was appended.
 	Accepted bool
 	First    uint64
-	// Fault is set when the replicas' logs contradict each other, which no
-	// schedule of losses explains: the driver stops the replica.
+	// Fault is set when the replicas' logs conflict in a way that no loss of messages
+	// explains. The driver must stop the replica.
 	Fault error
 }
 
-// Step takes one event. It is deterministic: equal logs and equal events give
-// equal outputs.
+// Step processes one event. It is deterministic: the same state and event give the same
+// output.
 func (l *Log) Step(ev Event) Output {
 	l.out = Output{}
 	l.after = nil
@@ -100,7 +101,7 @@
 	return out
 }
 
-// send sends at once, unless the term is not durable yet.
+// send sends the message at once, or once the current term and vote are durable.
 func (l *Log) send(m Message) {
 	if l.hardStateDirty() {
 		l.sendDurable(m)
@@ -109,7 +110,7 @@
 	l.out.Messages = append(l.out.Messages, l.stamp(m))
 }
 
-// sendDurable sends once all that the replica has written so far is durable.
+// sendDurable sends the message once everything that the replica has written is durable.
 func (l *Log) sendDurable(m Message) { l.after = append(l.after, l.stamp(m)) }
 
 func (l *Log) stamp(m Message) Message {
--- a/laburnumlog/values.go
+++ b/laburnumlog/values.go
@@ -6,9 +6,9 @@
 	"laburnumlever"
 )
 
-// ReplicaID names one instance of a replica: the VM and the identity of its data
-// folder. A VM whose folder was lost comes back under another id, so that it
-// never votes or acknowledges as the instance that it no longer is.
+// ReplicaID identifies one incarnation of a replica by its VM and the identity of its data
+// folder. A VM that lost its data folder gets a new ID, so it never votes or acknowledges
+// entries on behalf of the previous incarnation.
 type ReplicaID string
 
 // Member is a replica that receives the log.
@@ -16,31 +16,31 @@
 	ID      ReplicaID          `json:"id"`
 	VM      laburnumlever.VMID `json:"vm"`
 	Address string             `json:"address"`
-	// Learner tells that the member does not count for any majority.
+	// Learner is set for a member that does not count toward any majority.
 	Learner bool `json:"learner,omitempty"`
-	// Joining and Leaving are set while several voters change at once: a joining member
-	// counts only among the voters to come, a leaving one only among those before.
+	// Joining and Leaving are set only in a joint configuration: a joining member counts only
+	// among the new voters, a leaving one only among the old voters.
 	Joining bool `json:"joining,omitempty"`
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Configuration is the list of members. It is never changed once built. A joint one is on
-// the way from one list of voters to another and needs a majority of each.
+// Configuration is the list of members. It is immutable once built. A joint configuration is
+// the transition between two sets of voters and needs a majority of each.
 type Configuration struct {
 	Members []Member `json:"members"`
 }
 
-// EntryKind says what an entry carries.
+// EntryKind is the type of a log entry's content.
 type EntryKind int
 
 // The kinds of entry.
 const (
 	EntryCommand       EntryKind = iota
-	EntryBarrier                 // a new leader's first entry; it carries nothing
-	EntryConfiguration           // a change of the members, in force once appended
+	EntryBarrier                 // first entry of a new leader, without data
+	EntryConfiguration           // membership change, in effect as soon as it is appended
 )
 
-// Entry is one place in the log.
+// Entry is one entry of the log.
 type Entry struct {
 	Index         uint64         `json:"index"`
 	Term          uint64         `json:"term"`
@@ -49,15 +49,15 @@
 	Configuration *Configuration `json:"configuration,omitempty"`
 }
 
-// HardState must be durable before any message that follows from it is sent.
-// Commit is only a hint that shortens recovery.
+// HardState is the replica's persistent state. It must be durable before any message that
+// depends on it is sent. Commit is only a hint that shortens recovery.
 type HardState struct {
 	Term   uint64    `json:"term"`
 	Vote   ReplicaID `json:"vote,omitempty"`
 	Commit uint64    `json:"commit"`
 }
 
-// Snapshot replaces all entries up to Index.
+// Snapshot is the applied state that replaces all entries up to and including Index.
 type Snapshot struct {
 	Index         uint64        `json:"index"`
 	Term          uint64        `json:"term"`
@@ -65,16 +65,15 @@
 	Data          []byte        `json:"data,omitempty"`
 }
 
-// Recovered is what a replica finds on its disk when it starts.
+// Recovered is the state that a replica reads from its disk when it starts.
 type Recovered struct {
 	Hard     HardState
 	Snapshot Snapshot
-	// Entries follow each other without a gap; the first is at most one past
-	// the snapshot.
+	// Entries are contiguous, and the first one's index is at most one past the snapshot's.
 	Entries []Entry
 }
 
-// MessageKind names a message between replicas.
+// MessageKind is the type of a message between replicas.
 type MessageKind int
 
 // The kinds of message.
@@ -91,31 +90,32 @@
 	MessageCampaignNow
 )
 
-// Message goes from one replica to another.
+// Message is sent from one replica to another.
 type Message struct {
 	Kind MessageKind `json:"kind"`
 	From ReplicaID   `json:"from"`
 	To   ReplicaID   `json:"to"`
 	Term uint64      `json:"term"`
-	// Boot counts the starts of the sender on its disk.
+	// Boot identifies the sender's current start, see the function Boot.
 	Boot uint64 `json:"boot,omitempty"`
-	// Index and LogTerm are the sender's last entry in a vote, the entry before
-	// Entries in an append, and the last entry held in an answer.
+	// Index and LogTerm identify the sender's last entry in a vote request and the entry
+	// before Entries in an append. In an accepted append's answer, Index is the last
+	// acknowledged entry; in a rejected one's, it is the append's own Index.
 	Index   uint64 `json:"index,omitempty"`
 	LogTerm uint64 `json:"log-term,omitempty"`
-	// Commit is the sender's commit index; in a refused append it is the last
-	// index held.
+	// Commit is the sender's commit index; in the answer to a rejected append it is the last
+	// index in the sender's log.
 	Commit  uint64  `json:"commit,omitempty"`
 	Entries []Entry `json:"entries,omitempty"`
 	Reject  bool    `json:"reject,omitempty"`
-	// Hint, in a refused append, is the last index that may match.
+	// Hint, in the answer to a rejected append, is the last index at which the logs may match.
 	Hint uint64 `json:"hint,omitempty"`
-	// Force, in a vote, says that the leader asked for the election.
+	// Force, in a vote request, marks an election that the leader asked for.
 	Force    bool      `json:"force,omitempty"`
 	Snapshot *Snapshot `json:"snapshot,omitempty"`
 }
 
-// Role is what a replica does in its term.
+// Role is a replica's Raft role in its current term.
 type Role int
 
 // The roles.
@@ -126,17 +126,17 @@
 	Leader
 )
 
-// Ballot is a member's answer to a question for its vote.
+// Ballot is a member's response to a vote request.
 type Ballot int
 
-// The answers.
+// The responses to a vote request.
 const (
 	Unanswered Ballot = iota
 	Granted
 	Refused
 )
 
-// Find returns the member with the id.
+// Find returns the member with the given ID, and whether there is one.
 func (c Configuration) Find(id ReplicaID) (Member, bool) {
 	i := slices.IndexFunc(c.Members, func(m Member) bool { return m.ID == id })
 	if i < 0 {
@@ -145,24 +145,24 @@
 	return c.Members[i], true
 }
 
-// IsVoter tells whether the replica counts for a majority.
+// IsVoter reports whether the replica counts toward a majority.
 func (c Configuration) IsVoter(id ReplicaID) bool {
 	m, ok := c.Find(id)
 	return ok && !m.Learner
 }
 
-// Voters returns the members that count, in a joint configuration those of both lists.
+// Voters returns all voters, in a joint configuration both the old and the new ones.
 func (c Configuration) Voters() []Member {
 	return c.filter(func(m Member) bool { return !m.Learner })
 }
 
-// Joint tells whether the configuration is on the way from one list of voters to another.
+// Joint reports whether this is a joint configuration, between an old and a new set of voters.
 func (c Configuration) Joint() bool {
 	return slices.ContainsFunc(c.Members, func(m Member) bool { return m.Joining || m.Leaving })
 }
 
-// voterSets are the voterSets of voters of each of which a majority must agree: one, or the one
-// before and the one to come.
+// voterSets returns the sets of voters that each need a majority: one set, or the old and the
+// new one in a joint configuration.
 func (c Configuration) voterSets() [][]Member {
 	if !c.Joint() {
 		return [][]Member{c.Voters()}
@@ -173,8 +173,8 @@
 	}
 }
 
-// Spare is how many more voters could disagree so that a majority, of each list of a joint
-// configuration, still agrees; it is negative when there is none.
+// Spare returns how many agreeing voters exceed a majority, in a joint configuration the
+// smaller number of both voter sets. It is negative when there is no majority.
 func (c Configuration) Spare(agrees func(Member) bool) int {
 	spare := len(c.Members)
 	for _, voters := range c.voterSets() {
@@ -189,7 +189,7 @@
 	return spare
 }
 
-// HasMajority tells whether a majority agrees, of each list of a joint configuration.
+// HasMajority reports whether a majority agrees, in a joint configuration one of each voter set.
 func (c Configuration) HasMajority(agrees func(Member) bool) bool { return c.Spare(agrees) >= 0 }
 
 func majority(voters int) int { return voters/2 + 1 }
@@ -204,7 +204,7 @@
 	return kept
 }
 
-// jointTo returns the joint configuration that leads to another.
+// jointTo returns the joint configuration for the transition from c to the given one.
 func (c Configuration) jointTo(to Configuration) Configuration {
 	var joint Configuration
 	for _, m := range to.Members {
@@ -220,7 +220,7 @@
 	return joint
 }
 
-// final returns what a joint configuration leads to.
+// final returns the configuration that completes the transition of a joint one.
 func (c Configuration) final() Configuration {
 	var to Configuration
 	for _, m := range c.Members {
@@ -232,13 +232,13 @@
 	return to
 }
 
-// WithMember returns the configuration with the member added or replaced.
+// WithMember returns a copy of the configuration with the member added or replaced.
 func (c Configuration) WithMember(m Member) Configuration {
 	members := slices.Clone(c.Without(m.ID).Members)
 	return Configuration{Members: append(members, m)}
 }
 
-// Without returns the configuration without the member.
+// Without returns a copy of the configuration without the member.
 func (c Configuration) Without(id ReplicaID) Configuration {
 	var members []Member
 	for _, m := range c.Members {
@@ -249,7 +249,7 @@
 	return Configuration{Members: members}
 }
 
-// voterChanges counts the voters that differ between two configurations.
+// voterChanges counts the voters that are in only one of the two configurations.
 func (c Configuration) voterChanges(to Configuration) int {
 	n := 0
 	for _, m := range c.Voters() {
