--- a/laburnumquorum/policy.go
+++ b/laburnumquorum/policy.go
@@ -10,78 +10,81 @@
 )
 
 const (
-	// maxSilentTicks is how long a member may be silent and still count as up.
+	// maxSilentTicks is how long a learner may be silent and still be promoted to a voter.
 	maxSilentTicks = 10
-	// stuckTicks is how long a learner may acknowledge nothing before another VM is tried:
-	// as long as the log waits for a snapshot.
+	// stuckTicks is how long a learner may acknowledge no entry before another VM is tried. It
+	// equals the time after which the log resends a snapshot.
 	stuckTicks = 50
 )
 
-// Policy is the number of voters and when one is replaced.
+// Policy sets the number of voters and when a voter is replaced.
 type Policy struct {
-	// Target is how many voters the log aims at.
+	// Target is the desired number of voters.
 	Target int
-	// ReplaceTicks is how long a voter is silent before it may be replaced.
+	// ReplaceTicks is how long a voter may be silent before it may be replaced, and a learner
+	// before it is removed.
 	ReplaceTicks int
 }
 
-// View is what a leader knows of the replicas.
+// View is the leader's view of the replicas.
 type View struct {
-	// Configuration is the one in force, and Pending tells that it is not committed yet.
+	// Configuration is the one in effect. Pending is set while it is not committed.
 	Configuration laburnumlog.Configuration
 	Pending       bool
-	// Commit is the last index known committed.
+	// Commit is the last index known to be committed.
 	Commit uint64
 	// Progress returns the progress of a member; false if it is unknown.
 	Progress func(laburnumlog.ReplicaID) (laburnumlog.MemberProgress, bool)
-	// Joiners are the replicas that asked to join lately and are allowed to.
+	// Joiners are the replicas that recently asked to join and are allowed to.
 	Joiners []laburnumlog.Member
 }
 
-// Cause is why the members change.
+// Cause is the reason for a membership change.
 type Cause int
 
 // The causes.
 const (
-	// CauseVoterMissing is a log with fewer voters than it aims at.
+	// CauseVoterMissing means that there are fewer voters than the target.
 	CauseVoterMissing Cause = iota
-	// CauseDiskLost is a voter whose VM came back as another instance.
+	// CauseDiskLost means that a voter's VM returned as a new replica, without the old disk.
 	CauseDiskLost
-	// CauseVoterSilent is a voter that has not answered for long.
+	// CauseVoterSilent means that a voter has not answered for more than ReplaceTicks.
 	CauseVoterSilent
-	// CauseLearnerSilent is a learner that does not answer.
+	// CauseLearnerSilent means that a learner has not answered for more than ReplaceTicks.
 	CauseLearnerSilent
-	// CauseLearnerStuck is one that answers but acknowledges no entry.
+	// CauseLearnerStuck means that a learner answers but acknowledges no entries.
 	CauseLearnerStuck
-	// CauseLearnerWentBack is one whose disk holds less than it acknowledged.
+	// CauseLearnerWentBack means that a learner's disk lacks entries that it had acknowledged.
 	CauseLearnerWentBack
-	// CauseNotNeeded is a learner whose voter is back.
+	// CauseNotNeeded means that the learner has no voter to replace any more, as that voter
+	// answers again.
 	CauseNotNeeded
 )
 
-// Change is one change of the members.
+// Change is one membership change.
 type Change struct {
 	Event  laburnumlever.LogEvent
 	Cause  Cause
 	Member laburnumlog.Member
-	// Replaced is the voter that the member replaces, if any.
+	// Replaced is the voter that Member replaces, if any.
 	Replaced laburnumlog.ReplicaID
-	To       laburnumlog.Configuration
+	// To is the configuration after the change.
+	To laburnumlog.Configuration
 }
 
-// Keeper applies a policy, and remembers which VMs did not catch up.
+// Keeper plans membership changes by a policy, and remembers VMs whose learner was removed.
 type Keeper struct {
 	policy Policy
-	// failedVMs are those VMs, the latest last.
+	// failedVMs are the VMs whose learner was removed, the latest last.
 	failedVMs []laburnumlever.VMID
 }
 
-// NewKeeper makes a keeper.
+// NewKeeper returns a planner for the policy.
 func NewKeeper(policy Policy) Keeper { return Keeper{policy: policy} }
 
-// Next returns the next change of the members, if one is due: a learner is added, catches up,
-// then replaces a voter in one step. A VM whose replica did not catch up comes last the next
-// time, since one with a stalled disk would otherwise block all others.
+// Next returns the next membership change, if one is due. A learner is added, catches up and
+// then replaces a voter in a single change. A VM whose learner was removed is tried last the
+// next time; otherwise a VM with a stalled disk would block all others.
 func (k *Keeper) Next(v View) (Change, bool) {
 	v.Joiners = k.sortJoiners(v.Joiners)
 	change, due := k.policy.next(v)
@@ -92,7 +95,7 @@
 	return change, due
 }
 
-// sortJoiners sorts the joiners by name, those given up last.
+// sortJoiners returns the joiners sorted by VM, with failedVMs last.
 func (k *Keeper) sortJoiners(joiners []laburnumlog.Member) []laburnumlog.Member {
 	joiners = slices.Clone(joiners)
 	slices.SortFunc(joiners, func(a, b laburnumlog.Member) int {
@@ -136,7 +139,7 @@
 	case progress.BehindTicks > stuckTicks:
 		return remove(CauseLearnerStuck)
 	case progress.SilentTicks > maxSilentTicks || progress.Match < v.Commit:
-		return Change{}, false // not caught up
+		return Change{}, false // silent or not caught up yet
 	}
 	old, cause, wanted := p.replacedVoter(v, m.VM)
 	if !wanted {
@@ -150,8 +153,9 @@
 	return change, true
 }
 
-// replacedVoter finds the voter that a replica on the VM would replace: that of the same VM, none if
-// voters are missing, else one that has been silent for long.
+// replacedVoter returns the voter that a replica on the VM would replace: the voter of the same
+// VM, else none if there are fewer voters than the target, else one silent for more than
+// ReplaceTicks. wanted is false if the replica is not needed as a voter.
 func (p Policy) replacedVoter(v View, vm laburnumlever.VMID) (old laburnumlog.ReplicaID, cause Cause, wanted bool) {
 	voters := v.Configuration.Voters()
 	for _, m := range voters {
