--- a/laburnumlog/fleet_test.go
+++ b/laburnumlog/fleet_test.go
@@ -39,14 +39,14 @@
 type fleet struct {
 	*simulation
 	faults []vmFaults
-	// target is the number of voters that the policy aims at. Each VM has its own keeper.
-	target  int
-	keepers []laburnumquorum.Keeper
+	// target is the number of voters that the policy aims at. Each VM has its own planner.
+	target   int
+	planners []laburnumquorum.Keeper
 	// losses is how many disks may be lost at once, lossesUsed how many have been lost since the
 	// log last had all its voters.
 	losses, lossesUsed int
 	ticks              int
-	nextVM             int  // number for the name of the next new VM
+	nextVM             int  // number of the last VM name given out
 	confirmed          bool // whether a command has been committed
 	// verified holds the disk states that are known to tolerate the losses; nil while such a
 	// check runs.
@@ -81,19 +81,19 @@
 		target: 2*losses + 1,
 	}
 	for range n {
-		f.keepers = append(f.keepers, f.newKeeper())
+		f.planners = append(f.planners, f.newPlanner())
 	}
 	return f
 }
 
-func (f *fleet) newKeeper() laburnumquorum.Keeper {
+func (f *fleet) newPlanner() laburnumquorum.Keeper {
 	return laburnumquorum.NewKeeper(laburnumquorum.Policy{Target: f.target, ReplaceTicks: replaceTicks})
 }
 
 func (f *fleet) clone() *fleet {
 	c := *f
 	c.simulation = f.simulation.clone()
-	c.faults, c.keepers = slices.Clone(f.faults), slices.Clone(f.keepers)
+	c.faults, c.planners = slices.Clone(f.faults), slices.Clone(f.planners)
 	c.pause = nil
 	return &c
 }
@@ -142,7 +142,7 @@
 	if l.Role() != laburnumlog.Leader {
 		return
 	}
-	change, due := f.keepers[i].Next(laburnumquorum.View{
+	change, due := f.planners[i].Next(laburnumquorum.View{
 		Configuration: l.Configuration(), Pending: l.ChangePending(), Commit: l.Commit(),
 		Progress: l.Progress, Joiners: f.joiners(i),
 	})
@@ -286,7 +286,7 @@
 func (f *fleet) restartAll() {
 	f.network = nil
 	for i, r := range f.replicas {
-		f.faults[i], f.keepers[i] = vmFaults{}, f.newKeeper()
+		f.faults[i], f.planners[i] = vmFaults{}, f.newPlanner()
 		f.restart(r)
 	}
 }
--- a/laburnumlog/replication.go
+++ b/laburnumlog/replication.go
@@ -16,7 +16,7 @@
 	conflictingBoot uint64 // another boot that answered with the same or an earlier start
 	ackedBoot       uint64 // boot that acknowledged match
 	dataLost        bool
-	unackedTicks    int // ticks since the last acknowledgement of new entries, or since sending to an idle member
+	unackedTicks    int // ticks since new entries were acknowledged, or sent with none in flight
 	silentTicks     int // ticks since the last answer
 	behindTicks     int // ticks for which the member has lacked entries without acknowledging any
 }
