--- a/laburnumlog/election.go
+++ b/laburnumlog/election.go
@@ -16,27 +16,28 @@
 	}
 }
 
-// mayCampaign tells whether the replica is a voter, or was one before a change that it does
-// not know committed. Without the second a leader that goes down before its own removal is
-// committed leaves nobody to lead: its log is the longest, so it votes for no other. It leads
-// only with the votes of the list in force, and ends once the change is committed.
+// mayCampaign reports whether the replica is a voter, or was one before a change that is not
+// known to be committed. The second case is needed when a leader restarts before its own
+// removal is committed: it has the longest log and grants no other replica its vote, so no one
+// else could be elected. It still needs the votes of the configuration in effect, and steps
+// down once the change is committed.
 func (l *Log) mayCampaign() bool {
 	return l.Configuration().IsVoter(l.id) ||
 		l.ChangePending() && l.ConfigurationAt(l.commit).IsVoter(l.id)
 }
 
-// preCampaign asks whether an election could be won, without a new term: a
-// replica that was cut off would otherwise come back with a higher term and
-// depose a leader that works.
+// preCampaign starts a pre-vote, which asks whether an election could be won without raising
+// the term. Without it, a partitioned replica would return with a higher term and depose a
+// working leader.
 func (l *Log) preCampaign() {
 	l.role = PreCandidate
 	l.resetTimeout()
 	l.votes = map[ReplicaID]bool{l.id: true}
-	if l.wonVotes() {
+	if l.hasVoteMajority() {
 		l.campaign(false)
 		return
 	}
-	l.askVotes(MessagePreVote, l.hard.Term+1, false)
+	l.requestVotes(MessagePreVote, l.hard.Term+1, false)
 }
 
 func (l *Log) campaign(force bool) {
@@ -46,12 +47,12 @@
 	l.hard.Vote = l.id
 	l.votes = map[ReplicaID]bool{}
 	l.resetTimeout()
-	l.askVotes(MessageVote, l.hard.Term, force)
-	// The own vote goes the way of the others: it counts once it is durable.
+	l.requestVotes(MessageVote, l.hard.Term, force)
+	// The replica's own vote is sent as a message too, so it counts only once it is durable.
 	l.sendDurable(Message{Kind: MessageVoteAnswer, To: l.id})
 }
 
-func (l *Log) askVotes(kind MessageKind, term uint64, force bool) {
+func (l *Log) requestVotes(kind MessageKind, term uint64, force bool) {
 	for _, m := range l.Configuration().Voters() {
 		if m.ID == l.id {
 			continue
@@ -61,7 +62,7 @@
 	}
 }
 
-func (l *Log) wonVotes() bool {
+func (l *Log) hasVoteMajority() bool {
 	return l.Configuration().HasMajority(func(m Member) bool { return l.votes[m.ID] })
 }
 
@@ -72,7 +73,7 @@
 	}
 	l.role = Follower
 	l.leader = leader
-	l.handOverTo = ""
+	l.transferTarget = ""
 	l.progress = map[ReplicaID]progress{}
 	l.resetTimeout()
 }
@@ -94,22 +95,22 @@
 	}
 	switch {
 	case m.Term > l.hard.Term:
-		if !l.takeHigherTerm(m) {
+		if !l.adoptHigherTerm(m) {
 			return
 		}
 	case m.Term < l.hard.Term:
-		l.refuseLowerTerm(m)
+		l.rejectLowerTerm(m)
 		return
 	}
 	l.dispatch(m)
 }
 
-// takeHigherTerm adopts the term of the message, and tells whether the message
-// is to be looked at.
-func (l *Log) takeHigherTerm(m Message) bool {
+// adoptHigherTerm handles the term of a message that is higher than the replica's, and
+// reports whether the message should be processed.
+func (l *Log) adoptHigherTerm(m Message) bool {
 	switch {
 	case m.Kind == MessagePreVote, m.Kind == MessagePreVoteAnswer && !m.Reject:
-		// Its term is only a plan.
+		// The sender has not adopted this term; it is the term that it would campaign in.
 		return true
 	case m.Kind == MessageVote && l.hasLeader() && !m.Force:
 		return false
@@ -121,8 +122,8 @@
 	return true
 }
 
-// refuseLowerTerm tells a replica of an older term the newer one.
-func (l *Log) refuseLowerTerm(m Message) {
+// rejectLowerTerm rejects a message of an older term, so that its sender learns the newer one.
+func (l *Log) rejectLowerTerm(m Message) {
 	switch m.Kind {
 	case MessagePreVote:
 		l.send(Message{Kind: MessagePreVoteAnswer, To: m.From, Reject: true})
@@ -132,9 +133,9 @@
 	}
 }
 
-// hasLeader tells whether a leader was heard within the shortest election
-// timeout. A vote is refused then, so that a removed or cut-off replica can't
-// disturb a group that works.
+// hasLeader reports whether the replica leads or heard from a leader within the minimum
+// election timeout. Votes are rejected then, so that a removed or partitioned replica cannot
+// disrupt a working group.
 func (l *Log) hasLeader() bool {
 	return l.role == Leader || (l.leader != "" && l.elapsed < electionTicks)
 }
@@ -186,14 +187,14 @@
 
 func (l *Log) onPreVoteAnswer(m Message) {
 	if l.role == PreCandidate && m.Reject {
-		l.noteRefusal(m.From)
+		l.recordRejection(m.From)
 		return
 	}
 	if l.role != PreCandidate || m.Term != l.hard.Term+1 {
 		return
 	}
 	l.votes[m.From] = true
-	if l.wonVotes() {
+	if l.hasVoteMajority() {
 		l.campaign(false)
 	}
 }
@@ -211,27 +212,27 @@
 
 func (l *Log) onVoteAnswer(m Message) {
 	if l.role == Candidate && m.Reject {
-		l.noteRefusal(m.From)
+		l.recordRejection(m.From)
 		return
 	}
 	if l.role != Candidate {
 		return
 	}
 	l.votes[m.From] = true
-	if l.wonVotes() {
+	if l.hasVoteMajority() {
 		l.becomeLeader()
 	}
 }
 
-// noteRefusal keeps a refusal for Ballot. A vote that was granted stands: the refusal
-// is of an earlier round then.
-func (l *Log) noteRefusal(from ReplicaID) {
+// recordRejection records a rejected vote request for VoteResponse. It does not override a granted
+// vote, as the rejection then belongs to an earlier round.
+func (l *Log) recordRejection(from ReplicaID) {
 	if _, answered := l.votes[from]; !answered {
 		l.votes[from] = false
 	}
 }
 
-// Ballot is what a member answered when this replica last asked for votes.
+// Ballot returns a member's response to this replica's last vote request.
 func (l *Log) Ballot(id ReplicaID) Ballot {
 	granted, answered := l.votes[id]
 	switch {
--- a/laburnumlog/tolerance_test.go
+++ b/laburnumlog/fleet_test.go
@@ -12,56 +12,57 @@
 )
 
 const (
-	// secondTicks are a second.
+	// secondTicks is the number of ticks per second.
 	secondTicks = 10
-	// helloTicks without a leader make a replica say that it is there.
-	helloTicks = 30
-	// replaceTicks of silence make a voter's place free: half of the 4 s in which a VM that
-	// comes back has to count again, at 100 ms a tick.
+	// joinRequestTicks is how long a replica has no leader before it asks to join.
+	joinRequestTicks = 30
+	// replaceTicks is how long a voter is silent before it may be replaced: half of the 4 s
+	// within which a returning VM has to be a voter again, at 100 ms a tick.
 	replaceTicks = 20
-	// recoverTicks is how long a log may take to lead again once all VMs are back. The
-	// promise of the settings is 12 s; elections and repairs take a few.
+	// recoverTicks is the time limit for a leader to be elected and commit once all VMs are
+	// back. The settings promise 12 s; elections and repairs take a few seconds.
 	recoverTicks = 120
 )
 
-// place is what a VM meets besides what its replica goes through.
-type place struct {
-	side       int  // only VMs of one side reach each other
-	down       bool // without power
-	deaf       bool // the log does not get there, all else does
-	hung       bool // its disk answers nothing, neither a sync nor an error
-	leaderless int  // ticks
+// vmFaults are the faults of a VM that are not part of its replica's state.
+type vmFaults struct {
+	partition       int  // only VMs with the same number reach each other
+	down            bool // powered off
+	dropsAppends    bool // appends and snapshots to it are lost, other messages arrive
+	diskHung        bool // its disk completes no write and returns no error
+	leaderlessTicks int  // time without a known leader
 }
 
-// fleet is a simulation with VMs that are cut off, lost and replaced, whose leader tends
-// the members by the policy. It holds the promise of the settings: the loss of some disks.
+// fleet is a simulation in which VMs are partitioned, lost and replaced, and the leader changes
+// the members by the policy. It verifies that the log tolerates the number of lost disks that
+// the settings promise.
 type fleet struct {
 	*simulation
-	places []place
-	// target is how many voters there are to be; keepers are the VMs' own.
-	target  int
-	keepers []laburnumquorum.Keeper
-	// losses is how many disks may be lost at once, spent how many were since the log last
-	// had all its voters.
-	losses, spent int
-	ticks         int
-	next          int  // names VMs that come new
-	confirmed     bool // a command was
-	// known remembers the states of the disks that were found to bear their losses; nil in
-	// the middle of such a check.
-	known *knownStates
-	// pause, when set, stops an exchange of messages in its middle.
+	faults []vmFaults
+	// target is the number of voters that the policy aims at. Each VM has its own planner.
+	target   int
+	planners []laburnumquorum.Keeper
+	// losses is how many disks may be lost at once, lossesUsed how many have been lost since the
+	// log last had all its voters.
+	losses, lossesUsed int
+	ticks              int
+	nextVM             int  // number of the last VM name given out
+	confirmed          bool // whether a command has been committed
+	// verified holds the disk states that are known to tolerate the losses; nil while such a
+	// check runs.
+	verified *verifiedStates
+	// pause, if set, stops exchange as soon as it returns true.
 	pause func() bool
 }
 
-// knownStates may be shared by the fleets of one size.
-type knownStates struct {
+// verifiedStates is a set of state fingerprints that fleets of the same size may share.
+type verifiedStates struct {
 	mu   sync.Mutex
 	seen map[uint64]bool
 }
 
-// add tells whether the state is new.
-func (k *knownStates) add(key uint64) bool {
+// add adds the state and reports whether it is new.
+func (k *verifiedStates) add(key uint64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.seen[key] {
@@ -76,72 +77,72 @@
 
 func newFleet(n, losses int) *fleet {
 	f := &fleet{
-		simulation: newSimulation(n, 3), places: make([]place, n), losses: losses, next: n, known: &knownStates{},
+		simulation: newSimulation(n, 3), faults: make([]vmFaults, n), losses: losses, nextVM: n, verified: &verifiedStates{},
 		target: 2*losses + 1,
 	}
 	for range n {
-		f.keepers = append(f.keepers, f.newKeeper())
+		f.planners = append(f.planners, f.newPlanner())
 	}
 	return f
 }
 
-func (f *fleet) newKeeper() laburnumquorum.Keeper {
+func (f *fleet) newPlanner() laburnumquorum.Keeper {
 	return laburnumquorum.NewKeeper(laburnumquorum.Policy{Target: f.target, ReplaceTicks: replaceTicks})
 }
 
 func (f *fleet) clone() *fleet {
 	c := *f
 	c.simulation = f.simulation.clone()
-	c.places, c.keepers = slices.Clone(f.places), slices.Clone(f.keepers)
+	c.faults, c.planners = slices.Clone(f.faults), slices.Clone(f.planners)
 	c.pause = nil
 	return &c
 }
 
 func (f *fleet) reaches(a, b int) bool {
-	from, to := f.places[a], f.places[b]
-	return !from.down && !to.down && from.side == to.side
+	from, to := f.faults[a], f.faults[b]
+	return !from.down && !to.down && from.partition == to.partition
 }
 
 func (f *fleet) index(id laburnumlog.ReplicaID) int {
 	return slices.IndexFunc(f.replicas, func(r *replica) bool { return r.id == id })
 }
 
-// leader is the one of the highest term, -1 when there is none.
+// leader returns the index of the leader of the highest term, or -1 if there is none.
 func (f *fleet) leader() int {
 	best := -1
 	for i, r := range f.replicas {
-		if !f.places[i].down && r.log.Role() == laburnumlog.Leader && (best < 0 || r.log.Term() > f.replicas[best].log.Term()) {
+		if !f.faults[i].down && r.log.Role() == laburnumlog.Leader && (best < 0 || r.log.Term() > f.replicas[best].log.Term()) {
 			best = i
 		}
 	}
 	return best
 }
 
-// tick lets a tenth of a second pass for all.
+// tick advances all VMs by one tick, a tenth of a second.
 func (f *fleet) tick() {
 	f.ticks++
 	for i, r := range f.replicas {
-		if f.places[i].down {
+		if f.faults[i].down {
 			continue
 		}
 		f.step(r, laburnumlog.Tick{})
-		f.places[i].leaderless++
+		f.faults[i].leaderlessTicks++
 		if r.log.Leader() != "" {
-			f.places[i].leaderless = 0
+			f.faults[i].leaderlessTicks = 0
 		}
-		f.tend(i)
+		f.reconcileMembers(i)
 	}
 	f.exchange()
-	f.note()
+	f.resetLossesOnceRepaired()
 }
 
-// tend lets a leader look at the members.
-func (f *fleet) tend(i int) {
+// reconcileMembers lets a leader start the next membership change, if one is due.
+func (f *fleet) reconcileMembers(i int) {
 	l := f.replicas[i].log
 	if l.Role() != laburnumlog.Leader {
 		return
 	}
-	change, due := f.keepers[i].Next(laburnumquorum.View{
+	change, due := f.planners[i].Next(laburnumquorum.View{
 		Configuration: l.Configuration(), Pending: l.ChangePending(), Commit: l.Commit(),
 		Progress: l.Progress, Joiners: f.joiners(i),
 	})
@@ -150,20 +151,21 @@
 	}
 }
 
-// joiners are the replicas that say hello: those without a place or without a leader.
+// joiners returns the replicas that ask to join: those that are not members, or have had no
+// leader for joinRequestTicks.
 func (f *fleet) joiners(leader int) []laburnumlog.Member {
 	var list []laburnumlog.Member
 	for i, r := range f.replicas {
 		_, in := r.log.Configuration().Find(r.id)
-		if i != leader && f.reaches(i, leader) && (!in || f.places[i].leaderless > helloTicks) {
+		if i != leader && f.reaches(i, leader) && (!in || f.faults[i].leaderlessTicks > joinRequestTicks) {
 			list = append(list, r.member())
 		}
 	}
 	return list
 }
 
-// exchange delivers and syncs until nothing moves. Whatever the disks hold after a sync must
-// bear the losses that the settings promise.
+// exchange delivers messages and syncs writes until nothing is left. After each sync it checks
+// that the disks' state tolerates the losses that the settings promise.
 func (f *fleet) exchange() {
 	for moved := true; moved; {
 		moved = false
@@ -175,13 +177,13 @@
 			f.deliverFirst()
 		}
 		for i, r := range f.replicas {
-			for len(r.unsaved) > 0 && !f.places[i].down && !f.places[i].hung {
+			for len(r.unsynced) > 0 && !f.faults[i].down && !f.faults[i].diskHung {
 				if f.paused() {
 					return
 				}
 				moved = true
 				f.sync(r)
-				f.checkDisks()
+				f.checkLossTolerance()
 			}
 		}
 	}
@@ -196,14 +198,15 @@
 	if from < 0 || to < 0 || !f.reaches(from, to) {
 		return
 	}
-	if f.places[to].deaf && (m.Kind == laburnumlog.MessageAppend || m.Kind == laburnumlog.MessageSnapshot) {
+	if f.faults[to].dropsAppends && (m.Kind == laburnumlog.MessageAppend || m.Kind == laburnumlog.MessageSnapshot) {
 		return
 	}
 	f.step(f.replicas[to], laburnumlog.Receive{Message: m})
 }
 
-// change is what an operator does: the leader takes it once the log has all its voters.
-func (f *fleet) change() {
+// proposeChange proposes a command as an operator does. The first one waits until the log has
+// all its voters.
+func (f *fleet) proposeChange() {
 	i := f.leader()
 	if i < 0 {
 		return
@@ -220,15 +223,16 @@
 	}
 }
 
-// committedVoters are those of the last configuration that the replica knows committed.
+// committedVoters returns the voters of the last configuration that the replica knows to be
+// committed.
 func (f *fleet) committedVoters(r *replica) []laburnumlog.Member {
 	return r.log.ConfigurationAt(r.log.Commit()).Voters()
 }
 
-// note counts the losses anew once the log has all its voters again.
-func (f *fleet) note() {
+// resetLossesOnceRepaired resets the count of losses once the log has all its voters again.
+func (f *fleet) resetLossesOnceRepaired() {
 	i := f.leader()
-	if i < 0 || f.spent == 0 {
+	if i < 0 || f.lossesUsed == 0 {
 		return
 	}
 	l := f.replicas[i].log
@@ -240,29 +244,29 @@
 			return
 		}
 	}
-	f.spent = 0
+	f.lossesUsed = 0
 }
 
-// pass lets a second pass, with changes on the way.
-func (f *fleet) pass() {
+// runSecond advances the fleet by one second, with some proposals during it.
+func (f *fleet) runSecond() {
 	for i := range secondTicks {
 		f.tick()
 		if i%3 == 0 {
-			f.change()
+			f.proposeChange()
 		}
 	}
 }
 
-// untilMembersChange lets time pass up to the moment at which some replica appends a new list
-// of members, in the middle of what follows from it; false when nothing of that kind happens
-// for some seconds.
+// untilMembersChange advances time until some replica appends a new configuration, and stops
+// right there, with messages and writes still pending. It returns false if that does not happen
+// within four seconds.
 func (f *fleet) untilMembersChange() bool {
 	before := f.newestConfiguration()
 	f.pause = func() bool { return f.newestConfiguration() > before }
 	defer func() { f.pause = nil }()
 	for range 4 * secondTicks {
 		f.tick()
-		f.change()
+		f.proposeChange()
 		if f.paused() {
 			return true
 		}
@@ -278,58 +282,58 @@
 	return newest
 }
 
-// restartAll is a loss of power of all VMs at once, after which all are back and linked.
+// restartAll restarts all VMs at once, as after a power loss, and removes all faults.
 func (f *fleet) restartAll() {
 	f.network = nil
 	for i, r := range f.replicas {
-		f.places[i], f.keepers[i] = place{}, f.newKeeper()
+		f.faults[i], f.planners[i] = vmFaults{}, f.newPlanner()
 		f.restart(r)
 	}
 }
 
-// loseDiskOf empties the VM's disk, if the promise still covers that.
+// loseDiskOf empties the VM's disk, unless that would exceed the tolerated losses.
 func (f *fleet) loseDiskOf(i int) bool {
-	if f.spent >= f.losses {
+	if f.lossesUsed >= f.losses {
 		return false
 	}
-	f.spent++
+	f.lossesUsed++
 	f.newDisk(f.replicas[i])
 	return true
 }
 
-// replaceVM takes the VM away for good and puts an empty one at another address.
+// replaceVM removes the VM permanently and adds an empty one at another address.
 func (f *fleet) replaceVM(i int) bool {
 	if !f.loseDiskOf(i) {
 		return false
 	}
 	r := f.replicas[i]
-	f.next++
-	r.vm, r.life = string(rune('a'+f.next)), 0
+	f.nextVM++
+	r.vm, r.incarnation = string(rune('a'+f.nextVM)), 0
 	f.newDisk(r)
 	return true
 }
 
-// checkDisks holds the promise of the settings: whichever VMs lose their disks now, as many
-// as the settings say, and all others their power, the log leads again once they are back,
-// and holds all that was confirmed.
-func (f *fleet) checkDisks() {
-	if !f.confirmed || f.known == nil || f.problem != "" || !f.known.add(f.fingerprint()) {
+// checkLossTolerance verifies the settings' promise for the current disks: if any of the
+// tolerated number of VMs lose their disks and all others lose power, the log elects a leader
+// once all are back and still holds every committed entry.
+func (f *fleet) checkLossTolerance() {
+	if !f.confirmed || f.verified == nil || f.problem != "" || !f.verified.add(f.fingerprint()) {
 		return
 	}
 	f.checkRecovery(nil)
-	for _, lost := range choices(len(f.replicas), f.losses-f.spent) {
+	for _, lost := range combinations(len(f.replicas), f.losses-f.lossesUsed) {
 		f.checkRecovery(lost)
 	}
 }
 
 func (f *fleet) checkRecovery(lost []int) {
 	c := f.clone()
-	c.known = nil
+	c.verified = nil
 	for _, i := range lost {
 		c.newDisk(c.replicas[i])
 	}
 	c.restartAll()
-	newest := c.newest()
+	newest := c.newestCommitted()
 	for range recoverTicks {
 		c.tick()
 		if i := c.leader(); i >= 0 && c.replicas[i].applied >= newest {
@@ -347,15 +351,15 @@
 	i := c.leader()
 	switch {
 	case c.problem != "":
-		f.fail("%s, after the loss of %s: %s", f.describe(), f.vmsOf(lost), c.problem)
+		f.fail("%s, after the disks of %s were lost: %s", f.describe(), f.vmsOf(lost), c.problem)
 	case i < 0 || c.replicas[i].log.Commit() <= newest:
-		f.fail("no leader any more after the loss of %s, with %s", f.vmsOf(lost), f.describe())
+		f.fail("no leader that commits after the disks of %s were lost, with %s", f.vmsOf(lost), f.describe())
 	}
 }
 
-// newest is the last index known committed by any replica, ever. The indexes have no gap:
-// the first is that of the founding.
-func (f *fleet) newest() uint64 { return uint64(len(f.committed)) + 1 }
+// newestCommitted returns the last index that any replica has ever known to be committed. The
+// committed indexes are contiguous, and the bootstrap snapshot has the first one.
+func (f *fleet) newestCommitted() uint64 { return uint64(len(f.committed)) + 1 }
 
 func (f *fleet) vmsOf(list []int) []string {
 	vms := make([]string, 0, len(list))
@@ -369,12 +373,12 @@
 	text := ""
 	for _, r := range f.replicas {
 		recovered := laburnumlog.New(r.id, r.disk)
-		text += fmt.Sprintf("[%s last %d/%d: %s] ", r.id, recovered.TermAt(recovered.LastIndex()), recovered.LastIndex(), list(recovered.Configuration()))
+		text += fmt.Sprintf("[%s last %d/%d: %s] ", r.id, recovered.TermAt(recovered.LastIndex()), recovered.LastIndex(), memberList(recovered.Configuration()))
 	}
-	return fmt.Sprintf("%scommitted %d, %d of %d losses spent", text, f.newest(), f.spent, f.losses)
+	return fmt.Sprintf("%scommitted %d, %d of %d tolerated losses used", text, f.newestCommitted(), f.lossesUsed, f.losses)
 }
 
-func list(c laburnumlog.Configuration) string {
+func memberList(c laburnumlog.Configuration) string {
 	text := ""
 	for _, m := range c.Members {
 		text += string(m.ID)
@@ -391,8 +395,8 @@
 	return text
 }
 
-// choices are all ways to pick k of n.
-func choices(n, k int) [][]int {
+// combinations returns all ways to pick k of n.
+func combinations(n, k int) [][]int {
 	if k <= 0 {
 		return nil
 	}
@@ -411,13 +415,14 @@
 	return all
 }
 
-// fingerprint is the same for disks that differ only by how many commands went before:
-// indexes and terms count by their order, instances by their VM and whether they are gone.
+// fingerprint returns the same hash for disks that differ only in how many commands came
+// before: indexes and terms are replaced by their ranks, and replica IDs by their VM's index,
+// or by -1 for a lost replica.
 func (f *fleet) fingerprint() uint64 {
-	newest := f.newest()
+	newest := f.newestCommitted()
 	indexes, terms := []uint64{newest}, []uint64(nil)
 	for _, r := range f.replicas {
-		index, term := lastOn(r.disk)
+		index, term := lastEntry(r.disk)
 		indexes = append(indexes, index)
 		terms = append(terms, r.disk.Hard.Term, term)
 		for _, e := range r.disk.Entries {
@@ -429,9 +434,9 @@
 	slices.Sort(indexes)
 	slices.Sort(terms)
 	indexes, terms = slices.Compact(indexes), slices.Compact(terms)
-	text := []byte{rank(indexes, newest), byte(f.spent)}
+	text := []byte{rank(indexes, newest), byte(f.lossesUsed)}
 	for _, r := range f.replicas {
-		index, term := lastOn(r.disk)
+		index, term := lastEntry(r.disk)
 		text = append(text, '|', rank(terms, r.disk.Hard.Term), byte(f.index(r.disk.Hard.Vote)), rank(indexes, index), rank(terms, term))
 		text = f.appendMembers(text, r.disk.Snapshot.Configuration)
 		for _, e := range r.disk.Entries {
@@ -448,15 +453,15 @@
 	return byte(i)
 }
 
-// lastOn is the last entry that a disk holds.
-func lastOn(disk laburnumlog.Recovered) (index, term uint64) {
+// lastEntry returns the index and term of the last entry on a disk.
+func lastEntry(disk laburnumlog.Recovered) (index, term uint64) {
 	if n := len(disk.Entries); n > 0 && disk.Entries[n-1].Index > disk.Snapshot.Index {
 		return disk.Entries[n-1].Index, disk.Entries[n-1].Term
 	}
 	return disk.Snapshot.Index, disk.Snapshot.Term
 }
 
-// appendMembers tells who counts for what; an instance that is gone has no index.
+// appendMembers appends each member's VM index and kind; a lost replica has the index -1.
 func (f *fleet) appendMembers(text []byte, c laburnumlog.Configuration) []byte {
 	for _, m := range c.Members {
 		kind := byte('v')
--- a/laburnumlog/replication.go
+++ b/laburnumlog/replication.go
@@ -2,74 +2,78 @@
 
 import "slices"
 
-// progress is what a leader knows of one member.
+// progress is the leader's view of one member's replication state.
 type progress struct {
-	match uint64 // known durable there
-	next  uint64 // the next to send
-	// probing sends one entry at a time until the place where the logs match
-	// is found.
-	probing  bool
-	paused   bool // a probe or snapshot is under way
-	snapshot uint64
-	inFlight int
-	boot     uint64 // the highest boot heard of
-	older    uint64 // a boot heard of that is not later than the highest
-	acked    uint64 // the boot that acknowledged match
-	lost     bool
-	unacked  int // ticks since the last acknowledgement that brought something new
-	silent   int // ticks since any answer
-	behind   int // ticks for which it has lacked entries and acknowledged none
+	match uint64 // last index known to be durable on the member
+	next  uint64 // index of the next entry to send
+	// probing is set while the leader sends one entry at a time to find the last index at
+	// which the logs match.
+	probing         bool
+	paused          bool // waiting for the answer to a probe or snapshot
+	snapshotIndex   uint64
+	inFlight        int
+	boot            uint64 // latest boot that answered
+	conflictingBoot uint64 // another boot that answered with the same or an earlier start
+	ackedBoot       uint64 // boot that acknowledged match
+	dataLost        bool
+	unackedTicks    int // ticks since new entries were acknowledged, or sent with none in flight
+	silentTicks     int // ticks since the last answer
+	behindTicks     int // ticks for which the member has lacked entries without acknowledging any
 }
 
-// probe starts over from the given index, keeping what is known for good.
+// probe returns the progress reset to probing from the given index; match, the boots and the
+// tick counts of the member stay valid.
 func (p progress) probe(next uint64) progress {
-	return progress{match: p.match, next: next, probing: true, silent: p.silent, behind: p.behind, boot: p.boot, older: p.older, acked: p.acked, lost: p.lost}
+	return progress{match: p.match, next: next, probing: true, silentTicks: p.silentTicks, behindTicks: p.behindTicks, boot: p.boot, conflictingBoot: p.conflictingBoot, ackedBoot: p.ackedBoot, dataLost: p.dataLost}
 }
 
-// heard notes an answer, and tells whether it is from the latest start of the
-// member.
-func (p *progress) heard(boot uint64) bool {
+// observeBoot records an answer's boot, and reports whether it is from the latest start of
+// the member.
+func (p *progress) observeBoot(boot uint64) bool {
 	if boot != p.boot && boot>>nonceBits <= p.boot>>nonceBits && p.boot != 0 {
-		p.older = boot
+		p.conflictingBoot = boot
 		return false
 	}
-	p.older = 0
+	p.conflictingBoot = 0
 	p.boot = boot
-	p.silent = 0
+	p.silentTicks = 0
 	return true
 }
 
-// MemberProgress is what the leader knows of one member.
+// MemberProgress is the leader's view of one member.
 type MemberProgress struct {
+	// Match is the last index known to be durable on the member.
 	Match uint64
-	// SilentTicks is how long the member has not answered.
+	// SilentTicks is the number of ticks since the member's last answer.
 	SilentTicks int
-	// BehindTicks is how long it has lacked entries without acknowledging any.
+	// BehindTicks is the number of ticks for which the member has lacked entries without
+	// acknowledging any.
 	BehindTicks int
-	// Boot is the highest that the member has answered with.
+	// Boot is the latest boot that the member has answered with.
 	Boot uint64
-	// Older is another start that answered though it is not later: a late
-	// message, or a disk that went back. Only the member can tell which.
+	// ConflictingBoot is a boot that answered after Boot but is not later, or 0. It is either a
+	// delayed message or a disk that was rolled back; only the member can tell which.
 	Older uint64
-	// Lost tells that the member, since it was started again, lacks entries
-	// that it had acknowledged before: its disk went back.
+	// DataLost is set when the member, after a restart, lacks entries that it had acknowledged
+	// before: its disk was rolled back to an older state.
 	Lost bool
 }
 
-// Progress returns what the leader knows of the member; false elsewhere.
+// Progress returns the leader's view of the member, false if there is none. Only a leader has
+// one.
 func (l *Log) Progress(id ReplicaID) (MemberProgress, bool) {
 	p, ok := l.progress[id]
 	if id == l.id && l.role == Leader {
 		return MemberProgress{Match: l.stable}, true
 	}
 	return MemberProgress{
-		Match: p.match, SilentTicks: p.silent, BehindTicks: p.behind, Boot: p.boot, Older: p.older, Lost: p.lost,
+		Match: p.match, SilentTicks: p.silentTicks, BehindTicks: p.behindTicks, Boot: p.boot, Older: p.conflictingBoot, Lost: p.dataLost,
 	}, ok
 }
 
-// LossesBorne is how many more voters may be lost for good, disks and all, so that those
-// left are still a majority. A leader counts only the voters that answer; others count
-// all that are on the list. It is negative when a majority is gone already.
+// LossesBorne returns how many more voters may be lost permanently, including their disks,
+// while the rest still form a majority. A leader counts only voters that answer; other
+// replicas count all voters. It is negative when there is no majority already.
 func (l *Log) LossesBorne() int {
 	return l.Configuration().Spare(func(m Member) bool {
 		p, ok := l.Progress(m.ID)
@@ -77,7 +81,7 @@
 	})
 }
 
-// syncProgress makes the progress table follow the configuration.
+// syncProgress adds and removes members of the progress table to match the configuration.
 func (l *Log) syncProgress() {
 	old := l.progress
 	l.progress = map[ReplicaID]progress{}
@@ -96,11 +100,11 @@
 
 func (l *Log) tickLeader() {
 	for id, p := range l.progress {
-		p.silent++
-		p.unacked++
-		p.behind++
+		p.silentTicks++
+		p.unackedTicks++
+		p.behindTicks++
 		if p.match >= l.LastIndex() {
-			p.behind = 0
+			p.behindTicks = 0
 		}
 		l.progress[id] = p
 	}
@@ -109,35 +113,36 @@
 			l.resend(m.ID)
 		}
 	}
-	heard := func(m Member) bool { return m.ID == l.id || l.progress[m.ID].silent < electionTicks }
+	heard := func(m Member) bool { return m.ID == l.id || l.progress[m.ID].silentTicks < electionTicks }
 	if !l.Configuration().HasMajority(heard) {
-		// Check-quorum: without it a leader that is cut off would go on taking
-		// commands that it can never commit.
+		// Check-quorum: otherwise a partitioned leader would keep accepting commands that it
+		// can never commit.
 		l.becomeFollower(l.hard.Term, "")
 		return
 	}
-	if l.handOverTo != "" && l.elapsed >= electionTicks {
-		l.handOverTo = ""
+	if l.transferTarget != "" && l.elapsed >= electionTicks {
+		l.transferTarget = ""
 	}
 	l.heartbeat()
 }
 
-// resend takes what is under way for lost when nothing was acknowledged for long.
+// resend restarts replication to a member that has acknowledged nothing for resendTicks, or
+// snapshotResendTicks for a snapshot, as its messages may be lost.
 func (l *Log) resend(id ReplicaID) {
 	p := l.progress[id]
 	wait := resendTicks
-	if p.snapshot > 0 {
+	if p.snapshotIndex > 0 {
 		wait = snapshotResendTicks
 	}
-	if p.unacked < wait || p.match >= l.LastIndex() || p.lost {
+	if p.unackedTicks < wait || p.match >= l.LastIndex() || p.dataLost {
 		return
 	}
 	next := p.next
 	if !p.probing {
 		next = p.match + 1
 	}
-	// A probe that was lost goes out again as it was: a member that was only
-	// down while the leader was elected would otherwise be sent a snapshot.
+	// A lost probe is sent again from the same index. Starting from match, which is 0 for a
+	// member that was down during the election, would send it a whole snapshot.
 	l.progress[id] = p.probe(next)
 	l.replicate(id)
 }
@@ -166,10 +171,10 @@
 	}
 }
 
-// sendNext sends one append or snapshot and tells whether another may follow.
+// sendNext sends one append or snapshot, and reports whether another may follow at once.
 func (l *Log) sendNext(id ReplicaID) bool {
 	p, ok := l.progress[id]
-	if !ok || p.lost || p.paused || p.inFlight >= maxInFlight || p.next > l.LastIndex() {
+	if !ok || p.dataLost || p.paused || p.inFlight >= maxInFlight || p.next > l.LastIndex() {
 		return false
 	}
 	if p.next <= l.baseIndex {
@@ -182,7 +187,7 @@
 		Entries: entries, Commit: l.commit,
 	})
 	if p.inFlight == 0 {
-		p.unacked = 0
+		p.unackedTicks = 0
 	}
 	if p.probing {
 		p.paused = true
@@ -198,8 +203,8 @@
 	snapshot := l.snapshot
 	l.send(Message{Kind: MessageSnapshot, To: id, Snapshot: &snapshot})
 	p.paused = true
-	p.snapshot = snapshot.Index
-	p.unacked = 0
+	p.snapshotIndex = snapshot.Index
+	p.unackedTicks = 0
 	l.progress[id] = p
 }
 
@@ -213,52 +218,52 @@
 		}
 		last++
 	}
-	return l.between(first, last)
+	return l.entriesBetween(first, last)
 }
 
 func (l *Log) onAppendAnswer(m Message) {
 	p, ok := l.progress[m.From]
-	if !ok || l.role != Leader || p.lost {
+	if !ok || l.role != Leader || p.dataLost {
 		return
 	}
-	if !p.heard(m.Boot) {
+	if !p.observeBoot(m.Boot) {
 		l.progress[m.From] = p
 		return
 	}
 	if m.Reject {
 		l.progress[m.From] = p
-		l.onRefusedAppend(m)
+		l.onRejectedAppend(m)
 		return
 	}
 	if m.Index >= p.match {
-		p.acked = p.boot
+		p.ackedBoot = p.boot
 	}
 	if m.Index > p.match {
 		p.match = m.Index
-		p.unacked, p.behind = 0, 0
+		p.unackedTicks, p.behindTicks = 0, 0
 	}
 	p.next = max(p.next, p.match+1)
 	p.inFlight = max(0, p.inFlight-1)
-	if p.probing && m.Index+1 >= p.next || p.snapshot > 0 && m.Index >= p.snapshot {
-		p.probing, p.paused, p.snapshot = false, false, 0
+	if p.probing && m.Index+1 >= p.next || p.snapshotIndex > 0 && m.Index >= p.snapshotIndex {
+		p.probing, p.paused, p.snapshotIndex = false, false, 0
 	}
 	l.progress[m.From] = p
 	l.advanceCommit()
 	l.replicate(m.From)
-	l.finishHandOver(m.From)
+	l.finishTransfer(m.From)
 }
 
-func (l *Log) onRefusedAppend(m Message) {
+func (l *Log) onRejectedAppend(m Message) {
 	p := l.progress[m.From]
-	if m.Boot > p.acked && p.acked > 0 && m.Commit < p.match {
-		// Of the same boot this would be a late message; from a later one it
-		// says that the disk lost what had been acknowledged.
-		p.lost = true
+	if m.Boot > p.ackedBoot && p.ackedBoot > 0 && m.Commit < p.match {
+		// From the same boot this would be a delayed message; from a later one it means that
+		// the disk lost acknowledged entries.
+		p.dataLost = true
 		l.progress[m.From] = p
 		return
 	}
 	stale := m.Index < p.match || m.Index >= p.next || (p.probing && m.Index != p.next-1)
-	if stale || p.snapshot > 0 || m.Hint < p.match {
+	if stale || p.snapshotIndex > 0 || m.Hint < p.match {
 		return
 	}
 	l.progress[m.From] = p.probe(max(p.match+1, min(m.Hint+1, m.Index)))
@@ -267,36 +272,36 @@
 
 func (l *Log) onHeartbeatAnswer(m Message) {
 	p, ok := l.progress[m.From]
-	if !ok || l.role != Leader || p.lost {
+	if !ok || l.role != Leader || p.dataLost {
 		return
 	}
-	if !p.heard(m.Boot) {
+	if !p.observeBoot(m.Boot) {
 		l.progress[m.From] = p
 		return
 	}
 	l.progress[m.From] = p
 }
 
-// advanceCommit commits what a majority has, of each list of a joint configuration, if it
-// is of the leader's own term: an entry of an older term held by a majority could still be
-// replaced.
+// advanceCommit commits the entries that a majority has on disk, in a joint configuration a
+// majority of each voter set, if the last of them is of the leader's own term: an entry of an
+// older term that a majority holds could still be replaced.
 func (l *Log) advanceCommit() {
 	if l.role != Leader {
 		return
 	}
 	index := l.LastIndex()
-	for _, voters := range l.Configuration().lists() {
-		index = min(index, l.heldByMajority(voters))
+	for _, voters := range l.Configuration().voterSets() {
+		index = min(index, l.majorityMatch(voters))
 	}
 	if index > l.commit && l.termAt(index) == l.hard.Term {
 		l.commit = index
 		l.hard.Commit = index
-		l.leaveIfRemoved()
+		l.stepDownIfRemoved()
 	}
 }
 
-// heldByMajority is the last index that a majority of the voters has on disk.
-func (l *Log) heldByMajority(voters []Member) uint64 {
+// majorityMatch returns the last index that a majority of the voters has on disk.
+func (l *Log) majorityMatch(voters []Member) uint64 {
 	var held []uint64
 	for _, m := range voters {
 		if m.ID == l.id {
@@ -312,15 +317,15 @@
 	return held[len(held)-majority(len(held))]
 }
 
-// leaveIfRemoved ends the leadership of a replica whose removal is committed.
-func (l *Log) leaveIfRemoved() {
+// stepDownIfRemoved makes the leader step down once its own removal is committed.
+func (l *Log) stepDownIfRemoved() {
 	if !l.ChangePending() && !l.Configuration().IsVoter(l.id) {
 		l.becomeFollower(l.hard.Term, "")
 	}
 }
 
 func (l *Log) propose(data [][]byte) {
-	if l.role != Leader || l.handOverTo != "" {
+	if l.role != Leader || l.transferTarget != "" {
 		return
 	}
 	l.out.Accepted = true
--- a/laburnumlog/schedule_test.go
+++ b/laburnumlog/schedule_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// act does one of the things that can happen, as the numbers say. All numbers mean
-// something, so that a failing schedule can be made shorter.
-func (s *simulation) act(kind, who, which int) {
+// applyAction performs the action that the numbers select. Every combination of numbers is
+// valid, so rapid can shrink a failing schedule.
+func (s *simulation) applyAction(kind, who, which int) {
 	r := s.replicas[who%len(s.replicas)]
 	switch {
 	case kind < 30:
@@ -27,13 +27,13 @@
 	case kind < 58:
 		s.step(r, laburnumlog.Tick{})
 	case kind < 60:
-		s.abandonLeader(r)
+		s.tickAllButLeader(r)
 	case kind < 64:
 		s.campaign(r)
 	case kind < 70:
 		s.propose(r, 1+which%2)
 	case kind < 74:
-		s.propose(s.head(r), 1)
+		s.propose(s.currentLeader(r), 1)
 	case kind < 77:
 		s.deliver(which, true)
 	case kind < 79:
@@ -49,18 +49,19 @@
 	case kind < 89:
 		s.changeMembers(r, which)
 	case kind < 93:
-		s.repair(s.head(r), which)
+		s.repair(s.currentLeader(r), which)
 	case kind < 95:
 		s.compact(r)
 	case kind < 96:
-		s.step(s.head(r), laburnumlog.HandOver{})
+		s.step(s.currentLeader(r), laburnumlog.HandOver{})
 	default:
-		s.calm(1 + which%3)
+		s.deliverAll(1 + which%3)
 	}
 }
 
-// abandonLeader lets time pass for all but a leader, as when it is frozen.
-func (s *simulation) abandonLeader(first *replica) {
+// tickAllButLeader advances time for all replicas except leaders, as if they were frozen, and
+// then for the given one.
+func (s *simulation) tickAllButLeader(first *replica) {
 	for _, r := range s.replicas {
 		if r.log.Role() == laburnumlog.Leader {
 			continue
@@ -74,7 +75,7 @@
 	}
 }
 
-// campaign is a late or doubled message of a leader that hands over.
+// campaign delivers a delayed or duplicated request to campaign from a leadership transfer.
 func (s *simulation) campaign(r *replica) {
 	if r.log.Term() > 0 {
 		s.step(r, laburnumlog.Receive{Message: laburnumlog.Message{Kind: laburnumlog.MessageCampaignNow, To: r.id, Term: r.log.Term()}})
@@ -87,8 +88,8 @@
 	})
 }
 
-// head is the leader of the highest term, or the given replica if none leads.
-func (s *simulation) head(or *replica) *replica {
+// currentLeader returns the leader of the highest term, or the given replica if there is none.
+func (s *simulation) currentLeader(or *replica) *replica {
 	best := or
 	for _, r := range s.replicas {
 		if r.log.Role() == laburnumlog.Leader && (best.log.Role() != laburnumlog.Leader || r.log.Term() > best.log.Term()) {
@@ -98,15 +99,15 @@
 	return best
 }
 
-// repair makes one step towards three voters that are alive: a learner takes a dead voter's
-// place at once, or the dead one goes first.
+// repair makes one step toward three live voters: a learner replaces a dead voter in one
+// change, or the dead voter is removed first.
 func (s *simulation) repair(r *replica, which int) {
 	c := r.log.Configuration()
 	for _, m := range c.Members {
 		switch {
 		case s.dead[m.ID]:
 			to := c.Without(m.ID)
-			if learner, ok := s.aliveLearner(c); ok && which%3 > 0 {
+			if learner, ok := s.liveLearner(c); ok && which%3 > 0 {
 				to = to.WithMember(learner)
 			}
 			s.step(r, laburnumlog.ChangeMembers{Configuration: to})
@@ -122,8 +123,8 @@
 	}
 }
 
-// aliveLearner is a learner as the voter that it is to be.
-func (s *simulation) aliveLearner(c laburnumlog.Configuration) (laburnumlog.Member, bool) {
+// liveLearner returns a learner whose disk is not lost, as a voter.
+func (s *simulation) liveLearner(c laburnumlog.Configuration) (laburnumlog.Member, bool) {
 	for _, m := range c.Members {
 		if m.Learner && !s.dead[m.ID] {
 			m.Learner = false
@@ -133,21 +134,21 @@
 	return laburnumlog.Member{}, false
 }
 
-// calm delivers and syncs all, some rounds over.
-func (s *simulation) calm(rounds int) {
+// deliverAll delivers all messages and syncs all writes, for some rounds.
+func (s *simulation) deliverAll(rounds int) {
 	for range rounds {
 		for range len(s.network) {
 			s.deliver(0, false)
 		}
 		for _, r := range s.replicas {
-			for len(r.unsaved) > 0 {
+			for len(r.unsynced) > 0 {
 				s.sync(r)
 			}
 		}
 	}
 }
 
-func (s *simulation) to(id laburnumlog.ReplicaID) *replica {
+func (s *simulation) replicaByID(id laburnumlog.ReplicaID) *replica {
 	for _, r := range s.replicas {
 		if r.id == id {
 			return r
@@ -165,7 +166,7 @@
 	if !again {
 		s.drop(i)
 	}
-	if r := s.to(m.To); r != nil {
+	if r := s.replicaByID(m.To); r != nil {
 		s.step(r, laburnumlog.Receive{Message: m})
 	}
 }
@@ -186,22 +187,22 @@
 	s.step(r, laburnumlog.Propose{Data: data})
 }
 
-// loseDisk replaces the disk by an empty one, unless too many of some majority
-// would then be gone: what a lost majority held is lost in any protocol.
+// loseDisk replaces the disk by an empty one, unless that would destroy a majority: no
+// protocol can recover what a lost majority held.
 func (s *simulation) loseDisk(r *replica) {
 	for _, other := range s.replicas {
 		now, before := other.log.Configuration(), other.log.ConfigurationAt(other.log.Commit())
 		if !now.IsVoter(other.id) && !other.log.ChangePending() {
 			continue
 		}
-		if s.tooManyLost(now, r) || s.tooManyLost(before, r) {
+		if s.losesMajority(now, r) || s.losesMajority(before, r) {
 			return
 		}
 	}
 	s.newDisk(r)
 }
 
-func (s *simulation) tooManyLost(c laburnumlog.Configuration, r *replica) bool {
+func (s *simulation) losesMajority(c laburnumlog.Configuration, r *replica) bool {
 	return !c.HasMajority(func(m laburnumlog.Member) bool { return !s.dead[m.ID] && m.ID != r.id })
 }
 
@@ -210,7 +211,7 @@
 		return
 	}
 	c := r.log.Configuration()
-	learner, caughtUp := s.aliveLearner(c)
+	learner, caughtUp := s.liveLearner(c)
 	if len(c.Members) > 0 && which%2 == 0 {
 		m := c.Members[which/2%len(c.Members)]
 		switch {
@@ -218,7 +219,7 @@
 			m.Learner = false
 			c = c.WithMember(m)
 		case caughtUp && which%5 > 0:
-			// Any voter's place goes to the learner, the leader's own too.
+			// The learner replaces any voter, even the leader itself.
 			c = c.Without(m.ID).WithMember(learner)
 		case len(c.Voters()) > 2:
 			c = c.Without(m.ID)
@@ -231,14 +232,14 @@
 		m.Learner = true
 		c = c.WithMember(m)
 	}
-	if s.canLead(c) {
+	if s.hasLiveMajority(c) {
 		s.step(r, laburnumlog.ChangeMembers{Configuration: c})
 	}
 }
 
-// canLead tells whether a majority of the voters is alive; without one the
-// configuration would be a mistake of whoever asks for it.
-func (s *simulation) canLead(c laburnumlog.Configuration) bool {
+// hasLiveMajority reports whether a majority of the voters still has its disk. A change to any
+// other configuration would be the caller's mistake.
+func (s *simulation) hasLiveMajority(c laburnumlog.Configuration) bool {
 	return c.HasMajority(func(m laburnumlog.Member) bool { return !s.dead[m.ID] })
 }
 
@@ -246,8 +247,9 @@
 	s.step(r, laburnumlog.Compact{Snapshot: laburnumlog.Snapshot{Index: r.applied, Data: fmt.Appendf(nil, "%x", r.hash)}})
 }
 
-// heal runs the replicas without faults and tells whether they got anywhere.
-func (s *simulation) heal() bool {
+// runWithoutFaults runs the replicas without faults, and reports whether they commit new
+// entries and all members apply them.
+func (s *simulation) runWithoutFaults() bool {
 	s.network = nil
 	before := len(s.committed)
 	for round := range 400 {
@@ -263,63 +265,64 @@
 				s.deliver(0, false)
 			}
 			for _, r := range s.replicas {
-				for len(r.unsaved) > 0 {
+				for len(r.unsynced) > 0 {
 					moved = true
 					s.sync(r)
 				}
 			}
 		}
-		if len(s.committed) > before+2 && s.votersAgree() {
+		if len(s.committed) > before+2 && s.membersCaughtUp() {
 			return true
 		}
 	}
 	return false
 }
 
-// votersAgree tells whether every member alive has applied all that the leader has.
-// A replica that was removed may believe in an older list and a higher term.
-func (s *simulation) votersAgree() bool {
-	leader := s.head(s.replicas[0])
+// membersCaughtUp reports whether every live member has applied all that the leader has. It
+// ignores removed replicas, which may have an older configuration and a higher term.
+func (s *simulation) membersCaughtUp() bool {
+	leader := s.currentLeader(s.replicas[0])
 	if leader.log.Role() != laburnumlog.Leader {
 		return false
 	}
 	for _, m := range leader.log.Configuration().Members {
-		if r := s.to(m.ID); r != nil && r.applied != leader.applied {
+		if r := s.replicaByID(m.ID); r != nil && r.applied != leader.applied {
 			return false
 		}
 	}
 	return true
 }
 
-// Messages are lost, doubled and reordered, replicas restart, disks are lost and
-// voters change, at any step. No committed entry may be lost or changed, no term
-// may have two leaders, and once all is well the log must go on.
+// Guards against committed entries that are lost or changed, two leaders in a term, and a log
+// that makes no progress once the faults end. At any step messages may be lost, duplicated or
+// reordered, replicas may restart, disks may be lost and voters may change.
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(4, rapid.IntRange(1, 3).Draw(t, "voters"))
 		for i := range rapid.IntRange(0, 400).Draw(t, "steps") {
-			s.act(rapid.IntRange(0, 99).Draw(t, "kind"), rapid.IntRange(0, 3).Draw(t, "who"), rapid.IntRange(0, 255).Draw(t, "which"))
+			s.applyAction(rapid.IntRange(0, 99).Draw(t, "kind"), rapid.IntRange(0, 3).Draw(t, "who"), rapid.IntRange(0, 255).Draw(t, "which"))
 			if s.problem != "" {
 				t.Fatalf("step %d: %s", i, s.problem)
 			}
 		}
-		if !s.heal() || s.problem != "" {
-			t.Fatalf("no progress after all is well again: %s", s.problem)
+		if !s.runWithoutFaults() || s.problem != "" {
+			t.Fatalf("no progress after the faults ended: %s", s.problem)
 		}
 	})
 }
 
-// TestLongSchedules drives far longer runs from fixed seeds than rapid would draw.
+// TestLongSchedules checks the same as TestRandomSchedules over much longer runs than rapid
+// would draw, from fixed seeds.
 func TestLongSchedules(t *testing.T) {
 	for seed := range uint64(150) {
 		n := 3 + int(seed%3)
 		s := newSimulation(n, 3)
-		next := numbers(seed)
+		next := seededRandom(seed)
 		for i := range 4000 {
-			s.act(next(100), next(n), next(1<<16))
+			s.applyAction(next(100), next(n), next(1<<16))
 			require.Empty(t, s.problem, "seed %d step %d", seed, i)
 		}
-		require.True(t, s.heal(), "seed %d: no progress: %s", seed, s.problem)
+		require.True(t, s.runWithoutFaults(), "seed %d: no progress: %s", seed, s.problem)
 		require.Empty(t, s.problem, "seed %d", seed)
 	}
 }
