--- a/laburnumgateway/answer.go
+++ b/laburnumgateway/answer.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	maxStored   = 1 << 20 // bytes of an answer that is buffered, so that it can be retried if it breaks
-	eventBuffer = 4 << 10
-	maxEvent    = 1 << 20 // bytes of an event
-	streamType  = "text/event-stream"
+	maxBuffered     = 1 << 20 // bytes of an answer that is buffered, so that it can be retried if it breaks
+	eventBufferSize = 4 << 10
+	maxEventBytes   = 1 << 20 // bytes of an event
+	streamType      = "text/event-stream"
 )
 
-// hopHeaders are not forwarded.
-var hopHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Trailer", "Upgrade", "Te"}
+// hopByHopHeaders are not forwarded.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Trailer", "Upgrade", "Te"}
 
 // answer is the state of the response to the caller.
 type answer struct {
@@ -39,8 +39,8 @@
 	events          int
 }
 
-// passed records that a part was written.
-func (a *answer) passed(now time.Time) {
+// recordPart records that a part was written.
+func (a *answer) recordPart(now time.Time) {
 	if a.firstAt.IsZero() {
 		a.firstAt = now
 	} else {
@@ -50,14 +50,14 @@
 	a.events++
 }
 
-// storedAnswer is a buffered answer.
-type storedAnswer struct {
+// bufferedAnswer is a buffered answer.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (s *storedAnswer) write(w http.ResponseWriter) {
+func (s *bufferedAnswer) write(w http.ResponseWriter) {
 	copyHeader(w.Header(), s.header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(s.body)))
 	w.WriteHeader(s.status)
@@ -66,18 +66,18 @@
 
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
-		if !slices.Contains(hopHeaders, name) {
+		if !slices.Contains(hopByHopHeaders, name) {
 			to[name] = values
 		}
 	}
 }
 
-// pass forwards an answer to the caller.
-func (g *Gateway) pass(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, sample *laburnumbalance.Sample) *failure {
+// forwardAnswer forwards an answer to the caller.
+func (g *Gateway) forwardAnswer(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, sample *laburnumbalance.Sample) *failure {
 	if resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), streamType) {
-		return g.passStream(ctx, q, out, ticket, resp, sample)
+		return g.forwardStream(ctx, q, out, ticket, resp, sample)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxStored+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBuffered+1))
 	if err != nil {
 		sample.Failed = ctx.Err() == nil
 		return &failure{stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedBackendError, cause: &BrokenAnswerError{Cause: err}}
@@ -85,32 +85,32 @@
 	if out.started {
 		return &failure{stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedBrokenStream, cause: &AnswerStatusError{Status: resp.StatusCode}}
 	}
-	if len(body) > maxStored {
-		return g.passLong(ctx, out, resp, body)
+	if len(body) > maxBuffered {
+		return g.forwardLong(ctx, out, resp, body)
 	}
-	stored := &storedAnswer{status: resp.StatusCode, header: resp.Header, body: body}
+	stored := &bufferedAnswer{status: resp.StatusCode, header: resp.Header, body: body}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		return g.failedAnswer(q, stored, sample)
+		return g.storeErrorAnswer(q, stored, sample)
 	}
 	out.started = true
-	out.passed(g.timers.Now())
+	out.recordPart(g.timers.Now())
 	stored.write(out.w)
 	return nil
 }
 
-// failedAnswer stores an error answer, which the caller gets if no other attempt succeeds.
-func (g *Gateway) failedAnswer(q *request, stored *storedAnswer, sample *laburnumbalance.Sample) *failure {
+// storeErrorAnswer stores an error answer, which the caller gets if no other attempt succeeds.
+func (g *Gateway) storeErrorAnswer(q *request, stored *bufferedAnswer, sample *laburnumbalance.Sample) *failure {
 	sample.Failed, sample.Faulty = true, true
-	if promisesNotRun(stored.status) {
+	if impliesNotRun(stored.status) {
 		// The backend server may have run the request, but the status would promise that it
 		// has not.
 		return &failure{stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedBackendError, cause: &AnswerStatusError{Status: stored.status}}
 	}
-	q.failed = stored
+	q.errorAnswer = stored
 	return &failure{stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedBackendError, cause: &AnswerStatusError{Status: stored.status}}
 }
 
-func promisesNotRun(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -119,8 +119,8 @@
 	}
 }
 
-// passLong streams an answer that is too long to be buffered.
-func (g *Gateway) passLong(ctx context.Context, out *answer, resp *http.Response, head []byte) *failure {
+// forwardLong streams an answer that is too long to be buffered.
+func (g *Gateway) forwardLong(ctx context.Context, out *answer, resp *http.Response, head []byte) *failure {
 	copyHeader(out.w.Header(), resp.Header)
 	if resp.ContentLength > 0 {
 		out.w.Header().Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
@@ -128,51 +128,51 @@
 	out.started = true
 	out.w.WriteHeader(resp.StatusCode)
 	if _, err := io.Copy(out.w, io.MultiReader(bytes.NewReader(head), resp.Body)); err != nil {
-		return brokenOff(ctx, err)
+		return brokenAnswer(ctx, err)
 	}
 	return nil
 }
 
-func brokenOff(ctx context.Context, err error) *failure {
-	if ctx.Err() != nil && !expired(ctx) {
+func brokenAnswer(ctx context.Context, err error) *failure {
+	if ctx.Err() != nil && !deadlineExceeded(ctx) {
 		return &failure{stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedCallerGone, cause: &CallerGoneError{Cause: err}}
 	}
 	return &failure{stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedBrokenStream, cause: &BrokenAnswerError{Cause: err}}
 }
 
-// passStream forwards complete events, so that a broken stream can resume after the last one.
-func (g *Gateway) passStream(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, sample *laburnumbalance.Sample) *failure {
+// forwardStream forwards complete events, so that a broken stream can resume after the last one.
+func (g *Gateway) forwardStream(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, sample *laburnumbalance.Sample) *failure {
 	if !out.started {
 		copyHeader(out.w.Header(), resp.Header)
 		out.w.WriteHeader(http.StatusOK)
 		out.started = true
 	}
 	flusher := http.NewResponseController(out.w)
-	r := bufio.NewReaderSize(resp.Body, eventBuffer)
-	event := make([]byte, 0, eventBuffer)
+	r := bufio.NewReaderSize(resp.Body, eventBufferSize)
+	event := make([]byte, 0, eventBufferSize)
 	first := true
 	for {
 		var err error
 		event, err = readEvent(r, event[:0])
 		if err != nil && (!errors.Is(err, io.EOF) || len(event) > 0) {
 			sample.Failed = ctx.Err() == nil
-			return brokenOff(ctx, err)
+			return brokenAnswer(ctx, err)
 		}
 		if err != nil {
 			return nil
 		}
 		if first {
 			first = false
-			g.fleet.began(ticket)
+			g.fleet.recordFirstEvent(ticket)
 		}
-		if fail := g.follows(q, event); fail != nil {
+		if fail := g.checkEventID(q, event); fail != nil {
 			sample.Failed, sample.Faulty = true, true
 			return fail
 		}
 		if _, err := out.w.Write(event); err != nil {
 			return &failure{stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedCallerGone, cause: &CallerGoneError{Cause: err}}
 		}
-		out.passed(g.timers.Now())
+		out.recordPart(g.timers.Now())
 		if r.Buffered() > 0 {
 			continue
 		}
@@ -182,21 +182,21 @@
 	}
 }
 
-// follows checks that numeric event ids are consecutive: a resumed stream must not lose or
+// checkEventID checks that numeric event ids are consecutive: a resumed stream must not lose or
 // repeat an event.
-func (g *Gateway) follows(q *request, event []byte) *failure {
+func (g *Gateway) checkEventID(q *request, event []byte) *failure {
 	id, ok := g.dialect.EventID(event)
 	if !ok {
 		return nil
 	}
 	got, err := strconv.ParseInt(id, 10, 64)
-	last, lastErr := strconv.ParseInt(q.lastEvent, 10, 64)
+	last, lastErr := strconv.ParseInt(q.lastEventID, 10, 64)
 	if err == nil && lastErr == nil && got != last+1 {
 		return &failure{
-			stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedBrokenStream, cause: &EventGapError{Last: q.lastEvent, Got: id},
+			stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedBrokenStream, cause: &EventGapError{Last: q.lastEventID, Got: id},
 		}
 	}
-	q.lastEvent = id
+	q.lastEventID = id
 	return nil
 }
 
@@ -211,7 +211,7 @@
 		if err == nil && len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return event, nil
 		}
-		if len(event) > maxEvent {
+		if len(event) > maxEventBytes {
 			return event, bufio.ErrBufferFull
 		}
 	}
--- a/laburnumgateway/attempt.go
+++ b/laburnumgateway/attempt.go
@@ -13,19 +13,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// answerSlack lets a backend server's own timeout fire before the gateway's.
-const answerSlack = 100 * time.Millisecond
+// backendTimeoutSlack lets a backend server's own timeout fire before the gateway's.
+const backendTimeoutSlack = 100 * time.Millisecond
 
-// try makes one attempt. A nil failure means that the whole answer was passed on.
-func (g *Gateway) try(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket) *failure {
+// attempt makes one attempt. A nil failure means that the whole answer was passed on.
+func (g *Gateway) attempt(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket) *failure {
 	q.tries++
 	q.backend = ticket.Backend.Backend
 	sample := laburnumbalance.Sample{}
-	g.fleet.using(q)
+	g.fleet.beginAdapterUse(q)
 	defer func() { g.fleet.release(q, ticket, sample) }()
 	conn, err := g.pool.Get(ctx, ticket.Backend.Address, g.connectionLimit(q))
 	if err != nil {
-		sample.Unreachable = ctx.Err() == nil && isDial(err)
+		sample.Unreachable = ctx.Err() == nil && isDialError(err)
 		sample.Failed = sample.Unreachable
 		return &failure{stage: laburnumretry.StageNotSent, reason: laburnumlever.RefusedBackendUnreachable, cause: err}
 	}
@@ -56,7 +56,7 @@
 	return max(1, q.service.MaxConnections/max(1, g.fleet.Gateways()))
 }
 
-func isDial(err error) bool {
+func isDialError(err error) bool {
 	var dial *laburnumupstream.DialError
 	return errors.As(err, &dial)
 }
@@ -64,14 +64,14 @@
 // exchange sends the request and forwards the answer.
 func (g *Gateway) exchange(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, conn *laburnumupstream.Conn, sample *laburnumbalance.Sample) (*failure, *http.Response) {
 	now := g.timers.Now()
-	if err := conn.SetDeadline(q.deadline.Add(answerSlack)); err != nil {
+	if err := conn.SetDeadline(q.deadline.Add(backendTimeoutSlack)); err != nil {
 		return &failure{stage: laburnumretry.StageNotSent, reason: laburnumlever.RefusedBackendUnreachable, cause: err}, nil
 	}
 	q.sends++
 	resp, err := conn.Exchange(laburnumupstream.Request{
 		Method: q.method, URI: q.uri, Host: q.host, Body: q.body,
 		Header: g.dialect.Forward(q.header, laburnumlever.Send{
-			Wait: q.left(now), Backend: ticket.Backend.Backend, LastEvent: q.lastEvent, Reservation: q.reservation,
+			Wait: q.remaining(now), Backend: ticket.Backend.Backend, LastEvent: q.lastEventID, Reservation: q.reservation,
 		}),
 	})
 	if err != nil {
@@ -79,15 +79,15 @@
 		return &failure{stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedBackendError, cause: err}, nil
 	}
 	marks := g.dialect.Answer(resp.StatusCode, resp.Header)
-	g.fleet.learnLoad(ticket.Backend.Backend, marks)
-	if fail := g.inspect(q, ticket, resp, marks, sample); fail != nil {
+	g.fleet.updateLoad(ticket.Backend.Backend, marks)
+	if fail := g.checkAnswer(q, ticket, resp, marks, sample); fail != nil {
 		return fail, resp
 	}
-	return g.pass(ctx, q, out, ticket, resp, sample), resp
+	return g.forwardAnswer(ctx, q, out, ticket, resp, sample), resp
 }
 
-// inspect returns a failure for an answer that must not be forwarded.
-func (g *Gateway) inspect(q *request, ticket *laburnumbalance.Ticket, resp *http.Response, marks laburnumlever.AnswerMarks, sample *laburnumbalance.Sample) *failure {
+// checkAnswer returns a failure for an answer that must not be forwarded.
+func (g *Gateway) checkAnswer(q *request, ticket *laburnumbalance.Ticket, resp *http.Response, marks laburnumlever.AnswerMarks, sample *laburnumbalance.Sample) *failure {
 	if marks.RequestID != q.caller.ID && (marks.RequestID != "" || !marks.NotRun) {
 		sample.Failed, sample.Faulty = true, true
 		return &failure{
@@ -101,7 +101,7 @@
 	cause := &AnswerStatusError{Status: resp.StatusCode}
 	if resp.StatusCode == http.StatusMisdirectedRequest {
 		if marks.Backend != "" && marks.Backend != ticket.Backend.Backend {
-			g.fleet.gone(ticket.Backend.Backend)
+			g.fleet.removeReplaced(ticket.Backend.Backend)
 		} else {
 			sample.Absent = true
 		}
--- a/laburnumgateway/counters.go
+++ b/laburnumgateway/counters.go
@@ -65,9 +65,9 @@
 	return c
 }
 
-// answered records the times of a complete answer.
-func (c *counters) answered(q *request, out *answer) {
-	l := c.of(q.service.Name)
+// recordAnswer records the times of a complete answer.
+func (c *counters) recordAnswer(q *request, out *answer) {
+	l := c.latenciesOf(q.service.Name)
 	l.wait.RecordDuration(q.waited)
 	l.first.RecordDuration(out.firstAt.Sub(q.arrived))
 	l.whole.RecordDuration(out.lastAt.Sub(q.arrived))
@@ -76,8 +76,8 @@
 	}
 }
 
-// of returns a service's histograms. Services are a bounded label: operators name them.
-func (c *counters) of(service laburnumlever.ServiceName) *latencies {
+// latenciesOf returns a service's histograms. Services are a bounded label: operators name them.
+func (c *counters) latenciesOf(service laburnumlever.ServiceName) *latencies {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := c.latencies[service]
--- a/laburnumgateway/counters_internal_test.go
+++ b/laburnumgateway/counters_internal_test.go
@@ -12,12 +12,12 @@
 
 // Each answer must show in the histograms of its service, so that a late answer can be told
 // from a late one of another service, and its wait from the engine's time.
-func TestAnswersShowInTheirServicesHistograms(t *testing.T) {
+func TestLatenciesAreRecordedPerService(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	c := newCounters(scope)
 	start := time.Unix(1_000_000, 0)
 	q := &request{service: laburnumlever.RoutedService{Name: "quotes"}, arrived: start, waited: 70 * time.Millisecond}
-	c.answered(q, &answer{firstAt: start.Add(120 * time.Millisecond), lastAt: start.Add(3 * time.Second), pause: 40 * time.Millisecond})
+	c.recordAnswer(q, &answer{firstAt: start.Add(120 * time.Millisecond), lastAt: start.Add(3 * time.Second), pause: 40 * time.Millisecond})
 	got := map[string]int64{}
 	for _, h := range scope.Snapshot().Histograms() {
 		require.Equal(t, "quotes", h.Tags()["service"])
@@ -32,13 +32,13 @@
 	}, got)
 }
 
-// BenchmarkAnswered is what the histograms cost a request.
-func BenchmarkAnswered(b *testing.B) {
+// BenchmarkRecordAnswer is what the histograms cost a request.
+func BenchmarkRecordAnswer(b *testing.B) {
 	c := newCounters(tally.NewTestScope("", nil))
 	start := time.Unix(1_000_000, 0)
 	q := &request{service: laburnumlever.RoutedService{Name: "quotes"}, arrived: start, waited: 70 * time.Millisecond}
 	out := &answer{firstAt: start.Add(120 * time.Millisecond), lastAt: start.Add(3 * time.Second), pause: 40 * time.Millisecond}
 	for b.Loop() {
-		c.answered(q, out)
+		c.recordAnswer(q, out)
 	}
 }
--- a/laburnumgateway/fakes_test.go
+++ b/laburnumgateway/fakes_test.go
@@ -28,8 +28,8 @@
 	stampHeader = "X-Laburnumlever-Server-Stamp"
 )
 
-// arrival is a request as a fake backend server saw it.
-type arrival struct {
+// receivedRequest is a request as a fake backend server saw it.
+type receivedRequest struct {
 	request *http.Request
 	body    string
 	at      time.Time
@@ -41,13 +41,13 @@
 	t        testing.TB
 	id       laburnumlever.BackendID
 	ln       net.Listener
-	answer   func(conn net.Conn, a arrival, n int)
+	answer   func(conn net.Conn, a receivedRequest, n int)
 	mu       sync.Mutex
-	arrivals []arrival
+	received []receivedRequest
 	closedAt []time.Time
 }
 
-func newBackend(t testing.TB, id string, answer func(conn net.Conn, a arrival, n int)) *backend {
+func newBackend(t testing.TB, id string, answer func(conn net.Conn, a receivedRequest, n int)) *backend {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	b := &backend{t: t, id: laburnumlever.BackendID(id), ln: ln, answer: answer}
@@ -78,19 +78,19 @@
 			return
 		}
 		body, _ := io.ReadAll(req.Body)
-		a := arrival{request: req, body: string(body), at: time.Now()}
+		a := receivedRequest{request: req, body: string(body), at: time.Now()}
 		b.mu.Lock()
-		b.arrivals = append(b.arrivals, a)
-		n := len(b.arrivals)
+		b.received = append(b.received, a)
+		n := len(b.received)
 		b.mu.Unlock()
 		b.answer(conn, a, n)
 	}
 }
 
-func (b *backend) seen() []arrival {
+func (b *backend) requests() []receivedRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]arrival(nil), b.arrivals...)
+	return append([]receivedRequest(nil), b.received...)
 }
 
 // closed is when connections to it ended.
@@ -108,8 +108,8 @@
 	return laburnumregistry.Record{Heartbeat: h}
 }
 
-// plain writes a whole answer.
-func plain(conn net.Conn, a arrival, status int, body string, headers ...string) {
+// writeAnswer writes a whole answer.
+func writeAnswer(conn net.Conn, a receivedRequest, status int, body string, headers ...string) {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "HTTP/1.1 %d %s\r\n%s: %s\r\n%s: s1\r\nContent-Length: %d\r\n", status, http.StatusText(status),
 		idHeader, a.request.Header.Get(idHeader), stampHeader, len(body))
@@ -120,8 +120,8 @@
 	_, _ = conn.Write(out.Bytes())
 }
 
-// untilReceived waits until the other side's socket holds all that was written.
-func untilReceived(t testing.TB, conn net.Conn) {
+// awaitDelivery waits until the other side's socket holds all that was written.
+func awaitDelivery(t testing.TB, conn net.Conn) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
@@ -131,21 +131,21 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// events writes the head of a stream and the events from first to last, as chunks.
-func events(conn net.Conn, a arrival, first, last int) {
+// writeEvents writes the head of a stream and the writeEvents from first to last, as chunks.
+func writeEvents(conn net.Conn, a receivedRequest, first, last int) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s1\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		idHeader, a.request.Header.Get(idHeader), stampHeader)
 	for i := first; i <= last; i++ {
-		chunk(conn, fmt.Sprintf("id: %d\ndata: word-%d\n\n", i, i))
+		writeChunk(conn, fmt.Sprintf("id: %d\ndata: word-%d\n\n", i, i))
 	}
 }
 
-func chunk(conn net.Conn, text string) { fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text), text) }
+func writeChunk(conn net.Conn, text string) { fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text), text) }
 
-func endChunks(conn net.Conn) { fmt.Fprint(conn, "0\r\n\r\n") }
+func writeLastChunk(conn net.Conn) { fmt.Fprint(conn, "0\r\n\r\n") }
 
-// bench is one gateway before fake backend servers.
-type bench struct {
+// harness is one gateway before fake backend servers.
+type harness struct {
 	t       testing.TB
 	fleet   *laburnumgateway.Fleet
 	gateway *laburnumgateway.Gateway
@@ -153,28 +153,28 @@
 	client  *http.Client
 }
 
-func newBench(t testing.TB, records ...laburnumregistry.Record) *bench {
-	b := newBareBench(t, laburnumgateway.WithBudget(laburnumgateway.Budget{Window: 10 * time.Second, Ratio: 0.2, Slack: 50}))
+func newHarness(t testing.TB, records ...laburnumregistry.Record) *harness {
+	b := newUnconfiguredHarness(t, laburnumgateway.WithBudget(laburnumgateway.Budget{Window: 10 * time.Second, Ratio: 0.2, Slack: 50}))
 	b.fleet.LearnRoutes(testRoutes())
 	b.fleet.Learn("", laburnumfeed.Answer{Backends: records})
 	return b
 }
 
-// newBareBench is a gateway that has just started: it knows no routes and no backend servers.
-func newBareBench(t testing.TB, opts ...laburnumgateway.Option) *bench {
+// newUnconfiguredHarness is a gateway that has just started: it knows no routes and no backend servers.
+func newUnconfiguredHarness(t testing.TB, opts ...laburnumgateway.Option) *harness {
 	timers := laburnumtimer.New()
 	t.Cleanup(timers.Close)
-	return newBareBenchWith(t, timers, opts...)
+	return newUnconfiguredHarnessWith(t, timers, opts...)
 }
 
-func newBareBenchWith(t testing.TB, timers laburnumlever.Timers, opts ...laburnumgateway.Option) *bench {
+func newUnconfiguredHarnessWith(t testing.TB, timers laburnumlever.Timers, opts ...laburnumgateway.Option) *harness {
 	fleet := laburnumgateway.NewFleet(timers, laburnumlever.VM{ID: "10.0.0.1", Zone: "brest"}, time.Second, 1)
-	b := &bench{t: t, fleet: fleet, gateway: laburnumgateway.New(fleet, platform.Dialect{}, timers, opts...), client: &http.Client{}}
+	b := &harness{t: t, fleet: fleet, gateway: laburnumgateway.New(fleet, platform.Dialect{}, timers, opts...), client: &http.Client{}}
 	b.start()
 	return b
 }
 
-func (b *bench) start() {
+func (b *harness) start() {
 	b.server = httptest.NewUnstartedServer(b.gateway)
 	b.server.Config = b.gateway.Server()
 	b.server.Start()
@@ -204,14 +204,14 @@
 	}
 }
 
-type reply struct {
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-func (b *bench) send(method, path, body string, headers ...string) reply {
+func (b *harness) send(method, path, body string, headers ...string) callerResponse {
 	b.t.Helper()
 	req, err := http.NewRequest(method, b.server.URL+path, bytes.NewReader([]byte(body)))
 	require.NoError(b.t, err)
@@ -222,9 +222,9 @@
 	}
 	resp, err := b.client.Do(req)
 	if err != nil {
-		return reply{err: err}
+		return callerResponse{err: err}
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	return reply{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
+	return callerResponse{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
 }
--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -25,8 +25,8 @@
 	timers laburnumlever.Timers
 	logger log.Logger
 	index  atomic.Pointer[laburnumroutes.Index]
-	// routed is closed once there are routes.
-	routed chan struct{}
+	// routesLoaded is closed once there are routes.
+	routesLoaded chan struct{}
 
 	mu       sync.Mutex
 	registry *laburnumregistry.Table
@@ -54,7 +54,7 @@
 	f := &Fleet{
 		timers: timers, logger: log.NewNopLogger(), registry: laburnumregistry.New(period),
 		balance: laburnumbalance.New(vm.Zone, seed), demand: laburnumdemand.NewCounter(vm.ID),
-		gateways: 1, paces: laburnumdemand.Paces{}, routed: make(chan struct{}),
+		gateways: 1, paces: laburnumdemand.Paces{}, routesLoaded: make(chan struct{}),
 	}
 	for _, opt := range opts {
 		opt(f)
@@ -95,7 +95,7 @@
 		return
 	}
 	if f.index.Swap(laburnumroutes.NewIndex(t)) == nil {
-		close(f.routed)
+		close(f.routesLoaded)
 	}
 	_ = level.Info(f.logger).Log("event", laburnumlever.EventRoutesInForce, "version", t.Version, "routes", len(t.Routes))
 }
@@ -105,7 +105,7 @@
 	over, cancel := laburnumtimer.Passed(f.timers, wait)
 	defer cancel()
 	select {
-	case <-f.routed:
+	case <-f.routesLoaded:
 	case <-over:
 	case <-ctx.Done():
 	}
@@ -169,15 +169,15 @@
 	return false
 }
 
-// using counts an adapter in use.
-func (f *Fleet) using(q *request) {
+// beginAdapterUse counts an adapter in use.
+func (f *Fleet) beginAdapterUse(q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.adapters.Begun(q.caller.Model, q.caller.Adapter)
 }
 
-// began records the first event of an answer.
-func (f *Fleet) began(t *laburnumbalance.Ticket) {
+// recordFirstEvent records the first event of an answer.
+func (f *Fleet) recordFirstEvent(t *laburnumbalance.Ticket) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	took, tokens := f.balance.Began(t, f.timers.Now())
@@ -194,7 +194,7 @@
 	f.serveQueue()
 }
 
-func (f *Fleet) learnLoad(id laburnumlever.BackendID, marks laburnumlever.AnswerMarks) {
+func (f *Fleet) updateLoad(id laburnumlever.BackendID, marks laburnumlever.AnswerMarks) {
 	if !marks.HasLoad {
 		return
 	}
@@ -204,8 +204,8 @@
 	f.serveQueue()
 }
 
-// gone removes a backend server whose address another one answered at.
-func (f *Fleet) gone(id laburnumlever.BackendID) {
+// removeReplaced removes a backend server whose address another one answered at.
+func (f *Fleet) removeReplaced(id laburnumlever.BackendID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.registry.Remove(id, f.timers.Now()) {
@@ -216,7 +216,7 @@
 	}
 }
 
-func (f *Fleet) added(ids []laburnumlever.BackendID, model laburnumlever.ModelName, adapter laburnumlever.AdapterName) {
+func (f *Fleet) addAdapter(ids []laburnumlever.BackendID, model laburnumlever.ModelName, adapter laburnumlever.AdapterName) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range ids {
@@ -225,8 +225,8 @@
 	f.serveQueue()
 }
 
-// retryQueueLater serves the queue once the balancer tries an engine with all slots taken again.
-func (f *Fleet) retryQueueLater() {
+// scheduleQueueRetry serves the queue once the balancer tries an engine with all slots taken again.
+func (f *Fleet) scheduleQueueRetry() {
 	f.mu.Lock()
 	wait := f.balance.RetryTime() + laburnumbalance.RetrySlack
 	f.mu.Unlock()
@@ -237,22 +237,22 @@
 	})
 }
 
-// asked counts a request.
-func (f *Fleet) asked(q *request) {
+// countRequest counts a request.
+func (f *Fleet) countRequest(q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.demand.Asked(laburnumdemand.RequestOf(q.caller))
 }
 
-// refused counts a refused request.
-func (f *Fleet) refused(q *request) {
+// countRefusal counts a countRefusal request.
+func (f *Fleet) countRefusal(q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.demand.Refused(laburnumdemand.RequestOf(q.caller))
 }
 
-// useless lists engines that hold the request's model but are full or unreachable.
-func (f *Fleet) useless(q *request) []laburnumlever.BackendID {
+// unusableEngines lists engines that hold the request's model but are full or unreachable.
+func (f *Fleet) unusableEngines(q *request) []laburnumlever.BackendID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.balance.Useless(f.query(q), f.timers.Now())
--- a/laburnumgateway/forward.go
+++ b/laburnumgateway/forward.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	drainRetry  = 50 * time.Millisecond  // least Retry-After: another gateway can serve the request
-	adapterWait = 400 * time.Millisecond // many times a usual load of an adapter
+	drainRetryAfter    = 50 * time.Millisecond  // least Retry-After: another gateway can serve the request
+	adapterLoadTimeout = 400 * time.Millisecond // many times a usual load of an adapter
 )
 
 // failure is the outcome of an attempt without a complete answer.
@@ -24,8 +24,8 @@
 	stage  laburnumretry.Stage
 	reason laburnumlever.RefusalReason
 	cause  error
-	// taken tells that the reservation was refused for lack of a slot.
-	taken bool
+	// slotRefused tells that the reservation was refused for lack of a slot.
+	slotRefused bool
 }
 
 // run attempts the request until it is answered or refused. The error is a
@@ -36,25 +36,25 @@
 		if err != nil {
 			return err
 		}
-		fail := g.try(ctx, q, out, ticket)
+		fail := g.attempt(ctx, q, out, ticket)
 		if fail == nil {
 			return nil
 		}
-		if fail.taken {
+		if fail.slotRefused {
 			q.tries-- // nothing was sent
-			g.fleet.retryQueueLater()
+			g.fleet.scheduleQueueRetry()
 			continue
 		}
 		_ = level.Info(g.logger).Log("event", laburnumlever.EventAttemptFailed, "request-id", q.caller.ID, "backend", ticket.Backend.Backend,
 			"stage", fail.stage.String(), "reason", fail.reason, "cause", fail.cause)
 		q.avoid = append(q.avoid, ticket.Backend.Backend)
 		if fail.stage == laburnumretry.StageUnknown {
-			q.touched = true
+			q.mayHaveRun = true
 		}
 		if out.started {
-			q.brokeAt = out.lastAt
+			q.brokenAt = out.lastAt
 		}
-		if reason, ok := g.again(ctx, q, out, fail); ok {
+		if reason, ok := g.shouldRetry(ctx, q, out, fail); ok {
 			g.counters.retries[reason].Inc(1)
 			continue
 		}
@@ -68,11 +68,11 @@
 	if errors.As(fail.cause, &gone) {
 		return gone
 	}
-	if ctx.Err() != nil && !expired(ctx) {
+	if ctx.Err() != nil && !deadlineExceeded(ctx) {
 		return &CallerGoneError{Cause: ctx.Err()}
 	}
 	refusal := &laburnumlever.RefusalError{Reason: fail.reason, RetryAfter: waitTerms.Retry(laburnumbalance.Full), Detail: fail.cause.Error()}
-	if expired(ctx) {
+	if deadlineExceeded(ctx) {
 		refusal.Reason, refusal.RetryAfter = laburnumlever.RefusedDeadline, 0
 	}
 	if fail.stage == laburnumretry.StageUnknown {
@@ -81,17 +81,17 @@
 	return refusal
 }
 
-// again decides on another attempt and charges the retry budget.
-func (g *Gateway) again(ctx context.Context, q *request, out *answer, fail *failure) (laburnumlever.RetryReason, bool) {
+// shouldRetry decides on another attempt and charges the retry budget.
+func (g *Gateway) shouldRetry(ctx context.Context, q *request, out *answer, fail *failure) (laburnumlever.RetryReason, bool) {
 	var gone *CallerGoneError
 	if ctx.Err() != nil || errors.As(fail.cause, &gone) {
 		return 0, false
 	}
 	reason, paid, ok := laburnumretry.Attempt{
-		Stage: fail.stage, Touched: q.touched, Started: out.started, Repeatable: q.route.Repeatable(),
+		Stage: fail.stage, Touched: q.mayHaveRun, Started: out.started, Repeatable: q.route.Repeatable(),
 		Resumable: q.route.Resumable, Sends: q.sends, Tries: q.tries, MaxSends: q.route.MaxAttempts,
 	}.Next()
-	if ok && paid && !g.mayRepeat(q) {
+	if ok && paid && !g.chargeRetry(q) {
 		fail.reason = laburnumlever.RefusedRetryBudget
 		return 0, false
 	}
@@ -102,63 +102,63 @@
 // needed.
 func (g *Gateway) acquire(ctx context.Context, q *request) (*laburnumbalance.Ticket, error) {
 	start := g.timers.Now()
-	until := waitTerms.WaitUntil(q.times())
+	until := waitTerms.WaitUntil(q.queueTimes())
 	backoff := laburnumwaiting.AdapterBackoff()
 	defer func() { q.waited += g.timers.Now().Sub(start) }()
 	for {
-		ticket, verdict := g.fleet.await(ctx, q, until)
+		ticket, verdict := g.fleet.awaitSlot(ctx, q, until)
 		if verdict == laburnumbalance.Found {
 			return ticket, nil
 		}
 		if verdict != laburnumbalance.AdapterAbsent || g.adapters == nil {
-			return nil, noSlot(verdict)
+			return nil, noSlotRefusal(verdict)
 		}
-		err := g.needAdapter(ctx, q)
+		err := g.loadAdapter(ctx, q)
 		if !g.timers.Now().Before(until) {
-			return nil, adapterAbsent(err)
+			return nil, adapterAbsentRefusal(err)
 		}
 		if ctx.Err() != nil || !laburnumtimer.Wait(ctx.Done(), g.timers, backoff.Next()) {
-			return nil, noBackend(laburnumbalance.AdapterAbsent, "adapter not there in time")
+			return nil, noBackendRefusal(laburnumbalance.AdapterAbsent, "adapter not there in time")
 		}
 	}
 }
 
-// adapterAbsent is the refusal when the adapter did not arrive in time. A nil cause means that
+// adapterAbsentRefusal is the refusal when the adapter did not arrive in time. A nil cause means that
 // it is loaded, on engines that can't be connected to.
-func adapterAbsent(cause error) error {
+func adapterAbsentRefusal(cause error) error {
 	detail := "no engine that can be reached holds the adapter"
 	if cause != nil {
 		detail = "adapter: " + cause.Error()
 	}
-	return noBackend(laburnumbalance.AdapterAbsent, detail)
+	return noBackendRefusal(laburnumbalance.AdapterAbsent, detail)
 }
 
-func noBackend(verdict laburnumbalance.Verdict, detail string) error {
-	return refuse(laburnumlever.RefusedNoBackend, waitTerms.Retry(verdict), detail)
+func noBackendRefusal(verdict laburnumbalance.Verdict, detail string) error {
+	return newRefusal(laburnumlever.RefusedNoBackend, waitTerms.Retry(verdict), detail)
 }
 
-func noSlot(verdict laburnumbalance.Verdict) error {
+func noSlotRefusal(verdict laburnumbalance.Verdict) error {
 	switch verdict {
 	case laburnumbalance.Full:
-		return refuse(laburnumlever.RefusedQueueFull, waitTerms.Retry(verdict), "all backend servers that could do it are full")
+		return newRefusal(laburnumlever.RefusedQueueFull, waitTerms.Retry(verdict), "all backend servers that could do it are full")
 	case laburnumbalance.NoServer:
-		return noBackend(verdict, "no backend server of the service takes work")
+		return noBackendRefusal(verdict, "no backend server of the service takes work")
 	case laburnumbalance.AdapterAbsent:
-		return noBackend(verdict, "no engine holds the adapter")
+		return noBackendRefusal(verdict, "no engine holds the adapter")
 	default:
-		return noBackend(verdict, "no engine holds the model")
+		return noBackendRefusal(verdict, "no engine holds the model")
 	}
 }
 
-func (g *Gateway) needAdapter(ctx context.Context, q *request) error {
-	ctx, cancel := context.WithTimeout(ctx, adapterWait)
+func (g *Gateway) loadAdapter(ctx context.Context, q *request) error {
+	ctx, cancel := context.WithTimeout(ctx, adapterLoadTimeout)
 	defer cancel()
 	ids, err := g.adapters.Need(ctx, laburnumlever.AdapterNeed{
-		Service: q.service.Name, Model: q.caller.Model, Adapter: q.caller.Adapter, Except: g.fleet.useless(q),
+		Service: q.service.Name, Model: q.caller.Model, Adapter: q.caller.Adapter, Except: g.fleet.unusableEngines(q),
 	})
 	if err != nil {
 		return err
 	}
-	g.fleet.added(ids, q.caller.Model, q.caller.Adapter)
+	g.fleet.addAdapter(ids, q.caller.Model, q.caller.Adapter)
 	return nil
 }
--- a/laburnumgateway/gateway.go
+++ b/laburnumgateway/gateway.go
@@ -35,21 +35,21 @@
 
 // Gateway serves callers on one VM.
 type Gateway struct {
-	fleet    *Fleet
-	dialect  laburnumlever.Dialect
-	timers   laburnumlever.Timers
-	pool     *laburnumupstream.Pool
-	adapters Adapters
-	budget   Budget
-	logger   log.Logger
-	counters *counters
-	inFlight atomic.Int64
-	starting atomic.Int64 // requests that wait for the first routes
-	drain    atomic.Int32 // a drainStage
-	endsAt   atomic.Pointer[time.Time]
-
-	mu      sync.Mutex
-	windows map[laburnumlever.ServiceName]*laburnumretry.Window
+	fleet          *Fleet
+	dialect        laburnumlever.Dialect
+	timers         laburnumlever.Timers
+	pool           *laburnumupstream.Pool
+	adapters       Adapters
+	retryBudget    Budget
+	logger         log.Logger
+	counters       *counters
+	inFlight       atomic.Int64
+	awaitingRoutes atomic.Int64 // requests that wait for the first routes
+	drain          atomic.Int32 // a drainStage
+	drainDeadline  atomic.Pointer[time.Time]
+
+	mu           sync.Mutex
+	retryWindows map[laburnumlever.ServiceName]*laburnumretry.Window
 }
 
 // Option changes a new gateway.
@@ -67,7 +67,7 @@
 func WithAdapters(a Adapters) Option { return func(g *Gateway) { g.adapters = a } }
 
 // WithBudget sets the retry budget; without it nothing is retried.
-func WithBudget(b Budget) Option { return func(g *Gateway) { g.budget = b } }
+func WithBudget(b Budget) Option { return func(g *Gateway) { g.retryBudget = b } }
 
 // WithPool sets the connections to backend servers.
 func WithPool(pool *laburnumupstream.Pool) Option { return func(g *Gateway) { g.pool = pool } }
@@ -76,7 +76,7 @@
 func New(fleet *Fleet, dialect laburnumlever.Dialect, timers laburnumlever.Timers, opts ...Option) *Gateway {
 	g := &Gateway{
 		fleet: fleet, dialect: dialect, timers: timers, logger: log.NewNopLogger(),
-		counters: newCounters(tally.NoopScope), windows: map[laburnumlever.ServiceName]*laburnumretry.Window{},
+		counters: newCounters(tally.NoopScope), retryWindows: map[laburnumlever.ServiceName]*laburnumretry.Window{},
 	}
 	for _, opt := range opts {
 		opt(g)
@@ -97,28 +97,28 @@
 	if g.stage() != drainNone {
 		w.Header().Set("Connection", "close")
 	}
-	q, err := g.read(w, r)
+	q, err := g.parseRequest(w, r)
 	if err != nil {
 		g.answerRefusal(w, q, err)
 		return
 	}
-	if g.tooLate(q) {
-		g.answerRefusal(w, q, refuse(laburnumlever.RefusedDraining, drainRetry, "this VM ends before the answer would"))
+	if g.mayOutlastDrain(q) {
+		g.answerRefusal(w, q, newRefusal(laburnumlever.RefusedDraining, drainRetryAfter, "this VM ends before the answer would"))
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
 	g.countRequest(q)
-	g.fleet.asked(q)
+	g.fleet.countRequest(q)
 	out := &answer{w: w}
 	err = g.run(ctx, q, out)
 	if err != nil {
-		g.fleet.refused(q)
-		g.conclude(ctx, q, out, err)
+		g.fleet.countRefusal(q)
+		g.finishUnanswered(ctx, q, out, err)
 		return
 	}
 	g.counters.served.Inc(1)
-	g.counters.answered(q, out)
+	g.counters.recordAnswer(q, out)
 	g.logServed(q, out)
 }
 
@@ -128,61 +128,61 @@
 		first: out.firstAt.Sub(q.arrived), pause: out.pause, sends: q.sends,
 	}
 	_ = level.Info(g.logger).Log("event", laburnumlever.EventRequestServed, "request-id", q.caller.ID, "route", q.route.Name,
-		"backend", q.backend, "model", q.caller.Model, "adapter", q.caller.Adapter, "sends", q.sends, "taken", q.taken,
+		"backend", q.backend, "model", q.caller.Model, "adapter", q.caller.Adapter, "sends", q.sends, "taken", q.refusedReservations,
 		"late", t.lateness(), "waited-ms", millis(q.waited), "first-ms", millis(t.first), "pause-ms", millis(out.pause),
 		"whole-ms", millis(out.lastAt.Sub(q.arrived)), "events", out.events, "prompt-tokens", q.caller.PromptTokens,
-		"routes-version", q.version)
+		"routes-version", q.routesVersion)
 }
 
 func millis(d time.Duration) int64 { return d.Milliseconds() }
 
-func (g *Gateway) window(service laburnumlever.ServiceName) *laburnumretry.Window {
-	w := g.windows[service]
+func (g *Gateway) retryWindow(service laburnumlever.ServiceName) *laburnumretry.Window {
+	w := g.retryWindows[service]
 	if w == nil {
-		w = laburnumretry.NewWindow(g.budget.Window, g.budget.Ratio, g.budget.Slack)
-		g.windows[service] = w
+		w = laburnumretry.NewWindow(g.retryBudget.Window, g.retryBudget.Ratio, g.retryBudget.Slack)
+		g.retryWindows[service] = w
 	}
 	return w
 }
 
 func (g *Gateway) countRequest(q *request) {
 	g.counters.requests.Inc(1)
-	if g.budget.Window <= 0 {
+	if g.retryBudget.Window <= 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.window(q.service.Name).Request(g.timers.Now())
+	g.retryWindow(q.service.Name).Request(g.timers.Now())
 }
 
-// mayRepeat charges a retry to the budget.
-func (g *Gateway) mayRepeat(q *request) bool {
-	if g.budget.Window <= 0 {
+// chargeRetry charges a retry to the budget.
+func (g *Gateway) chargeRetry(q *request) bool {
+	if g.retryBudget.Window <= 0 {
 		return false
 	}
 	gateways := g.fleet.Gateways()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.window(q.service.Name).Repeat(g.timers.Now(), gateways)
+	return g.retryWindow(q.service.Name).Repeat(g.timers.Now(), gateways)
 }
 
-// conclude ends a request that has no complete answer.
-func (g *Gateway) conclude(ctx context.Context, q *request, out *answer, err error) {
+// finishUnanswered ends a request that has no complete answer.
+func (g *Gateway) finishUnanswered(ctx context.Context, q *request, out *answer, err error) {
 	var gone *CallerGoneError
-	if errors.As(err, &gone) || (ctx.Err() != nil && !expired(ctx)) {
-		g.count(laburnumlever.RefusedCallerGone)
+	if errors.As(err, &gone) || (ctx.Err() != nil && !deadlineExceeded(ctx)) {
+		g.countRefusal(laburnumlever.RefusedCallerGone)
 		g.logRefusal(q, laburnumlever.RefusedCallerGone, 0, err)
 		return
 	}
 	if out.started {
-		g.count(laburnumlever.RefusedBrokenStream)
+		g.countRefusal(laburnumlever.RefusedBrokenStream)
 		g.logRefusal(q, laburnumlever.RefusedBrokenStream, 0, err)
 		panic(http.ErrAbortHandler) // the caller must see that the answer is not whole
 	}
-	if q.failed != nil {
-		g.count(laburnumlever.RefusedBackendError)
-		g.logRefusal(q, laburnumlever.RefusedBackendError, q.failed.status, err)
-		q.failed.write(out.w)
+	if q.errorAnswer != nil {
+		g.countRefusal(laburnumlever.RefusedBackendError)
+		g.logRefusal(q, laburnumlever.RefusedBackendError, q.errorAnswer.status, err)
+		q.errorAnswer.write(out.w)
 		return
 	}
 	g.answerRefusal(out.w, q, err)
@@ -195,9 +195,9 @@
 		refusal = &laburnumlever.RefusalError{Reason: laburnumlever.RefusedBackendError, Outcome: laburnumlever.OutcomeUnknown, Detail: err.Error()}
 	}
 	status := statusOf(refusal, q)
-	g.count(refusal.Reason)
+	g.countRefusal(refusal.Reason)
 	g.logRefusal(q, refusal.Reason, status, err)
-	if after := q.times().RetryAfter(refusal.RetryAfter, rand.Float64(), g.timers.Now()); after > 0 {
+	if after := q.queueTimes().RetryAfter(refusal.RetryAfter, rand.Float64(), g.timers.Now()); after > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -218,7 +218,7 @@
 	default:
 	}
 	switch {
-	case !q.touched:
+	case !q.mayHaveRun:
 		return http.StatusServiceUnavailable
 	case refusal.Reason == laburnumlever.RefusedDeadline:
 		return http.StatusGatewayTimeout
@@ -227,7 +227,9 @@
 	}
 }
 
-func (g *Gateway) count(reason laburnumlever.RefusalReason) { g.counters.refusals[reason].Inc(1) }
+func (g *Gateway) countRefusal(reason laburnumlever.RefusalReason) {
+	g.counters.refusals[reason].Inc(1)
+}
 
 func (g *Gateway) logRefusal(q *request, reason laburnumlever.RefusalReason, status int, err error) {
 	route := laburnumlever.RouteName("")
@@ -235,7 +237,7 @@
 		route = q.route.Name
 	}
 	_ = level.Info(g.logger).Log("event", laburnumlever.EventRequestRefused, "request-id", q.caller.ID, "route", route, "reason", reason,
-		"status", status, "touched", q.touched, "sends", q.sends, "tries", q.tries, "taken", q.taken, "routes-version", q.version,
+		"status", status, "touched", q.mayHaveRun, "sends", q.sends, "tries", q.tries, "taken", q.refusedReservations, "routes-version", q.routesVersion,
 		"model", q.caller.Model, "adapter", q.caller.Adapter, "avoid", q.avoid,
 		"ms", g.timers.Now().Sub(q.arrived).Milliseconds(), "cause", err)
 }
--- a/laburnumgateway/gateway_test.go
+++ b/laburnumgateway/gateway_test.go
@@ -18,9 +18,9 @@
 	"laburnumlever/laburnumtimer"
 )
 
-func ok(conn net.Conn, a arrival, _ int) { plain(conn, a, 200, "done") }
+func answerOK(conn net.Conn, a receivedRequest, _ int) { writeAnswer(conn, a, 200, "done") }
 
-func reset(conn net.Conn, _ arrival, _ int) {
+func resetConnection(conn net.Conn, _ receivedRequest, _ int) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
 }
@@ -28,17 +28,17 @@
 // The way of a request: the backend server gets the caller's method, path, query, body
 // and headers, what is left of the caller's time, and the identity that it must have;
 // nothing that only the system may say comes from the caller.
-func TestRequestGoesThroughUnchanged(t *testing.T) {
-	server := newBackend(t, "i-1", ok)
-	b := newBench(t, server.heartbeat("booking"))
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	server := newBackend(t, "i-1", answerOK)
+	b := newHarness(t, server.heartbeat("booking"))
 	got := b.send("POST", "/confirm/today?x=1%2F2", "visit at ten", "X-Laburnumlever-Deadline-Ms", "1500",
 		"X-Laburnumlever-Hold", "mine", "Kv-From", "10.0.0.9:80/1", "X-Other", "kept")
 	require.NoError(t, got.err)
 	require.Equal(t, 200, got.status)
 	require.Equal(t, "done", got.body)
 	require.Equal(t, "s1", got.header.Get(stampHeader))
-	require.Len(t, server.seen(), 1)
-	a := server.seen()[0]
+	require.Len(t, server.requests(), 1)
+	a := server.requests()[0]
 	require.Equal(t, "POST", a.request.Method)
 	require.Equal(t, "/confirm/today?x=1%2F2", a.request.RequestURI)
 	require.Equal(t, "quotes.example", a.request.Host)
@@ -58,27 +58,27 @@
 // A booking reaches a server, which takes it and dies without a word. Sent again it
 // might put two vans at one door, and a refusal that promises "not run" would make the
 // caller do the same.
-func TestBookingWithoutAnswerIsNeverSentAgainNorCalledNotRun(t *testing.T) {
-	first, second := newBackend(t, "i-1", reset), newBackend(t, "i-2", reset)
-	b := newBench(t, first.heartbeat("booking"), second.heartbeat("booking"))
+func TestUnansweredNonIdempotentRequestIsNeitherRetriedNorReportedNotRun(t *testing.T) {
+	first, second := newBackend(t, "i-1", resetConnection), newBackend(t, "i-2", resetConnection)
+	b := newHarness(t, first.heartbeat("booking"), second.heartbeat("booking"))
 	got := b.send("POST", "/confirm/x", "visit")
 	require.Equal(t, http.StatusBadGateway, got.status)
 	require.Empty(t, got.header.Get("Retry-After"))
-	require.Equal(t, 1, len(first.seen())+len(second.seen()))
+	require.Equal(t, 1, len(first.requests())+len(second.requests()))
 }
 
 // A server says that it did not run the booking. It may go to another, and only if all
 // say so may the caller be told to come back.
-func TestBookingTurnedAwayGoesToAnother(t *testing.T) {
-	full := func(conn net.Conn, a arrival, _ int) {
-		plain(conn, a, 503, "", "X-Laburnumlever-Not-Run: 1")
+func TestNotRunRequestIsRetriedElsewhere(t *testing.T) {
+	notRun := func(conn net.Conn, a receivedRequest, _ int) {
+		writeAnswer(conn, a, 503, "", "X-Laburnumlever-Not-Run: 1")
 	}
-	first, second := newBackend(t, "i-1", full), newBackend(t, "i-2", ok)
-	b := newBench(t, first.heartbeat("booking"), second.heartbeat("booking"))
+	first, second := newBackend(t, "i-1", notRun), newBackend(t, "i-2", answerOK)
+	b := newHarness(t, first.heartbeat("booking"), second.heartbeat("booking"))
 	for range 4 {
 		require.Equal(t, 200, b.send("POST", "/confirm/x", "visit").status)
 	}
-	only := newBench(t, first.heartbeat("booking"))
+	only := newHarness(t, first.heartbeat("booking"))
 	got := only.send("POST", "/confirm/x", "visit")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
@@ -86,40 +86,40 @@
 }
 
 // A 503 without the word that it was not run promises the caller what nobody knows.
-func TestUnmarkedRefusalIsNoPromise(t *testing.T) {
-	server := newBackend(t, "i-1", func(conn net.Conn, a arrival, _ int) { plain(conn, a, 503, "") })
-	b := newBench(t, server.heartbeat("booking"))
+func TestUnmarked503IsNotReportedAsNotRun(t *testing.T) {
+	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, _ int) { writeAnswer(conn, a, 503, "") })
+	b := newHarness(t, server.heartbeat("booking"))
 	require.Equal(t, http.StatusBadGateway, b.send("POST", "/confirm/x", "visit").status)
 }
 
 // A look-up that fails at one server is asked of another; failing at both, the caller
 // gets the server's own word.
-func TestLookupIsRepeatedOnceElsewhere(t *testing.T) {
-	fails := func(conn net.Conn, a arrival, _ int) { plain(conn, a, 500, "broken") }
-	first, second := newBackend(t, "i-1", fails), newBackend(t, "i-2", ok)
-	b := newBench(t, first.heartbeat("booking"), second.heartbeat("booking"))
+func TestIdempotentRequestIsRetriedOnceElsewhere(t *testing.T) {
+	fails := func(conn net.Conn, a receivedRequest, _ int) { writeAnswer(conn, a, 500, "broken") }
+	first, second := newBackend(t, "i-1", fails), newBackend(t, "i-2", answerOK)
+	b := newHarness(t, first.heartbeat("booking"), second.heartbeat("booking"))
 	for range 4 {
 		require.Equal(t, 200, b.send("GET", "/lookup/x", "").status)
 	}
 	third := newBackend(t, "i-3", fails)
-	both := newBench(t, first.heartbeat("booking"), third.heartbeat("booking"))
+	both := newHarness(t, first.heartbeat("booking"), third.heartbeat("booking"))
 	got := both.send("GET", "/lookup/x", "")
 	require.Equal(t, 500, got.status)
 	require.Equal(t, "broken", got.body)
 	require.Equal(t, "s1", got.header.Get(stampHeader))
-	require.Len(t, third.seen(), 1)
+	require.Len(t, third.requests(), 1)
 }
 
 // An address belongs to another backend server by now. It refuses; the old identity must
 // get no more requests, whatever late heartbeats say of it.
-func TestReplacedBackendIsForgotten(t *testing.T) {
-	stranger := newBackend(t, "i-old", func(conn net.Conn, a arrival, _ int) {
-		plain(conn, a, 421, "", "X-Laburnumlever-Instance-Id: i-new")
+func TestReplacedBackendGetsNoMoreRequests(t *testing.T) {
+	replaced := newBackend(t, "i-old", func(conn net.Conn, a receivedRequest, _ int) {
+		writeAnswer(conn, a, 421, "", "X-Laburnumlever-Instance-Id: i-new")
 	})
-	b := newBench(t, stranger.heartbeat("booking"))
+	b := newHarness(t, replaced.heartbeat("booking"))
 	require.Equal(t, http.StatusServiceUnavailable, b.send("POST", "/confirm/x", "visit").status)
 	require.Equal(t, http.StatusServiceUnavailable, b.send("POST", "/confirm/x", "visit").status)
-	require.Len(t, stranger.seen(), 1)
+	require.Len(t, replaced.requests(), 1)
 	require.Equal(t, []laburnumlever.BackendID{"i-old"}, b.fleet.News().Replaced, "control VMs are told")
 	require.Empty(t, b.fleet.News().Replaced, "once")
 }
@@ -127,25 +127,25 @@
 // An engine breaks off in the middle of an event. The caller must get each event once
 // and whole, the rest from another engine; and the first must have seen the end of its
 // connection before the second begins, or both would be at work.
-func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
-	breaks := func(conn net.Conn, a arrival, _ int) {
-		events(conn, a, 1, 3)
-		chunk(conn, "id: 4\ndata: wo")
+func TestBrokenStreamResumesElsewhere(t *testing.T) {
+	breaks := func(conn net.Conn, a receivedRequest, _ int) {
+		writeEvents(conn, a, 1, 3)
+		writeChunk(conn, "id: 4\ndata: wo")
 		time.Sleep(20 * time.Millisecond) // the caller has read the first three
 		_ = conn.Close()
 	}
-	goesOn := func(conn net.Conn, a arrival, _ int) {
+	breaksOrResumes := func(conn net.Conn, a receivedRequest, _ int) {
 		var last int
 		_, _ = fmt.Sscan(a.request.Header.Get("Last-Event-Id"), &last)
 		if last == 0 {
 			breaks(conn, a, 0)
 			return
 		}
-		events(conn, a, last+1, 6)
-		endChunks(conn)
+		writeEvents(conn, a, last+1, 6)
+		writeLastChunk(conn)
 	}
-	first, second := newBackend(t, "i-1", goesOn), newBackend(t, "i-2", goesOn)
-	b := newBench(t, first.heartbeat("quotes", "m0"), second.heartbeat("quotes", "m0"))
+	first, second := newBackend(t, "i-1", breaksOrResumes), newBackend(t, "i-2", breaksOrResumes)
+	b := newHarness(t, first.heartbeat("quotes", "m0"), second.heartbeat("quotes", "m0"))
 	got := b.send("POST", "/quote/x", "oak floor", "X-Laburnumlever-Model", "m0")
 	require.NoError(t, got.err)
 	var want strings.Builder
@@ -153,37 +153,37 @@
 		fmt.Fprintf(&want, "id: %d\ndata: word-%d\n\n", i, i)
 	}
 	require.Equal(t, want.String(), got.body)
-	require.Len(t, first.seen(), 1)
-	require.Len(t, second.seen(), 1)
+	require.Len(t, first.requests(), 1)
+	require.Len(t, second.requests(), 1)
 }
 
 // The same on a route whose streams may not go on elsewhere: the caller must see that
 // the answer is not whole.
-func TestBrokenStreamThatMayNotGoOnIsSeenToBeBroken(t *testing.T) {
-	breaks := func(conn net.Conn, a arrival, _ int) {
-		events(conn, a, 1, 2)
+func TestBrokenNonResumableStreamIsReportedBroken(t *testing.T) {
+	breaks := func(conn net.Conn, a receivedRequest, _ int) {
+		writeEvents(conn, a, 1, 2)
 		_ = conn.Close()
 	}
 	first, second := newBackend(t, "i-1", breaks), newBackend(t, "i-2", breaks)
-	b := newBench(t, first.heartbeat("quotes", "m0"), second.heartbeat("quotes", "m0"))
+	b := newHarness(t, first.heartbeat("quotes", "m0"), second.heartbeat("quotes", "m0"))
 	got := b.send("POST", "/draft/x", "oak floor", "X-Laburnumlever-Model", "m0")
 	require.Error(t, got.err)
-	require.Equal(t, 1, len(first.seen())+len(second.seen()))
+	require.Equal(t, 1, len(first.requests())+len(second.requests()))
 }
 
 // The engine that goes on skips an event. The caller must not take two runs for one.
-func TestGapBetweenTwoRunsEndsTheStream(t *testing.T) {
-	skips := func(conn net.Conn, a arrival, _ int) {
+func TestEventGapAfterResumeEndsTheStream(t *testing.T) {
+	skips := func(conn net.Conn, a receivedRequest, _ int) {
 		if a.request.Header.Get("Last-Event-Id") == "" {
-			events(conn, a, 1, 2)
+			writeEvents(conn, a, 1, 2)
 			_ = conn.Close()
 			return
 		}
-		events(conn, a, 4, 6)
-		endChunks(conn)
+		writeEvents(conn, a, 4, 6)
+		writeLastChunk(conn)
 	}
 	first, second := newBackend(t, "i-1", skips), newBackend(t, "i-2", skips)
-	b := newBench(t, first.heartbeat("quotes", "m0"), second.heartbeat("quotes", "m0"))
+	b := newHarness(t, first.heartbeat("quotes", "m0"), second.heartbeat("quotes", "m0"))
 	got := b.send("POST", "/quote/x", "oak", "X-Laburnumlever-Model", "m0")
 	require.Error(t, got.err)
 	require.NotContains(t, got.body, "word-4")
@@ -191,12 +191,12 @@
 
 // An answer to another request comes where this one's is due. It must never reach the
 // caller.
-func TestCrossedAnswerIsNotPassedOn(t *testing.T) {
-	server := newBackend(t, "i-1", func(conn net.Conn, a arrival, _ int) {
+func TestCrossedAnswerIsNotForwarded(t *testing.T) {
+	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, _ int) {
 		a.request.Header.Set(idHeader, "someone-elses")
-		plain(conn, a, 200, "another's quote")
+		writeAnswer(conn, a, 200, "another's quote")
 	})
-	b := newBench(t, server.heartbeat("booking"))
+	b := newHarness(t, server.heartbeat("booking"))
 	got := b.send("POST", "/confirm/x", "visit")
 	require.Equal(t, http.StatusBadGateway, got.status)
 	require.NotContains(t, got.body, "another's")
@@ -204,37 +204,37 @@
 
 // A server sends a second answer on a connection that has gone idle. The next request
 // must not be taken for answered by it.
-func TestExtraAnswerOnAnIdleConnection(t *testing.T) {
-	idle, extra := make(chan struct{}), make(chan net.Conn, 1)
-	server := newBackend(t, "i-1", func(conn net.Conn, a arrival, n int) {
-		plain(conn, a, 200, fmt.Sprintf("answer-%d", n))
+func TestExtraAnswerOnIdleConnectionIsDiscarded(t *testing.T) {
+	sendExtra, sent := make(chan struct{}), make(chan net.Conn, 1)
+	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, n int) {
+		writeAnswer(conn, a, 200, fmt.Sprintf("answer-%d", n))
 		if n == 1 {
-			<-idle
-			plain(conn, a, 200, "answer-1-again")
-			extra <- conn
+			<-sendExtra
+			writeAnswer(conn, a, 200, "answer-1-again")
+			sent <- conn
 		}
 	})
-	b := newBench(t, server.heartbeat("booking"))
+	b := newHarness(t, server.heartbeat("booking"))
 	require.Equal(t, "answer-1", b.send("POST", "/confirm/x", "visit").body)
-	close(idle)
-	untilReceived(t, <-extra)
+	close(sendExtra)
+	awaitDelivery(t, <-sent)
 	require.Equal(t, "answer-2", b.send("POST", "/confirm/x", "visit", idHeader, "r-2").body)
 }
 
 // The second answer comes when the next request is already on its way. It must reach
 // nobody, and neither may what follows on this connection.
-func TestExtraAnswerOnAConnectionInUse(t *testing.T) {
-	var first arrival
-	server := newBackend(t, "i-1", func(conn net.Conn, a arrival, n int) {
+func TestExtraAnswerOnConnectionInUseIsDiscarded(t *testing.T) {
+	var first receivedRequest
+	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, n int) {
 		if n == 1 {
 			first = a
 		}
 		if n == 2 {
-			plain(conn, first, 200, "answer-1-again")
+			writeAnswer(conn, first, 200, "answer-1-again")
 		}
-		plain(conn, a, 200, fmt.Sprintf("answer-%d", n))
+		writeAnswer(conn, a, 200, fmt.Sprintf("answer-%d", n))
 	})
-	b := newBench(t, server.heartbeat("booking"))
+	b := newHarness(t, server.heartbeat("booking"))
 	require.Equal(t, "answer-1", b.send("POST", "/confirm/x", "visit").body)
 	crossed := b.send("POST", "/confirm/x", "visit", idHeader, "r-2")
 	require.Equal(t, http.StatusBadGateway, crossed.status)
@@ -243,20 +243,20 @@
 }
 
 // Part of an answer, cut off. It must not look whole.
-func TestCutAnswerIsAFailure(t *testing.T) {
-	server := newBackend(t, "i-1", func(conn net.Conn, a arrival, _ int) {
+func TestTruncatedAnswerIsAFailure(t *testing.T) {
+	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, _ int) {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 100\r\n\r\nhalf", idHeader, a.request.Header.Get(idHeader))
 		_ = conn.Close()
 	})
-	b := newBench(t, server.heartbeat("booking"))
+	b := newHarness(t, server.heartbeat("booking"))
 	require.Equal(t, http.StatusBadGateway, b.send("POST", "/confirm/x", "visit").status)
 }
 
 // A server takes a request and never answers. The caller is told at the route's timeout
 // that its fate is not known.
-func TestMuteServerEndsAtTheTimeout(t *testing.T) {
-	server := newBackend(t, "i-1", func(net.Conn, arrival, int) { time.Sleep(5 * time.Second) })
-	b := newBench(t, server.heartbeat("booking"))
+func TestUnresponsiveBackendTimesOut(t *testing.T) {
+	server := newBackend(t, "i-1", func(net.Conn, receivedRequest, int) { time.Sleep(5 * time.Second) })
+	b := newHarness(t, server.heartbeat("booking"))
 	start := time.Now()
 	got := b.send("POST", "/confirm/x", "visit")
 	require.Equal(t, http.StatusGatewayTimeout, got.status)
@@ -264,20 +264,20 @@
 }
 
 // A caller goes away. The server must see it at once, and not work on in vain.
-func TestCallerThatLeavesEndsTheWork(t *testing.T) {
+func TestCallerDisconnectClosesTheBackendConnection(t *testing.T) {
 	closed := make(chan struct{})
-	server := newBackend(t, "i-1", func(conn net.Conn, _ arrival, _ int) {
+	server := newBackend(t, "i-1", func(conn net.Conn, _ receivedRequest, _ int) {
 		_, _ = conn.Read(make([]byte, 1)) // returns when the connection ends
 		close(closed)
 	})
-	b := newBench(t, server.heartbeat("booking"))
+	b := newHarness(t, server.heartbeat("booking"))
 	ctx, cancel := context.WithCancel(t.Context())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, b.server.URL+"/confirm/x", strings.NewReader("visit"))
 	require.NoError(t, err)
 	req.Host = "quotes.example"
 	req.Header.Set(idHeader, "r-1")
 	go func() {
-		for len(server.seen()) == 0 {
+		for len(server.requests()) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
@@ -292,8 +292,8 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	server := newBackend(t, "i-1", ok)
-	b := newBench(t, server.heartbeat("booking"))
+	server := newBackend(t, "i-1", answerOK)
+	b := newHarness(t, server.heartbeat("booking"))
 	for _, tt := range []struct {
 		name, path, body string
 		headers          []string
@@ -308,13 +308,13 @@
 			require.Equal(t, tt.want, b.send("POST", tt.path, tt.body, tt.headers...).status)
 		})
 	}
-	require.Empty(t, server.seen())
+	require.Empty(t, server.requests())
 }
 
 // A gateway that has just started knows no routes. It must say so, not that there is no
 // such route: callers don't ask again after that.
 func TestGatewayWithoutRoutesIsNotReady(t *testing.T) {
-	b := newBareBench(t)
+	b := newUnconfiguredHarness(t)
 	got := b.send("POST", "/confirm/x", "visit")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
@@ -324,10 +324,10 @@
 // All VMs lose power. The gateways are up a moment before the control VMs that have the
 // routes, and callers come at once. Turned away with a time to come back they would
 // return together, a second or two later and too late; the routes come in half of that.
-func TestGatewayThatStartsHoldsCallersUntilItHasRoutes(t *testing.T) {
-	server := newBackend(t, "i-1", ok)
-	b := newBareBench(t)
-	got := make(chan reply, 1)
+func TestRequestsAreQueuedUntilTheFirstRoutes(t *testing.T) {
+	server := newBackend(t, "i-1", answerOK)
+	b := newUnconfiguredHarness(t)
+	got := make(chan callerResponse, 1)
 	go func() { got <- b.send("POST", "/confirm/x", "visit") }()
 	require.Eventually(t, func() bool { return b.gateway.InFlight() == 1 }, 5*time.Second, time.Millisecond)
 	b.fleet.Learn("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{server.heartbeat("booking")}})
@@ -338,9 +338,9 @@
 // A gateway is told to stop. It says at once that it is not ready, serves what still
 // comes while the balancer takes notice, and takes nothing that would outlast it: such a
 // booking would be cut off, and its caller could not tell whether it was made.
-func TestDrainingGatewayTakesNothingThatOutlastsIt(t *testing.T) {
-	server := newBackend(t, "i-1", ok)
-	b := newBench(t, server.heartbeat("booking"))
+func TestDrainingGatewayRefusesRequestsThatMayOutlastIt(t *testing.T) {
+	server := newBackend(t, "i-1", answerOK)
+	b := newHarness(t, server.heartbeat("booking"))
 	require.True(t, b.gateway.Ready())
 	ctx, cancel := context.WithTimeout(t.Context(), 3500*time.Millisecond)
 	defer cancel()
@@ -359,15 +359,15 @@
 }
 
 // Guards against requests that arrive in the last moment of a drain and are cut off.
-func TestRequestOfADrainsLastMomentIsFinished(t *testing.T) {
+func TestRequestAtTheEndOfADrainCompletes(t *testing.T) {
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
-	server := newBackend(t, "i-1", func(conn net.Conn, a arrival, n int) {
+	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, n int) {
 		arrived <- struct{}{}
 		<-release
-		ok(conn, a, n)
+		answerOK(conn, a, n)
 	})
 	timers := laburnumtimer.NewManual(time.Now())
-	b := newBareBenchWith(t, timers)
+	b := newUnconfiguredHarnessWith(t, timers)
 	b.fleet.LearnRoutes(testRoutes())
 	b.fleet.Learn("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{server.heartbeat("booking")}})
 	idle := timers.Pending()
@@ -376,104 +376,104 @@
 		defer close(drained)
 		b.gateway.Drain(t.Context())
 	}()
-	waits := func() { // the drain waits for its next check
+	awaitCheck := func() { // the drain waits for its next check
 		require.Eventually(t, func() bool { return timers.Pending() > idle }, 5*time.Second, time.Millisecond)
 	}
-	checks := func(n int) {
+	passChecks := func(n int) {
 		for range n {
-			waits()
+			awaitCheck()
 			timers.Advance(50 * time.Millisecond)
 		}
 	}
-	waits()
+	awaitCheck()
 	timers.Advance(3 * time.Second) // the balancer has noticed
-	checks(9)
-	waits()
-	got := make(chan reply, 1)
+	passChecks(9)
+	awaitCheck()
+	got := make(chan callerResponse, 1)
 	go func() { got <- b.send("POST", "/confirm/x", "visit") }()
 	<-arrived
-	checks(2)
-	waits()
+	passChecks(2)
+	awaitCheck()
 	close(release)
 	require.Equal(t, http.StatusOK, (<-got).status)
 	require.Eventually(t, func() bool { return b.gateway.InFlight() == 0 }, 5*time.Second, time.Millisecond)
-	checks(10)
-	waits()
+	passChecks(10)
+	awaitCheck()
 	require.Equal(t, http.StatusServiceUnavailable, b.send("POST", "/confirm/x", "visit").status, "nothing is begun any more")
-	checks(2)
+	passChecks(2)
 	<-drained
 }
 
 // An engine ends in the middle of a stream, and the only other one is full for some
 // tenths more. A place to go on comes long before the caller leaves; the stream ended there
 // and then before, since its wait was counted from the request's arrival.
-func TestBrokenStreamWaitsForAPlaceToGoOn(t *testing.T) {
+func TestBrokenStreamWaitsForASlotToResume(t *testing.T) {
 	broken := make(chan struct{})
 	var first *backend
-	breaks := func(conn net.Conn, a arrival, _ int) {
-		events(conn, a, 1, 2)
+	breaks := func(conn net.Conn, a receivedRequest, _ int) {
+		writeEvents(conn, a, 1, 2)
 		time.Sleep(time.Second) // beyond the wait for a place to begin at
 		_ = first.ln.Close()
 		_ = conn.Close()
 		close(broken)
 	}
-	busy := func(conn net.Conn, a arrival, _ int) {
+	busy := func(conn net.Conn, a receivedRequest, _ int) {
 		if a.request.Header.Get("Last-Event-Id") != "" {
-			events(conn, a, 3, 4)
-			endChunks(conn)
+			writeEvents(conn, a, 3, 4)
+			writeLastChunk(conn)
 			return
 		}
-		events(conn, a, 1, 1)
+		writeEvents(conn, a, 1, 1)
 		<-broken
 		time.Sleep(300 * time.Millisecond)
-		endChunks(conn)
+		writeLastChunk(conn)
 	}
 	first = newBackend(t, "i-1", breaks)
 	second := newBackend(t, "i-2", busy)
 	oneSlot := second.heartbeat("quotes", "m0", "m1")
 	oneSlot.Heartbeat.Slots = 1
-	b := newBench(t, first.heartbeat("quotes", "m0"), oneSlot)
-	full := make(chan reply, 1)
+	b := newHarness(t, first.heartbeat("quotes", "m0"), oneSlot)
+	full := make(chan callerResponse, 1)
 	go func() { full <- b.send("POST", "/draft/x", "fir", "X-Laburnumlever-Model", "m1", idHeader, "r-2") }()
-	require.Eventually(t, func() bool { return len(second.seen()) == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(second.requests()) == 1 }, 5*time.Second, time.Millisecond)
 	got := b.send("POST", "/quote/x", "oak", "X-Laburnumlever-Model", "m0")
 	require.NoError(t, got.err)
 	require.Contains(t, got.body, "word-4")
 	require.NoError(t, (<-full).err)
 }
 
-// adapterOrders is a control VM that says which engines are of no use, and has the adapter
+// fakeAdapterLoader is a control VM that says which engines are of no use, and has the adapter
 // loaded at another.
-type adapterOrders struct {
-	needs chan laburnumlever.AdapterNeed
-	at    laburnumlever.BackendID
+type fakeAdapterLoader struct {
+	requests chan laburnumlever.AdapterNeed
+	holder   laburnumlever.BackendID
 }
 
-func (a adapterOrders) Need(_ context.Context, need laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
-	a.needs <- need
-	return []laburnumlever.BackendID{a.at}, nil
+func (a fakeAdapterLoader) Need(_ context.Context, need laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
+	a.requests <- need
+	return []laburnumlever.BackendID{a.holder}, nil
 }
 
 // An engine that can't be reached from here is the only one with an adapter, and the control
 // VM names it again and again. The caller is told within its wait; it was kept until it left
 // before.
-func TestCallerOfAnAdapterOutOfReachIsTold(t *testing.T) {
-	server := newBackend(t, "i-1", func(net.Conn, arrival, int) {})
-	orders := adapterOrders{needs: make(chan laburnumlever.AdapterNeed, 10_000), at: "i-9"}
-	b := newBareBench(t, laburnumgateway.WithAdapters(orders))
+func TestRequestForUnreachableAdapterIsRefusedInTime(t *testing.T) {
+	server := newBackend(t, "i-1", func(net.Conn, receivedRequest, int) {})
+	loader := fakeAdapterLoader{requests: make(chan laburnumlever.AdapterNeed, 10_000), holder: "i-9"}
+	b := newUnconfiguredHarness(t, laburnumgateway.WithAdapters(loader))
 	b.fleet.LearnRoutes(testRoutes())
 	b.fleet.Learn("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{server.heartbeat("quotes", "m0")}})
-	begun := time.Now()
+	start := time.Now()
 	got := b.send("POST", "/quote/x", "oak", "X-Laburnumlever-Model", "m0/a1")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
-	require.Less(t, time.Since(begun), 1500*time.Millisecond, "two thirds of two seconds, and some")
+	require.Less(t, time.Since(start), 1500*time.Millisecond, "two thirds of two seconds, and some")
 }
 
 // Guards against failures that only one gateway learns of.
-func TestErrorsOfABackendServerAreReported(t *testing.T) {
-	server := newBackend(t, "i-1", func(conn net.Conn, a arrival, _ int) { plain(conn, a, 500, "broken") })
-	b := newBench(t, server.heartbeat("booking"))
+func TestBackendErrorsAreReported(t *testing.T) {
+	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, _ int) { writeAnswer(conn, a, 500, "broken") })
+	b := newHarness(t, server.heartbeat("booking"))
 	require.Equal(t, 500, b.send("POST", "/confirm/x", "visit").status)
 	require.Equal(t, []laburnumlever.BackendOutcome{{Backend: "i-1", Failed: 1}}, b.fleet.News().Outcomes)
 	require.Empty(t, b.fleet.News().Outcomes)
--- a/laburnumgateway/lateness_internal_test.go
+++ b/laburnumgateway/lateness_internal_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLatenessNamesWhatWouldHaveBeenEnough(t *testing.T) {
+func TestLatenessReason(t *testing.T) {
 	const ms = time.Millisecond
 	cases := map[string]struct {
 		timing
--- a/laburnumgateway/request.go
+++ b/laburnumgateway/request.go
@@ -21,71 +21,71 @@
 
 	// Requests that arrive before the first routes are queued: refused ones would all return
 	// at once, and late.
-	startWait   = time.Second
-	startShare  = 0.33 // of the caller's timeout, at most
-	maxStarting = 256
-	startRetry  = time.Second // least Retry-After
+	firstRoutesWait      = time.Second
+	firstRoutesWaitShare = 0.33 // of the caller's timeout, at most
+	maxAwaitingRoutes    = 256
+	notReadyRetryAfter   = time.Second // least Retry-After
 )
 
 // request is the state of a caller's request.
 type request struct {
-	caller   laburnumlever.CallerRequest
-	route    *laburnumlever.Route
-	service  laburnumlever.RoutedService
-	method   string
-	uri      string
-	host     string
-	header   http.Header
-	body     []byte
-	arrived  time.Time
-	deadline time.Time
-	version  uint64
+	caller        laburnumlever.CallerRequest
+	route         *laburnumlever.Route
+	service       laburnumlever.RoutedService
+	method        string
+	uri           string
+	host          string
+	header        http.Header
+	body          []byte
+	arrived       time.Time
+	deadline      time.Time
+	routesVersion uint64
 
 	// sends counts the attempts that were sent, tries also those without a connection.
 	sends, tries int
 	avoid        []laburnumlever.BackendID
-	// touched tells that a backend server may have run the request.
-	touched bool
-	backend laburnumlever.BackendID // of the last attempt
-	waited  time.Duration           // in the queue
+	// mayHaveRun tells that a backend server may have run the request.
+	mayHaveRun bool
+	backend    laburnumlever.BackendID // of the last attempt
+	waited     time.Duration           // in the queue
 	// reservation is a slot reserved at the engine; empty for none.
-	reservation laburnumlever.ReservationID
-	taken       int  // refused reservations
-	urgent      bool // no route to its service is more urgent
-	lastEvent   string
-	// brokeAt is when the last part of a broken answer was written; zero if none broke.
-	brokeAt time.Time
-	// failed is an error answer of a backend server.
-	failed *storedAnswer
+	reservation         laburnumlever.ReservationID
+	refusedReservations int  // refused reservations
+	mostUrgent          bool // no route to its service is more urgent
+	lastEventID         string
+	// brokenAt is when the last part of a broken answer was written; zero if none broke.
+	brokenAt time.Time
+	// errorAnswer is an error answer of a backend server.
+	errorAnswer *bufferedAnswer
 }
 
-// read parses a request. The error is a *laburnumlever.RefusalError.
-func (g *Gateway) read(w http.ResponseWriter, r *http.Request) (*request, error) {
+// parseRequest parses a request. The error is a *laburnumlever.RefusalError.
+func (g *Gateway) parseRequest(w http.ResponseWriter, r *http.Request) (*request, error) {
 	now := g.timers.Now()
 	q := &request{method: r.Method, uri: r.RequestURI, host: r.Host, header: r.Header, arrived: now}
 	index := g.routes(r)
 	if index == nil {
-		return q, refuse(laburnumlever.RefusedNotReady, startRetry, "no routes yet")
+		return q, newRefusal(laburnumlever.RefusedNotReady, notReadyRetryAfter, "no routes yet")
 	}
-	q.version = index.Table().Version
+	q.routesVersion = index.Table().Version
 	route, ok := index.Find(r.Host, pathOf(r.RequestURI))
 	if !ok {
-		return q, refuse(laburnumlever.RefusedUnknownService, 0, "no route for the host and path")
+		return q, newRefusal(laburnumlever.RefusedUnknownService, 0, "no route for the host and path")
 	}
 	q.route = route
 	caller, err := g.dialect.Request(r.Header)
 	if err != nil {
-		return q, refuse(laburnumlever.RefusedBadRequest, 0, err.Error())
+		return q, newRefusal(laburnumlever.RefusedBadRequest, 0, err.Error())
 	}
 	if caller.ID == "" {
-		return q, refuse(laburnumlever.RefusedBadRequest, 0, "the request has no id")
+		return q, newRefusal(laburnumlever.RefusedBadRequest, 0, "the request has no id")
 	}
-	q.caller, q.lastEvent = caller, caller.LastEvent
+	q.caller, q.lastEventID = caller, caller.LastEvent
 	if q.service, ok = index.Table().Service(laburnumroutes.Pick(*route, rand.Uint64())); !ok {
-		return q, refuse(laburnumlever.RefusedUnknownService, 0, "the route's service is not in the table")
+		return q, newRefusal(laburnumlever.RefusedUnknownService, 0, "the route's service is not in the table")
 	}
-	q.urgent = index.MostUrgent(q.service.Name, route.Priority)
-	q.bound()
+	q.mostUrgent = index.MostUrgent(q.service.Name, route.Priority)
+	q.setDeadline()
 	return q, q.readBody(w, r, index.Table().Callers.BodyBytes)
 }
 
@@ -94,14 +94,14 @@
 	if index := g.fleet.index.Load(); index != nil {
 		return index
 	}
-	wait := startWait
+	wait := firstRoutesWait
 	if caller, err := g.dialect.Request(r.Header); err == nil && caller.Wait > 0 {
-		wait = min(wait, time.Duration(startShare*float64(caller.Wait)))
+		wait = min(wait, time.Duration(firstRoutesWaitShare*float64(caller.Wait)))
 	}
-	if g.starting.Add(1) <= maxStarting {
+	if g.awaitingRoutes.Add(1) <= maxAwaitingRoutes {
 		g.fleet.awaitRoutes(r.Context(), wait)
 	}
-	g.starting.Add(-1)
+	g.awaitingRoutes.Add(-1)
 	return g.fleet.index.Load()
 }
 
@@ -111,9 +111,9 @@
 	return path
 }
 
-// times decide how long the request may be queued.
-func (q *request) times() laburnumwaiting.Caller {
-	c := laburnumwaiting.Caller{Arrived: q.arrived, Deadline: q.deadline, BrokenAt: q.brokeAt}
+// queueTimes decide how long the request may be queued.
+func (q *request) queueTimes() laburnumwaiting.Caller {
+	c := laburnumwaiting.Caller{Arrived: q.arrived, Deadline: q.deadline, BrokenAt: q.brokenAt}
 	if q.route != nil {
 		c.Stream = q.route.Kind == laburnumlever.KindStream
 		c.Target, c.PauseTarget = time.Duration(q.route.Target), time.Duration(q.route.PauseTarget)
@@ -121,8 +121,8 @@
 	return c
 }
 
-// bound sets the deadline to the shorter of the caller's and the route's timeout.
-func (q *request) bound() {
+// setDeadline sets the deadline to the shorter of the caller's and the route's timeout.
+func (q *request) setDeadline() {
 	limit := time.Duration(q.route.Timeout)
 	if q.caller.Wait > 0 && q.caller.Wait < limit {
 		limit = q.caller.Wait
@@ -138,9 +138,9 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return refuse(laburnumlever.RefusedTooLarge, 0, err.Error())
+		return newRefusal(laburnumlever.RefusedTooLarge, 0, err.Error())
 	case err != nil:
-		return refuse(laburnumlever.RefusedCallerGone, 0, "the body did not come whole: "+err.Error())
+		return newRefusal(laburnumlever.RefusedCallerGone, 0, "the body did not come whole: "+err.Error())
 	}
 	q.body = body
 	return nil
@@ -150,23 +150,25 @@
 	return laburnumbalance.Query{
 		Service: q.service.Name, Model: q.caller.Model, Adapter: q.caller.Adapter,
 		Prompt: q.caller.Prompt, Target: time.Duration(q.route.Target), Avoid: q.avoid,
-		Queue: q.queues(),
+		Queue: q.queuesAtEngine(),
 	}
 }
 
-// queues tells whether the request may queue at an engine. Engines serve the most urgent first,
+// queuesAtEngine tells whether the request may queue at an engine. Engines serve the most urgent first,
 // while a slot that comes free otherwise goes to whichever gateway reserves it first.
-func (q *request) queues() bool { return q.urgent && q.taken >= laburnumbalance.UrgentReservations }
+func (q *request) queuesAtEngine() bool {
+	return q.mostUrgent && q.refusedReservations >= laburnumbalance.UrgentReservations
+}
 
-func (q *request) left(now time.Time) time.Duration { return q.deadline.Sub(now) }
+func (q *request) remaining(now time.Time) time.Duration { return q.deadline.Sub(now) }
 
-func refuse(reason laburnumlever.RefusalReason, after time.Duration, detail string) error {
+func newRefusal(reason laburnumlever.RefusalReason, after time.Duration, detail string) error {
 	return &laburnumlever.RefusalError{
 		Reason: reason, Outcome: laburnumlever.OutcomeNotRun, RetryAfter: after, Detail: detail,
 	}
 }
 
-// expired tells a deadline from a caller that is gone.
-func expired(ctx context.Context) bool {
+// deadlineExceeded tells a deadline from a caller that is gone.
+func deadlineExceeded(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
--- a/laburnumgateway/reserve.go
+++ b/laburnumgateway/reserve.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// reserveFor is the lifetime of a reservation; the request follows at once on the same
+	// reservationTTL is the lifetime of a reservation; the request follows at once on the same
 	// connection.
-	reserveFor = 100 * time.Millisecond
+	reservationTTL = 100 * time.Millisecond
 	// reserveTimeout is twice the longest round trip between zones.
-	reserveTimeout = 300 * time.Millisecond
-	maxReserved    = 4 << 10 // bytes of an answer
+	reserveTimeout   = 300 * time.Millisecond
+	maxReserveAnswer = 4 << 10 // bytes of an answer
 )
 
 // reserve reserves a slot before the request is sent, if the engine's load is stale. A
@@ -32,10 +32,10 @@
 // slots.
 func (g *Gateway) reserve(ctx context.Context, q *request, ticket *laburnumbalance.Ticket, conn *laburnumupstream.Conn, sample *laburnumbalance.Sample) (fail *failure, resp *http.Response) {
 	q.reservation = ""
-	if !ticket.Unsure() || q.queues() || q.service.Engine == nil || q.service.Engine.ReserveLimit == 0 {
+	if !ticket.Unsure() || q.queuesAtEngine() || q.service.Engine == nil || q.service.Engine.ReserveLimit == 0 {
 		return nil, nil
 	}
-	resp, body, err := g.requestSlot(q, ticket, conn)
+	resp, body, err := g.sendReservation(q, ticket, conn)
 	if err != nil {
 		sample.Failed = ctx.Err() == nil
 		g.counters.reservations[reserveUnanswered].Inc(1)
@@ -53,21 +53,21 @@
 	default:
 		g.counters.reservations[reserveTaken].Inc(1)
 		sample.Taken = true
-		q.taken++
-		return &failure{stage: laburnumretry.StageNotSent, reason: laburnumlever.RefusedBackendBusy, cause: &AnswerStatusError{Status: resp.StatusCode}, taken: true}, resp
+		q.refusedReservations++
+		return &failure{stage: laburnumretry.StageNotSent, reason: laburnumlever.RefusedBackendBusy, cause: &AnswerStatusError{Status: resp.StatusCode}, slotRefused: true}, resp
 	}
 	return nil, nil
 }
 
-// requestSlot sends the reservation and reads the whole answer.
-func (g *Gateway) requestSlot(q *request, ticket *laburnumbalance.Ticket, conn *laburnumupstream.Conn) (*http.Response, []byte, error) {
+// sendReservation sends the reservation and reads the whole answer.
+func (g *Gateway) sendReservation(q *request, ticket *laburnumbalance.Ticket, conn *laburnumupstream.Conn) (*http.Response, []byte, error) {
 	now := g.timers.Now()
-	if err := conn.SetDeadline(now.Add(min(reserveTimeout, q.left(now)))); err != nil {
+	if err := conn.SetDeadline(now.Add(min(reserveTimeout, q.remaining(now)))); err != nil {
 		return nil, nil, err
 	}
 	call := g.dialect.Reserve(laburnumlever.Reservation{
 		Backend: ticket.Backend.Backend, Tokens: q.caller.PromptTokens + laburnumdemand.AnswerTokens(q.caller),
-		For: min(reserveFor, time.Duration(q.service.Engine.ReserveLimit)),
+		For: min(reservationTTL, time.Duration(q.service.Engine.ReserveLimit)),
 	})
 	resp, err := conn.Exchange(laburnumupstream.Request{
 		Method: call.Method, URI: call.URI, Host: q.host, Header: call.Header, Body: call.Body,
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReserved))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReserveAnswer))
 	if err != nil || resp.Close {
 		return nil, nil, &BrokenAnswerError{Cause: err}
 	}
--- a/laburnumgateway/reserve_test.go
+++ b/laburnumgateway/reserve_test.go
@@ -14,23 +14,23 @@
 	"laburnumlever/laburnumregistry"
 )
 
-// reservable is a fake engine that keeps places when asked: free tells whether it has one.
-func reservable(t *testing.T, id string, free bool) *backend {
-	return newBackend(t, id, func(conn net.Conn, a arrival, _ int) {
+// newReservingEngine is a fake engine that keeps places when asked: free tells whether it has one.
+func newReservingEngine(t *testing.T, id string, free bool) *backend {
+	return newBackend(t, id, func(conn net.Conn, a receivedRequest, _ int) {
 		switch {
 		case a.request.URL.Path != "/v1/hold-take":
-			events(conn, a, 1, 2)
-			endChunks(conn)
+			writeEvents(conn, a, 1, 2)
+			writeLastChunk(conn)
 		case free:
-			plain(conn, a, http.StatusOK, `{"hold":"h-7"}`)
+			writeAnswer(conn, a, http.StatusOK, `{"hold":"h-7"}`)
 		default:
-			plain(conn, a, http.StatusServiceUnavailable, "")
+			writeAnswer(conn, a, http.StatusServiceUnavailable, "")
 		}
 	})
 }
 
-func reserveBench(t *testing.T, records ...laburnumregistry.Record) *bench {
-	b := newBareBench(t)
+func newReservationHarness(t *testing.T, records ...laburnumregistry.Record) *harness {
+	b := newUnconfiguredHarness(t)
 	table := testRoutes()
 	table.Services[1].Engine.ReserveLimit = laburnumlever.Duration(2 * time.Second)
 	table.Routes[2].Priority, table.Routes[3].Priority = 1, 0 // quotes, drafts
@@ -39,9 +39,9 @@
 	return b
 }
 
-func paths(b *backend) string {
+func requestPaths(b *backend) string {
 	var list []string
-	for _, a := range b.seen() {
+	for _, a := range b.requests() {
 		list = append(list, a.request.URL.Path)
 	}
 	return strings.Join(list, " ")
@@ -50,16 +50,16 @@
 // Sixty gateways send to engines of which each hears every few seconds. One that looks idle
 // is full by now, and a request sent there waits in its queue for a second while others
 // have places. It must be asked for a place first, and the request go where there is one.
-func TestEngineOfUnknownLoadIsAskedForAPlaceFirst(t *testing.T) {
-	full, free := reservable(t, "i-1", false), reservable(t, "i-2", true)
-	b := reserveBench(t, full.heartbeat("quotes", "m0"), free.heartbeat("quotes", "m0"))
+func TestSlotIsReservedWhenEngineLoadIsStale(t *testing.T) {
+	full, free := newReservingEngine(t, "i-1", false), newReservingEngine(t, "i-2", true)
+	b := newReservationHarness(t, full.heartbeat("quotes", "m0"), free.heartbeat("quotes", "m0"))
 	for range 8 {
 		got := b.send("POST", "/quote/x", "oak floor", "X-Laburnumlever-Model", "m0", "X-Laburnumlever-Token-Count", "700,300")
 		require.NoError(t, got.err)
 		require.Equal(t, 200, got.status)
 	}
-	require.NotContains(t, paths(full), "/quote/x")
-	first := free.seen()
+	require.NotContains(t, requestPaths(full), "/quote/x")
+	first := free.requests()
 	require.Equal(t, "/v1/hold-take", first[0].request.URL.Path)
 	require.Equal(t, "i-2", first[0].request.Header.Get("X-Laburnumlever-Expect-Instance"))
 	require.JSONEq(t, `{"tokens":850,"ttl_ms":100}`, first[0].body)
@@ -68,39 +68,39 @@
 
 // All engines with the model are full. The caller waits for a place like any other, and is
 // told then that nothing was run.
-func TestFullEnginesMakeTheCallerWait(t *testing.T) {
-	full := reservable(t, "i-1", false)
-	b := reserveBench(t, full.heartbeat("quotes", "m0"))
+func TestRequestQueuesWhenReservationsAreRefused(t *testing.T) {
+	full := newReservingEngine(t, "i-1", false)
+	b := newReservationHarness(t, full.heartbeat("quotes", "m0"))
 	got := b.send("POST", "/quote/x", "oak floor", "X-Laburnumlever-Model", "m0", "X-Laburnumlever-Deadline-Ms", "600")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
-	require.NotContains(t, paths(full), "/quote/x")
-	require.Less(t, len(full.seen()), 10)
+	require.NotContains(t, requestPaths(full), "/quote/x")
+	require.Less(t, len(full.requests()), 10)
 	require.Empty(t, full.closed(), "the connection is used again")
 }
 
 // Both engines are full, and the most urgent request of all comes. A place that comes free
 // goes to whichever gateway asks first, so it waits in an engine's queue, where urgency counts.
-func TestMostUrgentRequestWaitsAtAnEngine(t *testing.T) {
-	one, two := reservable(t, "i-1", false), reservable(t, "i-2", false)
-	b := reserveBench(t, one.heartbeat("quotes", "m0"), two.heartbeat("quotes", "m0"))
+func TestMostUrgentRequestQueuesAtAnEngine(t *testing.T) {
+	one, two := newReservingEngine(t, "i-1", false), newReservingEngine(t, "i-2", false)
+	b := newReservationHarness(t, one.heartbeat("quotes", "m0"), two.heartbeat("quotes", "m0"))
 	got := b.send("POST", "/draft/x", "oak floor", "X-Laburnumlever-Model", "m0")
 	require.Equal(t, 200, got.status)
-	require.Len(t, append(one.seen(), two.seen()...), 3, "two questions and the request")
+	require.Len(t, append(one.requests(), two.requests()...), 3, "two questions and the request")
 }
 
 // An engine that takes no reservations, or answers with something else, gets the request as
 // it is: what it can't do is no reason to refuse a caller.
 func TestEngineWithoutReservationsGetsTheRequest(t *testing.T) {
-	old := newBackend(t, "i-1", func(conn net.Conn, a arrival, _ int) {
+	old := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, _ int) {
 		if a.request.URL.Path == "/v1/hold-take" {
-			plain(conn, a, http.StatusNotFound, "")
+			writeAnswer(conn, a, http.StatusNotFound, "")
 			return
 		}
-		events(conn, a, 1, 2)
-		endChunks(conn)
+		writeEvents(conn, a, 1, 2)
+		writeLastChunk(conn)
 	})
-	b := reserveBench(t, old.heartbeat("quotes", "m0"))
+	b := newReservationHarness(t, old.heartbeat("quotes", "m0"))
 	got := b.send("POST", "/quote/x", "oak floor", "X-Laburnumlever-Model", "m0")
 	require.NoError(t, got.err)
 	require.Equal(t, 200, got.status)
@@ -108,14 +108,14 @@
 
 // An engine takes the connection and says nothing. The question for a place must end long
 // before the caller's time, and the request, which was not sent, go to another engine.
-func TestMuteEngineCostsOneQuestion(t *testing.T) {
-	mute := newBackend(t, "i-1", func(net.Conn, arrival, int) {})
-	sound := reservable(t, "i-2", true)
-	b := reserveBench(t, mute.heartbeat("quotes", "m0"), sound.heartbeat("quotes", "m0"))
+func TestUnresponsiveEngineDelaysOnlyTheReservation(t *testing.T) {
+	unresponsive := newBackend(t, "i-1", func(net.Conn, receivedRequest, int) {})
+	healthy := newReservingEngine(t, "i-2", true)
+	b := newReservationHarness(t, unresponsive.heartbeat("quotes", "m0"), healthy.heartbeat("quotes", "m0"))
 	for range 4 {
 		got := b.send("POST", "/quote/x", "oak floor", "X-Laburnumlever-Model", "m0")
 		require.NoError(t, got.err)
 		require.Equal(t, 200, got.status)
 	}
-	require.NotContains(t, paths(mute), "/quote/x")
+	require.NotContains(t, requestPaths(unresponsive), "/quote/x")
 }
--- a/laburnumgateway/serve.go
+++ b/laburnumgateway/serve.go
@@ -19,11 +19,11 @@
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 64 << 10
 
-	noticeTime  = 3 * time.Second         // two failed health checks of the balancer
-	lastWork    = 2500 * time.Millisecond // requests are refused this long before the end of a drain
-	quietCheck  = 50 * time.Millisecond
-	quietChecks = 10 // checks in a row without a request, after which new ones are refused
-	lastChecks  = 2  // checks in a row without a request end the drain; answers are flushed by then
+	balancerNoticeTime = 3 * time.Second         // two failed health checks of the balancer
+	refuseBeforeEnd    = 2500 * time.Millisecond // requests are refused this long before the end of a drain
+	idleCheckInterval  = 50 * time.Millisecond
+	idleChecks         = 10 // checks in a row without a request, after which new ones are refused
+	closingIdleChecks  = 2  // checks in a row without a request end the drain; answers are flushed by then
 )
 
 // drainStage is how far a drain has got.
@@ -64,21 +64,21 @@
 func (g *Gateway) Drain(ctx context.Context) {
 	g.enter(drainNoticing)
 	if end, ok := ctx.Deadline(); ok {
-		g.endsAt.Store(&end)
+		g.drainDeadline.Store(&end)
 	}
 	_ = level.Info(g.logger).Log("event", laburnumlever.EventDraining, "in-flight", g.InFlight())
-	laburnumtimer.Wait(ctx.Done(), g.timers, noticeTime)
+	laburnumtimer.Wait(ctx.Done(), g.timers, balancerNoticeTime)
 	g.enter(drainEmptying)
-	g.awaitIdle(ctx, quietChecks)
+	g.awaitIdle(ctx, idleChecks)
 	g.enter(drainClosing)
-	g.awaitIdle(ctx, lastChecks)
+	g.awaitIdle(ctx, closingIdleChecks)
 	_ = level.Info(g.logger).Log("event", laburnumlever.EventDrained, "in-flight", g.InFlight())
 }
 
 // awaitIdle returns when checks in a row found no request in flight, or ctx ends.
 func (g *Gateway) awaitIdle(ctx context.Context, checks int) {
 	for idle := 0; idle < checks && ctx.Err() == nil; {
-		laburnumtimer.Wait(ctx.Done(), g.timers, quietCheck)
+		laburnumtimer.Wait(ctx.Done(), g.timers, idleCheckInterval)
 		idle++
 		if g.InFlight() > 0 {
 			idle = 0
@@ -86,14 +86,14 @@
 	}
 }
 
-// tooLate tells whether a request could outlast the process. Its answer would be cut off.
-func (g *Gateway) tooLate(q *request) bool {
+// mayOutlastDrain tells whether a request could outlast the process. Its answer would be cut off.
+func (g *Gateway) mayOutlastDrain(q *request) bool {
 	stage := g.stage()
 	if stage == drainClosing || stage == drainEmptying && q.route.Kind == laburnumlever.KindStream {
 		return true
 	}
-	end := g.endsAt.Load()
-	return end != nil && g.timers.Now().Add(lastWork).After(*end)
+	end := g.drainDeadline.Load()
+	return end != nil && g.timers.Now().Add(refuseBeforeEnd).After(*end)
 }
 
 // Sweep closes idle connections and drops tombstones.
--- a/laburnumgateway/sweep_test.go
+++ b/laburnumgateway/sweep_test.go
@@ -17,7 +17,7 @@
 // there is no other news of it, since its heartbeats say the same to the others. Callers are
 // served by it all the while. A gateway hears no heartbeats itself, so it must not forget it;
 // one that is gone it must.
-func TestSilentBackendServerIsNotForgottenByAGateway(t *testing.T) {
+func TestSweepKeepsSilentBackends(t *testing.T) {
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
 	fleet := laburnumgateway.NewFleet(timers, laburnumlever.VM{ID: "10.0.0.1", Zone: "brest"}, time.Second, 1)
 	fleet.LearnRoutes(testRoutes())
--- a/laburnumgateway/waiting.go
+++ b/laburnumgateway/waiting.go
@@ -12,12 +12,12 @@
 // waitTerms are how long requests wait for a slot.
 var waitTerms = laburnumwaiting.DefaultTerms()
 
-// await reserves a slot for a request, queueing until the time given.
-func (f *Fleet) await(ctx context.Context, q *request, until time.Time) (*laburnumbalance.Ticket, laburnumbalance.Verdict) {
+// awaitSlot reserves a slot for a request, queueing until the time given.
+func (f *Fleet) awaitSlot(ctx context.Context, q *request, until time.Time) (*laburnumbalance.Ticket, laburnumbalance.Verdict) {
 	now := f.timers.Now()
 	admitted := make(chan *laburnumbalance.Ticket, 1)
 	queued := &laburnumwaiting.Request{
-		Priority: q.route.Priority, Arrived: q.arrived, FreshUntil: waitTerms.FreshUntil(q.times()),
+		Priority: q.route.Priority, Arrived: q.arrived, FreshUntil: waitTerms.FreshUntil(q.queueTimes()),
 		Admit: func(ticket *laburnumbalance.Ticket) { admitted <- ticket },
 	}
 	f.mu.Lock()
