--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -237,15 +237,15 @@
 	})
 }
 
-// countRequest counts a request.
-func (f *Fleet) countRequest(q *request) {
+// countDemand counts a request.
+func (f *Fleet) countDemand(q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.demand.Asked(laburnumdemand.RequestOf(q.caller))
 }
 
-// countRefusal counts a countRefusal request.
-func (f *Fleet) countRefusal(q *request) {
+// countRefusedDemand counts a countRefusedDemand request.
+func (f *Fleet) countRefusedDemand(q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.demand.Refused(laburnumdemand.RequestOf(q.caller))
--- a/laburnumgateway/gateway.go
+++ b/laburnumgateway/gateway.go
@@ -109,11 +109,11 @@
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
 	g.countRequest(q)
-	g.fleet.countRequest(q)
+	g.fleet.countDemand(q)
 	out := &answer{w: w}
 	err = g.run(ctx, q, out)
 	if err != nil {
-		g.fleet.countRefusal(q)
+		g.fleet.countRefusedDemand(q)
 		g.finishUnanswered(ctx, q, out, err)
 		return
 	}
