--- a/laburnumupstream/conn.go
+++ b/laburnumupstream/conn.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// readBuffer takes a usual answer or a few events in one read.
-const readBuffer = 4 << 10
+// readBufferSize takes a usual answer or a few events in one read.
+const readBufferSize = 4 << 10
 
 // Request is what goes to a backend server.
 type Request struct {
@@ -34,7 +34,7 @@
 	onClose     func()
 }
 
-var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+var writeBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // Close ends the connection; the backend server sees it and ends its work.
 func (c *Conn) Close() {
@@ -55,14 +55,14 @@
 // Exchange sends a request and reads the answer's head. An error is a *LostError:
 // some bytes may have reached the backend server.
 func (c *Conn) Exchange(q Request) (*http.Response, error) {
-	buf, _ := buffers.Get().(*bytes.Buffer)
+	buf, _ := writeBuffers.Get().(*bytes.Buffer)
 	if buf == nil {
 		buf = new(bytes.Buffer)
 	}
 	buf.Reset()
 	q.write(buf)
 	_, err := c.conn.Write(buf.Bytes())
-	buffers.Put(buf)
+	writeBuffers.Put(buf)
 	if err != nil {
 		return nil, &LostError{Address: c.address, Cause: err}
 	}
@@ -100,8 +100,8 @@
 	buf.Write(q.Body)
 }
 
-// quiet tells whether the socket holds neither bytes nor an end.
-func (c *Conn) quiet() bool {
+// noPendingInput tells whether the socket holds neither bytes nor an end.
+func (c *Conn) noPendingInput() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -123,8 +123,8 @@
 	return err == nil && quiet
 }
 
-// keepAlive reads how long the backend server keeps the connection idle.
-func keepAlive(header http.Header) (time.Duration, bool) {
+// keepAliveTimeout reads how long the backend server keeps the connection idle.
+func keepAliveTimeout(header http.Header) (time.Duration, bool) {
 	for field := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if seconds, err := strconv.ParseFloat(value, 64); err == nil && strings.EqualFold(name, "timeout") {
--- a/laburnumupstream/pool.go
+++ b/laburnumupstream/pool.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// defaultIdle is how long an idle connection is kept when the backend server
+	// defaultIdleTimeout is how long an idle connection is kept when the backend server
 	// does not say how long it keeps it.
-	defaultIdle = 2 * time.Second
-	// idleShare of what the backend server says is used, since its clock started
+	defaultIdleTimeout = 2 * time.Second
+	// keepAliveShare of what the backend server says is used, since its clock started
 	// before ours and a request must not cross its close.
-	idleShare = 0.75
+	keepAliveShare = 0.75
 	// dialTimeout is tens of round trips within a region; a backend server that does
 	// not answer by then is cut off, overrun, or the packet was lost, which the
 	// system sends again only after a second.
@@ -65,7 +65,7 @@
 // Get returns an idle connection or makes one, unless limit are open already; 0
 // means no limit. Errors: *DialError, *FullError.
 func (p *Pool) Get(ctx context.Context, address string, limit int) (*Conn, error) {
-	if c := p.take(address); c != nil {
+	if c := p.popIdle(address); c != nil {
 		return c, nil
 	}
 	p.mu.Lock()
@@ -77,17 +77,17 @@
 	p.mu.Unlock()
 	conn, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		p.ended(address)
+		p.connectionClosed(address)
 		return nil, &DialError{Address: address, Cause: err}
 	}
 	p.scope.Counter("backend-connections").Inc(1)
 	return &Conn{
-		address: address, conn: conn, r: bufio.NewReaderSize(conn, readBuffer),
-		onClose: func() { p.ended(address) },
+		address: address, conn: conn, r: bufio.NewReaderSize(conn, readBufferSize),
+		onClose: func() { p.connectionClosed(address) },
 	}, nil
 }
 
-func (p *Pool) ended(address string) {
+func (p *Pool) connectionClosed(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open[address]--; p.open[address] <= 0 {
@@ -95,8 +95,8 @@
 	}
 }
 
-// take returns the idle connection used last that still can be.
-func (p *Pool) take(address string) *Conn {
+// popIdle returns the idle connection used last that still can be.
+func (p *Pool) popIdle(address string) *Conn {
 	for {
 		p.mu.Lock()
 		list := p.idle[address]
@@ -107,7 +107,7 @@
 		c := list[len(list)-1]
 		p.idle[address] = list[:len(list)-1]
 		p.mu.Unlock()
-		if p.now().Before(c.usableUntil) && c.quiet() {
+		if p.now().Before(c.usableUntil) && c.noPendingInput() {
 			return c
 		}
 		c.Close()
@@ -116,11 +116,11 @@
 
 // Put takes a connection back after a whole answer.
 func (p *Pool) Put(c *Conn, resp *http.Response) {
-	idle, ok := keepAlive(resp.Header)
+	idle, ok := keepAliveTimeout(resp.Header)
 	if !ok {
-		idle = defaultIdle
+		idle = defaultIdleTimeout
 	}
-	idle = time.Duration(float64(idle) * idleShare)
+	idle = time.Duration(float64(idle) * keepAliveShare)
 	if resp.Close || idle <= 0 || c.r.Buffered() > 0 || c.conn.SetDeadline(time.Time{}) != nil {
 		c.Close()
 		return
