--- a/laburnumupstream/conn.go
+++ b/laburnumupstream/conn.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// readBufferSize takes a usual answer or a few events in one read.
+// readBufferSize, in bytes, fits a typical answer or a few events of a stream in one read.
 const readBufferSize = 4 << 10
 
-// Request is what goes to a backend server.
+// Request is an HTTP/1.1 request to a backend server. Content-Length is added when it is written.
 type Request struct {
 	Method, URI, Host string
 	Header            http.Header
@@ -28,7 +28,8 @@
 	address string
 	conn    net.Conn
 	r       *bufio.Reader
-	// usableUntil is when the backend server may close it for idleness.
+	// usableUntil is the end of the idle timeout. After it the backend server may close the
+	// connection, so it is not reused.
 	usableUntil time.Time
 	closed      sync.Once
 	onClose     func()
@@ -36,7 +37,8 @@
 
 var writeBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// Close ends the connection; the backend server sees it and ends its work.
+// Close closes the connection, so that the backend server stops work on the request in progress.
+// It may be called more than once and from any goroutine.
 func (c *Conn) Close() {
 	c.closed.Do(func() {
 		_ = c.conn.Close()
@@ -44,16 +46,18 @@
 	})
 }
 
-// Guard closes the connection when ctx ends before stop is called.
+// CloseOnDone closes the connection when ctx is done before stop is called. Stop returns false if
+// that has happened.
 func (c *Conn) Guard(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, c.Close)
 }
 
-// SetDeadline bounds all reads and writes from now on.
+// SetDeadline sets the deadline of all further reads and writes.
 func (c *Conn) SetDeadline(at time.Time) error { return c.conn.SetDeadline(at) }
 
-// Exchange sends a request and reads the answer's head. An error is a *LostError:
-// some bytes may have reached the backend server.
+// Exchange sends a request and reads the head of the answer, skipping informational (1xx) answers
+// other than 101. The caller reads the body. An error is a *LostError: some bytes may have reached
+// the backend server.
 func (c *Conn) Exchange(q Request) (*http.Response, error) {
 	buf, _ := writeBuffers.Get().(*bytes.Buffer)
 	if buf == nil {
@@ -100,7 +104,8 @@
 	buf.Write(q.Body)
 }
 
-// noPendingInput tells whether the socket holds neither bytes nor an end.
+// noPendingInput tells whether neither received bytes nor the end of the stream (EOF) wait to be
+// read. It peeks at the socket without blocking.
 func (c *Conn) noPendingInput() bool {
 	if c.r.Buffered() > 0 {
 		return false
@@ -118,12 +123,13 @@
 		var one [1]byte
 		_, _, errno := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = errno == syscall.EAGAIN
-		return true // never waits
+		return true // does not block until the socket is readable
 	})
 	return err == nil && quiet
 }
 
-// keepAliveTimeout reads how long the backend server keeps the connection idle.
+// keepAliveTimeout returns the timeout parameter of a Keep-Alive header: how long the backend
+// server keeps an idle connection open.
 func keepAliveTimeout(header http.Header) (time.Duration, bool) {
 	for field := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/laburnumupstream/doc.go
+++ b/laburnumupstream/doc.go
@@ -1,25 +1,27 @@
-// Package laburnumupstream holds connections to backend servers and exchanges one
-// request at a time on each.
+// Package laburnumupstream is a pool of HTTP/1.1 connections to backend servers. Each
+// connection carries one request at a time.
 //
-// It uses no http.Transport: a request must be known to be unsent, sent or lost, a
-// transport repeats some by itself, and its two goroutines a connection cost two
-// hand-offs for each event of a stream. Here one goroutine writes the request and
-// reads the answer; the parser is net/http's.
+// It does not use http.Transport: the gateway must know whether a request was not
+// sent, was answered, or has an unknown outcome, but a transport retries some
+// requests by itself. The transport's two goroutines per connection also cost two
+// goroutine switches for each event of a stream. Here the caller's goroutine writes the
+// request and reads the answer, with the parser of net/http.
 //
 // # Failures
 //
-// A backend server may have closed an idle connection, or have sent bytes on it
-// that belong to no request. Both show before use by looking at what the socket
-// holds: such a connection is closed, not used. A silent connection is ended by
-// keep-alive probes within seconds.
+// A backend server may have closed an idle connection, or sent bytes on it that
+// belong to no request. The pool peeks at the socket before it reuses a connection
+// and closes one in either state. TCP keep-alive probes detect a dead peer within
+// about three seconds.
 //
 // # Usage
 //
 //	pool := laburnumupstream.New()
-//	conn, err := pool.Get(ctx, address)            // *DialError: nothing was sent
-//	stop := conn.Guard(ctx)
-//	resp, err := conn.Exchange(request, deadline)  // *LostError: outcome unknown
+//	conn, err := pool.Get(ctx, address, limit)  // *DialError, *ConnectionLimitError: nothing was sent
+//	stop := conn.CloseOnDone(ctx)
+//	err = conn.SetDeadline(deadline)
+//	resp, err := conn.Exchange(request)         // *LostError: outcome unknown
 //	…read resp.Body…
 //	stop()
-//	pool.Put(conn, resp)  // or conn.Close()
+//	pool.Put(conn, resp)  // or conn.Close() after an incomplete answer
 package laburnumupstream
--- a/laburnumupstream/errors.go
+++ b/laburnumupstream/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// DialError is a connection that could not be made: nothing was sent.
+// DialError reports that no connection to Address could be made. Nothing was sent.
 type DialError struct {
 	Address string
 	Cause   error
@@ -13,18 +13,20 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Cause }
 
-// LostError is a request that was sent, in part at least, and has no whole answer.
+// LostError reports that at least part of a request may have been sent to Address and that no
+// complete response head arrived. It is unknown whether the backend server ran the request.
 type LostError struct {
 	Address string
 	Cause   error
 }
 
-func (e *LostError) Error() string { return fmt.Sprintf("no answer of %s: %v", e.Address, e.Cause) }
+func (e *LostError) Error() string { return fmt.Sprintf("no answer from %s: %v", e.Address, e.Cause) }
 
 // Unwrap returns the cause.
 func (e *LostError) Unwrap() error { return e.Cause }
 
-// FullError is a backend server to which this VM has as many connections as it may.
+// ConnectionLimitError reports that this VM has Limit connections open to Address, the most that
+// it may have. Nothing was sent.
 type FullError struct {
 	Address string
 	Limit   int
--- a/laburnumupstream/pool.go
+++ b/laburnumupstream/pool.go
@@ -12,43 +12,44 @@
 )
 
 const (
-	// defaultIdleTimeout is how long an idle connection is kept when the backend server
-	// does not say how long it keeps it.
+	// defaultIdleTimeout is the idle timeout of connections to a backend server that sends no
+	// Keep-Alive timeout.
 	defaultIdleTimeout = 2 * time.Second
-	// keepAliveShare of what the backend server says is used, since its clock started
-	// before ours and a request must not cross its close.
+	// keepAliveShare is the part of the backend server's idle timeout for which a connection is
+	// reused. The backend server starts its timeout first, and a request must not be sent while
+	// it closes the connection.
 	keepAliveShare = 0.75
-	// dialTimeout is tens of round trips within a region; a backend server that does
-	// not answer by then is cut off, overrun, or the packet was lost, which the
-	// system sends again only after a second.
+	// dialTimeout is tens of round trips within a region. A backend server that does not accept
+	// within it is unreachable or overloaded, or a SYN was lost, which the kernel retransmits
+	// only after a second.
 	dialTimeout = 200 * time.Millisecond
-	// Probes find a silent connection within about three seconds.
+	// TCP keep-alive probes detect a dead peer within about three seconds.
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 2
 )
 
-// Pool holds idle connections by address. It may be used from any goroutine.
+// Pool keeps idle connections by address and counts the open ones. It is safe for concurrent use.
 type Pool struct {
 	dialer net.Dialer
 	scope  tally.Scope
 	now    func() time.Time
 
 	mu   sync.Mutex
-	idle map[string][]*Conn // the last used last
-	open map[string]int
+	idle map[string][]*Conn // most recently used last
+	open map[string]int     // connections in use or idle
 }
 
 // Option changes a new pool.
 type Option func(*Pool)
 
-// WithScope sets where counters go; without it they go nowhere.
+// WithScope sets the metrics scope; by default no metrics are recorded.
 func WithScope(scope tally.Scope) Option { return func(p *Pool) { p.scope = scope } }
 
-// WithNow sets the clock.
+// WithNow sets the clock that idle timeouts use; the default is time.Now.
 func WithNow(now func() time.Time) Option { return func(p *Pool) { p.now = now } }
 
-// New makes an empty pool.
+// New returns an empty pool.
 func New(opts ...Option) *Pool {
 	p := &Pool{
 		dialer: net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
@@ -62,8 +63,8 @@
 	return p
 }
 
-// Get returns an idle connection or makes one, unless limit are open already; 0
-// means no limit. Errors: *DialError, *FullError.
+// Get returns an idle connection to address, or dials a new one if fewer than limit are open. A
+// limit of 0 means no limit. Errors: *DialError, *ConnectionLimitError.
 func (p *Pool) Get(ctx context.Context, address string, limit int) (*Conn, error) {
 	if c := p.popIdle(address); c != nil {
 		return c, nil
@@ -95,7 +96,8 @@
 	}
 }
 
-// popIdle returns the idle connection used last that still can be.
+// popIdle returns the most recently used idle connection that is still usable, or nil. It closes
+// the unusable ones that it finds.
 func (p *Pool) popIdle(address string) *Conn {
 	for {
 		p.mu.Lock()
@@ -114,7 +116,8 @@
 	}
 }
 
-// Put takes a connection back after a whole answer.
+// Put returns a connection to the pool once the answer has been read completely. It closes the
+// connection if it can't be reused.
 func (p *Pool) Put(c *Conn, resp *http.Response) {
 	idle, ok := keepAliveTimeout(resp.Header)
 	if !ok {
@@ -131,7 +134,7 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes idle connections that can't be used any more.
+// Sweep closes idle connections whose idle timeout has passed.
 func (p *Pool) Sweep() {
 	now := p.now()
 	var old []*Conn
