--- a/laburnumgateway/answer.go
+++ b/laburnumgateway/answer.go
@@ -19,27 +19,28 @@
 )
 
 const (
-	maxBuffered     = 1 << 20 // bytes of an answer that is buffered, so that it can be retried if it breaks
+	maxBuffered     = 1 << 20 // bytes; an answer up to this size is buffered, so that a broken one can be retried
 	eventBufferSize = 4 << 10
-	maxEventBytes   = 1 << 20 // bytes of an event
+	maxEventBytes   = 1 << 20
 	streamType      = "text/event-stream"
 )
 
-// hopByHopHeaders are not forwarded.
+// hopByHopHeaders are response headers that are not forwarded: those about the connection (RFC 9110,
+// section 7.6.1), and Content-Length, which the gateway sets itself where the length is known.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Trailer", "Upgrade", "Te"}
 
 // answer is the state of the response to the caller.
 type answer struct {
 	w       http.ResponseWriter
 	started bool
-	// firstAt and lastAt are when the first and last parts were written, pause is the longest
-	// time between two.
+	// firstAt and lastAt are when the first and last parts were written; pause is the longest time
+	// between two consecutive parts.
 	firstAt, lastAt time.Time
 	pause           time.Duration
-	events          int
+	events          int // parts written
 }
 
-// recordPart records that a part was written.
+// recordPart records that a part of the answer was written.
 func (a *answer) recordPart(now time.Time) {
 	if a.firstAt.IsZero() {
 		a.firstAt = now
@@ -50,7 +51,7 @@
 	a.events++
 }
 
-// bufferedAnswer is a buffered answer.
+// bufferedAnswer is a complete answer of a backend server.
 type bufferedAnswer struct {
 	status int
 	header http.Header
@@ -61,7 +62,7 @@
 	copyHeader(w.Header(), s.header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(s.body)))
 	w.WriteHeader(s.status)
-	_, _ = w.Write(s.body) // an error means that the caller is gone
+	_, _ = w.Write(s.body) // an error means that the caller has disconnected
 }
 
 func copyHeader(to, from http.Header) {
@@ -72,7 +73,7 @@
 	}
 }
 
-// forwardAnswer forwards an answer to the caller.
+// forwardAnswer forwards an answer to the caller. An error answer is stored instead.
 func (g *Gateway) forwardAnswer(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, sample *laburnumbalance.Sample) *failure {
 	if resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), streamType) {
 		return g.forwardStream(ctx, q, out, ticket, resp, sample)
@@ -102,8 +103,8 @@
 func (g *Gateway) storeErrorAnswer(q *request, stored *bufferedAnswer, sample *laburnumbalance.Sample) *failure {
 	sample.Failed, sample.Faulty = true, true
 	if impliesNotRun(stored.status) {
-		// The backend server may have run the request, but the status would promise that it
-		// has not.
+		// The backend server may have run the request, but this status would tell the caller that
+		// it did not.
 		return &failure{stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedBackendError, cause: &AnswerStatusError{Status: stored.status}}
 	}
 	q.errorAnswer = stored
@@ -119,7 +120,7 @@
 	}
 }
 
-// forwardLong streams an answer that is too long to be buffered.
+// forwardLong streams an answer that is too long to be buffered. Head is the part read so far.
 func (g *Gateway) forwardLong(ctx context.Context, out *answer, resp *http.Response, head []byte) *failure {
 	copyHeader(out.w.Header(), resp.Header)
 	if resp.ContentLength > 0 {
@@ -140,7 +141,8 @@
 	return &failure{stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedBrokenStream, cause: &BrokenAnswerError{Cause: err}}
 }
 
-// forwardStream forwards complete events, so that a broken stream can resume after the last one.
+// forwardStream forwards complete server-sent events only, so that a broken stream can resume after
+// the last one.
 func (g *Gateway) forwardStream(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, sample *laburnumbalance.Sample) *failure {
 	if !out.started {
 		copyHeader(out.w.Header(), resp.Header)
@@ -182,8 +184,8 @@
 	}
 }
 
-// checkEventID checks that numeric event ids are consecutive: a resumed stream must not lose or
-// repeat an event.
+// checkEventID returns a failure if numeric event ids are not consecutive: a resumed stream must not
+// lose or repeat an event.
 func (g *Gateway) checkEventID(q *request, event []byte) *failure {
 	id, ok := g.dialect.EventID(event)
 	if !ok {
--- a/laburnumgateway/attempt.go
+++ b/laburnumgateway/attempt.go
@@ -13,10 +13,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// backendTimeoutSlack lets a backend server's own timeout fire before the gateway's.
+// backendTimeoutSlack is added to the deadline of a connection, so that a backend server's own
+// timeout fires before the gateway's.
 const backendTimeoutSlack = 100 * time.Millisecond
 
-// attempt makes one attempt. A nil failure means that the whole answer was passed on.
+// attempt makes one attempt. A nil failure means that the complete answer was forwarded.
 func (g *Gateway) attempt(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket) *failure {
 	q.tries++
 	q.backend = ticket.Backend.Backend
@@ -30,7 +31,7 @@
 		return &failure{stage: laburnumretry.StageNotSent, reason: laburnumlever.RefusedBackendUnreachable, cause: err}
 	}
 	stop := conn.Guard(ctx)
-	if fail, resp := g.reserve(ctx, q, ticket, conn, &sample); fail != nil { //nolint:bodyclose // it is read whole
+	if fail, resp := g.reserve(ctx, q, ticket, conn, &sample); fail != nil { //nolint:bodyclose // its body has been read
 		if stop() && resp != nil {
 			g.pool.Put(conn, resp)
 		} else {
@@ -86,7 +87,8 @@
 	return g.forwardAnswer(ctx, q, out, ticket, resp, sample), resp
 }
 
-// checkAnswer returns a failure for an answer that must not be forwarded.
+// checkAnswer returns a failure for an answer that must not be forwarded: one to another request, or
+// one which says that the request did not run.
 func (g *Gateway) checkAnswer(q *request, ticket *laburnumbalance.Ticket, resp *http.Response, marks laburnumlever.AnswerMarks, sample *laburnumbalance.Sample) *failure {
 	if marks.RequestID != q.caller.ID && (marks.RequestID != "" || !marks.NotRun) {
 		sample.Failed, sample.Faulty = true, true
--- a/laburnumgateway/benchmark_test.go
+++ b/laburnumgateway/benchmark_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkUnaryRequest is what a plain request takes through a gateway, one after the
-// other on one connection; the caller's and the backend server's ends are in it.
+// BenchmarkUnaryRequest measures sequential requests without a stream on one connection. The cost
+// includes the caller and the backend server, which run in the same process.
 func BenchmarkUnaryRequest(b *testing.B) {
 	server := newBackend(b, "i-1", func(conn net.Conn, a receivedRequest, _ int) { writeAnswer(conn, a, http.StatusOK, "confirmed") })
 	bench := newHarness(b, server.heartbeat("booking"))
@@ -18,7 +18,8 @@
 	}
 }
 
-// BenchmarkStreamEvent is what an event of a stream takes, the two other ends in it.
+// BenchmarkStreamEvent measures the cost of an event of a stream, including the caller and the
+// backend server.
 func BenchmarkStreamEvent(b *testing.B) {
 	const length = 500
 	server := newBackend(b, "i-1", func(conn net.Conn, a receivedRequest, _ int) {
--- a/laburnumgateway/counters.go
+++ b/laburnumgateway/counters.go
@@ -9,14 +9,14 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// latencyBuckets range from a hop between zones to the longest timeout of a route.
+// latencyBuckets range from a round trip between zones to the longest timeout of a route.
 var latencyBuckets = tally.DurationBuckets{
 	2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 150 * time.Millisecond, 200 * time.Millisecond, 300 * time.Millisecond, 500 * time.Millisecond,
 	time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 16 * time.Second,
 }
 
-// counters caches the metrics of requests.
+// counters holds the metrics of requests.
 type counters struct {
 	requests, served tally.Counter
 	refusals         map[laburnumlever.RefusalReason]tally.Counter
@@ -34,15 +34,18 @@
 type reserveOutcome int
 
 const (
+	// reserveKept is a slot that the engine reserved.
 	reserveKept reserveOutcome = iota
+	// reserveTaken is a refusal because all slots are taken.
 	reserveTaken
+	// reserveUnanswered has no answer, or one that is not about a reservation.
 	reserveUnanswered
 )
 
-// latencies are the histograms of a service.
+// latencies holds the latency histograms of a service.
 type latencies struct {
-	// wait is the time in the queue, first to the first part of the answer, pause the longest
-	// between two parts, whole to the last part.
+	// wait is the time in the queue; first and whole are the times from the arrival of the request
+	// to the first and the last part of the answer; pause is the longest time between two parts.
 	wait, first, pause, whole tally.Histogram
 }
 
@@ -76,7 +79,8 @@
 	}
 }
 
-// latenciesOf returns a service's histograms. Services are a bounded label: operators name them.
+// latenciesOf returns the histograms of a service. The label has bounded cardinality, as services
+// are set by operators.
 func (c *counters) latenciesOf(service laburnumlever.ServiceName) *latencies {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/laburnumgateway/counters_internal_test.go
+++ b/laburnumgateway/counters_internal_test.go
@@ -10,8 +10,8 @@
 	"laburnumlever"
 )
 
-// Each answer must show in the histograms of its service, so that a late answer can be told
-// from a late one of another service, and its wait from the engine's time.
+// Guards against latencies that can't be attributed to a service, or to the queue rather than the
+// engine.
 func TestLatenciesAreRecordedPerService(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	c := newCounters(scope)
@@ -32,7 +32,7 @@
 	}, got)
 }
 
-// BenchmarkRecordAnswer is what the histograms cost a request.
+// BenchmarkRecordAnswer measures the cost of the histograms per request.
 func BenchmarkRecordAnswer(b *testing.B) {
 	c := newCounters(tally.NewTestScope("", nil))
 	start := time.Unix(1_000_000, 0)
--- a/laburnumgateway/doc.go
+++ b/laburnumgateway/doc.go
@@ -1,9 +1,9 @@
-// Package laburnumgateway is the HTTP gateway: it routes callers' requests by host and path and
-// forwards each to one backend server at a time.
+// Package laburnumgateway is an HTTP reverse proxy: it routes callers' requests by host and path
+// and forwards each to one backend server at a time.
 //
 // # Usage
 //
-//	gateway := laburnumgateway.New(fleet, dialect, laburnumgateway.WithLogger(logger))
+//	gateway := laburnumgateway.New(fleet, dialect, timers, laburnumgateway.WithLogger(logger))
 //	server := gateway.Server()
 //	go server.Serve(listener)
 //	…
@@ -11,9 +11,10 @@
 //
 // # Outcomes
 //
-// An attempt ends as not sent, not run (the backend server says so), unknown, or answered. A
-// request is refused with 503 only if all its attempts were not sent or not run. After an unknown
-// one it is 502, or 504 past its deadline. A request of a route that is not repeatable is never
-// retried after an unknown attempt. A broken stream of a resumable route resumes at another
-// backend server after its last complete event, once the connection to the first is closed.
+// The outcome of an attempt is one of: not sent, not run (the backend server says so), unknown, or
+// answered. The gateway answers 503 only if every attempt was not sent or not run, so that the
+// caller may safely repeat the request. After an attempt with an unknown outcome it answers 502, or
+// 504 past the deadline, and never retries on a route that is not repeatable. A broken stream of a
+// resumable route resumes at another backend server after its last complete event, once the
+// connection to the first is closed.
 package laburnumgateway
--- a/laburnumgateway/errors.go
+++ b/laburnumgateway/errors.go
@@ -2,37 +2,42 @@
 
 import "fmt"
 
-// CrossedAnswerError is an answer with the id of another request.
+// CrossedAnswerError is an answer with request id Got instead of Want.
 type CrossedAnswerError struct{ Want, Got string }
 
 func (e *CrossedAnswerError) Error() string {
-	return fmt.Sprintf("the answer is to request %q, not %q", e.Got, e.Want)
+	return fmt.Sprintf("the answer belongs to request %q, not %q", e.Got, e.Want)
 }
 
-// AnswerStatusError is an error status of a backend server.
+// AnswerStatusError is an HTTP status of a backend server which means that the attempt failed.
 type AnswerStatusError struct{ Status int }
 
-func (e *AnswerStatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
+func (e *AnswerStatusError) Error() string {
+	return fmt.Sprintf("backend server answered with status %d", e.Status)
+}
 
-// BrokenAnswerError is an incomplete answer.
+// BrokenAnswerError is an answer that ended before it was complete.
 type BrokenAnswerError struct{ Cause error }
 
-func (e *BrokenAnswerError) Error() string { return fmt.Sprintf("the answer broke off: %v", e.Cause) }
+func (e *BrokenAnswerError) Error() string {
+	return fmt.Sprintf("the answer is incomplete: %v", e.Cause)
+}
 
 // Unwrap returns the cause.
 func (e *BrokenAnswerError) Unwrap() error { return e.Cause }
 
-// EventGapError is a stream whose event ids are not consecutive.
+// EventGapError is a stream in which the event with id Got follows the one with id Last, although
+// ids must be consecutive.
 type EventGapError struct{ Last, Got string }
 
 func (e *EventGapError) Error() string {
-	return fmt.Sprintf("the stream goes on with event %q after %q", e.Got, e.Last)
+	return fmt.Sprintf("event %q follows event %q in the stream, ids must be consecutive", e.Got, e.Last)
 }
 
-// CallerGoneError is a caller that closed its connection.
+// CallerGoneError reports that the caller closed its connection before the answer was complete.
 type CallerGoneError struct{ Cause error }
 
-func (e *CallerGoneError) Error() string { return fmt.Sprintf("the caller is gone: %v", e.Cause) }
+func (e *CallerGoneError) Error() string { return fmt.Sprintf("the caller disconnected: %v", e.Cause) }
 
 // Unwrap returns the cause.
 func (e *CallerGoneError) Unwrap() error { return e.Cause }
--- a/laburnumgateway/fakes_test.go
+++ b/laburnumgateway/fakes_test.go
@@ -28,15 +28,15 @@
 	stampHeader = "X-Laburnumlever-Server-Stamp"
 )
 
-// receivedRequest is a request as a fake backend server saw it.
+// receivedRequest is a request as a fake backend server received it.
 type receivedRequest struct {
 	request *http.Request
 	body    string
 	at      time.Time
 }
 
-// backend is a fake backend server that answers with raw bytes, so that it can break
-// every rule of the protocol.
+// backend is a fake backend server that writes raw bytes to the connection, so that tests can
+// violate the protocol in any way. The answer function gets the number of the request, from 1.
 type backend struct {
 	t        testing.TB
 	id       laburnumlever.BackendID
@@ -93,7 +93,7 @@
 	return append([]receivedRequest(nil), b.received...)
 }
 
-// closed is when connections to it ended.
+// closed returns the times at which connections to the backend server were closed.
 func (b *backend) closed() []time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -108,7 +108,7 @@
 	return laburnumregistry.Record{Heartbeat: h}
 }
 
-// writeAnswer writes a whole answer.
+// writeAnswer writes a complete answer that is no stream.
 func writeAnswer(conn net.Conn, a receivedRequest, status int, body string, headers ...string) {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "HTTP/1.1 %d %s\r\n%s: %s\r\n%s: s1\r\nContent-Length: %d\r\n", status, http.StatusText(status),
@@ -120,7 +120,7 @@
 	_, _ = conn.Write(out.Bytes())
 }
 
-// awaitDelivery waits until the other side's socket holds all that was written.
+// awaitDelivery waits until the peer's TCP stack has acknowledged all bytes written.
 func awaitDelivery(t testing.TB, conn net.Conn) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
@@ -131,7 +131,7 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// writeEvents writes the head of a stream and the writeEvents from first to last, as chunks.
+// writeEvents writes the head of a stream and the events from first to last, one per chunk.
 func writeEvents(conn net.Conn, a receivedRequest, first, last int) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s1\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
 		idHeader, a.request.Header.Get(idHeader), stampHeader)
@@ -144,7 +144,7 @@
 
 func writeLastChunk(conn net.Conn) { fmt.Fprint(conn, "0\r\n\r\n") }
 
-// harness is one gateway before fake backend servers.
+// harness is a gateway behind an HTTP server, with a caller and fake backend servers.
 type harness struct {
 	t       testing.TB
 	fleet   *laburnumgateway.Fleet
@@ -160,7 +160,7 @@
 	return b
 }
 
-// newUnconfiguredHarness is a gateway that has just started: it knows no routes and no backend servers.
+// newUnconfiguredHarness starts a gateway that has no routes and no backend servers yet.
 func newUnconfiguredHarness(t testing.TB, opts ...laburnumgateway.Option) *harness {
 	timers := laburnumtimer.New()
 	t.Cleanup(timers.Close)
--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -25,7 +25,7 @@
 	timers laburnumlever.Timers
 	logger log.Logger
 	index  atomic.Pointer[laburnumroutes.Index]
-	// routesLoaded is closed once there are routes.
+	// routesLoaded is closed when the first route table arrives.
 	routesLoaded chan struct{}
 
 	mu       sync.Mutex
@@ -35,9 +35,10 @@
 	adapters laburnumdemand.AdapterUses
 	queue    laburnumwaiting.Queue
 	paces    laburnumdemand.Paces
-	// replaced are backend servers whose address another one answered at, not reported yet.
+	// replaced lists backend servers whose address now belongs to another one and that have not
+	// been reported yet.
 	replaced []laburnumlever.BackendID
-	gateways int
+	gateways int // the largest number seen
 }
 
 var _ laburnumfeed.Sink = (*Fleet)(nil)
@@ -45,11 +46,11 @@
 // FleetOption changes a new fleet.
 type FleetOption func(*Fleet)
 
-// WithFleetLogger sets the log; without it nothing is logged.
+// WithFleetLogger sets the logger; by default nothing is logged.
 func WithFleetLogger(logger log.Logger) FleetOption { return func(f *Fleet) { f.logger = logger } }
 
-// NewFleet makes an empty fleet for a VM. The seed makes choices repeatable, period is the
-// heartbeats'.
+// NewFleet returns an empty fleet for a gateway on vm. Period is the interval of heartbeats; seed
+// makes the balancer's random choices reproducible.
 func NewFleet(timers laburnumlever.Timers, vm laburnumlever.VM, period time.Duration, seed uint64, opts ...FleetOption) *Fleet {
 	f := &Fleet{
 		timers: timers, logger: log.NewNopLogger(), registry: laburnumregistry.New(period),
@@ -84,10 +85,10 @@
 	f.serveQueue()
 }
 
-// Lost ignores that a feed broke off, as the other control VMs have the same state.
+// Lost does nothing when a feed breaks off, as the other control VMs have the same state.
 func (f *Fleet) Lost(string) {}
 
-// LearnRoutes puts a route table in force if it is newer.
+// LearnRoutes puts a route table into effect if it is newer than the current one.
 func (f *Fleet) LearnRoutes(t laburnumlever.RouteTable) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,7 +101,7 @@
 	_ = level.Info(f.logger).Log("event", laburnumlever.EventRoutesInForce, "version", t.Version, "routes", len(t.Routes))
 }
 
-// awaitRoutes waits for the first route table.
+// awaitRoutes waits for the first route table, at most for the given time.
 func (f *Fleet) awaitRoutes(ctx context.Context, wait time.Duration) {
 	over, cancel := laburnumtimer.Passed(f.timers, wait)
 	defer cancel()
@@ -111,14 +112,14 @@
 	}
 }
 
-// Sweep drops tombstones of backend servers that are gone for long.
+// Sweep drops old tombstones of backend servers.
 func (f *Fleet) Sweep() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.registry.ForgetGone(f.timers.Now())
 }
 
-// RoutesVersion returns the version in force; 0 for none.
+// RoutesVersion returns the version of the route table in effect; 0 for none.
 func (f *Fleet) RoutesVersion() uint64 {
 	if x := f.index.Load(); x != nil {
 		return x.Table().Version
@@ -126,8 +127,8 @@
 	return 0
 }
 
-// News returns demand, adapter use and failures since the last call, and the backend servers that
-// can't be connected to or were replaced.
+// News returns the gateway's report to the control VMs: demand, adapter use, failures and replaced
+// backend servers since the last call, and the backend servers that can't be connected to.
 func (f *Fleet) News() laburnumlever.GatewayNews {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,7 +141,7 @@
 	}
 }
 
-// Status returns what the gateway knows of the fleet, and its queue.
+// Status returns the state of the fleet as the gateway knows it, and the length of its queue.
 func (f *Fleet) Status() laburnumlever.RoleStatus {
 	x := f.index.Load()
 	f.mu.Lock()
@@ -153,7 +154,8 @@
 	return status
 }
 
-// Ready tells whether the VM can serve: it has routes and knows a backend server.
+// Ready tells whether the gateway can serve: it has routes and knows a backend server for one of
+// their services.
 func (f *Fleet) Ready() bool {
 	x := f.index.Load()
 	if x == nil {
@@ -169,14 +171,14 @@
 	return false
 }
 
-// beginAdapterUse counts an adapter in use.
+// beginAdapterUse counts the start of an attempt as a use of its adapter.
 func (f *Fleet) beginAdapterUse(q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.adapters.Begun(q.caller.Model, q.caller.Adapter)
 }
 
-// recordFirstEvent records the first event of an answer.
+// recordFirstEvent records the time to the first event of an answer.
 func (f *Fleet) recordFirstEvent(t *laburnumbalance.Ticket) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -185,7 +187,7 @@
 	f.serveQueue()
 }
 
-// release frees the slot of an attempt and learns from its outcome.
+// release frees the slot of an attempt and records its outcome.
 func (f *Fleet) release(q *request, t *laburnumbalance.Ticket, s laburnumbalance.Sample) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,6 +196,7 @@
 	f.serveQueue()
 }
 
+// updateLoad updates the load of a backend server from the headers of an answer.
 func (f *Fleet) updateLoad(id laburnumlever.BackendID, marks laburnumlever.AnswerMarks) {
 	if !marks.HasLoad {
 		return
@@ -204,7 +207,7 @@
 	f.serveQueue()
 }
 
-// removeReplaced removes a backend server whose address another one answered at.
+// removeReplaced removes a backend server whose address now belongs to another one.
 func (f *Fleet) removeReplaced(id laburnumlever.BackendID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -216,6 +219,7 @@
 	}
 }
 
+// addAdapter records that engines have loaded an adapter.
 func (f *Fleet) addAdapter(ids []laburnumlever.BackendID, model laburnumlever.ModelName, adapter laburnumlever.AdapterName) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -225,7 +229,8 @@
 	f.serveQueue()
 }
 
-// scheduleQueueRetry serves the queue once the balancer tries an engine with all slots taken again.
+// scheduleQueueRetry serves the queue again when the balancer retries engines that refused a
+// reservation.
 func (f *Fleet) scheduleQueueRetry() {
 	f.mu.Lock()
 	wait := f.balance.RetryTime() + laburnumbalance.RetrySlack
@@ -237,36 +242,36 @@
 	})
 }
 
-// countDemand counts a request.
+// countDemand adds a request to the demand for its model.
 func (f *Fleet) countDemand(q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.demand.Asked(laburnumdemand.RequestOf(q.caller))
 }
 
-// countRefusedDemand counts a countRefusedDemand request.
+// countRefusedDemand adds a refused request to the demand for its model.
 func (f *Fleet) countRefusedDemand(q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.demand.Refused(laburnumdemand.RequestOf(q.caller))
 }
 
-// unusableEngines lists engines that hold the request's model but are full or unreachable.
+// unusableEngines returns the engines that hold the request's model but are full or unreachable.
 func (f *Fleet) unusableEngines(q *request) []laburnumlever.BackendID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.balance.Useless(f.query(q), f.timers.Now())
 }
 
-// query describes the request to the balancer. The caller must hold mu.
+// query returns the query for the balancer. The caller must hold mu.
 func (f *Fleet) query(q *request) laburnumbalance.Query {
 	query := q.query()
 	query.ReadTime = f.paces.Of(q.caller.Model)
 	return query
 }
 
-// Gateways returns the largest number of gateways seen: while it changes, the shares of all
-// gateways must not exceed the whole.
+// Gateways returns the largest number of gateways seen. Limits are divided by it, so that the shares
+// of all gateways never add up to more than a limit while the number changes.
 func (f *Fleet) Gateways() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/laburnumgateway/forward.go
+++ b/laburnumgateway/forward.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	drainRetryAfter    = 50 * time.Millisecond  // least Retry-After: another gateway can serve the request
-	adapterLoadTimeout = 400 * time.Millisecond // many times a usual load of an adapter
+	drainRetryAfter    = 50 * time.Millisecond  // minimum Retry-After: another gateway can serve the request
+	adapterLoadTimeout = 400 * time.Millisecond // many times the usual load time of an adapter
 )
 
 // failure is the outcome of an attempt without a complete answer.
@@ -24,11 +24,11 @@
 	stage  laburnumretry.Stage
 	reason laburnumlever.RefusalReason
 	cause  error
-	// slotRefused tells that the reservation was refused for lack of a slot.
+	// slotRefused is set if the engine refused the reservation because it had no free slot.
 	slotRefused bool
 }
 
-// run attempts the request until it is answered or refused. The error is a
+// run makes attempts until the request is answered or refused. The error is a
 // *laburnumlever.RefusalError or a *CallerGoneError.
 func (g *Gateway) run(ctx context.Context, q *request, out *answer) error {
 	for {
@@ -41,7 +41,7 @@
 			return nil
 		}
 		if fail.slotRefused {
-			q.tries-- // nothing was sent
+			q.tries-- // the request was not sent
 			g.fleet.scheduleQueueRetry()
 			continue
 		}
@@ -81,7 +81,7 @@
 	return refusal
 }
 
-// shouldRetry decides on another attempt and charges the retry budget.
+// shouldRetry decides whether to make another attempt, and why. It charges the retry budget.
 func (g *Gateway) shouldRetry(ctx context.Context, q *request, out *answer, fail *failure) (laburnumlever.RetryReason, bool) {
 	var gone *CallerGoneError
 	if ctx.Err() != nil || errors.As(fail.cause, &gone) {
@@ -98,8 +98,8 @@
 	return reason, ok
 }
 
-// acquire gets a slot at a backend server. It queues, and requests a load of the adapter, if
-// needed.
+// acquire reserves a slot on a backend server. If needed, it has the adapter loaded and queues the
+// request.
 func (g *Gateway) acquire(ctx context.Context, q *request) (*laburnumbalance.Ticket, error) {
 	start := g.timers.Now()
 	until := waitTerms.WaitUntil(q.queueTimes())
@@ -118,17 +118,17 @@
 			return nil, adapterAbsentRefusal(err)
 		}
 		if ctx.Err() != nil || !laburnumtimer.Wait(ctx.Done(), g.timers, backoff.Next()) {
-			return nil, noBackendRefusal(laburnumbalance.AdapterAbsent, "adapter not there in time")
+			return nil, noBackendRefusal(laburnumbalance.AdapterAbsent, "the adapter was not loaded in time")
 		}
 	}
 }
 
-// adapterAbsentRefusal is the refusal when the adapter did not arrive in time. A nil cause means that
-// it is loaded, on engines that can't be connected to.
+// adapterAbsentRefusal refuses a request whose adapter was not available in time. A nil cause means
+// that the adapter is loaded, but only on engines that this gateway can't connect to.
 func adapterAbsentRefusal(cause error) error {
-	detail := "no engine that can be reached holds the adapter"
+	detail := "no reachable engine holds the adapter"
 	if cause != nil {
-		detail = "adapter: " + cause.Error()
+		detail = "loading the adapter failed: " + cause.Error()
 	}
 	return noBackendRefusal(laburnumbalance.AdapterAbsent, detail)
 }
@@ -140,9 +140,9 @@
 func noSlotRefusal(verdict laburnumbalance.Verdict) error {
 	switch verdict {
 	case laburnumbalance.Full:
-		return newRefusal(laburnumlever.RefusedQueueFull, waitTerms.Retry(verdict), "all backend servers that could do it are full")
+		return newRefusal(laburnumlever.RefusedQueueFull, waitTerms.Retry(verdict), "all backend servers that could serve the request are full")
 	case laburnumbalance.NoServer:
-		return noBackendRefusal(verdict, "no backend server of the service takes work")
+		return noBackendRefusal(verdict, "no backend server of the service accepts requests")
 	case laburnumbalance.AdapterAbsent:
 		return noBackendRefusal(verdict, "no engine holds the adapter")
 	default:
--- a/laburnumgateway/gateway.go
+++ b/laburnumgateway/gateway.go
@@ -19,21 +19,21 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Adapters loads adapters on demand.
+// AdapterLoader loads adapters on demand.
 type Adapters interface {
-	// Need waits until an adapter is loaded and returns the engines that hold it.
+	// EnsureLoaded waits until an adapter is loaded and returns the engines that hold it.
 	Need(ctx context.Context, need laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error)
 }
 
-// Budget bounds the retries of all gateways in any window, for each service, by Ratio times its
-// requests plus Slack.
+// RetryBudget limits the retries of all gateways together. For each service and in any Window they
+// may retry Ratio times the number of its requests, plus Slack retries.
 type Budget struct {
 	Window time.Duration
 	Ratio  float64
 	Slack  float64
 }
 
-// Gateway serves callers on one VM.
+// Gateway is the http.Handler that serves callers on one VM.
 type Gateway struct {
 	fleet          *Fleet
 	dialect        laburnumlever.Dialect
@@ -44,9 +44,9 @@
 	logger         log.Logger
 	counters       *counters
 	inFlight       atomic.Int64
-	awaitingRoutes atomic.Int64 // requests that wait for the first routes
-	drain          atomic.Int32 // a drainStage
-	drainDeadline  atomic.Pointer[time.Time]
+	awaitingRoutes atomic.Int64              // requests queued until the first route table arrives
+	drain          atomic.Int32              // a drainStage
+	drainDeadline  atomic.Pointer[time.Time] // nil if no drain with a deadline has started
 
 	mu           sync.Mutex
 	retryWindows map[laburnumlever.ServiceName]*laburnumretry.Window
@@ -55,24 +55,25 @@
 // Option changes a new gateway.
 type Option func(*Gateway)
 
-// WithLogger sets the log; without it nothing is logged.
+// WithLogger sets the logger; by default nothing is logged.
 func WithLogger(logger log.Logger) Option { return func(g *Gateway) { g.logger = logger } }
 
-// WithScope sets where counters go; without it they go nowhere.
+// WithScope sets the metrics scope; by default no metrics are recorded.
 func WithScope(scope tally.Scope) Option {
 	return func(g *Gateway) { g.counters = newCounters(scope) }
 }
 
-// WithAdapters loads adapters on demand; without it only loaded ones are used.
+// WithAdapterLoader loads adapters on demand; by default only loaded ones are used.
 func WithAdapters(a Adapters) Option { return func(g *Gateway) { g.adapters = a } }
 
-// WithBudget sets the retry budget; without it nothing is retried.
+// WithRetryBudget sets the retry budget; by default retries that would be charged to it are
+// not made.
 func WithBudget(b Budget) Option { return func(g *Gateway) { g.retryBudget = b } }
 
-// WithPool sets the connections to backend servers.
+// WithPool sets the pool of connections to backend servers; the default is a new pool.
 func WithPool(pool *laburnumupstream.Pool) Option { return func(g *Gateway) { g.pool = pool } }
 
-// New makes a gateway over a fleet.
+// New returns a gateway that routes by the state in fleet.
 func New(fleet *Fleet, dialect laburnumlever.Dialect, timers laburnumlever.Timers, opts ...Option) *Gateway {
 	g := &Gateway{
 		fleet: fleet, dialect: dialect, timers: timers, logger: log.NewNopLogger(),
@@ -103,7 +104,7 @@
 		return
 	}
 	if g.mayOutlastDrain(q) {
-		g.answerRefusal(w, q, newRefusal(laburnumlever.RefusedDraining, drainRetryAfter, "this VM ends before the answer would"))
+		g.answerRefusal(w, q, newRefusal(laburnumlever.RefusedDraining, drainRetryAfter, "the gateway is draining and may stop before the answer is complete"))
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
@@ -155,7 +156,7 @@
 	g.retryWindow(q.service.Name).Request(g.timers.Now())
 }
 
-// chargeRetry charges a retry to the budget.
+// chargeRetry charges a retry to the budget and tells whether it was within the budget.
 func (g *Gateway) chargeRetry(q *request) bool {
 	if g.retryBudget.Window <= 0 {
 		return false
@@ -166,7 +167,8 @@
 	return g.retryWindow(q.service.Name).Repeat(g.timers.Now(), gateways)
 }
 
-// finishUnanswered ends a request that has no complete answer.
+// finishUnanswered ends a request without a complete answer: it answers with the backend server's
+// error answer if there is one, else with a refusal. It aborts an answer that has started.
 func (g *Gateway) finishUnanswered(ctx context.Context, q *request, out *answer, err error) {
 	var gone *CallerGoneError
 	if errors.As(err, &gone) || (ctx.Err() != nil && !deadlineExceeded(ctx)) {
@@ -177,7 +179,7 @@
 	if out.started {
 		g.countRefusal(laburnumlever.RefusedBrokenStream)
 		g.logRefusal(q, laburnumlever.RefusedBrokenStream, 0, err)
-		panic(http.ErrAbortHandler) // the caller must see that the answer is not whole
+		panic(http.ErrAbortHandler) // aborts the connection, so that the caller detects the truncated answer
 	}
 	if q.errorAnswer != nil {
 		g.countRefusal(laburnumlever.RefusedBackendError)
@@ -188,7 +190,7 @@
 	g.answerRefusal(out.w, q, err)
 }
 
-// answerRefusal writes a refusal by the gateway itself.
+// answerRefusal answers with a refusal of the gateway's own.
 func (g *Gateway) answerRefusal(w http.ResponseWriter, q *request, err error) {
 	var refusal *laburnumlever.RefusalError
 	if !errors.As(err, &refusal) {
@@ -202,11 +204,11 @@
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(refusal.Reason.String() + "\n")) // an error means that the caller is gone
+	_, _ = w.Write([]byte(refusal.Reason.String() + "\n")) // an error means that the caller has disconnected
 }
 
-// statusOf maps a refusal to a status. 503 promises that the request never ran; a request that
-// may have run gets 502, or 504 past its deadline.
+// statusOf returns the HTTP status of a refusal. 503 guarantees that the request did not run; a
+// request that may have run gets 502, or 504 past its deadline.
 func statusOf(refusal *laburnumlever.RefusalError, q *request) int {
 	switch refusal.Reason {
 	case laburnumlever.RefusedBadRequest:
--- a/laburnumgateway/gateway_test.go
+++ b/laburnumgateway/gateway_test.go
@@ -25,9 +25,8 @@
 	_ = conn.Close()
 }
 
-// The way of a request: the backend server gets the caller's method, path, query, body
-// and headers, what is left of the caller's time, and the identity that it must have;
-// nothing that only the system may say comes from the caller.
+// The backend server must get the caller's method, path, query, body and headers, the remaining
+// timeout and the expected instance. Internal headers set by the caller must be removed.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	server := newBackend(t, "i-1", answerOK)
 	b := newHarness(t, server.heartbeat("booking"))
@@ -55,9 +54,8 @@
 	require.Greater(t, left, 1000)
 }
 
-// A booking reaches a server, which takes it and dies without a word. Sent again it
-// might put two vans at one door, and a refusal that promises "not run" would make the
-// caller do the same.
+// Guards against running a non-idempotent request twice. The backend server resets the connection
+// after it has read the request: a retry, or a 503 that invites the caller to retry, could repeat it.
 func TestUnansweredNonIdempotentRequestIsNeitherRetriedNorReportedNotRun(t *testing.T) {
 	first, second := newBackend(t, "i-1", resetConnection), newBackend(t, "i-2", resetConnection)
 	b := newHarness(t, first.heartbeat("booking"), second.heartbeat("booking"))
@@ -67,8 +65,8 @@
 	require.Equal(t, 1, len(first.requests())+len(second.requests()))
 }
 
-// A server says that it did not run the booking. It may go to another, and only if all
-// say so may the caller be told to come back.
+// A backend server that says that it did not run a request: the request must be retried at another.
+// Only if all say so may the caller get a 503 with Retry-After.
 func TestNotRunRequestIsRetriedElsewhere(t *testing.T) {
 	notRun := func(conn net.Conn, a receivedRequest, _ int) {
 		writeAnswer(conn, a, 503, "", "X-Laburnumlever-Not-Run: 1")
@@ -82,18 +80,19 @@
 	got := only.send("POST", "/confirm/x", "visit")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
-	require.Empty(t, got.header.Get(stampHeader), "an own refusal bears no server's stamp")
+	require.Empty(t, got.header.Get(stampHeader), "a refusal by the gateway must have no server stamp")
 }
 
-// A 503 without the word that it was not run promises the caller what nobody knows.
+// Guards against passing on a 503 without the not-run header, which would tell the caller that the
+// request did not run although that is unknown.
 func TestUnmarked503IsNotReportedAsNotRun(t *testing.T) {
 	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, _ int) { writeAnswer(conn, a, 503, "") })
 	b := newHarness(t, server.heartbeat("booking"))
 	require.Equal(t, http.StatusBadGateway, b.send("POST", "/confirm/x", "visit").status)
 }
 
-// A look-up that fails at one server is asked of another; failing at both, the caller
-// gets the server's own word.
+// An idempotent request that fails at one backend server must be retried at another. If that fails
+// too, the caller must get the backend server's error answer.
 func TestIdempotentRequestIsRetriedOnceElsewhere(t *testing.T) {
 	fails := func(conn net.Conn, a receivedRequest, _ int) { writeAnswer(conn, a, 500, "broken") }
 	first, second := newBackend(t, "i-1", fails), newBackend(t, "i-2", answerOK)
@@ -110,8 +109,8 @@
 	require.Len(t, third.requests(), 1)
 }
 
-// An address belongs to another backend server by now. It refuses; the old identity must
-// get no more requests, whatever late heartbeats say of it.
+// Guards against sending to an address that another backend server has taken over. After its 421 the
+// old instance must get no more requests, even if late heartbeats of it arrive.
 func TestReplacedBackendGetsNoMoreRequests(t *testing.T) {
 	replaced := newBackend(t, "i-old", func(conn net.Conn, a receivedRequest, _ int) {
 		writeAnswer(conn, a, 421, "", "X-Laburnumlever-Instance-Id: i-new")
@@ -120,18 +119,18 @@
 	require.Equal(t, http.StatusServiceUnavailable, b.send("POST", "/confirm/x", "visit").status)
 	require.Equal(t, http.StatusServiceUnavailable, b.send("POST", "/confirm/x", "visit").status)
 	require.Len(t, replaced.requests(), 1)
-	require.Equal(t, []laburnumlever.BackendID{"i-old"}, b.fleet.News().Replaced, "control VMs are told")
-	require.Empty(t, b.fleet.News().Replaced, "once")
+	require.Equal(t, []laburnumlever.BackendID{"i-old"}, b.fleet.News().Replaced, "must be reported to the control VMs")
+	require.Empty(t, b.fleet.News().Replaced, "must be reported once")
 }
 
-// An engine breaks off in the middle of an event. The caller must get each event once
-// and whole, the rest from another engine; and the first must have seen the end of its
-// connection before the second begins, or both would be at work.
+// An engine closes the connection within an event: the caller must get each event complete and once,
+// the rest from another engine. That one starts only after the first connection is closed, so that
+// no two engines work on the request.
 func TestBrokenStreamResumesElsewhere(t *testing.T) {
 	breaks := func(conn net.Conn, a receivedRequest, _ int) {
 		writeEvents(conn, a, 1, 3)
 		writeChunk(conn, "id: 4\ndata: wo")
-		time.Sleep(20 * time.Millisecond) // the caller has read the first three
+		time.Sleep(20 * time.Millisecond) // the caller reads the first three meanwhile
 		_ = conn.Close()
 	}
 	breaksOrResumes := func(conn net.Conn, a receivedRequest, _ int) {
@@ -157,8 +156,7 @@
 	require.Len(t, second.requests(), 1)
 }
 
-// The same on a route whose streams may not go on elsewhere: the caller must see that
-// the answer is not whole.
+// A broken stream on a route that is not resumable must not look complete to the caller.
 func TestBrokenNonResumableStreamIsReportedBroken(t *testing.T) {
 	breaks := func(conn net.Conn, a receivedRequest, _ int) {
 		writeEvents(conn, a, 1, 2)
@@ -171,7 +169,7 @@
 	require.Equal(t, 1, len(first.requests())+len(second.requests()))
 }
 
-// The engine that goes on skips an event. The caller must not take two runs for one.
+// Guards against joining two generations into one stream: the engine that resumes it skips an event.
 func TestEventGapAfterResumeEndsTheStream(t *testing.T) {
 	skips := func(conn net.Conn, a receivedRequest, _ int) {
 		if a.request.Header.Get("Last-Event-Id") == "" {
@@ -189,8 +187,7 @@
 	require.NotContains(t, got.body, "word-4")
 }
 
-// An answer to another request comes where this one's is due. It must never reach the
-// caller.
+// Guards against forwarding an answer that belongs to another request.
 func TestCrossedAnswerIsNotForwarded(t *testing.T) {
 	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, _ int) {
 		a.request.Header.Set(idHeader, "someone-elses")
@@ -202,8 +199,8 @@
 	require.NotContains(t, got.body, "another's")
 }
 
-// A server sends a second answer on a connection that has gone idle. The next request
-// must not be taken for answered by it.
+// Guards against taking an extra answer, which a backend server sent on an idle connection, for the
+// answer to the next request.
 func TestExtraAnswerOnIdleConnectionIsDiscarded(t *testing.T) {
 	sendExtra, sent := make(chan struct{}), make(chan net.Conn, 1)
 	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, n int) {
@@ -221,8 +218,8 @@
 	require.Equal(t, "answer-2", b.send("POST", "/confirm/x", "visit", idHeader, "r-2").body)
 }
 
-// The second answer comes when the next request is already on its way. It must reach
-// nobody, and neither may what follows on this connection.
+// As above, but the extra answer arrives after the next request was sent. Neither it nor the later
+// answers on the connection may be forwarded.
 func TestExtraAnswerOnConnectionInUseIsDiscarded(t *testing.T) {
 	var first receivedRequest
 	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, n int) {
@@ -242,7 +239,7 @@
 	require.Equal(t, "answer-3", b.send("POST", "/confirm/x", "visit", idHeader, "r-3").body)
 }
 
-// Part of an answer, cut off. It must not look whole.
+// Guards against forwarding a truncated answer as a complete one.
 func TestTruncatedAnswerIsAFailure(t *testing.T) {
 	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, _ int) {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: 100\r\n\r\nhalf", idHeader, a.request.Header.Get(idHeader))
@@ -252,8 +249,7 @@
 	require.Equal(t, http.StatusBadGateway, b.send("POST", "/confirm/x", "visit").status)
 }
 
-// A server takes a request and never answers. The caller is told at the route's timeout
-// that its fate is not known.
+// A backend server that never answers: the caller must get a 504 at the route's timeout.
 func TestUnresponsiveBackendTimesOut(t *testing.T) {
 	server := newBackend(t, "i-1", func(net.Conn, receivedRequest, int) { time.Sleep(5 * time.Second) })
 	b := newHarness(t, server.heartbeat("booking"))
@@ -263,7 +259,7 @@
 	require.InDelta(t, 2.0, time.Since(start).Seconds(), 0.6)
 }
 
-// A caller goes away. The server must see it at once, and not work on in vain.
+// Guards against a backend server that continues to work for a caller that has disconnected.
 func TestCallerDisconnectClosesTheBackendConnection(t *testing.T) {
 	closed := make(chan struct{})
 	server := newBackend(t, "i-1", func(conn net.Conn, _ receivedRequest, _ int) {
@@ -287,7 +283,7 @@
 	select {
 	case <-closed:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the server still works")
+		t.Fatal("the connection to the backend server is still open")
 	}
 }
 
@@ -301,7 +297,7 @@
 	}{
 		{"no route", "/none/x", "", nil, 404},
 		{"no id", "/confirm/x", "", []string{idHeader, ""}, 400},
-		{"time limit that is no number", "/confirm/x", "", []string{"X-Laburnumlever-Deadline-Ms", "soon"}, 400},
+		{"deadline header is not a number", "/confirm/x", "", []string{"X-Laburnumlever-Deadline-Ms", "soon"}, 400},
 		{"body too large", "/confirm/x", strings.Repeat("x", 1001), nil, 413},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -311,8 +307,8 @@
 	require.Empty(t, server.requests())
 }
 
-// A gateway that has just started knows no routes. It must say so, not that there is no
-// such route: callers don't ask again after that.
+// A gateway without routes must answer 503 with Retry-After, not 404, after which callers don't
+// retry.
 func TestGatewayWithoutRoutesIsNotReady(t *testing.T) {
 	b := newUnconfiguredHarness(t)
 	got := b.send("POST", "/confirm/x", "visit")
@@ -321,9 +317,8 @@
 	require.False(t, b.gateway.Ready())
 }
 
-// All VMs lose power. The gateways are up a moment before the control VMs that have the
-// routes, and callers come at once. Turned away with a time to come back they would
-// return together, a second or two later and too late; the routes come in half of that.
+// After a power loss gateways start before the control VMs that serve the routes. Refused callers
+// would all retry together a second or two later, too late; the routes arrive in half that time.
 func TestRequestsAreQueuedUntilTheFirstRoutes(t *testing.T) {
 	server := newBackend(t, "i-1", answerOK)
 	b := newUnconfiguredHarness(t)
@@ -335,9 +330,8 @@
 	require.Equal(t, 200, (<-got).status)
 }
 
-// A gateway is told to stop. It says at once that it is not ready, serves what still
-// comes while the balancer takes notice, and takes nothing that would outlast it: such a
-// booking would be cut off, and its caller could not tell whether it was made.
+// A draining gateway must serve until the load balancer has noticed, then refuse requests that may
+// outlast it: their answers would be cut off, and callers could not tell whether they ran.
 func TestDrainingGatewayRefusesRequestsThatMayOutlastIt(t *testing.T) {
 	server := newBackend(t, "i-1", answerOK)
 	b := newHarness(t, server.heartbeat("booking"))
@@ -358,7 +352,7 @@
 	<-drained
 }
 
-// Guards against requests that arrive in the last moment of a drain and are cut off.
+// Guards against cutting off requests that arrive just before a drain ends.
 func TestRequestAtTheEndOfADrainCompletes(t *testing.T) {
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
 	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, n int) {
@@ -386,7 +380,7 @@
 		}
 	}
 	awaitCheck()
-	timers.Advance(3 * time.Second) // the balancer has noticed
+	timers.Advance(3 * time.Second) // the load balancer has noticed
 	passChecks(9)
 	awaitCheck()
 	got := make(chan callerResponse, 1)
@@ -399,20 +393,19 @@
 	require.Eventually(t, func() bool { return b.gateway.InFlight() == 0 }, 5*time.Second, time.Millisecond)
 	passChecks(10)
 	awaitCheck()
-	require.Equal(t, http.StatusServiceUnavailable, b.send("POST", "/confirm/x", "visit").status, "nothing is begun any more")
+	require.Equal(t, http.StatusServiceUnavailable, b.send("POST", "/confirm/x", "visit").status, "new requests must be refused")
 	passChecks(2)
 	<-drained
 }
 
-// An engine ends in the middle of a stream, and the only other one is full for some
-// tenths more. A place to go on comes long before the caller leaves; the stream ended there
-// and then before, since its wait was counted from the request's arrival.
+// Guards against ending a broken stream at once because its wait for a slot is counted from the
+// request's arrival. The only other engine gets a free slot 0.3 s after the first one breaks off.
 func TestBrokenStreamWaitsForASlotToResume(t *testing.T) {
 	broken := make(chan struct{})
 	var first *backend
 	breaks := func(conn net.Conn, a receivedRequest, _ int) {
 		writeEvents(conn, a, 1, 2)
-		time.Sleep(time.Second) // beyond the wait for a place to begin at
+		time.Sleep(time.Second) // longer than a new request may wait for a slot
 		_ = first.ln.Close()
 		_ = conn.Close()
 		close(broken)
@@ -442,8 +435,7 @@
 	require.NoError(t, (<-full).err)
 }
 
-// fakeAdapterLoader is a control VM that says which engines are of no use, and has the adapter
-// loaded at another.
+// fakeAdapterLoader records requests for adapters and answers that holder has loaded them.
 type fakeAdapterLoader struct {
 	requests chan laburnumlever.AdapterNeed
 	holder   laburnumlever.BackendID
@@ -454,9 +446,8 @@
 	return []laburnumlever.BackendID{a.holder}, nil
 }
 
-// An engine that can't be reached from here is the only one with an adapter, and the control
-// VM names it again and again. The caller is told within its wait; it was kept until it left
-// before.
+// Guards against keeping a request until its deadline when the only engine with the adapter can't be
+// reached from this gateway, but the control VM names it again and again.
 func TestRequestForUnreachableAdapterIsRefusedInTime(t *testing.T) {
 	server := newBackend(t, "i-1", func(net.Conn, receivedRequest, int) {})
 	loader := fakeAdapterLoader{requests: make(chan laburnumlever.AdapterNeed, 10_000), holder: "i-9"}
@@ -467,10 +458,10 @@
 	got := b.send("POST", "/quote/x", "oak", "X-Laburnumlever-Model", "m0/a1")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
-	require.Less(t, time.Since(start), 1500*time.Millisecond, "two thirds of two seconds, and some")
+	require.Less(t, time.Since(start), 1500*time.Millisecond, "two thirds of the timeout of 2 s, and some slack")
 }
 
-// Guards against failures that only one gateway learns of.
+// Guards against failures that stay unknown to the other gateways.
 func TestBackendErrorsAreReported(t *testing.T) {
 	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, _ int) { writeAnswer(conn, a, 500, "broken") })
 	b := newHarness(t, server.heartbeat("booking"))
--- a/laburnumgateway/lateness.go
+++ b/laburnumgateway/lateness.go
@@ -4,30 +4,32 @@
 
 //go:generate go tool -modfile=../tools/go.mod enumer -type=lateness -transform=kebab -trimprefix=late -output=lateness_gen.go
 
-// lateness is the reason why a complete answer was late.
+// lateness is the reason why a complete answer missed its latency targets.
 type lateness int
 
 const (
-	// lateNot is an answer on time.
+	// lateNot is an answer within its targets.
 	lateNot lateness = iota
-	// lateWaited would have been on time without queueing.
+	// lateWaited is a late first part that would have been on time without the time in the queue.
 	lateWaited
-	// lateResent was sent to more than one backend server before its first part.
+	// lateResent is a late first part of a request that was sent more than once.
 	lateResent
-	// lateReading got its first part late from the only backend server.
+	// lateReading is a late first part of a request that was sent once: the backend server took too
+	// long, usually to read the prompt.
 	lateReading
-	// latePaused began on time and paused too long.
+	// latePaused is a first part on time with a later pause above the target.
 	latePaused
 )
 
-// timing holds the targets and the times of an answer. A target of 0 is none.
+// timing holds the latency targets and the measured times of an answer. A target of 0 means none.
 type timing struct {
 	target, pauseTarget  time.Duration
 	waited, first, pause time.Duration
 	sends                int
 }
 
-// lateness returns the first reason without which the answer would have been on time.
+// lateness returns the first reason, in the order of the constants, without which the answer would
+// have been on time.
 func (t timing) lateness() lateness {
 	switch {
 	case t.target > 0 && t.first > t.target && t.first-t.waited <= t.target:
--- a/laburnumgateway/request.go
+++ b/laburnumgateway/request.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	defaultBodyBytes = 4 << 20 // limit of a body if the catalogue sets none
+	defaultBodyBytes = 4 << 20 // limit of a request body if the catalogue sets none
 
-	// Requests that arrive before the first routes are queued: refused ones would all return
-	// at once, and late.
+	// Requests that arrive before the first route table are queued. If they were refused, all
+	// callers would retry at the same time, and too late for their deadlines.
 	firstRoutesWait      = time.Second
-	firstRoutesWaitShare = 0.33 // of the caller's timeout, at most
+	firstRoutesWaitShare = 0.33 // at most this share of the caller's timeout
 	maxAwaitingRoutes    = 256
-	notReadyRetryAfter   = time.Second // least Retry-After
+	notReadyRetryAfter   = time.Second // minimum Retry-After
 )
 
-// request is the state of a caller's request.
+// request is a caller's request and the state of its attempts.
 type request struct {
 	caller        laburnumlever.CallerRequest
 	route         *laburnumlever.Route
@@ -41,36 +41,36 @@
 	deadline      time.Time
 	routesVersion uint64
 
-	// sends counts the attempts that were sent, tries also those without a connection.
+	// sends counts the attempts that were sent; tries also counts those that were not.
 	sends, tries int
 	avoid        []laburnumlever.BackendID
-	// mayHaveRun tells that a backend server may have run the request.
+	// mayHaveRun is set once a backend server may have run the request.
 	mayHaveRun bool
 	backend    laburnumlever.BackendID // of the last attempt
 	waited     time.Duration           // in the queue
 	// reservation is a slot reserved at the engine; empty for none.
 	reservation         laburnumlever.ReservationID
-	refusedReservations int  // refused reservations
-	mostUrgent          bool // no route to its service is more urgent
+	refusedReservations int
+	mostUrgent          bool // no route to the same service has a more urgent priority
 	lastEventID         string
-	// brokenAt is when the last part of a broken answer was written; zero if none broke.
+	// brokenAt is when the last part of an answer that broke off was written; zero if none did.
 	brokenAt time.Time
-	// errorAnswer is an error answer of a backend server.
+	// errorAnswer is the last error answer of a backend server; nil for none.
 	errorAnswer *bufferedAnswer
 }
 
-// parseRequest parses a request. The error is a *laburnumlever.RefusalError.
+// parseRequest reads and parses a request. The error is a *laburnumlever.RefusalError.
 func (g *Gateway) parseRequest(w http.ResponseWriter, r *http.Request) (*request, error) {
 	now := g.timers.Now()
 	q := &request{method: r.Method, uri: r.RequestURI, host: r.Host, header: r.Header, arrived: now}
 	index := g.routes(r)
 	if index == nil {
-		return q, newRefusal(laburnumlever.RefusedNotReady, notReadyRetryAfter, "no routes yet")
+		return q, newRefusal(laburnumlever.RefusedNotReady, notReadyRetryAfter, "no route table received yet")
 	}
 	q.routesVersion = index.Table().Version
 	route, ok := index.Find(r.Host, pathOf(r.RequestURI))
 	if !ok {
-		return q, newRefusal(laburnumlever.RefusedUnknownService, 0, "no route for the host and path")
+		return q, newRefusal(laburnumlever.RefusedUnknownService, 0, "no route matches the host and path")
 	}
 	q.route = route
 	caller, err := g.dialect.Request(r.Header)
@@ -78,18 +78,19 @@
 		return q, newRefusal(laburnumlever.RefusedBadRequest, 0, err.Error())
 	}
 	if caller.ID == "" {
-		return q, newRefusal(laburnumlever.RefusedBadRequest, 0, "the request has no id")
+		return q, newRefusal(laburnumlever.RefusedBadRequest, 0, "the request id header is missing")
 	}
 	q.caller, q.lastEventID = caller, caller.LastEvent
 	if q.service, ok = index.Table().Service(laburnumroutes.Pick(*route, rand.Uint64())); !ok {
-		return q, newRefusal(laburnumlever.RefusedUnknownService, 0, "the route's service is not in the table")
+		return q, newRefusal(laburnumlever.RefusedUnknownService, 0, "the route's service is missing from the route table")
 	}
 	q.mostUrgent = index.MostUrgent(q.service.Name, route.Priority)
 	q.setDeadline()
 	return q, q.readBody(w, r, index.Table().Callers.BodyBytes)
 }
 
-// routes returns the routes in force. It waits for the first ones and returns nil on a timeout.
+// routes returns the route table in effect. If there is none yet it waits for the first one, and
+// returns nil on a timeout.
 func (g *Gateway) routes(r *http.Request) *laburnumroutes.Index {
 	if index := g.fleet.index.Load(); index != nil {
 		return index
@@ -105,13 +106,13 @@
 	return g.fleet.index.Load()
 }
 
-// pathOf strips the query.
+// pathOf returns a request target without its query.
 func pathOf(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	return path
 }
 
-// queueTimes decide how long the request may be queued.
+// queueTimes returns the times that decide how long the request may be queued.
 func (q *request) queueTimes() laburnumwaiting.Caller {
 	c := laburnumwaiting.Caller{Arrived: q.arrived, Deadline: q.deadline, BrokenAt: q.brokenAt}
 	if q.route != nil {
@@ -121,7 +122,7 @@
 	return c
 }
 
-// setDeadline sets the deadline to the shorter of the caller's and the route's timeout.
+// setDeadline derives the deadline from the shorter of the caller's and the route's timeout.
 func (q *request) setDeadline() {
 	limit := time.Duration(q.route.Timeout)
 	if q.caller.Wait > 0 && q.caller.Wait < limit {
@@ -140,7 +141,7 @@
 	case errors.As(err, &tooLarge):
 		return newRefusal(laburnumlever.RefusedTooLarge, 0, err.Error())
 	case err != nil:
-		return newRefusal(laburnumlever.RefusedCallerGone, 0, "the body did not come whole: "+err.Error())
+		return newRefusal(laburnumlever.RefusedCallerGone, 0, "request body is incomplete: "+err.Error())
 	}
 	q.body = body
 	return nil
@@ -154,8 +155,9 @@
 	}
 }
 
-// queuesAtEngine tells whether the request may queue at an engine. Engines serve the most urgent first,
-// while a slot that comes free otherwise goes to whichever gateway reserves it first.
+// queuesAtEngine tells whether the request may queue at an engine instead of reserving a slot
+// first. Engines serve the most urgent requests first, while a free slot goes to the first gateway
+// that reserves it.
 func (q *request) queuesAtEngine() bool {
 	return q.mostUrgent && q.refusedReservations >= laburnumbalance.UrgentReservations
 }
@@ -168,7 +170,7 @@
 	}
 }
 
-// deadlineExceeded tells a deadline from a caller that is gone.
+// deadlineExceeded tells whether ctx ended by its deadline rather than by the caller disconnecting.
 func deadlineExceeded(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
--- a/laburnumgateway/reserve.go
+++ b/laburnumgateway/reserve.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// reservationTTL is the lifetime of a reservation; the request follows at once on the same
-	// connection.
+	// reservationTTL is the lifetime of a reservation. It can be short: the request follows at
+	// once on the same connection.
 	reservationTTL = 100 * time.Millisecond
 	// reserveTimeout is twice the longest round trip between zones.
 	reserveTimeout   = 300 * time.Millisecond
-	maxReserveAnswer = 4 << 10 // bytes of an answer
+	maxReserveAnswer = 4 << 10 // bytes of the answer to a reservation
 )
 
-// reserve reserves a slot before the request is sent, if the engine's load is stale. A
-// failure means that the request was not sent. The connection can be reused if resp is not nil.
+// reserve reserves a slot at the engine before the request is sent, if the known load of the engine
+// is stale. A failure means that the request was not sent. The connection can be reused if resp is
+// not nil.
 //
-// Load pattern: many gateways send to engines with few slots, and each hears of an engine every
-// few seconds. Without reservations requests queue at a full engine while others have free
-// slots.
+// Load pattern: many gateways send to engines with few slots, and each gets the load of an engine
+// only every few seconds. Without reservations requests queue at a full engine while others have
+// free slots.
 func (g *Gateway) reserve(ctx context.Context, q *request, ticket *laburnumbalance.Ticket, conn *laburnumupstream.Conn, sample *laburnumbalance.Sample) (fail *failure, resp *http.Response) {
 	q.reservation = ""
 	if !ticket.Unsure() || q.queuesAtEngine() || q.service.Engine == nil || q.service.Engine.ReserveLimit == 0 {
@@ -44,7 +45,7 @@
 	id, ok, err := g.dialect.Reserved(resp.StatusCode, body)
 	switch {
 	case err != nil:
-		// An engine that can't reserve gets the request without a reservation.
+		// The engine does not support reservations: the request is sent without one.
 		g.counters.reservations[reserveUnanswered].Inc(1)
 		_ = level.Info(g.logger).Log("event", laburnumlever.EventPlaceNotReserved, "request-id", q.caller.ID, "backend", q.backend, "cause", err)
 	case ok:
@@ -59,7 +60,7 @@
 	return nil, nil
 }
 
-// sendReservation sends the reservation and reads the whole answer.
+// sendReservation asks the engine for a reservation and reads the complete answer.
 func (g *Gateway) sendReservation(q *request, ticket *laburnumbalance.Ticket, conn *laburnumupstream.Conn) (*http.Response, []byte, error) {
 	now := g.timers.Now()
 	if err := conn.SetDeadline(now.Add(min(reserveTimeout, q.remaining(now)))); err != nil {
--- a/laburnumgateway/reserve_test.go
+++ b/laburnumgateway/reserve_test.go
@@ -14,7 +14,7 @@
 	"laburnumlever/laburnumregistry"
 )
 
-// newReservingEngine is a fake engine that keeps places when asked: free tells whether it has one.
+// newReservingEngine returns a fake engine that supports reservations. It grants them if free is set.
 func newReservingEngine(t *testing.T, id string, free bool) *backend {
 	return newBackend(t, id, func(conn net.Conn, a receivedRequest, _ int) {
 		switch {
@@ -47,9 +47,8 @@
 	return strings.Join(list, " ")
 }
 
-// Sixty gateways send to engines of which each hears every few seconds. One that looks idle
-// is full by now, and a request sent there waits in its queue for a second while others
-// have places. It must be asked for a place first, and the request go where there is one.
+// Guards against requests queueing at a full engine while others have free slots. With sixty
+// gateways an engine's load is known only every few seconds, and one that looked idle may be full.
 func TestSlotIsReservedWhenEngineLoadIsStale(t *testing.T) {
 	full, free := newReservingEngine(t, "i-1", false), newReservingEngine(t, "i-2", true)
 	b := newReservationHarness(t, full.heartbeat("quotes", "m0"), free.heartbeat("quotes", "m0"))
@@ -66,8 +65,8 @@
 	require.Equal(t, "h-7", first[1].request.Header.Get("X-Laburnumlever-Hold"))
 }
 
-// All engines with the model are full. The caller waits for a place like any other, and is
-// told then that nothing was run.
+// All engines with the model refuse reservations: the request must be queued, and refused with 503
+// when no slot becomes free.
 func TestRequestQueuesWhenReservationsAreRefused(t *testing.T) {
 	full := newReservingEngine(t, "i-1", false)
 	b := newReservationHarness(t, full.heartbeat("quotes", "m0"))
@@ -76,21 +75,20 @@
 	require.NotEmpty(t, got.header.Get("Retry-After"))
 	require.NotContains(t, requestPaths(full), "/quote/x")
 	require.Less(t, len(full.requests()), 10)
-	require.Empty(t, full.closed(), "the connection is used again")
+	require.Empty(t, full.closed(), "the connection must be reused")
 }
 
-// Both engines are full, and the most urgent request of all comes. A place that comes free
-// goes to whichever gateway asks first, so it waits in an engine's queue, where urgency counts.
+// Guards against the most urgent requests losing free slots to other gateways. When engines are full
+// such a request must queue at an engine, which serves by priority.
 func TestMostUrgentRequestQueuesAtAnEngine(t *testing.T) {
 	one, two := newReservingEngine(t, "i-1", false), newReservingEngine(t, "i-2", false)
 	b := newReservationHarness(t, one.heartbeat("quotes", "m0"), two.heartbeat("quotes", "m0"))
 	got := b.send("POST", "/draft/x", "oak floor", "X-Laburnumlever-Model", "m0")
 	require.Equal(t, 200, got.status)
-	require.Len(t, append(one.requests(), two.requests()...), 3, "two questions and the request")
+	require.Len(t, append(one.requests(), two.requests()...), 3, "two reservations and the request")
 }
 
-// An engine that takes no reservations, or answers with something else, gets the request as
-// it is: what it can't do is no reason to refuse a caller.
+// Guards against refusing requests because an engine does not support reservations.
 func TestEngineWithoutReservationsGetsTheRequest(t *testing.T) {
 	old := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, _ int) {
 		if a.request.URL.Path == "/v1/hold-take" {
@@ -106,8 +104,8 @@
 	require.Equal(t, 200, got.status)
 }
 
-// An engine takes the connection and says nothing. The question for a place must end long
-// before the caller's time, and the request, which was not sent, go to another engine.
+// An engine accepts connections but never answers. The reservation must time out long before the
+// request's deadline, and the request, which was not sent, be retried at another engine.
 func TestUnresponsiveEngineDelaysOnlyTheReservation(t *testing.T) {
 	unresponsive := newBackend(t, "i-1", func(net.Conn, receivedRequest, int) {})
 	healthy := newReservingEngine(t, "i-2", true)
--- a/laburnumgateway/serve.go
+++ b/laburnumgateway/serve.go
@@ -14,29 +14,32 @@
 )
 
 const (
-	// Server limits, above those that the catalogue sets for callers.
+	// Limits of the HTTP server. They are above the limits that the catalogue sets for callers.
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 64 << 10
 
-	balancerNoticeTime = 3 * time.Second         // two failed health checks of the balancer
-	refuseBeforeEnd    = 2500 * time.Millisecond // requests are refused this long before the end of a drain
+	balancerNoticeTime = 3 * time.Second         // two failed health checks of the load balancer
+	refuseBeforeEnd    = 2500 * time.Millisecond // new requests are refused this long before a drain's deadline
 	idleCheckInterval  = 50 * time.Millisecond
-	idleChecks         = 10 // checks in a row without a request, after which new ones are refused
-	closingIdleChecks  = 2  // checks in a row without a request end the drain; answers are flushed by then
+	idleChecks         = 10 // consecutive checks without a request in flight, after which new ones are refused
+	closingIdleChecks  = 2  // consecutive checks without a request in flight that end the drain; answers are flushed by then
 )
 
-// drainStage is how far a drain has got.
+// drainStage is the stage of a graceful shutdown. Stages follow each other in this order.
 type drainStage int32
 
 // The stages.
 const (
+	// drainNone is normal service.
 	drainNone drainStage = iota
-	// drainNoticing waits for the balancer to notice; all requests are served.
+	// drainNoticing waits until the load balancer has seen the failed health checks; all
+	// requests are served.
 	drainNoticing
-	// drainEmptying refuses streams, which could outlast the process.
+	// drainEmptying refuses streams, which could outlast the process, and waits until the gateway
+	// is idle.
 	drainEmptying
-	// drainClosing refuses all requests.
+	// drainClosing refuses all requests and waits for those in flight.
 	drainClosing
 )
 
@@ -44,23 +47,24 @@
 
 func (g *Gateway) enter(stage drainStage) { g.drain.Store(int32(stage)) }
 
-// Server serves the gateway on a listener.
+// Server returns an HTTP server with the gateway as its handler.
 func (g *Gateway) Server() *http.Server {
 	return &http.Server{
 		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: stdlog.New(io.Discard, "", 0), // the gateway logs each request's end itself
+		ErrorLog: stdlog.New(io.Discard, "", 0), // the gateway logs the outcome of each request
 	}
 }
 
-// Ready tells whether the balancer may send callers here.
+// Ready tells whether the load balancer may send callers here.
 func (g *Gateway) Ready() bool { return g.stage() == drainNone && g.fleet.Ready() }
 
-// Drain reports the gateway as not ready, serves requests until the balancer has noticed, each
-// with "Connection: close", and returns when none is in flight or ctx ends. Once it is idle for a
-// while it refuses new ones: one that begins just before the end would be cut off.
+// Drain shuts the gateway down gracefully. It reports not ready, serves requests with "Connection:
+// close" until the load balancer has noticed, and returns when no request is in flight or ctx ends.
+// After a while without requests it refuses new ones, because the process could end before their
+// answers are complete.
 //
-// Idle connections stay open: a request may be on its way, and its caller could not tell whether
-// it was run.
+// Idle connections stay open: a request may already be in transit on one, and its caller could not
+// tell whether it ran.
 func (g *Gateway) Drain(ctx context.Context) {
 	g.enter(drainNoticing)
 	if end, ok := ctx.Deadline(); ok {
@@ -75,7 +79,8 @@
 	_ = level.Info(g.logger).Log("event", laburnumlever.EventDrained, "in-flight", g.InFlight())
 }
 
-// awaitIdle returns when checks in a row found no request in flight, or ctx ends.
+// awaitIdle returns after the given number of consecutive checks without a request in flight, or
+// when ctx ends.
 func (g *Gateway) awaitIdle(ctx context.Context, checks int) {
 	for idle := 0; idle < checks && ctx.Err() == nil; {
 		laburnumtimer.Wait(ctx.Done(), g.timers, idleCheckInterval)
@@ -86,7 +91,8 @@
 	}
 }
 
-// mayOutlastDrain tells whether a request could outlast the process. Its answer would be cut off.
+// mayOutlastDrain tells whether the process could end before the request is answered, which would
+// truncate the answer.
 func (g *Gateway) mayOutlastDrain(q *request) bool {
 	stage := g.stage()
 	if stage == drainClosing || stage == drainEmptying && q.route.Kind == laburnumlever.KindStream {
@@ -96,7 +102,7 @@
 	return end != nil && g.timers.Now().Add(refuseBeforeEnd).After(*end)
 }
 
-// Sweep closes idle connections and drops tombstones.
+// Sweep closes idle connections past their timeout and drops old tombstones.
 func (g *Gateway) Sweep() {
 	g.pool.Sweep()
 	g.fleet.Sweep()
--- a/laburnumgateway/sweep_test.go
+++ b/laburnumgateway/sweep_test.go
@@ -13,10 +13,9 @@
 	"laburnumlever/laburnumtimer"
 )
 
-// A control VM that is cut off from the backend servers calls one silent, and for minutes
-// there is no other news of it, since its heartbeats say the same to the others. Callers are
-// served by it all the while. A gateway hears no heartbeats itself, so it must not forget it;
-// one that is gone it must.
+// Guards against a gateway dropping a healthy backend server that a partitioned control VM reports
+// as silent. Gateways receive no heartbeats, and unchanged ones are not passed on to them. A backend
+// server that is gone must be dropped.
 func TestSweepKeepsSilentBackends(t *testing.T) {
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
 	fleet := laburnumgateway.NewFleet(timers, laburnumlever.VM{ID: "10.0.0.1", Zone: "brest"}, time.Second, 1)
@@ -25,7 +24,7 @@
 	fleet.Learn("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{{Heartbeat: h, Silent: true}}})
 	timers.Advance(10 * time.Minute)
 	fleet.Sweep()
-	require.True(t, fleet.Ready(), "its only backend server is still known")
+	require.True(t, fleet.Ready(), "the only backend server must still be known")
 	fleet.Learn("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{{Heartbeat: h, Gone: true}}})
 	require.False(t, fleet.Ready())
 }
--- a/laburnumgateway/waiting.go
+++ b/laburnumgateway/waiting.go
@@ -9,10 +9,11 @@
 	"laburnumlever/laburnumwaiting"
 )
 
-// waitTerms are how long requests wait for a slot.
+// waitTerms limit how long requests wait for a slot.
 var waitTerms = laburnumwaiting.DefaultTerms()
 
-// awaitSlot reserves a slot for a request, queueing until the time given.
+// awaitSlot reserves a slot for a request. If none is free, it queues the request at most until the
+// given time.
 func (f *Fleet) awaitSlot(ctx context.Context, q *request, until time.Time) (*laburnumbalance.Ticket, laburnumbalance.Verdict) {
 	now := f.timers.Now()
 	admitted := make(chan *laburnumbalance.Ticket, 1)
@@ -39,7 +40,8 @@
 	return f.leaveQueue(queued, admitted, verdict)
 }
 
-// leaveQueue removes a request, or returns the slot that was reserved at the last moment.
+// leaveQueue removes a request from the queue. If it was admitted in the meantime, it returns the
+// ticket of its slot.
 func (f *Fleet) leaveQueue(n *laburnumwaiting.Request, admitted <-chan *laburnumbalance.Ticket, verdict laburnumbalance.Verdict) (*laburnumbalance.Ticket, laburnumbalance.Verdict) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -52,7 +54,7 @@
 	}
 }
 
-// serveQueue admits queued requests to free slots. The caller must hold mu.
+// serveQueue assigns free slots to queued requests. The caller must hold mu.
 func (f *Fleet) serveQueue() {
 	if f.queue.Len() == 0 {
 		return
