--- a/laburnumupstream/conn.go
+++ b/laburnumupstream/conn.go
@@ -118,14 +118,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = control.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, errno := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errno == syscall.EAGAIN
+		empty = errno == syscall.EAGAIN
 		return true // does not block until the socket is readable
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
 // keepAliveTimeout returns the timeout parameter of a Keep-Alive header: how long the backend
