--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -270,8 +270,8 @@
 	return query
 }
 
-// Gateways returns the largest number of gateways seen. Limits are divided by it, so that the shares
-// of all gateways never add up to more than a limit while the number changes.
+// Gateways returns the largest number of gateways seen. Limits are divided by the largest number so
+// that the shares of all gateways don't exceed the whole while the number changes.
 func (f *Fleet) Gateways() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
