--- a/laburnumupstream/conn.go
+++ b/laburnumupstream/conn.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// readBuffer takes a usual answer or a few events in one read.
-const readBuffer = 4 << 10
+// readBufferSize, in bytes, fits a typical answer or a few events of a stream in one read.
+const readBufferSize = 4 << 10
 
-// Request is what goes to a backend server.
+// Request is an HTTP/1.1 request to a backend server. Content-Length is added when it is written.
 type Request struct {
 	Method, URI, Host string
 	Header            http.Header
@@ -28,15 +28,17 @@
 	address string
 	conn    net.Conn
 	r       *bufio.Reader
-	// usableUntil is when the backend server may close it for idleness.
+	// usableUntil is the end of the idle timeout. After it the backend server may close the
+	// connection, so it is not reused.
 	usableUntil time.Time
 	closed      sync.Once
 	onClose     func()
 }
 
-var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+var writeBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// Close ends the connection; the backend server sees it and ends its work.
+// Close closes the connection, so that the backend server stops work on the request in progress.
+// It may be called more than once and from any goroutine.
 func (c *Conn) Close() {
 	c.closed.Do(func() {
 		_ = c.conn.Close()
@@ -44,25 +46,27 @@
 	})
 }
 
-// Guard closes the connection when ctx ends before stop is called.
+// CloseOnDone closes the connection when ctx is done before stop is called. Stop returns false if
+// that has happened.
 func (c *Conn) Guard(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, c.Close)
 }
 
-// SetDeadline bounds all reads and writes from now on.
+// SetDeadline sets the deadline of all further reads and writes.
 func (c *Conn) SetDeadline(at time.Time) error { return c.conn.SetDeadline(at) }
 
-// Exchange sends a request and reads the answer's head. An error is a *LostError:
-// some bytes may have reached the backend server.
+// Exchange sends a request and reads the head of the answer, skipping informational (1xx) answers
+// other than 101. The caller reads the body. An error is a *LostError: some bytes may have reached
+// the backend server.
 func (c *Conn) Exchange(q Request) (*http.Response, error) {
-	buf, _ := buffers.Get().(*bytes.Buffer)
+	buf, _ := writeBuffers.Get().(*bytes.Buffer)
 	if buf == nil {
 		buf = new(bytes.Buffer)
 	}
 	buf.Reset()
 	q.write(buf)
 	_, err := c.conn.Write(buf.Bytes())
-	buffers.Put(buf)
+	writeBuffers.Put(buf)
 	if err != nil {
 		return nil, &LostError{Address: c.address, Cause: err}
 	}
@@ -100,8 +104,9 @@
 	buf.Write(q.Body)
 }
 
-// quiet tells whether the socket holds neither bytes nor an end.
-func (c *Conn) quiet() bool {
+// noPendingInput tells whether neither received bytes nor the end of the stream (EOF) wait to be
+// read. It peeks at the socket without blocking.
+func (c *Conn) noPendingInput() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -113,18 +118,19 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = control.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, errno := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errno == syscall.EAGAIN
-		return true // never waits
+		empty = errno == syscall.EAGAIN
+		return true // does not block until the socket is readable
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// keepAlive reads how long the backend server keeps the connection idle.
-func keepAlive(header http.Header) (time.Duration, bool) {
+// keepAliveTimeout returns the timeout parameter of a Keep-Alive header: how long the backend
+// server keeps an idle connection open.
+func keepAliveTimeout(header http.Header) (time.Duration, bool) {
 	for field := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if seconds, err := strconv.ParseFloat(value, 64); err == nil && strings.EqualFold(name, "timeout") {
