--- a/laburnumbalance/balance.go
+++ b/laburnumbalance/balance.go
@@ -30,8 +30,8 @@
 	freeShare = 0.05
 	// maxFailures bounds the failures of a server, so that it recovers within seconds.
 	maxFailures = 8
-	// emptyShare is the share of busy slots below which a server can't be full.
-	emptyShare = 0.5
+	// idleShare is the share of busy slots below which a server can't be full.
+	idleShare = 0.5
 	// fullTime is how long a server that refused a request counts as full.
 	fullTime = 300 * time.Millisecond
 
@@ -82,14 +82,14 @@
 	query   Query
 	// reading is the estimated time to read the prompt, in ms; 0 once the answer has begun.
 	reading float64
-	// unread are the tokens of the prompt that the server has probably not cached.
-	unread int
-	since  time.Time
-	unsure bool
+	// uncached are the tokens of the prompt that the server has probably not cached.
+	uncached  int
+	since     time.Time
+	mayBeFull bool
 }
 
 // Unsure tells whether the server's load is stale, so that it may have no free slot.
-func (ticket *Ticket) Unsure() bool { return ticket.unsure }
+func (ticket *Ticket) Unsure() bool { return ticket.mayBeFull }
 
 // Model is empty for a plain service.
 func (ticket *Ticket) Model() laburnumlever.ModelName { return ticket.query.Model }
@@ -179,7 +179,7 @@
 		s = nil
 	}
 	if s == nil {
-		s = &server{local: r.Heartbeat.Zone == t.zone, readingLimit: startReading}
+		s = &server{local: r.Heartbeat.Zone == t.zone, readingLimit: initialReadingLimit}
 		t.servers[id] = s
 		t.byService[r.Heartbeat.Service] = append(t.byService[r.Heartbeat.Service], s)
 	}
@@ -232,7 +232,7 @@
 		return
 	}
 	if o.Outliers > 0 && o.Born == s.record.Heartbeat.Born && (o.Fence > s.overlay.Fence || o.Outliers > s.overlay.Outliers) {
-		s.suspect(now)
+		s.markOutlier(now)
 	}
 	s.overlay = o
 }
@@ -254,9 +254,9 @@
 // Added records a model or adapter that a server holds before a heartbeat lists it.
 func (t *Table) Added(id laburnumlever.BackendID, model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) {
 	if s := t.servers[id]; s != nil {
-		s.added = note(s.added, held{model: model, adapter: adapter}, now.Add(addedTime), now)
+		s.added = setExpiry(s.added, heldModel{model: model, adapter: adapter}, now.Add(addedTime), now)
 		t.list(s, model)
-		delete(s.absent, held{model: model, adapter: adapter})
+		delete(s.absent, heldModel{model: model, adapter: adapter})
 	}
 }
 
@@ -272,8 +272,8 @@
 	return outcomes
 }
 
-// count adds the outcome of an attempt to the next report.
-func (t *Table) count(s *server, sample Sample) {
+// countOutcome adds the outcome of an attempt to the next report.
+func (t *Table) countOutcome(s *server, sample Sample) {
 	switch {
 	case sample.Faulty:
 		t.countFailure(s)
@@ -291,7 +291,7 @@
 func (t *Table) Unreachable(now time.Time) []laburnumlever.BackendID {
 	var ids []laburnumlever.BackendID
 	for id := range t.unreachable {
-		if s := t.servers[id]; s == nil || !now.Before(s.unreachableTill) {
+		if s := t.servers[id]; s == nil || !now.Before(s.unreachableUntil) {
 			delete(t.unreachable, id)
 			continue
 		}
@@ -308,7 +308,7 @@
 func (t *Table) Useless(q Query, now time.Time) []laburnumlever.BackendID {
 	var useless []laburnumlever.BackendID
 	for _, s := range t.candidates(q) {
-		if s.holds(q.Model, "", now) && (now.Before(s.unreachableTill) || t.overfull(s, now, q.Queue)) {
+		if s.holds(q.Model, "", now) && (now.Before(s.unreachableUntil) || t.saturated(s, now, q.Queue)) {
 			useless = append(useless, s.record.Heartbeat.Backend)
 		}
 	}
@@ -324,7 +324,7 @@
 	var best *server
 	bestScore := math.Inf(1)
 	for _, s := range t.candidates(q) {
-		if now.Before(s.unreachableTill) {
+		if now.Before(s.unreachableUntil) {
 			continue
 		}
 		if !s.holds(q.Model, q.Adapter, now) {
@@ -336,7 +336,7 @@
 		if verdict != Full {
 			verdict = Full
 		}
-		if t.overfull(s, now, q.Queue) {
+		if t.saturated(s, now, q.Queue) {
 			continue
 		}
 		if score := t.score(s, q, now); score < bestScore {
@@ -347,22 +347,22 @@
 		return nil, verdict
 	}
 	best.own++
-	unread := t.prefixes.missing(best.record.Heartbeat, q)
-	reading := q.readMillis(unread)
+	uncached := t.prefixes.uncachedTokens(best.record.Heartbeat, q)
+	reading := q.readMillis(uncached)
 	best.reading += reading
-	t.prefixes.sent(best.record.Heartbeat, q)
-	return &Ticket{Backend: best.record.Heartbeat, server: best, query: q, reading: reading, unread: unread, since: now, unsure: best.unsure(now)}, Found
+	t.prefixes.add(best.record.Heartbeat, q)
+	return &Ticket{Backend: best.record.Heartbeat, server: best, query: q, reading: reading, uncached: uncached, since: now, mayBeFull: best.mayBeFull(now)}, Found
 }
 
-// overfull tells whether the server has no slot or too many prompts to read.
-func (t *Table) overfull(s *server, now time.Time, queue bool) bool {
-	return now.Before(s.fullTill) || !queue && t.noSlot(s, now) || (s.reading > 0 && s.reading >= s.readingLimit)
+// saturated tells whether the server has no slot or too many prompts to read.
+func (t *Table) saturated(s *server, now time.Time, queue bool) bool {
+	return now.Before(s.fullUntil) || !queue && t.noSlot(s, now) || (s.reading > 0 && s.reading >= s.readingLimit)
 }
 
 // noSlot tells whether the server's slots are taken, as far as is known.
 func (t *Table) noSlot(s *server, now time.Time) bool {
 	limit := float64(max(1, s.record.Heartbeat.Slots)) * (1 - t.freeShare)
-	if s.taken {
+	if s.reservationRefused {
 		return now.Sub(s.othersAt) < t.retryTime || float64(s.own) >= limit
 	}
 	return s.load(now) >= limit
@@ -370,7 +370,7 @@
 
 func (t *Table) score(s *server, q Query, now time.Time) float64 {
 	load := s.load(now)
-	score := slotMillis*load + s.blame(now) + jitterMillis*t.rand.Float64()
+	score := slotMillis*load + s.failurePenalty(now) + jitterMillis*t.rand.Float64()
 	if over := load + 1 - float64(max(1, s.record.Heartbeat.Slots)); over > 0 {
 		score += queueMillis * over
 	}
@@ -388,7 +388,7 @@
 
 // readMillis is the time to read the part of the prompt that is not cached.
 func (t *Table) readMillis(s *server, q Query) float64 {
-	return q.readMillis(t.prefixes.missing(s.record.Heartbeat, q))
+	return q.readMillis(t.prefixes.uncachedTokens(s.record.Heartbeat, q))
 }
 
 func (q Query) readMillis(tokens int) float64 {
@@ -406,12 +406,12 @@
 		return 0, 0
 	}
 	took := now.Sub(ticket.since)
-	ticket.server.began(took, ticket.query.Target)
-	ticket.read()
-	return took, ticket.unread
+	ticket.server.adaptReadingLimit(took, ticket.query.Target)
+	ticket.promptRead()
+	return took, ticket.uncached
 }
 
-func (ticket *Ticket) read() {
+func (ticket *Ticket) promptRead() {
 	ticket.server.reading = max(0, ticket.server.reading-ticket.reading)
 	ticket.reading = 0
 }
@@ -422,14 +422,14 @@
 		return
 	}
 	s := ticket.server
-	ticket.read()
+	ticket.promptRead()
 	ticket.server = nil
 	s.own--
-	t.count(s, sample)
+	t.countOutcome(s, sample)
 	t.Learn(s.record.Heartbeat.Backend, sample, now)
 	if sample.Absent {
-		key := held{model: ticket.query.Model, adapter: ticket.query.Adapter}
-		s.absent = note(s.absent, key, now.Add(absentTime), now)
+		key := heldModel{model: ticket.query.Model, adapter: ticket.query.Adapter}
+		s.absent = setExpiry(s.absent, key, now.Add(absentTime), now)
 		delete(s.added, key)
 	}
 }
@@ -443,18 +443,18 @@
 	if sample.HasLoad {
 		s.others = float64(max(0, sample.Running+sample.Waiting-s.own))
 		s.othersAt = now
-		s.taken = false
+		s.reservationRefused = false
 	}
 	if sample.Taken {
-		s.taken = true
+		s.reservationRefused = true
 		s.others = max(0, float64(s.record.Heartbeat.Slots-s.own))
 		s.othersAt = now
 	}
 	if sample.Full {
-		s.fullTill = now.Add(fullTime)
+		s.fullUntil = now.Add(fullTime)
 		// A server that refuses while its slots are free is failing, whatever its health
 		// checks say.
-		if s.load(now) < emptyShare*float64(s.record.Heartbeat.Slots) {
+		if s.load(now) < idleShare*float64(s.record.Heartbeat.Slots) {
 			s.fail(now)
 			t.countFailure(s)
 		}
@@ -463,9 +463,9 @@
 		s.fail(now)
 	}
 	if sample.Unreachable {
-		s.unreachable(now)
+		s.backOff(now)
 		t.unreachable[id] = struct{}{}
 	} else if !sample.Failed {
-		s.unreachableFor = 0
+		s.unreachableTime = 0
 	}
 }
--- a/laburnumbalance/balance_test.go
+++ b/laburnumbalance/balance_test.go
@@ -57,7 +57,7 @@
 
 // Prompts of many requests meet at one engine while another that holds the model has
 // nothing to read: its streams would pause. They must spread.
-func TestPromptsSpread(t *testing.T) {
+func TestLongPromptsSpreadOverEngines(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
 	counts := map[laburnumlever.BackendID]int{}
 	for i := range 8 {
@@ -71,7 +71,7 @@
 
 // Fitters' requests share the long beginning of a prompt. An engine that has read it
 // answers sooner, and others there have shorter pauses.
-func TestSharedPromptGoesWhereItWasRead(t *testing.T) {
+func TestSharedPrefixGoesToTheEngineThatCachedIt(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
 	shared := laburnumlever.PromptPart{ID: 77, Tokens: 900}
 	first, _ := table.Pick(query("m0", shared, laburnumlever.PromptPart{ID: 1, Tokens: 30}), start)
@@ -85,7 +85,7 @@
 
 // An engine fails at once whatever it is sent, so it looks idle. It must not draw the
 // work of all; and a while after it is sound again it gets its part.
-func TestFailingServerIsPassedOverAndComesBack(t *testing.T) {
+func TestFailingServerIsAvoidedUntilItRecovers(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
 	now := start
 	for range 20 {
@@ -111,7 +111,7 @@
 
 // An engine says that it does not hold what its heartbeat listed. Until its next word
 // nobody must be sent there for it again: each try is one of the few that a request has.
-func TestAbsentModelIsBelievedAtOnce(t *testing.T) {
+func TestAbsentModelIsExcludedUntilTheNextHeartbeat(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"))
 	ticket, _ := table.Pick(query("m0"), start)
 	table.End(ticket, laburnumbalance.Sample{Absent: true}, start)
@@ -123,8 +123,8 @@
 
 // Another VM's work shows only in answers. Prompts that take long to begin there make
 // this VM send fewer at once, and answers in time more again.
-func TestLateAnswersLimitThePrompts(t *testing.T) {
-	atOnce := func(took time.Duration) int {
+func TestLateAnswersLowerThePromptLimit(t *testing.T) {
+	concurrentPrompts := func(took time.Duration) int {
 		table := newTable(record(1, "brest", "m0"))
 		now := start
 		for range 100 {
@@ -142,13 +142,13 @@
 		}
 		return n
 	}
-	require.Greater(t, atOnce(20*time.Millisecond), 2*atOnce(400*time.Millisecond))
-	require.Positive(t, atOnce(400*time.Millisecond))
+	require.Greater(t, concurrentPrompts(20*time.Millisecond), 2*concurrentPrompts(400*time.Millisecond))
+	require.Positive(t, concurrentPrompts(400*time.Millisecond))
 }
 
 // The own zone goes first, since every byte between zones is paid for, but not when its
 // servers are full.
-func TestOwnZoneFirst(t *testing.T) {
+func TestOwnZoneIsPreferredUntilFull(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "vannes", "m0"))
 	counts := map[laburnumlever.BackendID]int{}
 	for range 12 {
@@ -160,7 +160,7 @@
 	require.Positive(t, counts["i-2"])
 }
 
-func TestLeavingServerGetsNothing(t *testing.T) {
+func TestLeavingServerGetsNoRequests(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"))
 	r := record(1, "brest", "m0")
 	r.Heartbeat.Leaving = true
@@ -172,7 +172,7 @@
 // An engine refuses every other request for want of room though it has nothing to do, and
 // its health check is good. Each refusal uses up one of the few attempts that a request
 // has; a sound engine must be preferred.
-func TestServerThatRefusesWithoutCauseIsPassedOver(t *testing.T) {
+func TestIdleServerThatRefusesIsAvoided(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
 	now := start
 	refused := 0
@@ -180,11 +180,11 @@
 		now = now.Add(50 * time.Millisecond)
 		ticket, verdict := table.Pick(query("m0"), now)
 		require.Equal(t, laburnumbalance.Found, verdict)
-		grey := ticket.Backend.Backend == "i-1"
-		if grey {
+		faulty := ticket.Backend.Backend == "i-1"
+		if faulty {
 			refused++
 		}
-		table.End(ticket, laburnumbalance.Sample{Full: grey}, now.Add(20*time.Millisecond))
+		table.End(ticket, laburnumbalance.Sample{Full: faulty}, now.Add(20*time.Millisecond))
 	}
 	require.Less(t, refused, 20)
 }
@@ -192,7 +192,7 @@
 // An engine goes dark. Each request that is sent there waits for a whole dial timeout and
 // then tries another; if it is the only one with its model, four times in a row. It must
 // be left out, longer each time, and be back once it takes a connection.
-func TestDarkServerIsLeftOut(t *testing.T) {
+func TestUnreachableServerIsBackedOff(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"))
 	now := start
 	tries := 0
--- a/laburnumbalance/outliers_test.go
+++ b/laburnumbalance/outliers_test.go
@@ -31,7 +31,7 @@
 }
 
 // Guards against servers reported for a path that is cut.
-func TestServersThatCannotBeConnectedToAreNoOutliers(t *testing.T) {
+func TestUnreachableServersAreNotReported(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"))
 	ticket, _ := table.Pick(query("m0"), start)
 	table.End(ticket, laburnumbalance.Sample{Failed: true, Unreachable: true}, start)
@@ -39,7 +39,7 @@
 }
 
 // Guards against a gateway that tries a server of which other gateways have seen it fail.
-func TestOutlierIsAvoidedAndComesBack(t *testing.T) {
+func TestOutlierIsAvoidedUntilItRecovers(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
 	overlay := laburnumregistry.Overlay{Backend: "i-1", Fence: 1, Outliers: 1}
 	count := func(now time.Time) int {
--- a/laburnumbalance/prefixes.go
+++ b/laburnumbalance/prefixes.go
@@ -5,8 +5,8 @@
 // generationSize bounds the prompt parts remembered; two generations are kept.
 const generationSize = 1 << 14
 
-// cachedPart is the cache key of a prompt part: engines cache by model and adapter.
-type cachedPart struct {
+// partKey is the cache key of a prompt part: engines cache by model and adapter.
+type partKey struct {
 	backend laburnumlever.BackendID
 	born    uint64
 	model   laburnumlever.ModelName
@@ -14,34 +14,34 @@
 	id      uint64
 }
 
-func (q Query) cached(to laburnumlever.Heartbeat, part laburnumlever.PromptPart) cachedPart {
-	return cachedPart{backend: to.Backend, born: to.Born, model: q.Model, adapter: q.Adapter, id: part.ID}
+func (q Query) cacheKey(to laburnumlever.Heartbeat, part laburnumlever.PromptPart) partKey {
+	return partKey{backend: to.Backend, born: to.Born, model: q.Model, adapter: q.Adapter, id: part.ID}
 }
 
 // prefixes estimates which prompt parts each server has cached, by what was sent there.
 type prefixes struct {
-	young, old map[cachedPart]struct{}
+	young, old map[partKey]struct{}
 }
 
 func newPrefixes() *prefixes {
-	return &prefixes{young: map[cachedPart]struct{}{}, old: map[cachedPart]struct{}{}}
+	return &prefixes{young: map[partKey]struct{}{}, old: map[partKey]struct{}{}}
 }
 
-func (p *prefixes) sent(to laburnumlever.Heartbeat, q Query) {
+func (p *prefixes) add(to laburnumlever.Heartbeat, q Query) {
 	if len(p.young) > generationSize {
-		p.old, p.young = p.young, map[cachedPart]struct{}{}
+		p.old, p.young = p.young, map[partKey]struct{}{}
 	}
 	for _, part := range q.Prompt {
-		p.young[q.cached(to, part)] = struct{}{}
+		p.young[q.cacheKey(to, part)] = struct{}{}
 	}
 }
 
-// missing returns the tokens after the cached prefix of the prompt.
-func (p *prefixes) missing(to laburnumlever.Heartbeat, q Query) int {
+// uncachedTokens returns the tokens after the cached prefix of the prompt.
+func (p *prefixes) uncachedTokens(to laburnumlever.Heartbeat, q Query) int {
 	tokens := 0
 	cached := true
 	for _, part := range q.Prompt {
-		key := q.cached(to, part)
+		key := q.cacheKey(to, part)
 		if cached {
 			_, young := p.young[key]
 			_, old := p.old[key]
--- a/laburnumbalance/retry_test.go
+++ b/laburnumbalance/retry_test.go
@@ -11,7 +11,7 @@
 
 // Guards against slots that stay free while requests are queued on few gateways, and against
 // hundreds of gateways that poll full engines.
-func TestFullServerIsTriedAgainByTheNumberOfGateways(t *testing.T) {
+func TestRetryTimeGrowsWithTheNumberOfGateways(t *testing.T) {
 	for gateways, wait := range map[int]time.Duration{6: 42 * time.Millisecond, 294: 150 * time.Millisecond} {
 		table := newTable(record(1, "brest", "m0"))
 		table.SetGateways(gateways)
--- a/laburnumbalance/server.go
+++ b/laburnumbalance/server.go
@@ -11,16 +11,16 @@
 const (
 	// The limit on prompts under way at a server, in ms of reading, adapts by additive
 	// increase and multiplicative decrease.
-	startReading = 120
-	minReading   = 25
-	maxReading   = 300
-	readingRise  = 4
-	readingFall  = 0.9
+	initialReadingLimit = 120
+	minReadingLimit     = 25
+	maxReadingLimit     = 300
+	readingIncrease     = 4
+	readingDecrease     = 0.9
 	// readingTarget divides a latency target: the rest is for the network and the queue.
 	readingTarget = 2
 
-	loadFade        = 3 * time.Second        // a reported load fades to nothing
-	sureTime        = 200 * time.Millisecond // a reported load counts as current
+	loadDecay       = 3 * time.Second        // a reported load fades to nothing
+	currentTime     = 200 * time.Millisecond // a reported load counts as current
 	failureHalfLife = 4 * time.Second
 
 	// A server whose slots are all taken is tried again after a time that grows with the number
@@ -30,15 +30,15 @@
 	maxRetry        = 150 * time.Millisecond
 
 	// Backoff for a server that can't be connected to, doubled with each failure.
-	unreachableTime = 300 * time.Millisecond
-	unreachableMost = time.Second
+	minUnreachable = 300 * time.Millisecond
+	maxUnreachable = time.Second
 
 	absentTime = 1500 * time.Millisecond // outlasts a heartbeat that still lists the model
 	addedTime  = 4 * time.Second         // outlasts heartbeats that do not list it yet
 )
 
-// held names a model, or an adapter of one, on a server.
-type held struct {
+// heldModel names a model, or an adapter of one, on a server.
+type heldModel struct {
 	model   laburnumlever.ModelName
 	adapter laburnumlever.AdapterName
 }
@@ -52,11 +52,11 @@
 	listed []laburnumlever.ModelName
 	own    int // requests of this VM
 	// others are the requests of other VMs, by the last answer.
-	others   float64
-	othersAt time.Time
-	fullTill time.Time
-	// taken tells that the last reservation was refused and no load was reported since.
-	taken bool
+	others    float64
+	othersAt  time.Time
+	fullUntil time.Time
+	// reservationRefused tells that the last reservation was refused and no load was reported since.
+	reservationRefused bool
 	// reading is the estimated time to read this VM's prompts there, in ms, and its limit.
 	reading      float64
 	readingLimit float64
@@ -64,53 +64,53 @@
 	failedAt     time.Time
 	// failed and answered count outcomes since the last failure was reported.
 	failed, answered int
-	// unreachableTill ends the current backoff, unreachableFor is its length.
-	unreachableTill time.Time
-	unreachableFor  time.Duration
-	absent          map[held]time.Time
-	added           map[held]time.Time
+	// unreachableUntil ends the current backoff, unreachableFor is its length.
+	unreachableUntil time.Time
+	unreachableTime  time.Duration
+	absent           map[heldModel]time.Time
+	added            map[heldModel]time.Time
 }
 
 // load estimates the requests at the server, running or queued.
 func (s *server) load(now time.Time) float64 {
-	fade := 1 - now.Sub(s.othersAt).Seconds()/loadFade.Seconds()
+	fade := 1 - now.Sub(s.othersAt).Seconds()/loadDecay.Seconds()
 	return float64(s.own) + max(0, fade)*s.others
 }
 
-// unsure tells whether the load is stale and the server may be full.
-func (s *server) unsure(now time.Time) bool {
+// mayBeFull tells whether the load is stale and the server may be full.
+func (s *server) mayBeFull(now time.Time) bool {
 	age := now.Sub(s.othersAt)
-	if age < sureTime && !s.taken {
+	if age < currentTime && !s.reservationRefused {
 		return false
 	}
-	return s.taken || age > loadFade || float64(s.own)+s.others >= emptyShare*float64(s.record.Heartbeat.Slots)
+	return s.reservationRefused || age > loadDecay || float64(s.own)+s.others >= idleShare*float64(s.record.Heartbeat.Slots)
 }
 
-// began adapts the limit on prompts. Additive increase and multiplicative decrease converge
+// adaptReadingLimit adapts the limit on prompts. Additive increase and multiplicative decrease converge
 // to equal shares among the VMs that send to the server.
-func (s *server) began(took, target time.Duration) {
+func (s *server) adaptReadingLimit(took, target time.Duration) {
 	if target <= 0 {
 		return
 	}
 	if took > target/readingTarget {
-		s.readingLimit = max(minReading, s.readingLimit*readingFall)
+		s.readingLimit = max(minReadingLimit, s.readingLimit*readingDecrease)
 		return
 	}
-	s.readingLimit = min(maxReading, s.readingLimit+readingRise)
+	s.readingLimit = min(maxReadingLimit, s.readingLimit+readingIncrease)
 }
 
-// blame is the penalty for recent failures.
-func (s *server) blame(now time.Time) float64 {
+// failurePenalty is the penalty for recent failures.
+func (s *server) failurePenalty(now time.Time) float64 {
 	if s.failures == 0 {
 		return 0
 	}
 	return failureMillis * s.failuresAt(now)
 }
 
-// unreachable starts or doubles the backoff.
-func (s *server) unreachable(now time.Time) {
-	s.unreachableFor = min(unreachableMost, max(unreachableTime, 2*s.unreachableFor))
-	s.unreachableTill = now.Add(s.unreachableFor)
+// backOff starts or doubles the backoff.
+func (s *server) backOff(now time.Time) {
+	s.unreachableTime = min(maxUnreachable, max(minUnreachable, 2*s.unreachableTime))
+	s.unreachableUntil = now.Add(s.unreachableTime)
 }
 
 func (s *server) failuresAt(now time.Time) float64 {
@@ -118,8 +118,8 @@
 	return s.failures / math.Exp2(age)
 }
 
-// suspect counts as one failure, unless this VM has seen some itself.
-func (s *server) suspect(now time.Time) {
+// markOutlier counts as one failure, unless this VM has seen some itself.
+func (s *server) markOutlier(now time.Time) {
 	s.failures = max(1, s.failuresAt(now))
 	s.failedAt = now
 }
@@ -135,16 +135,16 @@
 	if model == "" {
 		return true
 	}
-	if now.Before(s.absent[held{model: model}]) {
+	if now.Before(s.absent[heldModel{model: model}]) {
 		return false
 	}
-	if adapter != "" && now.Before(s.absent[held{model: model, adapter: adapter}]) {
+	if adapter != "" && now.Before(s.absent[heldModel{model: model, adapter: adapter}]) {
 		return false
 	}
 	if s.overlay.Holds(s.record.Heartbeat, model, adapter) {
 		return true
 	}
-	return now.Before(s.added[held{model: model, adapter: adapter}]) &&
+	return now.Before(s.added[heldModel{model: model, adapter: adapter}]) &&
 		(adapter == "" || s.holds(model, "", now))
 }
 
@@ -158,10 +158,10 @@
 	return false
 }
 
-// note sets a key until a time and drops expired keys.
-func note(m map[held]time.Time, key held, until, now time.Time) map[held]time.Time {
+// setExpiry sets a key until a time and drops expired keys.
+func setExpiry(m map[heldModel]time.Time, key heldModel, until, now time.Time) map[heldModel]time.Time {
 	if m == nil {
-		m = map[held]time.Time{}
+		m = map[heldModel]time.Time{}
 	}
 	for k, at := range m {
 		if now.After(at) {
--- a/laburnumbalance/unsure_test.go
+++ b/laburnumbalance/staleload_test.go
@@ -11,8 +11,8 @@
 
 // Sixty gateways send to one engine, and each hears of it every few seconds. Word of an idle
 // engine stays good for a while, word of a busy one for moments; after that it may be full,
-// and a request sent there on trust waits for a second.
-func TestServerIsUnsureOnceItsWordIsOld(t *testing.T) {
+// and a request sent there on trust queued for a second.
+func TestServerMayBeFullOnceItsLoadIsStale(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		running int
@@ -36,16 +36,16 @@
 
 // An engine had no place when it was asked. It is left out for a moment, so that the others
 // are asked, and asked again before the next request goes there.
-func TestServerWithoutAPlaceIsLeftOutAndAskedAgain(t *testing.T) {
+func TestServerThatRefusedAReservationIsRetried(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"))
 	ticket, _ := table.Pick(query("m0"), start)
 	require.True(t, ticket.Unsure())
 	table.End(ticket, laburnumbalance.Sample{Taken: true}, start)
 	_, verdict := table.Pick(query("m0"), start.Add(50*time.Millisecond))
 	require.Equal(t, laburnumbalance.Full, verdict)
-	waits := query("m0")
-	waits.Queue = true
-	ticket, verdict = table.Pick(waits, start.Add(50*time.Millisecond))
+	queued := query("m0")
+	queued.Queue = true
+	ticket, verdict = table.Pick(queued, start.Add(50*time.Millisecond))
 	require.Equal(t, laburnumbalance.Found, verdict, "one that may wait at the engine goes there")
 	table.End(ticket, laburnumbalance.Sample{}, start.Add(60*time.Millisecond))
 	ticket, verdict = table.Pick(query("m0"), start.Add(300*time.Millisecond))
