--- a/laburnumbalance/balance.go
+++ b/laburnumbalance/balance.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// defaultReadTime is the time to read a token of a prompt before the first answer.
+	// defaultReadTime is the time to read (prefill) a prompt token of a model whose read time has
+	// not been measured yet.
 	defaultReadTime = time.Second / 30000
 
-	// Terms of the score, in milliseconds.
-	slotMillis    = 1   // for each request at the server: a deeper batch has longer steps
+	// Terms of a server's score, in milliseconds.
+	slotMillis    = 1   // for each request at the server: a larger batch has longer steps
 	queueMillis   = 100 // for each request beyond the server's slots
-	zoneMillis    = 20  // for another zone: bytes between zones are paid for
+	zoneMillis    = 20  // for a server in another zone: traffic between zones is billed
 	silentMillis  = 200 // for a server whose heartbeats have stopped
 	failureMillis = 250 // for each recent failure: more than a short queue elsewhere
-	jitterMillis  = 2   // breaks ties differently on each VM
+	jitterMillis  = 2   // upper bound of a random term that breaks ties differently on each VM
 	avoidMillis   = 1e6 // for a server that already failed the request
 
-	// freeShare of a server's slots stays free for what other gateways have sent since its
-	// last answer. Requests queue on gateways rather than at engines, where the urgent
-	// preempt answers under way.
+	// freeShare is the share of a server's slots kept free for requests that other gateways have
+	// sent since its last answer. Requests queue on gateways rather than at engines, since an
+	// engine preempts running answers in favour of urgent requests in its queue.
 	freeShare = 0.05
-	// maxFailures bounds the failures of a server, so that it recovers within seconds.
+	// maxFailures caps a server's failure count, so that it recovers within seconds.
 	maxFailures = 8
 	// idleShare is the share of busy slots below which a server can't be full.
 	idleShare = 0.5
 	// fullTime is how long a server that refused a request counts as full.
 	fullTime = 300 * time.Millisecond
 
-	// UrgentReservations is the number of engines that refuse an urgent request a slot before
-	// it queues at one: the power of two choices.
+	// UrgentReservations is the number of engines that an urgent request tries to reserve a slot
+	// at before it queues at one of them (the power of two choices).
 	UrgentReservations = 2
-	// RetrySlack after RetryTime the queue is served again.
+	// RetrySlack is added to RetryTime before the queue is served again.
 	RetrySlack = 10 * time.Millisecond
 )
 
@@ -51,7 +52,7 @@
 	Prompt  []laburnumlever.PromptPart
 	// Target is the latency target of the answer's first part; 0 for none.
 	Target time.Duration
-	// ReadTime is the time to read a token of a prompt with this model; 0 if unknown.
+	// ReadTime is the time that the model takes to read a prompt token; 0 if unknown.
 	ReadTime time.Duration
 	// Queue allows the request to queue at a server whose slots are all taken.
 	Queue bool
@@ -59,13 +60,14 @@
 	Avoid []laburnumlever.BackendID
 }
 
-// Verdict is the outcome of Pick.
+// Verdict is the result of Pick.
 type Verdict int
 
 // The verdicts.
 const (
+	// Found means that a server was chosen.
 	Found Verdict = iota
-	// NoServer means that no server of the service takes work.
+	// NoServer means that no server of the service accepts requests.
 	NoServer
 	// ModelAbsent means that no server holds the model.
 	ModelAbsent
@@ -75,30 +77,31 @@
 	Full
 )
 
-// Ticket is a slot that a request occupies at a server.
+// Ticket represents the slot that a request occupies at a server, from Pick to End.
 type Ticket struct {
 	Backend laburnumlever.Heartbeat
 	server  *server
 	query   Query
 	// reading is the estimated time to read the prompt, in ms; 0 once the answer has begun.
 	reading float64
-	// uncached are the tokens of the prompt that the server has probably not cached.
+	// uncached is the number of prompt tokens that the server has probably not cached.
 	uncached  int
 	since     time.Time
 	mayBeFull bool
 }
 
-// Unsure tells whether the server's load is stale, so that it may have no free slot.
+// MayBeFull tells whether the server's load is stale, so that it may have no free slot.
 func (ticket *Ticket) Unsure() bool { return ticket.mayBeFull }
 
-// Model is empty for a plain service.
+// Model returns the request's model; it is empty for a plain service.
 func (ticket *Ticket) Model() laburnumlever.ModelName { return ticket.query.Model }
 
-// Sample is the outcome of an attempt.
+// AttemptResult is what an attempt, or an answer that has not ended yet, tells of a server.
 type Sample struct {
-	// Failed means no answer, or an invalid one.
+	// Failed means that there was no answer or an invalid one.
 	Failed bool
-	// Faulty means that the server itself answered with an error, so that no path is to blame.
+	// Faulty means that the server itself answered with an error, which excludes a network
+	// fault.
 	Faulty bool
 	// Unreachable means that no connection could be opened.
 	Unreachable bool
@@ -109,7 +112,7 @@
 	// HasLoad tells that Running and Waiting are set.
 	HasLoad          bool
 	Running, Waiting int
-	// Taken means that a reservation was refused for lack of a slot.
+	// ReservationRefused means that a reservation was refused for lack of a slot.
 	Taken bool
 }
 
@@ -120,20 +123,20 @@
 	servers   map[laburnumlever.BackendID]*server
 	byService map[laburnumlever.ServiceName][]*server
 	byModel   map[serviceModel][]*server
-	// unreachable are the servers that could not be connected to lately.
+	// unreachable are the servers in backoff after a failed connection.
 	unreachable map[laburnumlever.BackendID]struct{}
-	// failing are the servers with failures since the last report.
+	// failing are the servers with failures since the last call of Outcomes.
 	failing   map[laburnumlever.BackendID]*server
 	prefixes  *prefixes
 	freeShare float64
 	retryTime time.Duration
 }
 
-// Option changes a new table.
+// Option configures a new table.
 type Option func(*Table)
 
-// WithFreeShare sets the share of a server's slots that stays free. A negative share lets
-// requests queue at the server, which needs slots that are not reserved first.
+// WithFreeShare sets the share of a server's slots that is kept free. A negative share lets
+// requests queue at the server, which works only if slots are not reserved first.
 func WithFreeShare(share float64) Option { return func(t *Table) { t.freeShare = share } }
 
 // serviceModel names a model of a service.
@@ -142,7 +145,7 @@
 	model   laburnumlever.ModelName
 }
 
-// New makes an empty table for a VM in the zone. The seed makes choices repeatable.
+// New returns an empty table for a VM in the zone. The seed makes choices repeatable.
 func New(zone laburnumlever.ZoneName, seed uint64, opts ...Option) *Table {
 	t := &Table{
 		freeShare: freeShare, retryTime: maxRetry, zone: zone, rand: rand.New(rand.NewPCG(seed, seed)), //nolint:gosec // breaks ties, no secret
@@ -158,15 +161,15 @@
 	return t
 }
 
-// SetGateways sets how many gateways send to the servers.
+// SetGateways sets the number of gateways that send to the servers, which RetryTime grows with.
 func (t *Table) SetGateways(n int) {
 	t.retryTime = min(maxRetry, max(minRetry, time.Duration(n)*retryPerGateway))
 }
 
-// RetryTime is the time after which a server with all slots taken is tried again.
+// RetryTime returns the time after which a server whose slots are all taken is tried again.
 func (t *Table) RetryTime() time.Duration { return t.retryTime }
 
-// Set updates a server, or removes it if it takes no work.
+// Set updates a server, or removes it if it no longer accepts requests.
 func (t *Table) Set(r laburnumregistry.Record) {
 	id := r.Heartbeat.Backend
 	s := t.servers[id]
@@ -187,7 +190,7 @@
 	t.index(s)
 }
 
-// index lists the server under each model that it may hold.
+// index updates byModel, which lists the server under each model that it may hold.
 func (t *Table) index(s *server) {
 	for _, model := range slices.Clone(s.listed) {
 		if !s.record.Heartbeat.Holds(model, "") && !s.wasAdded(model) {
@@ -217,7 +220,8 @@
 	}
 }
 
-// candidates returns the servers that may hold the query's model, or all of a plain service.
+// candidates returns the servers that may hold the query's model, or all servers of a plain
+// service.
 func (t *Table) candidates(q Query) []*server {
 	if q.Model == "" {
 		return t.byService[q.Service]
@@ -225,7 +229,8 @@
 	return t.byModel[serviceModel{service: q.Service, model: q.Model}]
 }
 
-// SetOverlay updates what the placement leader knows of an engine beyond its heartbeats.
+// SetOverlay updates what the placement leader knows of an engine beyond its heartbeats. An
+// overlay of an earlier lease term (a lower fence) is ignored.
 func (t *Table) SetOverlay(o laburnumregistry.Overlay, now time.Time) {
 	s := t.servers[o.Backend]
 	if s == nil || o.Fence < s.overlay.Fence {
@@ -251,7 +256,7 @@
 	}
 }
 
-// Added records a model or adapter that a server holds before a heartbeat lists it.
+// ModelLoaded records a model or adapter that a server holds before its heartbeat lists it.
 func (t *Table) Added(id laburnumlever.BackendID, model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) {
 	if s := t.servers[id]; s != nil {
 		s.added = setExpiry(s.added, heldModel{model: model, adapter: adapter}, now.Add(addedTime), now)
@@ -260,7 +265,7 @@
 	}
 }
 
-// Outcomes returns the outcomes since the last call, of servers with failures.
+// Outcomes returns the outcomes since the last call for servers that had failures, sorted by ID.
 func (t *Table) Outcomes() []laburnumlever.BackendOutcome {
 	var outcomes []laburnumlever.BackendOutcome
 	for id, s := range t.failing {
@@ -272,7 +277,7 @@
 	return outcomes
 }
 
-// countOutcome adds the outcome of an attempt to the next report.
+// countOutcome adds the result of an attempt to the next report by Outcomes.
 func (t *Table) countOutcome(s *server, sample Sample) {
 	switch {
 	case sample.Faulty:
@@ -287,7 +292,7 @@
 	t.failing[s.record.Heartbeat.Backend] = s
 }
 
-// Unreachable lists the servers that could not be connected to lately.
+// Unreachable returns the servers in backoff after a failed connection, sorted by ID.
 func (t *Table) Unreachable(now time.Time) []laburnumlever.BackendID {
 	var ids []laburnumlever.BackendID
 	for id := range t.unreachable {
@@ -301,10 +306,10 @@
 	return ids
 }
 
-// Len returns the number of servers that take work for the service.
+// Len returns the number of servers that accept requests for the service.
 func (t *Table) Len(service laburnumlever.ServiceName) int { return len(t.byService[service]) }
 
-// Useless lists the servers that hold the query's model but are full or unreachable.
+// Unavailable returns the servers that hold the query's model but are full or unreachable.
 func (t *Table) Useless(q Query, now time.Time) []laburnumlever.BackendID {
 	var useless []laburnumlever.BackendID
 	for _, s := range t.candidates(q) {
@@ -354,12 +359,12 @@
 	return &Ticket{Backend: best.record.Heartbeat, server: best, query: q, reading: reading, uncached: uncached, since: now, mayBeFull: best.mayBeFull(now)}, Found
 }
 
-// saturated tells whether the server has no slot or too many prompts to read.
+// saturated tells whether the server has no free slot or too many prompts of this VM to read.
 func (t *Table) saturated(s *server, now time.Time, queue bool) bool {
 	return now.Before(s.fullUntil) || !queue && t.noSlot(s, now) || (s.reading > 0 && s.reading >= s.readingLimit)
 }
 
-// noSlot tells whether the server's slots are taken, as far as is known.
+// noSlot tells whether the server's slots are taken, by its last reported load.
 func (t *Table) noSlot(s *server, now time.Time) bool {
 	limit := float64(max(1, s.record.Heartbeat.Slots)) * (1 - t.freeShare)
 	if s.reservationRefused {
@@ -368,6 +373,7 @@
 	return s.load(now) >= limit
 }
 
+// score estimates the cost of sending the request to the server, in milliseconds.
 func (t *Table) score(s *server, q Query, now time.Time) float64 {
 	load := s.load(now)
 	score := slotMillis*load + s.failurePenalty(now) + jitterMillis*t.rand.Float64()
@@ -386,7 +392,7 @@
 	return score + s.reading + t.readMillis(s, q)
 }
 
-// readMillis is the time to read the part of the prompt that is not cached.
+// readMillis estimates the time that the server takes to read the uncached part of the prompt.
 func (t *Table) readMillis(s *server, q Query) float64 {
 	return q.readMillis(t.prefixes.uncachedTokens(s.record.Heartbeat, q))
 }
@@ -399,8 +405,8 @@
 	return float64(tokens) * float64(read) / float64(time.Millisecond)
 }
 
-// Began records that the answer has begun. It returns the time to the first part and the
-// number of prompt tokens that the server had to read.
+// AnswerStarted records the first part of the answer. It returns the time to the first part and
+// the number of prompt tokens that the server had to read; both are 0 on later calls.
 func (t *Table) Began(ticket *Ticket, now time.Time) (time.Duration, int) {
 	if ticket == nil || ticket.server == nil || ticket.reading == 0 {
 		return 0, 0
@@ -416,7 +422,7 @@
 	ticket.reading = 0
 }
 
-// End frees the slot and learns from the attempt. It ignores a nil ticket.
+// End frees the slot and records the result of the attempt. It ignores a nil ticket.
 func (t *Table) End(ticket *Ticket, sample Sample, now time.Time) {
 	if ticket == nil || ticket.server == nil {
 		return
@@ -434,7 +440,7 @@
 	}
 }
 
-// Learn updates a server from an answer, also while the request is still running.
+// Observe updates a server's state from an answer, also while the request is still running.
 func (t *Table) Learn(id laburnumlever.BackendID, sample Sample, now time.Time) {
 	s := t.servers[id]
 	if s == nil {
@@ -452,8 +458,8 @@
 	}
 	if sample.Full {
 		s.fullUntil = now.Add(fullTime)
-		// A server that refuses while its slots are free is failing, whatever its health
-		// checks say.
+		// A server that refuses requests while it has free slots is failing, even if its health
+		// checks pass.
 		if s.load(now) < idleShare*float64(s.record.Heartbeat.Slots) {
 			s.fail(now)
 			t.countFailure(s)
--- a/laburnumbalance/balance_test.go
+++ b/laburnumbalance/balance_test.go
@@ -34,8 +34,8 @@
 	return t
 }
 
-// What there is no server for must be told apart: a model that nobody holds is loaded,
-// an adapter is asked for, a full fleet makes the caller wait.
+// Guards against verdicts that mix up the reasons why no server was found: an absent model or
+// adapter has to be loaded, a full service makes the request queue.
 func TestVerdicts(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"))
 	_, verdict := table.Pick(laburnumbalance.Query{Service: "other"}, start)
@@ -55,8 +55,8 @@
 	require.Equal(t, laburnumbalance.Full, verdict)
 }
 
-// Prompts of many requests meet at one engine while another that holds the model has
-// nothing to read: its streams would pause. They must spread.
+// Guards against prompts that pile up at one engine, where they delay running streams, while
+// another engine with the model has none to read.
 func TestLongPromptsSpreadOverEngines(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
 	counts := map[laburnumlever.BackendID]int{}
@@ -69,8 +69,8 @@
 	require.Equal(t, 4, counts["i-2"])
 }
 
-// Fitters' requests share the long beginning of a prompt. An engine that has read it
-// answers sooner, and others there have shorter pauses.
+// Guards against requests that share a long prompt prefix being sent to an engine that has not
+// cached it: the answer starts later, and running streams there pause for longer.
 func TestSharedPrefixGoesToTheEngineThatCachedIt(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
 	shared := laburnumlever.PromptPart{ID: 77, Tokens: 900}
@@ -83,8 +83,8 @@
 	}
 }
 
-// An engine fails at once whatever it is sent, so it looks idle. It must not draw the
-// work of all; and a while after it is sound again it gets its part.
+// Guards against an engine that fails every request at once, and so looks idle, attracting all
+// requests. After it recovers it must get requests again.
 func TestFailingServerIsAvoidedUntilItRecovers(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
 	now := start
@@ -109,8 +109,8 @@
 	require.Positive(t, counts["i-1"])
 }
 
-// An engine says that it does not hold what its heartbeat listed. Until its next word
-// nobody must be sent there for it again: each try is one of the few that a request has.
+// Guards against requests sent again to an engine that answered that it no longer holds the model:
+// each wastes one of the few attempts of a request until the next heartbeat corrects the list.
 func TestAbsentModelIsExcludedUntilTheNextHeartbeat(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"))
 	ticket, _ := table.Pick(query("m0"), start)
@@ -121,8 +121,8 @@
 	require.Equal(t, laburnumbalance.Found, verdict)
 }
 
-// Another VM's work shows only in answers. Prompts that take long to begin there make
-// this VM send fewer at once, and answers in time more again.
+// Guards against VMs that overload an engine with prompts because they don't see each other's:
+// late answers must lower the number of concurrent prompts, answers in time raise it.
 func TestLateAnswersLowerThePromptLimit(t *testing.T) {
 	concurrentPrompts := func(took time.Duration) int {
 		table := newTable(record(1, "brest", "m0"))
@@ -146,8 +146,8 @@
 	require.Positive(t, concurrentPrompts(400*time.Millisecond))
 }
 
-// The own zone goes first, since every byte between zones is paid for, but not when its
-// servers are full.
+// Guards against traffic between zones, which is billed, while servers of the own zone have free
+// slots, and against requests that queue there while another zone has free slots.
 func TestOwnZoneIsPreferredUntilFull(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "vannes", "m0"))
 	counts := map[laburnumlever.BackendID]int{}
@@ -169,9 +169,8 @@
 	require.Equal(t, laburnumbalance.NoServer, verdict)
 }
 
-// An engine refuses every other request for want of room though it has nothing to do, and
-// its health check is good. Each refusal uses up one of the few attempts that a request
-// has; a sound engine must be preferred.
+// Guards against an idle engine that refuses requests as full while its health check passes: each
+// refusal wastes one of the few attempts of a request.
 func TestIdleServerThatRefusesIsAvoided(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
 	now := start
@@ -189,9 +188,9 @@
 	require.Less(t, refused, 20)
 }
 
-// An engine goes dark. Each request that is sent there waits for a whole dial timeout and
-// then tries another; if it is the only one with its model, four times in a row. It must
-// be left out, longer each time, and be back once it takes a connection.
+// Guards against requests sent again and again to an unreachable engine: each waits for a whole
+// dial timeout, up to four times in a row if no other engine holds the model. The engine must be
+// tried at growing intervals, and be back in use once a connection succeeds.
 func TestUnreachableServerIsBackedOff(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"))
 	now := start
@@ -214,7 +213,7 @@
 	require.Equal(t, laburnumbalance.Found, verdict)
 }
 
-// BenchmarkPick is the cost of one decision among the engines of a deployment.
+// BenchmarkPick measures a decision among the engines of one deployment.
 func BenchmarkPick(b *testing.B) {
 	table := laburnumbalance.New("brest", 1)
 	for i := range 112 {
--- a/laburnumbalance/index_test.go
+++ b/laburnumbalance/index_test.go
@@ -12,8 +12,8 @@
 	"laburnumlever/laburnumregistry"
 )
 
-// Guards against an index by model that misses a server which holds the model: whatever comes
-// and goes, the same servers are found as by a look at each.
+// Guards against an index by model that misses a server which holds the model: after random
+// updates it must find the same servers as a scan of all.
 func TestIndexFindsTheServersThatHoldAModel(t *testing.T) {
 	const servers, models = 8, 5
 	r := rand.New(rand.NewPCG(3, 1)) //nolint:gosec // repeatable
@@ -51,7 +51,7 @@
 	}
 }
 
-// BenchmarkPickAmongMany chooses among engines of which five hold the model.
+// BenchmarkPickAmongMany measures a decision when only five of many engines hold the model.
 func BenchmarkPickAmongMany(b *testing.B) {
 	for _, engines := range []int{18, 204, 2100} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/laburnumbalance/outliers_test.go
+++ b/laburnumbalance/outliers_test.go
@@ -11,7 +11,7 @@
 	"laburnumlever/laburnumregistry"
 )
 
-// Guards against failures that stay known to the gateway that saw them.
+// Guards against failures that are not reported to the control VMs, or reported twice.
 func TestFailuresAreReportedOnce(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
 	end := func(sample laburnumbalance.Sample) laburnumlever.BackendID {
@@ -30,7 +30,7 @@
 	require.Empty(t, table.Outcomes())
 }
 
-// Guards against servers reported for a path that is cut.
+// Guards against a network partition that makes healthy servers count as outliers.
 func TestUnreachableServersAreNotReported(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"))
 	ticket, _ := table.Pick(query("m0"), start)
@@ -38,7 +38,7 @@
 	require.Empty(t, table.Outcomes())
 }
 
-// Guards against a gateway that tries a server of which other gateways have seen it fail.
+// Guards against a gateway that sends requests to a server that failed those of other gateways.
 func TestOutlierIsAvoidedUntilItRecovers(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
 	overlay := laburnumregistry.Overlay{Backend: "i-1", Fence: 1, Outliers: 1}
@@ -57,8 +57,8 @@
 	require.Zero(t, count(start))
 	later := start.Add(time.Minute)
 	table.SetOverlay(overlay, later)
-	require.Positive(t, count(later), "a repeated overlay is no new detection")
+	require.Positive(t, count(later), "a repeated overlay is not a new detection")
 	overlay.Outliers, overlay.Born = 2, 77
 	table.SetOverlay(overlay, later)
-	require.Positive(t, count(later), "another start of the server")
+	require.Positive(t, count(later), "the overlay is of another incarnation of the server")
 }
--- a/laburnumbalance/prefixes.go
+++ b/laburnumbalance/prefixes.go
@@ -2,10 +2,12 @@
 
 import "laburnumlever"
 
-// generationSize bounds the prompt parts remembered; two generations are kept.
+// generationSize is the number of prompt parts after which a new generation starts. The current
+// and the previous generation are kept, which bounds the memory.
 const generationSize = 1 << 14
 
-// partKey is the cache key of a prompt part: engines cache by model and adapter.
+// partKey identifies a prompt part in an engine's cache. Engines cache by model and adapter, and
+// lose the cache when they restart.
 type partKey struct {
 	backend laburnumlever.BackendID
 	born    uint64
@@ -18,7 +20,7 @@
 	return partKey{backend: to.Backend, born: to.Born, model: q.Model, adapter: q.Adapter, id: part.ID}
 }
 
-// prefixes estimates which prompt parts each server has cached, by what was sent there.
+// prefixes estimates which prompt parts each server has cached, from the prompts sent to it.
 type prefixes struct {
 	young, old map[partKey]struct{}
 }
@@ -36,7 +38,7 @@
 	}
 }
 
-// uncachedTokens returns the tokens after the cached prefix of the prompt.
+// uncachedTokens returns the number of tokens after the cached prefix of the prompt.
 func (p *prefixes) uncachedTokens(to laburnumlever.Heartbeat, q Query) int {
 	tokens := 0
 	cached := true
--- a/laburnumbalance/server.go
+++ b/laburnumbalance/server.go
@@ -9,75 +9,81 @@
 )
 
 const (
-	// The limit on prompts under way at a server, in ms of reading, adapts by additive
-	// increase and multiplicative decrease.
+	// The limit on unread prompts of this VM at a server, in ms of reading time, adapts by
+	// additive increase and multiplicative decrease.
 	initialReadingLimit = 120
 	minReadingLimit     = 25
 	maxReadingLimit     = 300
 	readingIncrease     = 4
 	readingDecrease     = 0.9
-	// readingTarget divides a latency target: the rest is for the network and the queue.
+	// readingTarget divides the latency target: an answer that starts later than this part of it
+	// lowers the limit. The rest is for the network and the queue.
 	readingTarget = 2
 
-	loadDecay       = 3 * time.Second        // a reported load fades to nothing
-	currentTime     = 200 * time.Millisecond // a reported load counts as current
+	loadDecay       = 3 * time.Second        // time in which a reported load decays to 0
+	currentTime     = 200 * time.Millisecond // age up to which a reported load is current
 	failureHalfLife = 4 * time.Second
 
-	// A server whose slots are all taken is tried again after a time that grows with the number
-	// of gateways, since any of them that finds a free slot uses it.
+	// A server whose slots are all taken is tried again after a time proportional to the number of
+	// gateways: more of them compete for a free slot, and any of them may find it.
 	retryPerGateway = 7 * time.Millisecond
 	minRetry        = 40 * time.Millisecond
 	maxRetry        = 150 * time.Millisecond
 
-	// Backoff for a server that can't be connected to, doubled with each failure.
+	// Backoff for an unreachable server, doubled with each failed connection.
 	minUnreachable = 300 * time.Millisecond
 	maxUnreachable = time.Second
 
-	absentTime = 1500 * time.Millisecond // outlasts a heartbeat that still lists the model
-	addedTime  = 4 * time.Second         // outlasts heartbeats that do not list it yet
+	absentTime = 1500 * time.Millisecond // longer than a stale heartbeat keeps listing the model
+	addedTime  = 4 * time.Second         // longer than it takes heartbeats to list the model
 )
 
-// heldModel names a model, or an adapter of one, on a server.
+// heldModel identifies a model, or an adapter of it, on a server.
 type heldModel struct {
 	model   laburnumlever.ModelName
 	adapter laburnumlever.AdapterName
 }
 
-// server is the endpoint state of a backend server, as seen by this VM.
+// server is the state of a backend server as seen by this VM.
 type server struct {
 	record  laburnumregistry.Record
 	overlay laburnumregistry.Overlay
 	local   bool
 	// listed are the models under which the table lists the server.
 	listed []laburnumlever.ModelName
-	own    int // requests of this VM
-	// others are the requests of other VMs, by the last answer.
+	own    int // running requests of this VM
+	// others is the number of requests of other VMs, by the last answer, at othersAt.
 	others    float64
 	othersAt  time.Time
 	fullUntil time.Time
-	// reservationRefused tells that the last reservation was refused and no load was reported since.
+	// reservationRefused tells that the last reservation was refused and that no load has been
+	// reported since.
 	reservationRefused bool
-	// reading is the estimated time to read this VM's prompts there, in ms, and its limit.
+	// reading is the estimated time that the server takes to read this VM's unread prompts, in
+	// ms; readingLimit is its limit.
 	reading      float64
 	readingLimit float64
 	failures     float64
 	failedAt     time.Time
-	// failed and answered count outcomes since the last failure was reported.
+	// failed and answered count outcomes since the last report of this server.
 	failed, answered int
-	// unreachableUntil ends the current backoff, unreachableFor is its length.
+	// unreachableUntil is the end of the current backoff, unreachableTime its length.
 	unreachableUntil time.Time
 	unreachableTime  time.Duration
-	absent           map[heldModel]time.Time
-	added            map[heldModel]time.Time
+	// absent and added hold the models and adapters of which answers are newer than the heartbeat;
+	// an entry expires at its time.
+	absent map[heldModel]time.Time
+	added  map[heldModel]time.Time
 }
 
-// load estimates the requests at the server, running or queued.
+// load estimates the number of requests at the server, running or queued.
 func (s *server) load(now time.Time) float64 {
 	fade := 1 - now.Sub(s.othersAt).Seconds()/loadDecay.Seconds()
 	return float64(s.own) + max(0, fade)*s.others
 }
 
-// mayBeFull tells whether the load is stale and the server may be full.
+// mayBeFull tells whether the load is too old to rely on and the server may be full. The load of
+// a server that was nearly idle is relied on for longer.
 func (s *server) mayBeFull(now time.Time) bool {
 	age := now.Sub(s.othersAt)
 	if age < currentTime && !s.reservationRefused {
@@ -86,8 +92,9 @@
 	return s.reservationRefused || age > loadDecay || float64(s.own)+s.others >= idleShare*float64(s.record.Heartbeat.Slots)
 }
 
-// adaptReadingLimit adapts the limit on prompts. Additive increase and multiplicative decrease converge
-// to equal shares among the VMs that send to the server.
+// adaptReadingLimit adapts the limit on unread prompts after an answer has started. Additive
+// increase and multiplicative decrease converge to equal shares among the VMs that send to the
+// server.
 func (s *server) adaptReadingLimit(took, target time.Duration) {
 	if target <= 0 {
 		return
@@ -99,7 +106,7 @@
 	s.readingLimit = min(maxReadingLimit, s.readingLimit+readingIncrease)
 }
 
-// failurePenalty is the penalty for recent failures.
+// failurePenalty is the term of the score for recent failures, in ms.
 func (s *server) failurePenalty(now time.Time) float64 {
 	if s.failures == 0 {
 		return 0
@@ -107,18 +114,19 @@
 	return failureMillis * s.failuresAt(now)
 }
 
-// backOff starts or doubles the backoff.
+// backOff starts or doubles the backoff after a failed connection.
 func (s *server) backOff(now time.Time) {
 	s.unreachableTime = min(maxUnreachable, max(minUnreachable, 2*s.unreachableTime))
 	s.unreachableUntil = now.Add(s.unreachableTime)
 }
 
+// failuresAt returns the number of recent failures, which halves every failureHalfLife.
 func (s *server) failuresAt(now time.Time) float64 {
 	age := now.Sub(s.failedAt).Seconds() / failureHalfLife.Seconds()
 	return s.failures / math.Exp2(age)
 }
 
-// markOutlier counts as one failure, unless this VM has seen some itself.
+// markOutlier counts an outlier detection as one failure, unless this VM has seen failures itself.
 func (s *server) markOutlier(now time.Time) {
 	s.failures = max(1, s.failuresAt(now))
 	s.failedAt = now
@@ -129,8 +137,8 @@
 	s.failedAt = now
 }
 
-// holds tells whether the server holds the model and adapter, by its heartbeat and by newer
-// answers.
+// holds tells whether the server holds the model and adapter, by its heartbeat, the placement
+// leader's overlay and newer answers.
 func (s *server) holds(model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) bool {
 	if model == "" {
 		return true
@@ -148,7 +156,7 @@
 		(adapter == "" || s.holds(model, "", now))
 }
 
-// wasAdded tells whether the model, or an adapter of it, was added ahead of a heartbeat.
+// wasAdded tells whether the model, or an adapter of it, is in added.
 func (s *server) wasAdded(model laburnumlever.ModelName) bool {
 	for key := range s.added {
 		if key.model == model {
@@ -158,7 +166,7 @@
 	return false
 }
 
-// setExpiry sets a key until a time and drops expired keys.
+// setExpiry stores a key with its expiry time and drops expired keys.
 func setExpiry(m map[heldModel]time.Time, key heldModel, until, now time.Time) map[heldModel]time.Time {
 	if m == nil {
 		m = map[heldModel]time.Time{}
--- a/laburnumbalance/staleload_test.go
+++ b/laburnumbalance/staleload_test.go
@@ -9,9 +9,9 @@
 	"laburnumlever/laburnumbalance"
 )
 
-// Sixty gateways send to one engine, and each hears of it every few seconds. Word of an idle
-// engine stays good for a while, word of a busy one for moments; after that it may be full,
-// and a request sent there on trust queued for a second.
+// Guards against requests sent to an engine that other gateways have filled since its last report,
+// where they wait for a second. A report of a busy engine must go stale sooner than that of an
+// idle one.
 func TestServerMayBeFullOnceItsLoadIsStale(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -19,10 +19,10 @@
 		age     time.Duration
 		unsure  bool
 	}{
-		{"fresh word of a busy one", 6, 100 * time.Millisecond, false},
-		{"old word of a busy one", 6, 500 * time.Millisecond, true},
-		{"old word of an idle one", 1, 500 * time.Millisecond, false},
-		{"very old word of an idle one", 1, 4 * time.Second, true},
+		{"fresh report of a busy engine", 6, 100 * time.Millisecond, false},
+		{"old report of a busy engine", 6, 500 * time.Millisecond, true},
+		{"old report of an idle engine", 1, 500 * time.Millisecond, false},
+		{"very old report of an idle engine", 1, 4 * time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := newTable(record(1, "brest", "m0"))
@@ -34,8 +34,8 @@
 	}
 }
 
-// An engine had no place when it was asked. It is left out for a moment, so that the others
-// are asked, and asked again before the next request goes there.
+// Guards against repeated reservations at an engine that has just refused one, and against requests
+// sent there later without a reservation.
 func TestServerThatRefusedAReservationIsRetried(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"))
 	ticket, _ := table.Pick(query("m0"), start)
@@ -46,7 +46,7 @@
 	queued := query("m0")
 	queued.Queue = true
 	ticket, verdict = table.Pick(queued, start.Add(50*time.Millisecond))
-	require.Equal(t, laburnumbalance.Found, verdict, "one that may wait at the engine goes there")
+	require.Equal(t, laburnumbalance.Found, verdict, "a request that may queue at the engine is sent there")
 	table.End(ticket, laburnumbalance.Sample{}, start.Add(60*time.Millisecond))
 	ticket, verdict = table.Pick(query("m0"), start.Add(300*time.Millisecond))
 	require.Equal(t, laburnumbalance.Found, verdict)
--- a/laburnumbalance/unavailable_test.go
+++ b/laburnumbalance/unavailable_test.go
@@ -9,8 +9,8 @@
 	"laburnumlever/laburnumbalance"
 )
 
-// Three engines hold a model, one of them can't be reached and one is full: whoever asks
-// for an adapter of it must be told of the third alone.
+// Guards against adapter loads ordered on engines that hold the model but are full or unreachable:
+// the caller excludes the engines listed here.
 func TestUnavailableEnginesAreListed(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"), record(3, "brest", "m0"), record(4, "brest", "m1"))
 	require.Empty(t, table.Useless(query("m0"), start))
