--- a/laburnumbalance/doc.go
+++ b/laburnumbalance/doc.go
@@ -23,7 +23,7 @@
 //	table.Set(record)
 //	ticket, verdict := table.Pick(query, now)
 //	…
-//	table.End(ticket, laburnumbalance.Sample{…}, now)
+//	table.End(ticket, laburnumbalance.AttemptResult{…}, now)
 //
 // A Table is not safe for concurrent use.
 package laburnumbalance
