--- a/laburnumwaiting/queue.go
+++ b/laburnumwaiting/queue.go
@@ -67,9 +67,9 @@
 // Serve admits requests while there are free slots, first those that can still be in time.
 func (q *Queue) Serve(now time.Time, reserve ReserveFunc) {
 	full := map[target]bool{}
-	fresh := func(r *Request) bool { return q.InOrder || !now.After(r.FreshUntil) }
-	admitted := q.admit(full, reserve, fresh)
-	admitted += q.admit(full, reserve, func(r *Request) bool { return !fresh(r) })
+	onTime := func(r *Request) bool { return q.InOrder || !now.After(r.FreshUntil) }
+	admitted := q.admit(full, reserve, onTime)
+	admitted += q.admit(full, reserve, func(r *Request) bool { return !onTime(r) })
 	if admitted > 0 {
 		q.requests = slices.DeleteFunc(q.requests, func(r *Request) bool { return r.admitted })
 	}
--- a/laburnumwaiting/queue_test.go
+++ b/laburnumwaiting/queue_test.go
@@ -13,8 +13,8 @@
 
 const (
 	testWait = 700 * time.Millisecond
-	// testFresh is how long an answer can still begin in time.
-	testFresh = 225 * time.Millisecond
+	// testOnTime is how long an answer can still begin in time.
+	testOnTime = 225 * time.Millisecond
 )
 
 // overload queues requests at one rate while slots come free at another, and counts those
@@ -31,7 +31,7 @@
 		if !now.Before(nextRequest) {
 			nextRequest = nextRequest.Add(asked)
 			r := &laburnumwaiting.Request{
-				Query: laburnumbalance.Query{Model: "m0"}, Priority: priorities[n%len(priorities)], Arrived: now, FreshUntil: now.Add(testFresh),
+				Query: laburnumbalance.Query{Model: "m0"}, Priority: priorities[n%len(priorities)], Arrived: now, FreshUntil: now.Add(testOnTime),
 			}
 			r.Admit = func(*laburnumbalance.Ticket) { admitted[r] = true }
 			require.True(t, w.Push(r))
@@ -69,7 +69,7 @@
 }
 
 // Guards against a queue in which all answers are late: twice as many requests as slots.
-func TestOverloadServesInTimeWhomItServes(t *testing.T) {
+func TestOverloadedQueueServesMostAnswersInTime(t *testing.T) {
 	inTime, late := overload(t, []int{1}, 20*time.Millisecond, 40*time.Millisecond, 20*time.Second)
 	require.Greater(t, inTime[1], 450)
 	require.Less(t, late[1], 50)
@@ -83,7 +83,7 @@
 }
 
 // Guards against urgent requests queued behind others in overload.
-func TestUrgentGoFirstWhileTheyAreInTime(t *testing.T) {
+func TestUrgentRequestsAreServedFirst(t *testing.T) {
 	inTime, _ := overload(t, []int{0, 1}, 20*time.Millisecond, 40*time.Millisecond, 20*time.Second)
 	require.Greater(t, inTime[0], 10*max(1, inTime[1]))
 }
--- a/laburnumwaiting/terms.go
+++ b/laburnumwaiting/terms.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	waitShare   = 0.2  // of the caller's patience; the rest is for the answer
-	resumeShare = 0.66 // of the gap after which callers leave; the rest is for reading the prompt again
-	freshShare  = 0.75 // of the latency target; the rest is for reading the prompt and the network
-	retryShare  = 0.33 // of the time left to the deadline, the latest Retry-After
+	queueShare      = 0.2  // of the caller's patience; the rest is for the answer
+	resumeShare     = 0.66 // of the gap after which callers leave; the rest is for reading the prompt again
+	onTimeShare     = 0.75 // of the latency target; the rest is for reading the prompt and the network
+	retryAfterShare = 0.33 // of the time left to the deadline, the latest Retry-After
 
 	// Least Retry-After. Overload after a shift of demand lasts seconds: callers that come
 	// back sooner meet it again.
-	fullRetry   = 2 * time.Second
-	absentRetry = 2 * time.Second
+	fullRetryAfter   = 2 * time.Second
+	absentRetryAfter = 2 * time.Second
 
 	// Backoff between two requests for an adapter.
-	adapterPause     = 2 * time.Millisecond
-	adapterPauseMost = 50 * time.Millisecond
+	minAdapterBackoff = 2 * time.Millisecond
+	maxAdapterBackoff = 50 * time.Millisecond
 
 	// Callers leave a stream after a gap. Source: the platform's protocol.
-	leaveTime    = 2 * time.Second
-	leaveTargets = 4
-	leavePauses  = 8
+	minAbandonGap  = 2 * time.Second
+	abandonTargets = 4
+	abandonPauses  = 8
 )
 
 // Caller holds the times that decide how long a request may be queued.
@@ -42,7 +42,7 @@
 
 // LeaveGap is the gap after which callers leave a stream.
 func (c Caller) LeaveGap() time.Duration {
-	return max(leaveTime, leaveTargets*c.Target, leavePauses*c.PauseTarget)
+	return max(minAbandonGap, abandonTargets*c.Target, abandonPauses*c.PauseTarget)
 }
 
 // Patience is how long the caller waits for the first part of the answer.
@@ -64,19 +64,19 @@
 	if c.Deadline.IsZero() {
 		return after
 	}
-	return min(after, time.Duration(retryShare*float64(c.Deadline.Sub(now))))
+	return min(after, time.Duration(retryAfterShare*float64(c.Deadline.Sub(now))))
 }
 
 // Terms are the shares of a caller's time that a request may be queued for, and when callers
 // are told to come back.
 type Terms struct {
-	wait, resume, fresh float64
-	full, absent        time.Duration
+	wait, resume, onTime float64
+	full, absent         time.Duration
 }
 
 // DefaultTerms are those of a gateway.
 func DefaultTerms() Terms {
-	return Terms{wait: waitShare, resume: resumeShare, fresh: freshShare, full: fullRetry, absent: absentRetry}
+	return Terms{wait: queueShare, resume: resumeShare, onTime: onTimeShare, full: fullRetryAfter, absent: absentRetryAfter}
 }
 
 // WithRetry returns the terms with other least times of Retry-After: for servers that are full,
@@ -96,7 +96,7 @@
 
 // AdapterBackoff spaces the requests for an adapter that is not loaded yet.
 func AdapterBackoff() laburnumretry.Backoff {
-	return laburnumretry.Backoff{Least: adapterPause, Most: adapterPauseMost}
+	return laburnumretry.Backoff{Least: minAdapterBackoff, Most: maxAdapterBackoff}
 }
 
 // WithWait returns the terms with another share of the caller's patience.
@@ -117,7 +117,7 @@
 // a broken answer resume before the caller leaves.
 func (t Terms) FreshUntil(c Caller) time.Time {
 	if c.BrokenAt.IsZero() {
-		return c.Arrived.Add(time.Duration(t.fresh * float64(c.Target)))
+		return c.Arrived.Add(time.Duration(t.onTime * float64(c.Target)))
 	}
 	return t.WaitUntil(c)
 }
--- a/laburnumwaiting/terms_test.go
+++ b/laburnumwaiting/terms_test.go
@@ -9,7 +9,7 @@
 	"laburnumlever/laburnumwaiting"
 )
 
-func TestTerms(t *testing.T) {
+func TestPolicy(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	terms := laburnumwaiting.DefaultTerms()
 	plain := laburnumwaiting.Caller{Arrived: start, Deadline: start.Add(time.Second)}
