--- a/laburnumwaiting/doc.go
+++ b/laburnumwaiting/doc.go
@@ -1,16 +1,16 @@
 // Package laburnumwaiting is a priority queue of requests that wait for a slot on a backend
-// server. It is pure.
+// server. It does no I/O and reads no clock.
 //
-// Load pattern: for a few seconds more requests arrive for a model than its engines serve.
-// First in, first out would let every request wait as long as the longest wait is, so that
-// nearly all answers begin late. Slots go first to requests whose answer can still begin in
+// Load pattern: for a few seconds more requests arrive for a model than its engines can serve. In
+// a first-in, first-out queue every request would then wait until it nearly times out, and almost
+// all answers would start late. Here slots go first to requests whose answer can still start in
 // time, by priority and then by arrival.
 //
 // # Usage
 //
-//	var queue laburnumwaiting.Queue
-//	ok := queue.Push(&laburnumwaiting.Request{Query: query, Arrived: now, FreshUntil: until, Admit: admit})
+//	var queue laburnumslotqueue.Queue
+//	ok := queue.Push(&laburnumslotqueue.Request{Query: query, Arrived: now, OnTimeUntil: until, Admit: admit})
 //	queue.Serve(now, reserve) // whenever a slot may be free
 //
-// Calls must be serialised by the owner of the queue.
+// A Queue is not safe for concurrent use.
 package laburnumwaiting
--- a/laburnumwaiting/queue.go
+++ b/laburnumwaiting/queue.go
@@ -9,24 +9,25 @@
 	"laburnumlever/laburnumbalance"
 )
 
-const maxQueued = 256 // a longer queue would time out before it is served
+// maxQueued is the capacity of a queue. Requests beyond it would time out before they are served.
+const maxQueued = 256
 
-// Request waits for a slot.
+// Request is a request that waits for a slot.
 type Request struct {
 	Query laburnumbalance.Query
 	// Priority 0 is the most urgent.
 	Priority int
 	Arrived  time.Time
-	// FreshUntil is the latest time at which a slot still lets the answer begin in time.
+	// OnTimeUntil is the latest time at which a slot still lets the answer start in time.
 	FreshUntil time.Time
-	// Admit is called once, with the reserved slot.
+	// Admit is called at most once, by Queue.Serve, with the reserved slot.
 	Admit    func(*laburnumbalance.Ticket)
 	admitted bool
 }
 
 // Queue orders requests by priority, then by arrival.
 type Queue struct {
-	// InOrder serves strictly in that order, whether or not answers can begin in time.
+	// InOrder serves strictly in that order, whether or not answers can still start in time.
 	InOrder  bool
 	requests []*Request
 }
@@ -37,7 +38,7 @@
 // Requests returns the queued requests in order.
 func (q *Queue) Requests() []*Request { return slices.Clone(q.requests) }
 
-// Push queues a request. It returns false when the queue is full.
+// Push adds a request. It returns false if the queue is full.
 func (q *Queue) Push(r *Request) bool {
 	if len(q.requests) >= maxQueued {
 		return false
@@ -49,22 +50,24 @@
 	return true
 }
 
-// Remove takes a request out of the queue.
+// Remove removes a request, if it is still queued.
 func (q *Queue) Remove(r *Request) {
 	q.requests = slices.DeleteFunc(q.requests, func(o *Request) bool { return o == r })
 }
 
-// ReserveFunc reserves a slot if one is free.
+// ReserveFunc reserves a slot on a server. Any verdict but Found means that none is free.
 type ReserveFunc func(laburnumbalance.Query) (*laburnumbalance.Ticket, laburnumbalance.Verdict)
 
-// target is what a request needs; requests with the same target compete for the same slots.
+// target is what a request needs from a server; requests with the same target compete for the
+// same slots.
 type target struct {
 	service laburnumlever.ServiceName
 	model   laburnumlever.ModelName
 	adapter laburnumlever.AdapterName
 }
 
-// Serve admits requests while there are free slots, first those that can still be in time.
+// Serve admits requests while there are free slots, first those whose answer can still start in
+// time.
 func (q *Queue) Serve(now time.Time, reserve ReserveFunc) {
 	full := map[target]bool{}
 	onTime := func(r *Request) bool { return q.InOrder || !now.After(r.FreshUntil) }
@@ -75,7 +78,8 @@
 	}
 }
 
-// admit skips targets known to be full and returns the number of admitted requests.
+// admit reserves slots for the eligible requests and returns the number of admitted ones. It skips
+// targets in full and adds those without a free slot.
 func (q *Queue) admit(full map[target]bool, reserve ReserveFunc, eligible func(*Request) bool) int {
 	admitted := 0
 	for _, r := range q.requests {
--- a/laburnumwaiting/queue_test.go
+++ b/laburnumwaiting/queue_test.go
@@ -13,12 +13,12 @@
 
 const (
 	testWait = 700 * time.Millisecond
-	// testOnTime is how long an answer can still begin in time.
+	// testOnTime is how long after its arrival a request can still be answered in time.
 	testOnTime = 225 * time.Millisecond
 )
 
-// overload queues requests at one rate while slots come free at another, and counts those
-// admitted while fresh, and later, by priority.
+// overload pushes a request every asked interval and frees a slot every slots interval. It counts
+// the requests admitted in time and late, by priority.
 func overload(t *testing.T, priorities []int, asked, slots, length time.Duration) (inTime, late map[int]int) {
 	t.Helper()
 	w := &laburnumwaiting.Queue{}
@@ -68,21 +68,23 @@
 	return inTime, late
 }
 
-// Guards against a queue in which all answers are late: twice as many requests as slots.
+// Guards against a queue that makes all answers late when twice as many requests arrive as can be
+// served.
 func TestOverloadedQueueServesMostAnswersInTime(t *testing.T) {
 	inTime, late := overload(t, []int{1}, 20*time.Millisecond, 40*time.Millisecond, 20*time.Second)
 	require.Greater(t, inTime[1], 450)
 	require.Less(t, late[1], 50)
 }
 
-// Guards against refusals and reordering when as many requests arrive as slots come free.
+// Guards against refusals and reordering, which make answers late, when as many requests arrive as
+// can be served.
 func TestShortQueueIsServedInOrder(t *testing.T) {
 	inTime, late := overload(t, []int{1}, 40*time.Millisecond, 40*time.Millisecond, 10*time.Second)
 	require.GreaterOrEqual(t, inTime[1], 249)
 	require.Zero(t, late[1])
 }
 
-// Guards against urgent requests queued behind others in overload.
+// Guards against urgent requests that wait behind less urgent ones during overload.
 func TestUrgentRequestsAreServedFirst(t *testing.T) {
 	inTime, _ := overload(t, []int{0, 1}, 20*time.Millisecond, 40*time.Millisecond, 20*time.Second)
 	require.Greater(t, inTime[0], 10*max(1, inTime[1]))
--- a/laburnumwaiting/terms_test.go
+++ b/laburnumwaiting/terms_test.go
@@ -9,6 +9,8 @@
 	"laburnumlever/laburnumwaiting"
 )
 
+// Guards against requests queued for so long that the rest of the caller's time is too short for
+// the answer, or for the resumption of a broken stream.
 func TestPolicy(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	terms := laburnumwaiting.DefaultTerms()
@@ -18,7 +20,7 @@
 		Target: 400 * time.Millisecond, PauseTarget: 250 * time.Millisecond,
 	}
 	require.Equal(t, time.Second, plain.Patience())
-	require.Equal(t, 2*time.Second, stream.Patience(), "a stream's caller leaves after a gap")
+	require.Equal(t, 2*time.Second, stream.Patience(), "callers abandon a stream after a gap")
 	require.Equal(t, start.Add(400*time.Millisecond), terms.WaitUntil(stream))
 	require.Equal(t, start.Add(300*time.Millisecond), terms.FreshUntil(stream))
 	require.Equal(t, start.Add(time.Second), terms.WithWait(0.5).WaitUntil(stream))
