--- a/laburnumretry/attempt.go
+++ b/laburnumretry/attempt.go
@@ -47,11 +47,11 @@
 
 // Next tells whether another attempt is safe and allowed, and whether it is charged to the
 // retry budget: one that was never sent is free.
-func (a Attempt) Next() (reason laburnumlever.RetryReason, paid, ok bool) {
+func (a Attempt) Next() (reason laburnumlever.RetryReason, charged, ok bool) {
 	switch {
 	case a.forbidden():
 		return 0, false, false
-	case a.unsent():
+	case a.neverSent():
 		return laburnumlever.RetryNotSent, false, true
 	case a.Started:
 		return laburnumlever.RetryStreamResumed, true, true
@@ -62,11 +62,11 @@
 	}
 }
 
-// unsent tells whether no backend server has seen the request yet.
-func (a Attempt) unsent() bool { return a.Stage == StageNotSent && !a.Touched && a.Sends == 0 }
+// neverSent tells whether no backend server has seen the request yet.
+func (a Attempt) neverSent() bool { return a.Stage == StageNotSent && !a.Touched && a.Sends == 0 }
 
 func (a Attempt) forbidden() bool {
 	mayHaveRun := a.Touched || a.Stage == StageUnknown
-	return a.Tries >= maxTries || a.Sends >= max(1, a.MaxSends) && !a.unsent() ||
+	return a.Tries >= maxTries || a.Sends >= max(1, a.MaxSends) && !a.neverSent() ||
 		a.Started && !a.Resumable || mayHaveRun && !a.Repeatable
 }
--- a/laburnumretry/attempt_test.go
+++ b/laburnumretry/attempt_test.go
@@ -11,11 +11,11 @@
 
 func TestNextAttempt(t *testing.T) {
 	for _, tt := range []struct {
-		name     string
-		give     Attempt
-		want     laburnumlever.RetryReason
-		wantPaid bool
-		wantOK   bool
+		name        string
+		give        Attempt
+		want        laburnumlever.RetryReason
+		wantCharged bool
+		wantOK      bool
 	}{
 		{"nothing was sent: free", Attempt{Stage: StageNotSent, Tries: 1, MaxSends: 1}, laburnumlever.RetryNotSent, false, true},
 		{"four dials failed", Attempt{Stage: StageNotSent, Tries: 4, MaxSends: 2}, 0, false, false},
@@ -28,9 +28,9 @@
 		{"a part of an answer that can't go on", Attempt{Stage: StageUnknown, Started: true, Repeatable: true, Sends: 1, Tries: 1, MaxSends: 2}, 0, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			reason, paid, ok := tt.give.Next()
+			reason, charged, ok := tt.give.Next()
 			require.Equal(t, tt.wantOK, ok)
-			require.Equal(t, tt.wantPaid, paid)
+			require.Equal(t, tt.wantCharged, charged)
 			require.Equal(t, tt.want, reason)
 		})
 	}
@@ -38,9 +38,9 @@
 
 // All engines fail at once and every request asks for a repeat, through six gateways
 // that don't talk to each other. Without a common bound the fleet would get twice its
-// load at the worst moment. In every span of a window the repeats of all together
+// load at the worst moment. In every span of a window the retries of all together
 // must stay within the share and the slack.
-func TestWindowsOfAllGatewaysKeepTheBoundTogether(t *testing.T) {
+func TestWindowsOfAllGatewaysShareOneLimit(t *testing.T) {
 	const (
 		gateways = 6
 		ratio    = 0.2
@@ -52,7 +52,7 @@
 	for i := range windows {
 		windows[i] = NewWindow(length, ratio, slack)
 	}
-	var requests, repeats []int
+	var requests, retries []int
 	now := time.Unix(1000, 0)
 	for i := range 1200 {
 		now = now.Add(step)
@@ -67,13 +67,13 @@
 				m++
 			}
 		}
-		requests, repeats = append(requests, n), append(repeats, m)
+		requests, retries = append(requests, n), append(retries, m)
 	}
 	span := int(length / step)
 	for end := span; end <= len(requests); end++ {
 		n, m := 0, 0
 		for i := end - span; i < end; i++ {
-			n, m = n+requests[i], m+repeats[i]
+			n, m = n+requests[i], m+retries[i]
 		}
 		require.LessOrEqual(t, float64(m), ratio*float64(n)+slack, "span that ends at step %d", end)
 	}
@@ -81,7 +81,7 @@
 
 // The time of day jumps back and forth by hours while requests fail. The window must
 // count by the steady clock, or each jump would empty it and grant the slack anew.
-func TestWindowIgnoresTheTimeOfDay(t *testing.T) {
+func TestWindowUsesTheMonotonicClock(t *testing.T) {
 	w := NewWindow(10*time.Second, 0, 20)
 	start := time.Now()
 	granted := 0
--- a/laburnumretry/backoff_test.go
+++ b/laburnumretry/backoff_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against retries at a fixed short interval while nothing can be had.
-func TestBackoffDoublesUpToItsBound(t *testing.T) {
+func TestBackoffDoublesUpToItsMaximum(t *testing.T) {
 	b := laburnumretry.Backoff{Least: 2 * time.Millisecond, Most: 50 * time.Millisecond}
 	retries := 0
 	for waited := time.Duration(0); waited < time.Second; waited += b.Next() {
--- a/laburnumretry/budget.go
+++ b/laburnumretry/budget.go
@@ -18,12 +18,12 @@
 import "laburnumlever"
 
 const (
-	// perRequest is the share of a retry that a first attempt adds.
-	perRequest = 0.1
-	// maxSaved bounds a burst of retries after a quiet time.
-	maxSaved = 20
-	// initial covers the failure of one server right after a start.
-	initial = 5
+	// earnedPerRequest is the share of a retry that a first attempt adds.
+	earnedPerRequest = 0.1
+	// maxBalance bounds a burst of retries after a quiet time.
+	maxBalance = 20
+	// initialBalance covers the failure of one server right after a start.
+	initialBalance = 5
 	// maxAttempts of one request, the first included.
 	maxAttempts = 3
 )
@@ -58,13 +58,13 @@
 }
 
 // Budget is the retry budget of a VM.
-type Budget struct{ saved float64 }
+type Budget struct{ balance float64 }
 
 // NewBudget makes the budget of a VM that has just started.
-func NewBudget() *Budget { return &Budget{saved: initial} }
+func NewBudget() *Budget { return &Budget{balance: initialBalance} }
 
 // FirstAttempt adds the share of a new request.
-func (b *Budget) FirstAttempt() { b.saved = min(maxSaved, b.saved+perRequest) }
+func (b *Budget) FirstAttempt() { b.balance = min(maxBalance, b.balance+earnedPerRequest) }
 
 // Decide tells whether to retry and why, and charges the retry.
 func (b *Budget) Decide(s Situation) (laburnumlever.RetryReason, Verdict) {
@@ -72,10 +72,10 @@
 	if !ok || s.Attempts >= maxAttempts {
 		return reason, GiveUp
 	}
-	if b.saved < 1 {
+	if b.balance < 1 {
 		return reason, OverBudget
 	}
-	b.saved--
+	b.balance--
 	return reason, Again
 }
 
