--- a/laburnumretry/attempt.go
+++ b/laburnumretry/attempt.go
@@ -2,7 +2,7 @@
 
 import "laburnumlever"
 
-// maxTries bounds the attempts of a request that fail to connect.
+// maxTries is the limit of a request's attempts, including those that failed to connect.
 const maxTries = 4
 
 // Stage is how far a failed attempt got.
@@ -10,15 +10,15 @@
 
 // The stages.
 const (
-	// StageNotSent means that no byte went out.
+	// StageNotSent means that no byte of the request was sent.
 	StageNotSent Stage = iota
-	// StageNotRun means that the backend server reports that it did not run it.
+	// StageNotRun means that the backend server reports that it did not run the request.
 	StageNotRun
-	// StageUnknown means that it may have run.
+	// StageUnknown means that the request may have run.
 	StageUnknown
 )
 
-// String names the stage in logs.
+// String returns the name of the stage for logs.
 func (s Stage) String() string {
 	switch s {
 	case StageNotSent:
@@ -30,23 +30,24 @@
 	}
 }
 
-// Attempt is a request of a route whose last attempt has failed.
+// Attempt is the last, failed attempt of a request, and the request's state after it.
 type Attempt struct {
+	// Stage is how far the last attempt got.
 	Stage Stage
-	// Touched tells that an earlier attempt may have run.
+	// MayHaveRun tells that an earlier attempt may have run.
 	Touched bool
 	// Started tells that the caller has received a part of the answer.
 	Started bool
-	// Repeatable and Resumable are the route's.
+	// Idempotent and Resumable are properties of the route.
 	Repeatable, Resumable bool
-	// Sends counts the attempts that were sent, Tries also those that failed to connect.
+	// Sent counts the attempts that were sent, Tries also those that failed to connect.
 	Sends, Tries int
-	// MaxSends is the route's limit of Sends.
+	// MaxSent is the route's limit of Sent.
 	MaxSends int
 }
 
 // Next tells whether another attempt is safe and allowed, and whether it is charged to the
-// retry budget: one that was never sent is free.
+// retry budget: a request that was never sent is retried free of charge.
 func (a Attempt) Next() (reason laburnumlever.RetryReason, charged, ok bool) {
 	switch {
 	case a.forbidden():
@@ -62,7 +63,7 @@
 	}
 }
 
-// neverSent tells whether no backend server has seen the request yet.
+// neverSent tells whether no backend server has received the request yet.
 func (a Attempt) neverSent() bool { return a.Stage == StageNotSent && !a.Touched && a.Sends == 0 }
 
 func (a Attempt) forbidden() bool {
--- a/laburnumretry/attempt_test.go
+++ b/laburnumretry/attempt_test.go
@@ -9,6 +9,7 @@
 	"laburnumlever"
 )
 
+// Guards against non-idempotent requests that run twice, and against free or unlimited retries.
 func TestNextAttempt(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
@@ -17,15 +18,15 @@
 		wantCharged bool
 		wantOK      bool
 	}{
-		{"nothing was sent: free", Attempt{Stage: StageNotSent, Tries: 1, MaxSends: 1}, laburnumlever.RetryNotSent, false, true},
-		{"four dials failed", Attempt{Stage: StageNotSent, Tries: 4, MaxSends: 2}, 0, false, false},
-		{"a booking may have run", Attempt{Stage: StageUnknown, Sends: 1, Tries: 1, MaxSends: 3}, 0, false, false},
-		{"a booking may have run before the last was not sent", Attempt{Stage: StageNotSent, Touched: true, Sends: 1, Tries: 2, MaxSends: 3}, 0, false, false},
-		{"a booking was turned away", Attempt{Stage: StageNotRun, Sends: 1, Tries: 1, MaxSends: 2}, laburnumlever.RetryBackendSaidNotRun, true, true},
-		{"the route allows one", Attempt{Stage: StageNotRun, Sends: 1, Tries: 1, MaxSends: 1}, 0, false, false},
-		{"a look-up was lost", Attempt{Stage: StageUnknown, Repeatable: true, Sends: 1, Tries: 1, MaxSends: 2}, laburnumlever.RetryIdempotentAfterSend, true, true},
-		{"a stream broke off", Attempt{Stage: StageUnknown, Started: true, Repeatable: true, Resumable: true, Sends: 1, Tries: 1, MaxSends: 2}, laburnumlever.RetryStreamResumed, true, true},
-		{"a part of an answer that can't go on", Attempt{Stage: StageUnknown, Started: true, Repeatable: true, Sends: 1, Tries: 1, MaxSends: 2}, 0, false, false},
+		{"never sent: free of charge", Attempt{Stage: StageNotSent, Tries: 1, MaxSends: 1}, laburnumlever.RetryNotSent, false, true},
+		{"four connections failed", Attempt{Stage: StageNotSent, Tries: 4, MaxSends: 2}, 0, false, false},
+		{"non-idempotent request may have run", Attempt{Stage: StageUnknown, Sends: 1, Tries: 1, MaxSends: 3}, 0, false, false},
+		{"earlier attempt of a non-idempotent request may have run", Attempt{Stage: StageNotSent, Touched: true, Sends: 1, Tries: 2, MaxSends: 3}, 0, false, false},
+		{"non-idempotent request was refused", Attempt{Stage: StageNotRun, Sends: 1, Tries: 1, MaxSends: 2}, laburnumlever.RetryBackendSaidNotRun, true, true},
+		{"route allows one attempt", Attempt{Stage: StageNotRun, Sends: 1, Tries: 1, MaxSends: 1}, 0, false, false},
+		{"idempotent request may have run", Attempt{Stage: StageUnknown, Repeatable: true, Sends: 1, Tries: 1, MaxSends: 2}, laburnumlever.RetryIdempotentAfterSend, true, true},
+		{"resumable stream broke", Attempt{Stage: StageUnknown, Started: true, Repeatable: true, Resumable: true, Sends: 1, Tries: 1, MaxSends: 2}, laburnumlever.RetryStreamResumed, true, true},
+		{"started answer that can't be resumed", Attempt{Stage: StageUnknown, Started: true, Repeatable: true, Sends: 1, Tries: 1, MaxSends: 2}, 0, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			reason, charged, ok := tt.give.Next()
@@ -36,10 +37,9 @@
 	}
 }
 
-// All engines fail at once and every request asks for a repeat, through six gateways
-// that don't talk to each other. Without a common bound the fleet would get twice its
-// load at the worst moment. In every span of a window the retries of all together
-// must stay within the share and the slack.
+// Guards against retries that double the load while all engines fail: six gateways that do not
+// communicate retry every request. In any span of the window's length, all their retries together
+// must stay within the ratio and the slack.
 func TestWindowsOfAllGatewaysShareOneLimit(t *testing.T) {
 	const (
 		gateways = 6
@@ -59,7 +59,7 @@
 		n, m := 0, 0
 		for g, w := range windows {
 			if i%600 > 300 && (i+g)%10 != 0 {
-				continue // the load falls to a tenth
+				continue // the load drops to a tenth
 			}
 			w.Request(now)
 			n++
@@ -75,12 +75,12 @@
 		for i := end - span; i < end; i++ {
 			n, m = n+requests[i], m+retries[i]
 		}
-		require.LessOrEqual(t, float64(m), ratio*float64(n)+slack, "span that ends at step %d", end)
+		require.LessOrEqual(t, float64(m), ratio*float64(n)+slack, "window that ends at step %d", end)
 	}
 }
 
-// The time of day jumps back and forth by hours while requests fail. The window must
-// count by the steady clock, or each jump would empty it and grant the slack anew.
+// Guards against a window that follows the wall clock: each jump would empty it, so that the slack
+// could be used again. Time is counted from the first use, by the monotonic clock.
 func TestWindowUsesTheMonotonicClock(t *testing.T) {
 	w := NewWindow(10*time.Second, 0, 20)
 	start := time.Now()
--- a/laburnumretry/backoff.go
+++ b/laburnumretry/backoff.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Backoff spaces retries: the wait doubles from Least up to Most. The zero value of its state is
-// ready to use.
+// Backoff spaces retries: the wait doubles from Least up to Most. A value with these two set is
+// ready to use; it has no jitter.
 //
-// Load pattern: for seconds no control VM serves the calls of hundreds of gateways. Retried at a
-// fixed short interval, they starve the control VM that takes over.
+// Load pattern: for some seconds no control VM serves the calls of hundreds of gateways. If they
+// retried at a short fixed interval, they would overload the control VM that takes over.
 type Backoff struct {
 	Least, Most time.Duration
 	wait        time.Duration
--- a/laburnumretry/backoff_test.go
+++ b/laburnumretry/backoff_test.go
@@ -9,7 +9,7 @@
 	"laburnumlever/laburnumretry"
 )
 
-// Guards against retries at a fixed short interval while nothing can be had.
+// Guards against retries at a short fixed interval while the resource stays unavailable.
 func TestBackoffDoublesUpToItsMaximum(t *testing.T) {
 	b := laburnumretry.Backoff{Least: 2 * time.Millisecond, Most: 50 * time.Millisecond}
 	retries := 0
@@ -19,5 +19,5 @@
 	require.Less(t, retries, 30)
 	require.Equal(t, 50*time.Millisecond, b.Next())
 	first := laburnumretry.Backoff{Least: 2 * time.Millisecond, Most: 50 * time.Millisecond}
-	require.Equal(t, 2*time.Millisecond, first.Next(), "most adapters are there at once")
+	require.Equal(t, 2*time.Millisecond, first.Next(), "most adapters are available at once")
 }
--- a/laburnumretry/budget.go
+++ b/laburnumretry/budget.go
@@ -1,18 +1,18 @@
 // Package laburnumretry decides whether a failed attempt is retried.
 //
-// Load pattern: backend servers fail because they are overloaded. Without a limit retries
-// multiply the load when there is least capacity, so that a short overload lasts. A retry
-// budget is a share of the traffic: each first attempt adds a tenth of a retry, each retry
-// takes one. A request has at most three attempts, and retries add nothing.
+// Load pattern: backend servers fail because they are overloaded. Without a limit, retries multiply
+// the load when capacity is lowest, so that a short overload persists. A retry budget is a share of
+// the traffic: each first attempt adds a tenth of a retry to the balance, each retry takes one from
+// it and adds nothing. A request has at most three attempts.
 //
 // # Usage
 //
 //	budget := laburnumretry.NewBudget()
 //	budget.FirstAttempt()
-//	reason, verdict := budget.Decide(laburnumretry.Situation{…})
-//	if verdict == laburnumretry.Again { … }
+//	reason, decision := budget.Decide(laburnumretry.FailedRequest{…})
+//	if decision == laburnumretry.Retry { … }
 //
-// A Budget is not safe for concurrent use. It needs no clock.
+// A Budget is not safe for concurrent use. It reads no clock.
 package laburnumretry
 
 import "laburnumlever"
@@ -20,32 +20,34 @@
 const (
 	// earnedPerRequest is the share of a retry that a first attempt adds.
 	earnedPerRequest = 0.1
-	// maxBalance bounds a burst of retries after a quiet time.
+	// maxBalance limits the burst of retries after a time with few failures.
 	maxBalance = 20
-	// initialBalance covers the failure of one server right after a start.
+	// initialBalance covers the failure of one server right after the VM's start.
 	initialBalance = 5
-	// maxAttempts of one request, the first included.
+	// maxAttempts is the limit of a request's attempts, including the first.
 	maxAttempts = 3
 )
 
-// Verdict is what to do after a failed attempt.
+// Decision is what to do after a failed attempt.
 type Verdict int
 
-// The verdicts.
+// The decisions.
 const (
-	// GiveUp means that another attempt is not allowed or useless.
+	// GiveUp means that another attempt is not allowed or would not help.
 	GiveUp Verdict = iota
-	// Again means that another attempt may be made; it has been charged.
+	// Retry means that another attempt may be made; it has been charged to the budget.
 	Again
-	// OverBudget means that only the budget forbids another attempt.
+	// OverBudget means that another attempt would be allowed, but the budget is used up.
 	OverBudget
 )
 
-// Situation is a request with a failed attempt.
+// FailedRequest describes a request whose last attempt has failed.
 type Situation struct {
-	Reason  laburnumlever.RefusalReason
+	// Reason is why the last attempt failed.
+	Reason laburnumlever.RefusalReason
+	// Outcome tells whether the request may have run.
 	Outcome laburnumlever.RequestOutcome
-	// Once tells that the request may run at most once.
+	// AtMostOnce tells that the request may run at most once.
 	Once bool
 	// Started tells that the caller has received a part of the answer.
 	Started bool
@@ -60,13 +62,13 @@
 // Budget is the retry budget of a VM.
 type Budget struct{ balance float64 }
 
-// NewBudget makes the budget of a VM that has just started.
+// NewBudget returns the budget of a VM that has just started.
 func NewBudget() *Budget { return &Budget{balance: initialBalance} }
 
-// FirstAttempt adds the share of a new request.
+// FirstAttempt adds the share of a retry that a new request earns.
 func (b *Budget) FirstAttempt() { b.balance = min(maxBalance, b.balance+earnedPerRequest) }
 
-// Decide tells whether to retry and why, and charges the retry.
+// Decide tells whether to retry the request and why, and charges the retry to the budget.
 func (b *Budget) Decide(s Situation) (laburnumlever.RetryReason, Verdict) {
 	reason, ok := allowed(s)
 	if !ok || s.Attempts >= maxAttempts {
@@ -79,7 +81,7 @@
 	return reason, Again
 }
 
-// allowed tells whether another attempt is safe and useful.
+// allowed tells whether another attempt is safe and may help, and the reason for the retry.
 func allowed(s Situation) (laburnumlever.RetryReason, bool) {
 	if !retryable(s.Reason) {
 		return 0, false
--- a/laburnumretry/budget_test.go
+++ b/laburnumretry/budget_test.go
@@ -31,7 +31,7 @@
 			laburnumretry.Situation{Reason: laburnumlever.RefusedBackendUnreachable, Attempts: 3},
 			laburnumlever.RetryNotSent, laburnumretry.GiveUp,
 		},
-		"half an answer that is no stream": {
+		"started answer that is not a stream": {
 			laburnumretry.Situation{Reason: laburnumlever.RefusedBackendUnreachable, Outcome: laburnumlever.OutcomeUnknown, Started: true, Attempts: 1},
 			0, laburnumretry.GiveUp,
 		},
@@ -49,9 +49,8 @@
 	}
 }
 
-// Every engine refuses for want of room. Callers see a fleet that stays slow long
-// after the burst, since each refusal brings two more requests. The cause is
-// retries without a bound; the budget keeps them under a tenth of the traffic.
+// Guards against an overload that persists long after a burst because each refusal causes two more
+// requests: while every engine refuses, retries must stay below a tenth of the traffic.
 func TestRetriesStayAShareOfTheTraffic(t *testing.T) {
 	budget := laburnumretry.NewBudget()
 	retries := 0
--- a/laburnumretry/window.go
+++ b/laburnumretry/window.go
@@ -3,47 +3,49 @@
 import "time"
 
 const (
-	// windowBuckets is the number of buckets of a window; a bucket counts until all of it
-	// is out of the window.
+	// windowBuckets is the number of buckets of a window. A bucket counts until all of it has left
+	// the window.
 	windowBuckets = 10
-	// ratioShare of the ratio is used; the rest covers requests at the edges of windows.
+	// ratioShare is the part of the ratio that is used; the rest covers requests at the edges of
+	// the window.
 	ratioShare = 0.7
-	// slackShare of the slack is split among the gateways; the rest covers gateways
-	// restarted within the window.
+	// slackShare is the part of the slack that is split among the gateways; the rest covers
+	// gateways that restart within the window, since a restart empties it.
 	slackShare = 0.5
 )
 
-// Window limits retries to a share of the requests in a sliding window, plus a slack. The limit
-// holds for all gateways together without coordination: shares of requests add up, and the
-// slack is split evenly.
+// Window limits retries to a ratio of the requests in a sliding window, plus a slack. The limit
+// holds for all gateways together without coordination: each retries its ratio of its own requests
+// and gets an equal part of the slack.
 //
 // A Window is not safe for concurrent use.
 type Window struct {
 	ratio, slack float64
 	bucketLength time.Duration
-	// start is when the window was first used; times are relative to it, since the time
-	// of day may jump.
+	// start is the time of the first call. Times are counted from it by the monotonic clock, since
+	// the wall clock may jump.
 	start   time.Time
 	buckets []bucket
 }
 
+// bucket counts the requests and retries of one bucketLength; number counts buckets from start.
 type bucket struct {
 	number   int64
 	requests int
 	retries  int
 }
 
-// NewWindow makes an empty window: in any span of the length, all gateways together make at
-// most ratio times as many retries as there are requests, plus slack.
+// NewWindow returns an empty window. In any span of the given length, all gateways together make at
+// most ratio retries per request, plus slack retries.
 func NewWindow(length time.Duration, ratio, slack float64) *Window {
 	return &Window{ratio: ratio, slack: slack, bucketLength: length / windowBuckets}
 }
 
-// Request counts a first attempt.
+// CountRequest counts a first attempt.
 func (w *Window) Request(now time.Time) { w.bucketAt(now).requests++ }
 
-// Repeat tells whether a retry is allowed, and counts it; gateways is the number that share the
-// slack.
+// AllowRetry tells whether a retry is allowed, and counts it if so. The slack is split among the
+// given number of gateways.
 func (w *Window) Repeat(now time.Time, gateways int) bool {
 	last := w.bucketAt(now)
 	requests, retries := 0, 0
@@ -59,7 +61,7 @@
 	return true
 }
 
-// bucketAt returns the current bucket and drops those out of the window.
+// bucketAt returns the current bucket and drops those that have left the window.
 func (w *Window) bucketAt(now time.Time) *bucket {
 	if w.start.IsZero() {
 		w.start = now
