--- a/laburnumroutes/check.go
+++ b/laburnumroutes/check.go
@@ -10,7 +10,7 @@
 // Check reports all faults of a table. An error is a
 // *laburnumlever.RoutesInvalidError.
 func Check(t laburnumlever.RouteTable) error {
-	c := checker{services: map[laburnumlever.ServiceName]bool{}, places: map[place]laburnumlever.RouteName{}}
+	c := checker{services: map[laburnumlever.ServiceName]bool{}, routes: map[hostPrefix]laburnumlever.RouteName{}}
 	if t.Version == 0 {
 		c.add("version", "is missing or 0", "a number above 0")
 	}
@@ -21,7 +21,7 @@
 		c.services[s.Name] = true
 	}
 	for i, r := range t.Routes {
-		c.route(fmt.Sprintf("routes[%d]", i), r)
+		c.checkRoute(fmt.Sprintf("routes[%d]", i), r)
 	}
 	if len(c.faults) > 0 {
 		return &laburnumlever.RoutesInvalidError{Faults: c.faults}
@@ -29,11 +29,11 @@
 	return nil
 }
 
-type place struct{ host, prefix string }
+type hostPrefix struct{ host, prefix string }
 
 type checker struct {
 	services map[laburnumlever.ServiceName]bool
-	places   map[place]laburnumlever.RouteName
+	routes   map[hostPrefix]laburnumlever.RouteName
 	faults   []laburnumlever.Fault
 }
 
@@ -41,12 +41,12 @@
 	c.faults = append(c.faults, laburnumlever.Fault{Key: key, Problem: problem, Want: want})
 }
 
-func (c *checker) route(key string, r laburnumlever.Route) {
-	at := place{host: normalHost(r.Host), prefix: r.PathPrefix}
-	if first, taken := c.places[at]; taken {
-		c.add(key, fmt.Sprintf("has the host and path prefix of %q", first), "a host and path prefix of its own")
+func (c *checker) checkRoute(key string, r laburnumlever.Route) {
+	at := hostPrefix{host: normalHost(r.Host), prefix: r.PathPrefix}
+	if other, taken := c.routes[at]; taken {
+		c.add(key, fmt.Sprintf("has the host and path prefix of %q", other), "a host and path prefix of its own")
 	}
-	c.places[at] = r.Name
+	c.routes[at] = r.Name
 	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
 		c.add(key+".path-prefix", fmt.Sprintf("%q does not begin and end with a slash", r.PathPrefix), `a prefix such as "/quotes/"`)
 	}
--- a/laburnumroutes/index.go
+++ b/laburnumroutes/index.go
@@ -9,14 +9,14 @@
 
 // Index finds routes by host and path. It is immutable.
 type Index struct {
-	table  laburnumlever.RouteTable
-	byHost map[string]map[string]*laburnumlever.Route
-	urgent map[laburnumlever.ServiceName]int
+	table       laburnumlever.RouteTable
+	byHost      map[string]map[string]*laburnumlever.Route
+	topPriority map[laburnumlever.ServiceName]int
 }
 
 // NewIndex indexes a table that Check accepts.
 func NewIndex(table laburnumlever.RouteTable) *Index {
-	x := &Index{table: table, byHost: map[string]map[string]*laburnumlever.Route{}, urgent: map[laburnumlever.ServiceName]int{}}
+	x := &Index{table: table, byHost: map[string]map[string]*laburnumlever.Route{}, topPriority: map[laburnumlever.ServiceName]int{}}
 	for i := range table.Routes {
 		r := &table.Routes[i]
 		host := normalHost(r.Host)
@@ -24,23 +24,23 @@
 			x.byHost[host] = map[string]*laburnumlever.Route{}
 		}
 		x.byHost[host][r.PathPrefix] = r
-		x.noteUrgency(r)
+		x.recordPriority(r)
 	}
 	return x
 }
 
-func (x *Index) noteUrgency(r *laburnumlever.Route) {
+func (x *Index) recordPriority(r *laburnumlever.Route) {
 	for _, share := range r.Split {
-		if most, ok := x.urgent[share.Service]; !ok || r.Priority < most {
-			x.urgent[share.Service] = r.Priority
+		if top, ok := x.topPriority[share.Service]; !ok || r.Priority < top {
+			x.topPriority[share.Service] = r.Priority
 		}
 	}
 }
 
 // MostUrgent tells whether no route to the service is more urgent than the priority.
 func (x *Index) MostUrgent(service laburnumlever.ServiceName, priority int) bool {
-	most, ok := x.urgent[service]
-	return !ok || priority <= most
+	top, ok := x.topPriority[service]
+	return !ok || priority <= top
 }
 
 // Table returns the table of the index.
--- a/laburnumroutes/urgent_test.go
+++ b/laburnumroutes/priority_test.go
@@ -12,7 +12,7 @@
 // Summaries are more urgent than quotes at one service, and bookings at another are less so
 // than both. Which is the most urgent is a question of one service: bookings wait behind
 // nobody.
-func TestMostUrgentIsOfOneService(t *testing.T) {
+func TestMostUrgentComparesRoutesOfOneService(t *testing.T) {
 	route := func(prefix string, priority int, service laburnumlever.ServiceName) laburnumlever.Route {
 		return laburnumlever.Route{
 			Host: "quotes.example", PathPrefix: prefix, Priority: priority, Split: []laburnumlever.RouteShare{{Service: service, Weight: 1}},
--- a/laburnumroutes/routes_test.go
+++ b/laburnumroutes/routes_test.go
@@ -74,7 +74,7 @@
 	require.NoError(t, laburnumroutes.Check(table("/a/", "/b/")))
 }
 
-func TestPickFollowsTheWeights(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	r := laburnumlever.Route{Split: []laburnumlever.RouteShare{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}, {Service: "none", Weight: 0}}}
 	counts := map[laburnumlever.ServiceName]int{}
 	for draw := range uint64(1000) {
