--- a/laburnumroutes/check.go
+++ b/laburnumroutes/check.go
@@ -7,16 +7,16 @@
 	"laburnumlever"
 )
 
-// Check reports all faults of a table. An error is a
+// Check returns an error that lists all faults of a table. Errors:
 // *laburnumlever.RoutesInvalidError.
 func Check(t laburnumlever.RouteTable) error {
 	c := checker{services: map[laburnumlever.ServiceName]bool{}, routes: map[hostPrefix]laburnumlever.RouteName{}}
 	if t.Version == 0 {
-		c.add("version", "is missing or 0", "a number above 0")
+		c.add("version", "is missing or 0", "a version number above 0")
 	}
 	for _, s := range t.Services {
 		if c.services[s.Name] || s.Name == "" {
-			c.add("services", fmt.Sprintf("%q is not a name of its own", s.Name), "each service once")
+			c.add("services", fmt.Sprintf("service name %q is empty or used twice", s.Name), "unique service names")
 		}
 		c.services[s.Name] = true
 	}
@@ -29,8 +29,10 @@
 	return nil
 }
 
+// hostPrefix is what a route matches.
 type hostPrefix struct{ host, prefix string }
 
+// checker collects the faults of a table.
 type checker struct {
 	services map[laburnumlever.ServiceName]bool
 	routes   map[hostPrefix]laburnumlever.RouteName
@@ -44,19 +46,19 @@
 func (c *checker) checkRoute(key string, r laburnumlever.Route) {
 	at := hostPrefix{host: normalHost(r.Host), prefix: r.PathPrefix}
 	if other, taken := c.routes[at]; taken {
-		c.add(key, fmt.Sprintf("has the host and path prefix of %q", other), "a host and path prefix of its own")
+		c.add(key, fmt.Sprintf("has the same host and path prefix as route %q", other), "a unique host and path prefix")
 	}
 	c.routes[at] = r.Name
 	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
 		c.add(key+".path-prefix", fmt.Sprintf("%q does not begin and end with a slash", r.PathPrefix), `a prefix such as "/quotes/"`)
 	}
 	if r.Timeout <= 0 {
-		c.add(key+".timeout", "is not above 0", "the longest wait of a caller")
+		c.add(key+".timeout", "is not above 0", "the longest time that a caller waits for an answer")
 	}
 	total := 0
 	for _, share := range r.Split {
 		if !c.services[share.Service] {
-			c.add(key+".split", fmt.Sprintf("names the unknown service %q", share.Service), "a service of the table")
+			c.add(key+".split", fmt.Sprintf("names the unknown service %q", share.Service), "a service listed in the table")
 		}
 		if share.Weight < 0 {
 			c.add(key+".split", "has a negative weight", "weights of 0 or more")
@@ -64,6 +66,6 @@
 		total += share.Weight
 	}
 	if total <= 0 {
-		c.add(key+".split", "has weights that add up to 0", "at least one service with a weight")
+		c.add(key+".split", "has weights that add up to 0", "at least one service with a weight above 0")
 	}
 }
--- a/laburnumroutes/doc.go
+++ b/laburnumroutes/doc.go
@@ -1,5 +1,5 @@
-// Package laburnumroutes checks route tables and finds the route of a request.
-// It is pure: no network, clock or state.
+// Package laburnumroutes validates route tables and finds the route of a request. It does no I/O,
+// reads no clock and keeps no state between calls.
 //
 // # Usage
 //
@@ -8,5 +8,5 @@
 //	route, ok := index.Find("ficu95.example", "/quotes/today")
 //	service, ok := laburnumroutes.Pick(*route, rand.Uint64())
 //
-// A look-up takes as many steps as the path has segments, whatever the number of routes.
+// A lookup takes at most one step for each segment of the path, whatever the number of routes.
 package laburnumroutes
--- a/laburnumroutes/index.go
+++ b/laburnumroutes/index.go
@@ -7,14 +7,16 @@
 	"laburnumlever"
 )
 
-// Index finds routes by host and path. It is immutable.
+// Index finds routes by host and path. It is immutable and safe for concurrent use.
 type Index struct {
-	table       laburnumlever.RouteTable
-	byHost      map[string]map[string]*laburnumlever.Route
+	table laburnumlever.RouteTable
+	// byHost holds the routes by host, then by path prefix.
+	byHost map[string]map[string]*laburnumlever.Route
+	// topPriority is the priority of each service's most urgent route; 0 is the most urgent.
 	topPriority map[laburnumlever.ServiceName]int
 }
 
-// NewIndex indexes a table that Check accepts.
+// NewIndex indexes a table that Check has accepted.
 func NewIndex(table laburnumlever.RouteTable) *Index {
 	x := &Index{table: table, byHost: map[string]map[string]*laburnumlever.Route{}, topPriority: map[laburnumlever.ServiceName]int{}}
 	for i := range table.Routes {
@@ -37,16 +39,16 @@
 	}
 }
 
-// MostUrgent tells whether no route to the service is more urgent than the priority.
+// MostUrgent tells whether no route to the service has a more urgent priority than the given one.
 func (x *Index) MostUrgent(service laburnumlever.ServiceName, priority int) bool {
 	top, ok := x.topPriority[service]
 	return !ok || priority <= top
 }
 
-// Table returns the table of the index.
+// Table returns the indexed table.
 func (x *Index) Table() laburnumlever.RouteTable { return x.table }
 
-// Find returns the route with the longest prefix of the path.
+// Find returns the host's route with the longest prefix of the path, compared by whole segments.
 func (x *Index) Find(host, path string) (*laburnumlever.Route, bool) {
 	prefixes := x.byHost[normalHost(host)]
 	if prefixes == nil {
@@ -60,7 +62,8 @@
 	return nil, false
 }
 
-// Pick chooses one of the route's services by weight; draw is a random number.
+// Pick chooses one of the route's services by weight; draw is a uniformly random number. It
+// returns "" if no service has a weight.
 func Pick(r laburnumlever.Route, draw uint64) laburnumlever.ServiceName {
 	total := 0
 	for _, share := range r.Split {
@@ -79,7 +82,7 @@
 	return ""
 }
 
-// normalHost drops the port and lowers the case.
+// normalHost returns the host without its port, in lower case.
 func normalHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
--- a/laburnumroutes/priority_test.go
+++ b/laburnumroutes/priority_test.go
@@ -9,9 +9,8 @@
 	"laburnumlever/laburnumroutes"
 )
 
-// Summaries are more urgent than quotes at one service, and bookings at another are less so
-// than both. Which is the most urgent is a question of one service: bookings wait behind
-// nobody.
+// Guards against priorities compared across services: a route that is less urgent than those of
+// another service is still the most urgent of its own, where no other request goes first.
 func TestMostUrgentComparesRoutesOfOneService(t *testing.T) {
 	route := func(prefix string, priority int, service laburnumlever.ServiceName) laburnumlever.Route {
 		return laburnumlever.Route{
--- a/laburnumroutes/routes_test.go
+++ b/laburnumroutes/routes_test.go
@@ -22,14 +22,15 @@
 	return t
 }
 
+// Guards against requests sent to the route of another host or of a shorter prefix.
 func TestFind(t *testing.T) {
 	index := laburnumroutes.NewIndex(table("/", "/a/", "/a/b/c/", "/ab/"))
 	for _, tt := range []struct{ name, host, path, want string }{
 		{"root", "quotes.example", "/", "/"},
-		{"longest wins", "quotes.example", "/a/b/c/d", "/a/b/c/"},
-		{"a gap in the prefixes", "quotes.example", "/a/b/x", "/a/"},
+		{"longest prefix wins", "quotes.example", "/a/b/c/d", "/a/b/c/"},
+		{"no route for the parent path", "quotes.example", "/a/b/x", "/a/"},
 		{"whole segments only", "quotes.example", "/abc", "/"},
-		{"the prefix without its last slash", "quotes.example", "/a", "/"},
+		{"prefix without its trailing slash", "quotes.example", "/a", "/"},
 		{"port and case of the host", "QUOTES.example:8080", "/ab/x", "/ab/"},
 		{"another host", "other.example", "/a/", ""},
 	} {
@@ -43,8 +44,8 @@
 	}
 }
 
-// Operators send tables that can't work. Each must be refused with what is wrong, since
-// what is acknowledged comes into force everywhere.
+// Guards against unusable tables from operators: an accepted table takes effect on all VMs, so each
+// fault must be refused by name.
 func TestCheckRefuses(t *testing.T) {
 	change := func(fn func(*laburnumlever.RouteTable)) laburnumlever.RouteTable {
 		x := table("/a/", "/b/")
@@ -58,10 +59,10 @@
 	}{
 		{"no version", change(func(t *laburnumlever.RouteTable) { t.Version = 0 }), "version"},
 		{"unknown service", change(func(t *laburnumlever.RouteTable) { t.Routes[0].Split[0].Service = "none" }), "unknown service"},
-		{"same place", change(func(t *laburnumlever.RouteTable) { t.Routes[1].PathPrefix = "/a/" }), "host and path prefix"},
+		{"same host and path prefix", change(func(t *laburnumlever.RouteTable) { t.Routes[1].PathPrefix = "/a/" }), "host and path prefix"},
 		{"weights add up to 0", change(func(t *laburnumlever.RouteTable) { t.Routes[0].Split[0].Weight = 0 }), "add up to 0"},
 		{"no timeout", change(func(t *laburnumlever.RouteTable) { t.Routes[0].Timeout = 0 }), "timeout"},
-		{"no slash at the end", change(func(t *laburnumlever.RouteTable) { t.Routes[0].PathPrefix = "/a" }), "slash"},
+		{"no trailing slash", change(func(t *laburnumlever.RouteTable) { t.Routes[0].PathPrefix = "/a" }), "slash"},
 		{"service twice", change(func(t *laburnumlever.RouteTable) { t.Services = append(t.Services, t.Services[0]) }), "booking"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -83,8 +84,8 @@
 	require.Equal(t, map[laburnumlever.ServiceName]int{"old": 900, "new": 100}, counts)
 }
 
-// Operators add hundreds of routes at once while callers' requests run: the time of a
-// look-up must not grow with them.
+// BenchmarkFindAmong measures a lookup among many routes. Its time must not grow with their number:
+// operators add hundreds of routes at once while requests are served.
 func BenchmarkFindAmong(b *testing.B) {
 	for _, n := range []int{10, 1000, 100000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
