--- a/laburnumwaiting/terms.go
+++ b/laburnumwaiting/policy.go
@@ -84,17 +84,17 @@
 
 // WithRetryAfter returns the policy with other least values of Retry-After: for full servers, and
 // for an absent model or adapter.
-func (t Terms) WithRetry(full, absent time.Duration) Terms {
-	t.full, t.absent = full, absent
-	return t
+func (p Terms) WithRetry(full, absent time.Duration) Terms {
+	p.full, p.absent = full, absent
+	return p
 }
 
 // MinRetryAfter returns the least Retry-After of a request refused with the verdict.
-func (t Terms) Retry(verdict laburnumbalance.Verdict) time.Duration {
+func (p Terms) Retry(verdict laburnumbalance.Verdict) time.Duration {
 	if verdict == laburnumbalance.Full {
-		return t.full
+		return p.full
 	}
-	return t.absent
+	return p.absent
 }
 
 // AdapterBackoff returns the backoff between requests to load an adapter.
@@ -103,24 +103,24 @@
 }
 
 // WithWaitShare returns the policy with another share of the caller's patience.
-func (t Terms) WithWait(share float64) Terms {
-	t.wait = share
-	return t
+func (p Terms) WithWait(share float64) Terms {
+	p.wait = share
+	return p
 }
 
 // QueueDeadline returns when a queued request times out.
-func (t Terms) WaitUntil(c Caller) time.Time {
+func (p Terms) WaitUntil(c Caller) time.Time {
 	if c.BrokenAt.IsZero() {
-		return c.Arrived.Add(time.Duration(t.wait * float64(c.Patience())))
+		return c.Arrived.Add(time.Duration(p.wait * float64(c.Patience())))
 	}
-	return c.BrokenAt.Add(time.Duration(t.resume * float64(c.LeaveGap())))
+	return c.BrokenAt.Add(time.Duration(p.resume * float64(c.LeaveGap())))
 }
 
 // OnTimeUntil returns the latest time at which a slot still lets the answer start in time, or lets
 // a broken answer resume before the caller abandons it.
-func (t Terms) FreshUntil(c Caller) time.Time {
+func (p Terms) FreshUntil(c Caller) time.Time {
 	if c.BrokenAt.IsZero() {
-		return c.Arrived.Add(time.Duration(t.onTime * float64(c.Target)))
+		return c.Arrived.Add(time.Duration(p.onTime * float64(c.Target)))
 	}
-	return t.WaitUntil(c)
+	return p.WaitUntil(c)
 }
