--- a/laburnumdemand/adapteruses.go
+++ b/laburnumdemand/adapteruses.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// adapterPeriod is how often the use of adapters is told.
-	adapterPeriod = 250 * time.Millisecond
-	// adapterMemory is how long an adapter is told of after its last use.
-	adapterMemory = 4 * time.Second
+	// adapterReportInterval is how often the use of adapters is told.
+	adapterReportInterval = 250 * time.Millisecond
+	// adapterRetention is how long an adapter is told of after its last use.
+	adapterRetention = 4 * time.Second
 )
 
 // AdapterUses follows which adapters this VM's requests use, so that the control VM that
 // makes room for one does not choose one at work: its unload would wait for the
 // requests and hold up all others at the engine.
 type AdapterUses struct {
-	uses   map[adapterName]*adapterUse
-	toldAt time.Time
+	uses       map[adapterKey]*adapterUse
+	reportedAt time.Time
 }
 
-type adapterName struct {
+type adapterKey struct {
 	model   laburnumlever.ModelName
 	adapter laburnumlever.AdapterName
 }
@@ -39,9 +39,9 @@
 		return
 	}
 	if a.uses == nil {
-		a.uses = map[adapterName]*adapterUse{}
+		a.uses = map[adapterKey]*adapterUse{}
 	}
-	key := adapterName{model: model, adapter: adapter}
+	key := adapterKey{model: model, adapter: adapter}
 	if a.uses[key] == nil {
 		a.uses[key] = &adapterUse{}
 	}
@@ -50,7 +50,7 @@
 
 // Ended notes that it has ended.
 func (a *AdapterUses) Ended(model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) {
-	if u := a.uses[adapterName{model: model, adapter: adapter}]; u != nil {
+	if u := a.uses[adapterKey{model: model, adapter: adapter}]; u != nil {
 		u.running--
 		u.endedAt = now
 	}
@@ -58,17 +58,17 @@
 
 // Take lists the uses, none sooner than a period after the last time.
 func (a *AdapterUses) Take(now time.Time) []laburnumlever.AdapterUse {
-	if now.Sub(a.toldAt) < adapterPeriod {
+	if now.Sub(a.reportedAt) < adapterReportInterval {
 		return nil
 	}
-	a.toldAt = now
+	a.reportedAt = now
 	var list []laburnumlever.AdapterUse
 	for key, u := range a.uses {
 		idle := time.Duration(0)
 		if u.running <= 0 {
 			idle = now.Sub(u.endedAt)
 		}
-		if idle > adapterMemory {
+		if idle > adapterRetention {
 			delete(a.uses, key)
 			continue
 		}
--- a/laburnumdemand/counter.go
+++ b/laburnumdemand/counter.go
@@ -8,9 +8,9 @@
 	"laburnumlever"
 )
 
-// demandPeriod is how often demand is told: at a few requests a second for a model, a
+// demandReportInterval is how often demand is told: at a few requests a second for a model, a
 // second is the least in which their number means something.
-const demandPeriod = time.Second
+const demandReportInterval = time.Second
 
 // refusedWeight is what a refused request counts for in the end: its caller comes back at least
 // once, under another id, and would be counted twice. A model that nobody serves seemed
@@ -42,63 +42,63 @@
 	vm       laburnumlever.VMID
 	sequence uint64
 	since    time.Time
-	rows     map[laburnumlever.ModelName]*row
+	models   map[laburnumlever.ModelName]*modelCount
 }
 
-type row struct{ requests, prompt, answer, refused float64 }
+type modelCount struct{ requests, prompt, answer, refused float64 }
 
 // NewCounter makes an empty counter for a gateway.
 func NewCounter(vm laburnumlever.VMID) *Counter {
-	return &Counter{vm: vm, rows: map[laburnumlever.ModelName]*row{}}
+	return &Counter{vm: vm, models: map[laburnumlever.ModelName]*modelCount{}}
 }
 
 // Asked counts a request that has come. Counted at its end, a model that callers turn to would be
 // seen by the time that an answer takes later.
-func (c *Counter) Asked(r Request) { c.add(r, 1) }
+func (c *Counter) Asked(r Request) { c.addWeighted(r, 1) }
 
 // Refused counts that a request was refused.
 func (c *Counter) Refused(r Request) {
-	c.add(r, refusedWeight-1)
-	if counted := c.rows[r.Model]; counted != nil {
-		counted.refused++
+	c.addWeighted(r, refusedWeight-1)
+	if count := c.models[r.Model]; count != nil {
+		count.refused++
 	}
 }
 
-func (c *Counter) add(r Request, weight float64) {
+func (c *Counter) addWeighted(r Request, weight float64) {
 	if r.Model == "" {
 		return
 	}
-	counted := c.rows[r.Model]
-	if counted == nil {
-		counted = &row{}
-		c.rows[r.Model] = counted
+	count := c.models[r.Model]
+	if count == nil {
+		count = &modelCount{}
+		c.models[r.Model] = count
 	}
-	counted.requests += weight
-	counted.prompt += weight * float64(r.PromptTokens)
-	counted.answer += weight * float64(r.AnswerTokens)
+	count.requests += weight
+	count.prompt += weight * float64(r.PromptTokens)
+	count.answer += weight * float64(r.AnswerTokens)
 }
 
 // Take returns the rates since the last time that it did so; none sooner than a period
 // after, since rates over a few requests say nothing.
-func (c *Counter) Take(now time.Time, paces Paces) []laburnumlever.ModelDemand {
+func (c *Counter) Take(now time.Time, times Paces) []laburnumlever.ModelDemand {
 	if c.since.IsZero() {
 		c.since = now
 	}
-	if now.Sub(c.since) < demandPeriod {
+	if now.Sub(c.since) < demandReportInterval {
 		return nil
 	}
 	span := now.Sub(c.since).Seconds()
 	c.sequence++
-	rows := make([]laburnumlever.ModelDemand, 0, len(c.rows))
-	for model, r := range c.rows {
+	rows := make([]laburnumlever.ModelDemand, 0, len(c.models))
+	for model, r := range c.models {
 		rows = append(rows, laburnumlever.ModelDemand{
 			Model: model, VM: c.vm, Sequence: c.sequence, RequestsPerSecond: max(0, r.requests/span),
 			PromptTokens: max(0, r.prompt/span), AnswerTokens: max(0, r.answer/span), Refused: r.refused / span,
-			ReadTime: laburnumlever.Duration(paces.Of(model)),
+			ReadTime: laburnumlever.Duration(times.Of(model)),
 		})
 	}
 	slices.SortFunc(rows, func(a, b laburnumlever.ModelDemand) int { return strings.Compare(string(a.Model), string(b.Model)) })
-	c.rows = map[laburnumlever.ModelName]*row{}
+	c.models = map[laburnumlever.ModelName]*modelCount{}
 	c.since = now
 	return rows
 }
--- a/laburnumdemand/counter_test.go
+++ b/laburnumdemand/counter_test.go
@@ -11,7 +11,7 @@
 
 // Guards against demand that is seen only when answers end, seconds after callers have turned to
 // another model.
-func TestDemandIsCountedWhenRequestsCome(t *testing.T) {
+func TestDemandIsCountedOnArrival(t *testing.T) {
 	counter := laburnumdemand.NewCounter("gateway")
 	start := time.Unix(1_000_000, 0)
 	require.Empty(t, counter.Take(start, nil))
--- /dev/null
+++ b/laburnumdemand/readtimes_internal_test.go
@@ -0,0 +1,33 @@
+package laburnumdemand
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Two models take like memory, and one reads prompts ten times as fast. Most prompts are
+// read behind others; the estimate must be near the models' own times, or the quick one is
+// given engines that the slow one needs.
+func TestReadTimeExcludesQueueingAtBusyEngines(t *testing.T) {
+	times := Paces{}
+	for i := range 60 {
+		wait := time.Duration(i%7) * 15 * time.Millisecond
+		times.Add("quick", startOverhead+wait+1000*3*time.Microsecond, 1000)
+		times.Add("slow", startOverhead+wait+1000*28*time.Microsecond, 1000)
+	}
+	require.InDelta(t, 3, times.Of("quick").Seconds()*1e6, 0.5)
+	require.InDelta(t, 28, times.Of("slow").Seconds()*1e6, 3)
+}
+
+// A few prompts, or short ones, tell nothing: the network's delay would decide.
+func TestReadTimeIsUnknownWithoutEnoughSamples(t *testing.T) {
+	times := Paces{}
+	times.Add("m0", 30*time.Millisecond, 1000)
+	require.Zero(t, times.Of("m0"))
+	for range 40 {
+		times.Add("m1", 30*time.Millisecond, minPromptTokens-1)
+	}
+	require.Zero(t, times.Of("m1"))
+}
