--- a/laburnumdemand/adapteruses.go
+++ b/laburnumdemand/adapteruses.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// adapterReportInterval is how often the use of adapters is told.
+	// adapterReportInterval is how often the use of adapters is reported.
 	adapterReportInterval = 250 * time.Millisecond
-	// adapterRetention is how long an adapter is told of after its last use.
+	// adapterRetention is how long an adapter is reported after its last use.
 	adapterRetention = 4 * time.Second
 )
 
-// AdapterUses follows which adapters this VM's requests use, so that the control VM that
-// makes room for one does not choose one at work: its unload would wait for the
-// requests and hold up all others at the engine.
+// AdapterUses tracks which adapters this VM's requests use. The placement leader evicts adapters
+// to load others and must not choose one in use: its unload would wait for the running requests
+// and delay all other requests at the engine. The zero value is ready to use.
 type AdapterUses struct {
 	uses       map[adapterKey]*adapterUse
 	reportedAt time.Time
@@ -29,11 +29,12 @@
 }
 
 type adapterUse struct {
-	running int
+	running int // requests
 	endedAt time.Time
 }
 
-// Begun notes that a request that uses an adapter has a slot; no adapter is none.
+// RequestStarted records that a request that uses the adapter has got a slot. An empty adapter is
+// ignored.
 func (a *AdapterUses) Begun(model laburnumlever.ModelName, adapter laburnumlever.AdapterName) {
 	if adapter == "" {
 		return
@@ -48,7 +49,7 @@
 	a.uses[key].running++
 }
 
-// Ended notes that it has ended.
+// RequestEnded records that such a request has ended.
 func (a *AdapterUses) Ended(model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) {
 	if u := a.uses[adapterKey{model: model, adapter: adapter}]; u != nil {
 		u.running--
@@ -56,7 +57,8 @@
 	}
 }
 
-// Take lists the uses, none sooner than a period after the last time.
+// Take returns the adapters in use or used lately, sorted by model and adapter. It returns nil
+// within adapterReportInterval of the last report.
 func (a *AdapterUses) Take(now time.Time) []laburnumlever.AdapterUse {
 	if now.Sub(a.reportedAt) < adapterReportInterval {
 		return nil
--- a/laburnumdemand/counter.go
+++ b/laburnumdemand/counter.go
@@ -8,28 +8,28 @@
 	"laburnumlever"
 )
 
-// demandReportInterval is how often demand is told: at a few requests a second for a model, a
-// second is the least in which their number means something.
+// demandReportInterval is how often demand is reported. A model gets a few requests a second, so
+// that rates over a shorter time would be too noisy.
 const demandReportInterval = time.Second
 
-// refusedWeight is what a refused request counts for in the end: its caller comes back at least
-// once, under another id, and would be counted twice. A model that nobody serves seemed
-// to be asked for twice as much as it was, and took engines that others needed.
+// refusedWeight is the weight of a refused request in the demand. Its caller retries at least once,
+// under another request ID, and would be counted twice: the demand for a model that no engine holds
+// looked twice as high as it was, and the model was placed on engines that others needed.
 const refusedWeight = 0.5
 
-// Request is what one request asks of a model.
+// Request is the work that a request demands of a model.
 type Request struct {
 	Model                      laburnumlever.ModelName
 	PromptTokens, AnswerTokens int
 }
 
-// RequestOf is what a caller's request asks of a model.
+// RequestOf returns the work that a caller's request demands of its model.
 func RequestOf(c laburnumlever.CallerRequest) Request {
 	return Request{Model: c.Model, PromptTokens: c.PromptTokens, AnswerTokens: AnswerTokens(c)}
 }
 
-// AnswerTokens is the likely length of an answer: the caller's estimate, else half of
-// the bound.
+// AnswerTokens estimates the length of an answer: the caller's estimate, or else half of the
+// maximum.
 func AnswerTokens(c laburnumlever.CallerRequest) int {
 	if c.AnswerHint > 0 {
 		return min(c.AnswerHint, max(1, c.MaxAnswerTokens))
@@ -37,7 +37,7 @@
 	return c.MaxAnswerTokens / 2
 }
 
-// Counter counts what callers ask of models between two reports.
+// Counter counts the demand for models between two reports.
 type Counter struct {
 	vm       laburnumlever.VMID
 	sequence uint64
@@ -45,18 +45,20 @@
 	models   map[laburnumlever.ModelName]*modelCount
 }
 
+// modelCount is the demand for a model since the last report; prompt and answer are in tokens.
 type modelCount struct{ requests, prompt, answer, refused float64 }
 
-// NewCounter makes an empty counter for a gateway.
+// NewCounter returns an empty counter for the gateway on the VM.
 func NewCounter(vm laburnumlever.VMID) *Counter {
 	return &Counter{vm: vm, models: map[laburnumlever.ModelName]*modelCount{}}
 }
 
-// Asked counts a request that has come. Counted at its end, a model that callers turn to would be
-// seen by the time that an answer takes later.
+// Received counts a request on arrival. Counted at its end, a shift of demand would be seen only
+// after the time that an answer takes.
 func (c *Counter) Asked(r Request) { c.addWeighted(r, 1) }
 
-// Refused counts that a request was refused.
+// Refused records that a request counted by Received was refused, and lowers its weight to
+// refusedWeight.
 func (c *Counter) Refused(r Request) {
 	c.addWeighted(r, refusedWeight-1)
 	if count := c.models[r.Model]; count != nil {
@@ -78,8 +80,8 @@
 	count.answer += weight * float64(r.AnswerTokens)
 }
 
-// Take returns the rates since the last time that it did so; none sooner than a period
-// after, since rates over a few requests say nothing.
+// Take returns the rates since its last report, sorted by model. It returns nil within
+// demandReportInterval of that report, since rates over a few requests are too noisy.
 func (c *Counter) Take(now time.Time, times Paces) []laburnumlever.ModelDemand {
 	if c.since.IsZero() {
 		c.since = now
--- a/laburnumdemand/counter_test.go
+++ b/laburnumdemand/counter_test.go
@@ -9,8 +9,8 @@
 	"laburnumlever/laburnumdemand"
 )
 
-// Guards against demand that is seen only when answers end, seconds after callers have turned to
-// another model.
+// Guards against demand that is counted only when answers end, seconds after it has shifted to
+// another model, and against refused requests that count in full although their callers retry.
 func TestDemandIsCountedOnArrival(t *testing.T) {
 	counter := laburnumdemand.NewCounter("gateway")
 	start := time.Unix(1_000_000, 0)
@@ -27,10 +27,10 @@
 	counter.Asked(r)
 	counter.Refused(r)
 	rows = counter.Take(start.Add(2*time.Second), nil)
-	require.InDelta(t, 0.5, rows[0].RequestsPerSecond, 1e-9, "its caller comes back and is counted again")
+	require.InDelta(t, 0.5, rows[0].RequestsPerSecond, 1e-9, "the caller of a refused request retries and is counted again")
 	require.InDelta(t, 1, rows[0].Refused, 1e-9)
 
 	counter.Refused(r)
 	rows = counter.Take(start.Add(3*time.Second), nil)
-	require.Zero(t, rows[0].RequestsPerSecond, "refused in the second after it came")
+	require.Zero(t, rows[0].RequestsPerSecond, "the rate is not negative if a request is refused in the second after its arrival")
 }
--- a/laburnumdemand/doc.go
+++ b/laburnumdemand/doc.go
@@ -1,15 +1,15 @@
-// Package laburnumdemand counts what callers ask of models on one gateway, for the VM that
-// places them. It is pure: time is passed in.
+// Package laburnumdemand measures the demand for models and adapters on one gateway, for the
+// placement leader. It does no I/O and reads no clock: the time is passed in.
 //
-// The load pattern it answers: demand moves from model to model within seconds, and no gateway
-// sees more than a few requests of it. Each tells its rates once a second, the adapters in use
-// four times, and how long engines take to read a prompt of each model.
+// Load pattern: demand shifts from model to model within seconds, and each gateway sees only a few
+// of the requests. Each gateway reports its request rates and the read time of each model once a
+// second, and the adapters in use four times a second.
 //
 // # Usage
 //
-//	counter, paces, uses := laburnumdemand.NewCounter(vm), laburnumdemand.Paces{}, laburnumdemand.AdapterUses{}
-//	counter.Asked(laburnumdemand.Request{Model: "m1", PromptTokens: 700, AnswerTokens: 280})
-//	news := laburnumlever.GatewayNews{Demand: counter.Take(now, paces), Adapters: uses.Take(now)}
+//	counter, times, uses := laburnumdemand.NewCounter(vm), laburnumdemand.ReadTimes{}, laburnumdemand.AdapterUses{}
+//	counter.Received(laburnumdemand.Request{Model: "m1", PromptTokens: 700, AnswerTokens: 280})
+//	report := laburnumlever.GatewayNews{Demand: counter.Take(now, times), Adapters: uses.Take(now)}
 //
-// The owner of each serialises its calls.
+// None of the types is safe for concurrent use.
 package laburnumdemand
--- a/laburnumdemand/readtimes.go
+++ b/laburnumdemand/readtimes.go
@@ -8,36 +8,38 @@
 )
 
 const (
-	// maxSamples is how many prompts of a model the estimate looks back on: some
-	// seconds of a model that many ask for.
+	// maxSamples is the number of latest prompts of a model that its estimate uses: those of some
+	// seconds for a model in high demand.
 	maxSamples = 32
-	// minSamples is the least number of samples that tell something.
+	// minSamples is the least number of samples for an estimate.
 	minSamples = 4
-	// readTimeQuantile of the samples are quicker than the estimate: most prompts wait for
-	// others at their engine, and what is wanted is the model's own time.
+	// readTimeQuantile is the quantile of the samples that is the estimate. It is low because most
+	// prompts wait for others at their engine, which must not count as read time.
 	readTimeQuantile = 0.1
-	// minPromptTokens is the least number of tokens of a prompt that is measured: a shorter
-	// one says more of the network and of the engine's step than of the reading.
+	// minPromptTokens is the least number of tokens that an engine must have read for a sample. The
+	// time to the start of a shorter prompt's answer depends more on the network and on the
+	// engine's step than on reading.
 	minPromptTokens = 500
-	// startOverhead is the time in which an answer begins without any reading: a step of
-	// the engine and the way there and back.
+	// startOverhead is the time to the start of an answer without any reading: a step of the engine
+	// and a network round trip.
 	startOverhead = 7 * time.Millisecond
 )
 
-// Paces measures how long engines take to read a token of a prompt for each model.
-// Models of one size on disk differ tenfold in that, engines do not tell it, and without
-// it a quick model is given engines that a slow one needs.
+// ReadTimes measures how long engines take to read (prefill) a prompt token with each model. Engines
+// do not report it. Models of the same size on disk differ tenfold in it, so that without it the
+// placement leader would give a fast model engines that a slow one needs.
 type Paces map[laburnumlever.ModelName]*sampleRing
 
+// sampleRing is a ring buffer of the latest samples of a model, per token.
 type sampleRing struct {
 	samples []time.Duration
 	next    int
-	// estimate is worked out with each sample: requests that read it come more often.
+	// estimate is updated with each sample, since it is read more often than samples are added.
 	estimate time.Duration
 }
 
-// Add takes the time in which an answer latency after its prompt was sent, and the number
-// of tokens that the engine had to read for it.
+// Add adds a sample: the time from sending a prompt to the start of its answer, and the number of
+// tokens that the engine had to read for it.
 func (t Paces) Add(model laburnumlever.ModelName, latency time.Duration, tokens int) {
 	if tokens < minPromptTokens {
 		return
@@ -57,7 +59,7 @@
 	r.estimate = r.quantile()
 }
 
-// quantile is the estimate of the samples; 0 while they are too few.
+// quantile returns the readTimeQuantile of the samples, or 0 if there are fewer than minSamples.
 func (r *sampleRing) quantile() time.Duration {
 	if len(r.samples) < minSamples {
 		return 0
@@ -67,8 +69,8 @@
 	return max(1, sorted[int(readTimeQuantile*float64(len(sorted)))])
 }
 
-// Of is the model's time for a token where an engine has little else to do; 0 while it is
-// not known.
+// Of returns the model's read time of a token on an engine with little other load, or 0 if it is
+// unknown.
 func (t Paces) Of(model laburnumlever.ModelName) time.Duration {
 	if r := t[model]; r != nil {
 		return r.estimate
--- a/laburnumdemand/readtimes_internal_test.go
+++ b/laburnumdemand/readtimes_internal_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two models take like memory, and one reads prompts ten times as fast. Most prompts are
-// read behind others; the estimate must be near the models' own times, or the quick one is
-// given engines that the slow one needs.
+// Guards against estimates that include the time prompts wait behind others at busy engines: two
+// models of equal size that read at different speeds would look alike, and the fast one would be
+// placed on engines that the slow one needs.
 func TestReadTimeExcludesQueueingAtBusyEngines(t *testing.T) {
 	times := Paces{}
 	for i := range 60 {
@@ -21,7 +21,8 @@
 	require.InDelta(t, 28, times.Of("slow").Seconds()*1e6, 3)
 }
 
-// A few prompts, or short ones, tell nothing: the network's delay would decide.
+// Guards against estimates from too few or too short prompts, which mostly measure the network
+// delay.
 func TestReadTimeIsUnknownWithoutEnoughSamples(t *testing.T) {
 	times := Paces{}
 	times.Add("m0", 30*time.Millisecond, 1000)
