--- a/laburnumoutlier/detector.go
+++ b/laburnumoutlier/detector.go
@@ -9,29 +9,29 @@
 
 const (
 	halfLife = 2 * time.Second // of reported outcomes
-	// leastFailed is the number of failures of an outlier. A single one may be the request's
+	// minFailures is the number of failures of an outlier. A single one may be the request's
 	// fault.
-	leastFailed = 1.5
-	// failedShare is the least share of failures among the outcomes of the reporting gateways.
-	failedShare = 0.2
-	// repeatTime is the least time between two detections of a server, after which gateways that
+	minFailures = 1.5
+	// minFailureShare is the least share of failures among the outcomes of the reporting gateways.
+	minFailureShare = 0.2
+	// redetectionInterval is the least time between two detections of a server, after which gateways that
 	// tried it again would have reported it.
-	repeatTime = time.Second
-	// forgetTime is the time without reports after which a server is dropped.
-	forgetTime = time.Minute
+	redetectionInterval = time.Second
+	// retention is the time without reports after which a server is dropped.
+	retention = time.Minute
 )
 
 // Detector adds up the outcomes that gateways report.
 type Detector struct {
 	servers map[laburnumlever.BackendID]*server
-	swept   time.Time
+	sweptAt time.Time
 }
 
 type server struct {
 	failed, answered float64
-	at               time.Time
-	detected         time.Time
-	count            uint64
+	updatedAt        time.Time
+	detectedAt       time.Time
+	detections       uint64
 }
 
 // New makes a detector.
@@ -46,7 +46,7 @@
 	for _, o := range outcomes {
 		s := d.servers[o.Backend]
 		if s == nil {
-			s = &server{at: now}
+			s = &server{updatedAt: now}
 			d.servers[o.Backend] = s
 		}
 		if s.add(o, now) {
@@ -59,31 +59,31 @@
 // Count returns the number of detections of a server.
 func (d *Detector) Count(id laburnumlever.BackendID) uint64 {
 	if s := d.servers[id]; s != nil {
-		return s.count
+		return s.detections
 	}
 	return 0
 }
 
 func (s *server) add(o laburnumlever.BackendOutcome, now time.Time) bool {
-	decay := math.Exp2(-now.Sub(s.at).Seconds() / halfLife.Seconds())
+	decay := math.Exp2(-now.Sub(s.updatedAt).Seconds() / halfLife.Seconds())
 	s.failed = s.failed*decay + float64(max(0, o.Failed))
 	s.answered = s.answered*decay + float64(max(0, o.Answered))
-	s.at = now
-	if s.failed < leastFailed || s.failed < failedShare*(s.failed+s.answered) || now.Sub(s.detected) < repeatTime {
+	s.updatedAt = now
+	if s.failed < minFailures || s.failed < minFailureShare*(s.failed+s.answered) || now.Sub(s.detectedAt) < redetectionInterval {
 		return false
 	}
-	s.detected = now
-	s.count++
+	s.detectedAt = now
+	s.detections++
 	return true
 }
 
 func (d *Detector) sweep(now time.Time) {
-	if now.Sub(d.swept) < forgetTime {
+	if now.Sub(d.sweptAt) < retention {
 		return
 	}
-	d.swept = now
+	d.sweptAt = now
 	for id, s := range d.servers {
-		if now.Sub(s.at) > forgetTime {
+		if now.Sub(s.updatedAt) > retention {
 			delete(d.servers, id)
 		}
 	}
--- a/laburnumoutlier/detector_test.go
+++ b/laburnumoutlier/detector_test.go
@@ -27,7 +27,7 @@
 }
 
 // Guards against healthy servers ejected for the odd error.
-func TestFewFailuresAmongManyAnswersAreNoOutlier(t *testing.T) {
+func TestRareFailuresAreNotAnOutlier(t *testing.T) {
 	d := laburnumoutlier.New()
 	now := time.Unix(1_000_000, 0)
 	for i := range 100 {
