--- a/laburnumoutlier/detector.go
+++ b/laburnumoutlier/detector.go
@@ -8,25 +8,28 @@
 )
 
 const (
-	halfLife = 2 * time.Second // of reported outcomes
-	// minFailures is the number of failures of an outlier. A single one may be the request's
-	// fault.
+	// halfLife is the half-life of reported outcomes.
+	halfLife = 2 * time.Second
+	// minFailures is the least number of recent failures of an outlier. A single failure may be
+	// caused by the request.
 	minFailures = 1.5
-	// minFailureShare is the least share of failures among the outcomes of the reporting gateways.
+	// minFailureShare is the least share of failures among the recent outcomes of an outlier, from
+	// the gateways that report it.
 	minFailureShare = 0.2
-	// redetectionInterval is the least time between two detections of a server, after which gateways that
-	// tried it again would have reported it.
+	// redetectionInterval is the least time between two detections of a server. Gateways that have
+	// retried the server by then have reported it again.
 	redetectionInterval = time.Second
-	// retention is the time without reports after which a server is dropped.
+	// retention is the time without reports after which a server's outcomes are dropped.
 	retention = time.Minute
 )
 
-// Detector adds up the outcomes that gateways report.
+// Detector adds up the outcomes that gateways report, and detects outliers.
 type Detector struct {
 	servers map[laburnumlever.BackendID]*server
 	sweptAt time.Time
 }
 
+// server holds the recent outcomes of a server, which decay with halfLife.
 type server struct {
 	failed, answered float64
 	updatedAt        time.Time
@@ -34,12 +37,12 @@
 	detections       uint64
 }
 
-// New makes a detector.
+// New returns a detector without outcomes.
 func New() *Detector {
 	return &Detector{servers: map[laburnumlever.BackendID]*server{}}
 }
 
-// Add adds a gateway's outcomes and returns the servers detected as outliers by them.
+// Add adds a gateway's outcomes and returns the servers that they make outliers.
 func (d *Detector) Add(outcomes []laburnumlever.BackendOutcome, now time.Time) []laburnumlever.BackendID {
 	d.sweep(now)
 	var detected []laburnumlever.BackendID
@@ -56,7 +59,7 @@
 	return detected
 }
 
-// Count returns the number of detections of a server.
+// Detections returns how often a server has been detected as an outlier.
 func (d *Detector) Count(id laburnumlever.BackendID) uint64 {
 	if s := d.servers[id]; s != nil {
 		return s.detections
@@ -64,6 +67,7 @@
 	return 0
 }
 
+// add adds an outcome and tells whether the server is detected as an outlier.
 func (s *server) add(o laburnumlever.BackendOutcome, now time.Time) bool {
 	decay := math.Exp2(-now.Sub(s.updatedAt).Seconds() / halfLife.Seconds())
 	s.failed = s.failed*decay + float64(max(0, o.Failed))
@@ -77,6 +81,7 @@
 	return true
 }
 
+// sweep drops servers without recent reports, at most once per retention.
 func (d *Detector) sweep(now time.Time) {
 	if now.Sub(d.sweptAt) < retention {
 		return
--- a/laburnumoutlier/detector_test.go
+++ b/laburnumoutlier/detector_test.go
@@ -14,19 +14,20 @@
 	return []laburnumlever.BackendOutcome{{Backend: "s-1", Failed: failed, Answered: answered}}
 }
 
-// Guards against a failing server that costs each of hundreds of gateways a request.
+// Guards against a failing server that is detected only by a gateway's own failures, which loses a
+// request for each of hundreds of gateways.
 func TestFailuresOfDifferentGatewaysAddUp(t *testing.T) {
 	d := laburnumoutlier.New()
 	now := time.Unix(1_000_000, 0)
 	require.Empty(t, d.Add(outcome(1, 0), now))
 	require.Equal(t, []laburnumlever.BackendID{"s-1"}, d.Add(outcome(1, 0), now.Add(200*time.Millisecond)))
-	require.Empty(t, d.Add(outcome(1, 0), now.Add(400*time.Millisecond)), "told a moment ago")
+	require.Empty(t, d.Add(outcome(1, 0), now.Add(400*time.Millisecond)), "detected a moment ago")
 	require.NotEmpty(t, d.Add(outcome(1, 0), now.Add(1300*time.Millisecond)))
 	require.EqualValues(t, 2, d.Count("s-1"))
 	require.Zero(t, d.Count("s-2"))
 }
 
-// Guards against healthy servers ejected for the odd error.
+// Guards against healthy servers detected as outliers because of rare errors.
 func TestRareFailuresAreNotAnOutlier(t *testing.T) {
 	d := laburnumoutlier.New()
 	now := time.Unix(1_000_000, 0)
@@ -34,6 +35,6 @@
 		require.Empty(t, d.Add(outcome(1, 20), now.Add(time.Duration(i)*10*time.Millisecond)))
 	}
 	for i := range 100 {
-		require.Empty(t, d.Add(outcome(1, 0), now.Add(time.Minute+time.Duration(i)*8*time.Second)), "one in eight seconds")
+		require.Empty(t, d.Add(outcome(1, 0), now.Add(time.Minute+time.Duration(i)*8*time.Second)), "one failure in eight seconds")
 	}
 }
--- a/laburnumoutlier/doc.go
+++ b/laburnumoutlier/doc.go
@@ -1,15 +1,14 @@
 // Package laburnumoutlier detects backend servers that answer with errors although their health
-// checks pass. It is pure.
+// checks pass. It does no I/O and reads no clock.
 //
-// Load pattern: hundreds of gateways each send a server a request or two a minute. A server that
-// fails its requests is avoided by a gateway only after it has failed one from there, so that the
-// fleet loses a request for each gateway. Here their outcomes add up at one control VM, which
-// tells all gateways.
+// Load pattern: each of hundreds of gateways sends a server one or two requests a minute. If each
+// avoided a failing server only after a failure of its own, one request would be lost per gateway.
+// Here the outcomes from all gateways add up at one control VM, which informs all gateways.
 //
 // # Usage
 //
 //	detector := laburnumoutlier.New()
-//	for _, id := range detector.Add(outcomes, now) { tellGateways(id, detector.Count(id)) }
+//	for _, id := range detector.Add(outcomes, now) { notifyGateways(id, detector.Detections(id)) }
 //
-// Calls must be serialised by the owner.
+// A Detector is not safe for concurrent use.
 package laburnumoutlier
