--- a/laburnumbalance/server.go
+++ b/laburnumbalance/server.go
@@ -21,7 +21,7 @@
 	readingTarget = 2
 
 	loadDecay       = 3 * time.Second        // time in which a reported load decays to 0
-	currentTime     = 200 * time.Millisecond // age up to which a reported load is current
+	currentLoadAge  = 200 * time.Millisecond // age up to which a reported load is current
 	failureHalfLife = 4 * time.Second
 
 	// A server whose slots are all taken is tried again after a time proportional to the number of
@@ -86,7 +86,7 @@
 // a server that was nearly idle is relied on for longer.
 func (s *server) mayBeFull(now time.Time) bool {
 	age := now.Sub(s.othersAt)
-	if age < currentTime && !s.reservationRefused {
+	if age < currentLoadAge && !s.reservationRefused {
 		return false
 	}
 	return s.reservationRefused || age > loadDecay || float64(s.own)+s.others >= idleShare*float64(s.record.Heartbeat.Slots)
--- a/laburnumwaiting/policy.go
+++ b/laburnumwaiting/policy.go
@@ -89,7 +89,7 @@
 	return p
 }
 
-// MinRetryAfter returns the least Retry-After of a request refused with the verdict.
+// MinRetryAfter returns the least delay before a retry of a request refused with the verdict.
 func (p Terms) Retry(verdict laburnumbalance.Verdict) time.Duration {
 	if verdict == laburnumbalance.Full {
 		return p.full
