--- a/laburnumbalance/balance.go
+++ b/laburnumbalance/balance.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// defaultReadTime is the time to read a token of a prompt before the first answer.
+	// defaultReadTime is the time to read (prefill) a prompt token of a model whose read time has
+	// not been measured yet.
 	defaultReadTime = time.Second / 30000
 
-	// Terms of the score, in milliseconds.
-	slotMillis    = 1   // for each request at the server: a deeper batch has longer steps
+	// Terms of a server's score, in milliseconds.
+	slotMillis    = 1   // for each request at the server: a larger batch has longer steps
 	queueMillis   = 100 // for each request beyond the server's slots
-	zoneMillis    = 20  // for another zone: bytes between zones are paid for
+	zoneMillis    = 20  // for a server in another zone: traffic between zones is billed
 	silentMillis  = 200 // for a server whose heartbeats have stopped
 	failureMillis = 250 // for each recent failure: more than a short queue elsewhere
-	jitterMillis  = 2   // breaks ties differently on each VM
+	jitterMillis  = 2   // upper bound of a random term that breaks ties differently on each VM
 	avoidMillis   = 1e6 // for a server that already failed the request
 
-	// freeShare of a server's slots stays free for what other gateways have sent since its
-	// last answer. Requests queue on gateways rather than at engines, where the urgent
-	// preempt answers under way.
+	// freeShare is the share of a server's slots kept free for requests that other gateways have
+	// sent since its last answer. Requests queue on gateways rather than at engines, since an
+	// engine preempts running answers in favour of urgent requests in its queue.
 	freeShare = 0.05
-	// maxFailures bounds the failures of a server, so that it recovers within seconds.
+	// maxFailures caps a server's failure count, so that it recovers within seconds.
 	maxFailures = 8
-	// emptyShare is the share of busy slots below which a server can't be full.
-	emptyShare = 0.5
+	// idleShare is the share of busy slots below which a server can't be full.
+	idleShare = 0.5
 	// fullTime is how long a server that refused a request counts as full.
 	fullTime = 300 * time.Millisecond
 
-	// UrgentReservations is the number of engines that refuse an urgent request a slot before
-	// it queues at one: the power of two choices.
+	// UrgentReservations is the number of engines that an urgent request tries to reserve a slot
+	// at before it queues at one of them (the power of two choices).
 	UrgentReservations = 2
-	// RetrySlack after RetryTime the queue is served again.
+	// RetrySlack is added to RetryTime before the queue is served again.
 	RetrySlack = 10 * time.Millisecond
 )
 
@@ -51,7 +52,7 @@
 	Prompt  []laburnumlever.PromptPart
 	// Target is the latency target of the answer's first part; 0 for none.
 	Target time.Duration
-	// ReadTime is the time to read a token of a prompt with this model; 0 if unknown.
+	// ReadTime is the time that the model takes to read a prompt token; 0 if unknown.
 	ReadTime time.Duration
 	// Queue allows the request to queue at a server whose slots are all taken.
 	Queue bool
@@ -59,13 +60,14 @@
 	Avoid []laburnumlever.BackendID
 }
 
-// Verdict is the outcome of Pick.
+// Verdict is the result of Pick.
 type Verdict int
 
 // The verdicts.
 const (
+	// Found means that a server was chosen.
 	Found Verdict = iota
-	// NoServer means that no server of the service takes work.
+	// NoServer means that no server of the service accepts requests.
 	NoServer
 	// ModelAbsent means that no server holds the model.
 	ModelAbsent
@@ -75,30 +77,31 @@
 	Full
 )
 
-// Ticket is a slot that a request occupies at a server.
+// Ticket represents the slot that a request occupies at a server, from Pick to End.
 type Ticket struct {
 	Backend laburnumlever.Heartbeat
 	server  *server
 	query   Query
 	// reading is the estimated time to read the prompt, in ms; 0 once the answer has begun.
 	reading float64
-	// unread are the tokens of the prompt that the server has probably not cached.
-	unread int
-	since  time.Time
-	unsure bool
+	// uncached is the number of prompt tokens that the server has probably not cached.
+	uncached  int
+	since     time.Time
+	mayBeFull bool
 }
 
-// Unsure tells whether the server's load is stale, so that it may have no free slot.
-func (ticket *Ticket) Unsure() bool { return ticket.unsure }
+// MayBeFull tells whether the server's load is stale, so that it may have no free slot.
+func (ticket *Ticket) Unsure() bool { return ticket.mayBeFull }
 
-// Model is empty for a plain service.
+// Model returns the request's model; it is empty for a plain service.
 func (ticket *Ticket) Model() laburnumlever.ModelName { return ticket.query.Model }
 
-// Sample is the outcome of an attempt.
+// AttemptResult is what an attempt, or an answer that has not ended yet, tells of a server.
 type Sample struct {
-	// Failed means no answer, or an invalid one.
+	// Failed means that there was no answer or an invalid one.
 	Failed bool
-	// Faulty means that the server itself answered with an error, so that no path is to blame.
+	// Faulty means that the server itself answered with an error, which excludes a network
+	// fault.
 	Faulty bool
 	// Unreachable means that no connection could be opened.
 	Unreachable bool
@@ -109,7 +112,7 @@
 	// HasLoad tells that Running and Waiting are set.
 	HasLoad          bool
 	Running, Waiting int
-	// Taken means that a reservation was refused for lack of a slot.
+	// ReservationRefused means that a reservation was refused for lack of a slot.
 	Taken bool
 }
 
@@ -120,20 +123,20 @@
 	servers   map[laburnumlever.BackendID]*server
 	byService map[laburnumlever.ServiceName][]*server
 	byModel   map[serviceModel][]*server
-	// unreachable are the servers that could not be connected to lately.
+	// unreachable are the servers in backoff after a failed connection.
 	unreachable map[laburnumlever.BackendID]struct{}
-	// failing are the servers with failures since the last report.
+	// failing are the servers with failures since the last call of Outcomes.
 	failing   map[laburnumlever.BackendID]*server
 	prefixes  *prefixes
 	freeShare float64
 	retryTime time.Duration
 }
 
-// Option changes a new table.
+// Option configures a new table.
 type Option func(*Table)
 
-// WithFreeShare sets the share of a server's slots that stays free. A negative share lets
-// requests queue at the server, which needs slots that are not reserved first.
+// WithFreeShare sets the share of a server's slots that is kept free. A negative share lets
+// requests queue at the server, which works only if slots are not reserved first.
 func WithFreeShare(share float64) Option { return func(t *Table) { t.freeShare = share } }
 
 // serviceModel names a model of a service.
@@ -142,7 +145,7 @@
 	model   laburnumlever.ModelName
 }
 
-// New makes an empty table for a VM in the zone. The seed makes choices repeatable.
+// New returns an empty table for a VM in the zone. The seed makes choices repeatable.
 func New(zone laburnumlever.ZoneName, seed uint64, opts ...Option) *Table {
 	t := &Table{
 		freeShare: freeShare, retryTime: maxRetry, zone: zone, rand: rand.New(rand.NewPCG(seed, seed)), //nolint:gosec // breaks ties, no secret
@@ -158,15 +161,15 @@
 	return t
 }
 
-// SetGateways sets how many gateways send to the servers.
+// SetGateways sets the number of gateways that send to the servers, which RetryTime grows with.
 func (t *Table) SetGateways(n int) {
 	t.retryTime = min(maxRetry, max(minRetry, time.Duration(n)*retryPerGateway))
 }
 
-// RetryTime is the time after which a server with all slots taken is tried again.
+// RetryTime returns the time after which a server whose slots are all taken is tried again.
 func (t *Table) RetryTime() time.Duration { return t.retryTime }
 
-// Set updates a server, or removes it if it takes no work.
+// Set updates a server, or removes it if it no longer accepts requests.
 func (t *Table) Set(r laburnumregistry.Record) {
 	id := r.Heartbeat.Backend
 	s := t.servers[id]
@@ -179,7 +182,7 @@
 		s = nil
 	}
 	if s == nil {
-		s = &server{local: r.Heartbeat.Zone == t.zone, readingLimit: startReading}
+		s = &server{local: r.Heartbeat.Zone == t.zone, readingLimit: initialReadingLimit}
 		t.servers[id] = s
 		t.byService[r.Heartbeat.Service] = append(t.byService[r.Heartbeat.Service], s)
 	}
@@ -187,7 +190,7 @@
 	t.index(s)
 }
 
-// index lists the server under each model that it may hold.
+// index updates byModel, which lists the server under each model that it may hold.
 func (t *Table) index(s *server) {
 	for _, model := range slices.Clone(s.listed) {
 		if !s.record.Heartbeat.Holds(model, "") && !s.wasAdded(model) {
@@ -217,7 +220,8 @@
 	}
 }
 
-// candidates returns the servers that may hold the query's model, or all of a plain service.
+// candidates returns the servers that may hold the query's model, or all servers of a plain
+// service.
 func (t *Table) candidates(q Query) []*server {
 	if q.Model == "" {
 		return t.byService[q.Service]
@@ -225,14 +229,15 @@
 	return t.byModel[serviceModel{service: q.Service, model: q.Model}]
 }
 
-// SetOverlay updates what the placement leader knows of an engine beyond its heartbeats.
+// SetOverlay updates what the placement leader knows of an engine beyond its heartbeats. An
+// overlay of an earlier lease term (a lower fence) is ignored.
 func (t *Table) SetOverlay(o laburnumregistry.Overlay, now time.Time) {
 	s := t.servers[o.Backend]
 	if s == nil || o.Fence < s.overlay.Fence {
 		return
 	}
 	if o.Outliers > 0 && o.Born == s.record.Heartbeat.Born && (o.Fence > s.overlay.Fence || o.Outliers > s.overlay.Outliers) {
-		s.suspect(now)
+		s.markOutlier(now)
 	}
 	s.overlay = o
 }
@@ -251,16 +256,16 @@
 	}
 }
 
-// Added records a model or adapter that a server holds before a heartbeat lists it.
+// ModelLoaded records a model or adapter that a server holds before its heartbeat lists it.
 func (t *Table) Added(id laburnumlever.BackendID, model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) {
 	if s := t.servers[id]; s != nil {
-		s.added = note(s.added, held{model: model, adapter: adapter}, now.Add(addedTime), now)
+		s.added = setExpiry(s.added, heldModel{model: model, adapter: adapter}, now.Add(addedTime), now)
 		t.list(s, model)
-		delete(s.absent, held{model: model, adapter: adapter})
+		delete(s.absent, heldModel{model: model, adapter: adapter})
 	}
 }
 
-// Outcomes returns the outcomes since the last call, of servers with failures.
+// Outcomes returns the outcomes since the last call for servers that had failures, sorted by ID.
 func (t *Table) Outcomes() []laburnumlever.BackendOutcome {
 	var outcomes []laburnumlever.BackendOutcome
 	for id, s := range t.failing {
@@ -272,8 +277,8 @@
 	return outcomes
 }
 
-// count adds the outcome of an attempt to the next report.
-func (t *Table) count(s *server, sample Sample) {
+// countOutcome adds the result of an attempt to the next report by Outcomes.
+func (t *Table) countOutcome(s *server, sample Sample) {
 	switch {
 	case sample.Faulty:
 		t.countFailure(s)
@@ -287,11 +292,11 @@
 	t.failing[s.record.Heartbeat.Backend] = s
 }
 
-// Unreachable lists the servers that could not be connected to lately.
+// Unreachable returns the servers in backoff after a failed connection, sorted by ID.
 func (t *Table) Unreachable(now time.Time) []laburnumlever.BackendID {
 	var ids []laburnumlever.BackendID
 	for id := range t.unreachable {
-		if s := t.servers[id]; s == nil || !now.Before(s.unreachableTill) {
+		if s := t.servers[id]; s == nil || !now.Before(s.unreachableUntil) {
 			delete(t.unreachable, id)
 			continue
 		}
@@ -301,14 +306,14 @@
 	return ids
 }
 
-// Len returns the number of servers that take work for the service.
+// Len returns the number of servers that accept requests for the service.
 func (t *Table) Len(service laburnumlever.ServiceName) int { return len(t.byService[service]) }
 
-// Useless lists the servers that hold the query's model but are full or unreachable.
+// Unavailable returns the servers that hold the query's model but are full or unreachable.
 func (t *Table) Useless(q Query, now time.Time) []laburnumlever.BackendID {
 	var useless []laburnumlever.BackendID
 	for _, s := range t.candidates(q) {
-		if s.holds(q.Model, "", now) && (now.Before(s.unreachableTill) || t.overfull(s, now, q.Queue)) {
+		if s.holds(q.Model, "", now) && (now.Before(s.unreachableUntil) || t.saturated(s, now, q.Queue)) {
 			useless = append(useless, s.record.Heartbeat.Backend)
 		}
 	}
@@ -324,7 +329,7 @@
 	var best *server
 	bestScore := math.Inf(1)
 	for _, s := range t.candidates(q) {
-		if now.Before(s.unreachableTill) {
+		if now.Before(s.unreachableUntil) {
 			continue
 		}
 		if !s.holds(q.Model, q.Adapter, now) {
@@ -336,7 +341,7 @@
 		if verdict != Full {
 			verdict = Full
 		}
-		if t.overfull(s, now, q.Queue) {
+		if t.saturated(s, now, q.Queue) {
 			continue
 		}
 		if score := t.score(s, q, now); score < bestScore {
@@ -347,30 +352,31 @@
 		return nil, verdict
 	}
 	best.own++
-	unread := t.prefixes.missing(best.record.Heartbeat, q)
-	reading := q.readMillis(unread)
+	uncached := t.prefixes.uncachedTokens(best.record.Heartbeat, q)
+	reading := q.readMillis(uncached)
 	best.reading += reading
-	t.prefixes.sent(best.record.Heartbeat, q)
-	return &Ticket{Backend: best.record.Heartbeat, server: best, query: q, reading: reading, unread: unread, since: now, unsure: best.unsure(now)}, Found
+	t.prefixes.add(best.record.Heartbeat, q)
+	return &Ticket{Backend: best.record.Heartbeat, server: best, query: q, reading: reading, uncached: uncached, since: now, mayBeFull: best.mayBeFull(now)}, Found
 }
 
-// overfull tells whether the server has no slot or too many prompts to read.
-func (t *Table) overfull(s *server, now time.Time, queue bool) bool {
-	return now.Before(s.fullTill) || !queue && t.noSlot(s, now) || (s.reading > 0 && s.reading >= s.readingLimit)
+// saturated tells whether the server has no free slot or too many prompts of this VM to read.
+func (t *Table) saturated(s *server, now time.Time, queue bool) bool {
+	return now.Before(s.fullUntil) || !queue && t.noSlot(s, now) || (s.reading > 0 && s.reading >= s.readingLimit)
 }
 
-// noSlot tells whether the server's slots are taken, as far as is known.
+// noSlot tells whether the server's slots are taken, by its last reported load.
 func (t *Table) noSlot(s *server, now time.Time) bool {
 	limit := float64(max(1, s.record.Heartbeat.Slots)) * (1 - t.freeShare)
-	if s.taken {
+	if s.reservationRefused {
 		return now.Sub(s.othersAt) < t.retryTime || float64(s.own) >= limit
 	}
 	return s.load(now) >= limit
 }
 
+// score estimates the cost of sending the request to the server, in milliseconds.
 func (t *Table) score(s *server, q Query, now time.Time) float64 {
 	load := s.load(now)
-	score := slotMillis*load + s.blame(now) + jitterMillis*t.rand.Float64()
+	score := slotMillis*load + s.failurePenalty(now) + jitterMillis*t.rand.Float64()
 	if over := load + 1 - float64(max(1, s.record.Heartbeat.Slots)); over > 0 {
 		score += queueMillis * over
 	}
@@ -386,9 +392,9 @@
 	return score + s.reading + t.readMillis(s, q)
 }
 
-// readMillis is the time to read the part of the prompt that is not cached.
+// readMillis estimates the time that the server takes to read the uncached part of the prompt.
 func (t *Table) readMillis(s *server, q Query) float64 {
-	return q.readMillis(t.prefixes.missing(s.record.Heartbeat, q))
+	return q.readMillis(t.prefixes.uncachedTokens(s.record.Heartbeat, q))
 }
 
 func (q Query) readMillis(tokens int) float64 {
@@ -399,42 +405,42 @@
 	return float64(tokens) * float64(read) / float64(time.Millisecond)
 }
 
-// Began records that the answer has begun. It returns the time to the first part and the
-// number of prompt tokens that the server had to read.
+// AnswerStarted records the first part of the answer. It returns the time to the first part and
+// the number of prompt tokens that the server had to read; both are 0 on later calls.
 func (t *Table) Began(ticket *Ticket, now time.Time) (time.Duration, int) {
 	if ticket == nil || ticket.server == nil || ticket.reading == 0 {
 		return 0, 0
 	}
 	took := now.Sub(ticket.since)
-	ticket.server.began(took, ticket.query.Target)
-	ticket.read()
-	return took, ticket.unread
+	ticket.server.adaptReadingLimit(took, ticket.query.Target)
+	ticket.promptRead()
+	return took, ticket.uncached
 }
 
-func (ticket *Ticket) read() {
+func (ticket *Ticket) promptRead() {
 	ticket.server.reading = max(0, ticket.server.reading-ticket.reading)
 	ticket.reading = 0
 }
 
-// End frees the slot and learns from the attempt. It ignores a nil ticket.
+// End frees the slot and records the result of the attempt. It ignores a nil ticket.
 func (t *Table) End(ticket *Ticket, sample Sample, now time.Time) {
 	if ticket == nil || ticket.server == nil {
 		return
 	}
 	s := ticket.server
-	ticket.read()
+	ticket.promptRead()
 	ticket.server = nil
 	s.own--
-	t.count(s, sample)
+	t.countOutcome(s, sample)
 	t.Learn(s.record.Heartbeat.Backend, sample, now)
 	if sample.Absent {
-		key := held{model: ticket.query.Model, adapter: ticket.query.Adapter}
-		s.absent = note(s.absent, key, now.Add(absentTime), now)
+		key := heldModel{model: ticket.query.Model, adapter: ticket.query.Adapter}
+		s.absent = setExpiry(s.absent, key, now.Add(absentTime), now)
 		delete(s.added, key)
 	}
 }
 
-// Learn updates a server from an answer, also while the request is still running.
+// Observe updates a server's state from an answer, also while the request is still running.
 func (t *Table) Learn(id laburnumlever.BackendID, sample Sample, now time.Time) {
 	s := t.servers[id]
 	if s == nil {
@@ -443,18 +449,18 @@
 	if sample.HasLoad {
 		s.others = float64(max(0, sample.Running+sample.Waiting-s.own))
 		s.othersAt = now
-		s.taken = false
+		s.reservationRefused = false
 	}
 	if sample.Taken {
-		s.taken = true
+		s.reservationRefused = true
 		s.others = max(0, float64(s.record.Heartbeat.Slots-s.own))
 		s.othersAt = now
 	}
 	if sample.Full {
-		s.fullTill = now.Add(fullTime)
-		// A server that refuses while its slots are free is failing, whatever its health
-		// checks say.
-		if s.load(now) < emptyShare*float64(s.record.Heartbeat.Slots) {
+		s.fullUntil = now.Add(fullTime)
+		// A server that refuses requests while it has free slots is failing, even if its health
+		// checks pass.
+		if s.load(now) < idleShare*float64(s.record.Heartbeat.Slots) {
 			s.fail(now)
 			t.countFailure(s)
 		}
@@ -463,9 +469,9 @@
 		s.fail(now)
 	}
 	if sample.Unreachable {
-		s.unreachable(now)
+		s.backOff(now)
 		t.unreachable[id] = struct{}{}
 	} else if !sample.Failed {
-		s.unreachableFor = 0
+		s.unreachableTime = 0
 	}
 }
--- a/laburnumbalance/prefixes.go
+++ b/laburnumbalance/prefixes.go
@@ -2,11 +2,13 @@
 
 import "laburnumlever"
 
-// generationSize bounds the prompt parts remembered; two generations are kept.
+// generationSize is the number of prompt parts after which a new generation starts. The current
+// and the previous generation are kept, which bounds the memory.
 const generationSize = 1 << 14
 
-// cachedPart is the cache key of a prompt part: engines cache by model and adapter.
-type cachedPart struct {
+// partKey identifies a prompt part in an engine's cache. Engines cache by model and adapter, and
+// lose the cache when they restart.
+type partKey struct {
 	backend laburnumlever.BackendID
 	born    uint64
 	model   laburnumlever.ModelName
@@ -14,34 +16,34 @@
 	id      uint64
 }
 
-func (q Query) cached(to laburnumlever.Heartbeat, part laburnumlever.PromptPart) cachedPart {
-	return cachedPart{backend: to.Backend, born: to.Born, model: q.Model, adapter: q.Adapter, id: part.ID}
+func (q Query) cacheKey(to laburnumlever.Heartbeat, part laburnumlever.PromptPart) partKey {
+	return partKey{backend: to.Backend, born: to.Born, model: q.Model, adapter: q.Adapter, id: part.ID}
 }
 
-// prefixes estimates which prompt parts each server has cached, by what was sent there.
+// prefixes estimates which prompt parts each server has cached, from the prompts sent to it.
 type prefixes struct {
-	young, old map[cachedPart]struct{}
+	young, old map[partKey]struct{}
 }
 
 func newPrefixes() *prefixes {
-	return &prefixes{young: map[cachedPart]struct{}{}, old: map[cachedPart]struct{}{}}
+	return &prefixes{young: map[partKey]struct{}{}, old: map[partKey]struct{}{}}
 }
 
-func (p *prefixes) sent(to laburnumlever.Heartbeat, q Query) {
+func (p *prefixes) add(to laburnumlever.Heartbeat, q Query) {
 	if len(p.young) > generationSize {
-		p.old, p.young = p.young, map[cachedPart]struct{}{}
+		p.old, p.young = p.young, map[partKey]struct{}{}
 	}
 	for _, part := range q.Prompt {
-		p.young[q.cached(to, part)] = struct{}{}
+		p.young[q.cacheKey(to, part)] = struct{}{}
 	}
 }
 
-// missing returns the tokens after the cached prefix of the prompt.
-func (p *prefixes) missing(to laburnumlever.Heartbeat, q Query) int {
+// uncachedTokens returns the number of tokens after the cached prefix of the prompt.
+func (p *prefixes) uncachedTokens(to laburnumlever.Heartbeat, q Query) int {
 	tokens := 0
 	cached := true
 	for _, part := range q.Prompt {
-		key := q.cached(to, part)
+		key := q.cacheKey(to, part)
 		if cached {
 			_, young := p.young[key]
 			_, old := p.old[key]
--- a/laburnumdemand/adapteruses.go
+++ b/laburnumdemand/adapteruses.go
@@ -9,66 +9,68 @@
 )
 
 const (
-	// adapterPeriod is how often the use of adapters is told.
-	adapterPeriod = 250 * time.Millisecond
-	// adapterMemory is how long an adapter is told of after its last use.
-	adapterMemory = 4 * time.Second
+	// adapterReportInterval is how often the use of adapters is reported.
+	adapterReportInterval = 250 * time.Millisecond
+	// adapterRetention is how long an adapter is reported after its last use.
+	adapterRetention = 4 * time.Second
 )
 
-// AdapterUses follows which adapters this VM's requests use, so that the control VM that
-// makes room for one does not choose one at work: its unload would wait for the
-// requests and hold up all others at the engine.
+// AdapterUses tracks which adapters this VM's requests use. The placement leader evicts adapters
+// to load others and must not choose one in use: its unload would wait for the running requests
+// and delay all other requests at the engine. The zero value is ready to use.
 type AdapterUses struct {
-	uses   map[adapterName]*adapterUse
-	toldAt time.Time
+	uses       map[adapterKey]*adapterUse
+	reportedAt time.Time
 }
 
-type adapterName struct {
+type adapterKey struct {
 	model   laburnumlever.ModelName
 	adapter laburnumlever.AdapterName
 }
 
 type adapterUse struct {
-	running int
+	running int // requests
 	endedAt time.Time
 }
 
-// Begun notes that a request that uses an adapter has a slot; no adapter is none.
+// RequestStarted records that a request that uses the adapter has got a slot. An empty adapter is
+// ignored.
 func (a *AdapterUses) Begun(model laburnumlever.ModelName, adapter laburnumlever.AdapterName) {
 	if adapter == "" {
 		return
 	}
 	if a.uses == nil {
-		a.uses = map[adapterName]*adapterUse{}
+		a.uses = map[adapterKey]*adapterUse{}
 	}
-	key := adapterName{model: model, adapter: adapter}
+	key := adapterKey{model: model, adapter: adapter}
 	if a.uses[key] == nil {
 		a.uses[key] = &adapterUse{}
 	}
 	a.uses[key].running++
 }
 
-// Ended notes that it has ended.
+// RequestEnded records that such a request has ended.
 func (a *AdapterUses) Ended(model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) {
-	if u := a.uses[adapterName{model: model, adapter: adapter}]; u != nil {
+	if u := a.uses[adapterKey{model: model, adapter: adapter}]; u != nil {
 		u.running--
 		u.endedAt = now
 	}
 }
 
-// Take lists the uses, none sooner than a period after the last time.
+// Take returns the adapters in use or used lately, sorted by model and adapter. It returns nil
+// within adapterReportInterval of the last report.
 func (a *AdapterUses) Take(now time.Time) []laburnumlever.AdapterUse {
-	if now.Sub(a.toldAt) < adapterPeriod {
+	if now.Sub(a.reportedAt) < adapterReportInterval {
 		return nil
 	}
-	a.toldAt = now
+	a.reportedAt = now
 	var list []laburnumlever.AdapterUse
 	for key, u := range a.uses {
 		idle := time.Duration(0)
 		if u.running <= 0 {
 			idle = now.Sub(u.endedAt)
 		}
-		if idle > adapterMemory {
+		if idle > adapterRetention {
 			delete(a.uses, key)
 			continue
 		}
--- /dev/null
+++ b/laburnumwaiting/policy_test.go
@@ -0,0 +1,30 @@
+package laburnumwaiting_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"laburnumlever/laburnumwaiting"
+)
+
+// Guards against requests queued for so long that the rest of the caller's time is too short for
+// the answer, or for the resumption of a broken stream.
+func TestPolicy(t *testing.T) {
+	start := time.Unix(1_000_000, 0)
+	policy := laburnumwaiting.DefaultTerms()
+	plain := laburnumwaiting.Caller{Arrived: start, Deadline: start.Add(time.Second)}
+	stream := laburnumwaiting.Caller{
+		Arrived: start, Deadline: start.Add(10 * time.Second), Stream: true,
+		Target: 400 * time.Millisecond, PauseTarget: 250 * time.Millisecond,
+	}
+	require.Equal(t, time.Second, plain.Patience())
+	require.Equal(t, 2*time.Second, stream.Patience(), "callers abandon a stream after a gap")
+	require.Equal(t, start.Add(400*time.Millisecond), policy.WaitUntil(stream))
+	require.Equal(t, start.Add(300*time.Millisecond), policy.FreshUntil(stream))
+	require.Equal(t, start.Add(time.Second), policy.WithWait(0.5).WaitUntil(stream))
+	stream.BrokenAt = start.Add(3 * time.Second)
+	require.Equal(t, stream.BrokenAt.Add(1320*time.Millisecond), policy.WaitUntil(stream), "counted from the break")
+	require.Equal(t, policy.WaitUntil(stream), policy.FreshUntil(stream))
+}
--- a/laburnumwaiting/queue_test.go
+++ b/laburnumwaiting/queue_test.go
@@ -13,12 +13,12 @@
 
 const (
 	testWait = 700 * time.Millisecond
-	// testFresh is how long an answer can still begin in time.
-	testFresh = 225 * time.Millisecond
+	// testOnTime is how long after its arrival a request can still be answered in time.
+	testOnTime = 225 * time.Millisecond
 )
 
-// overload queues requests at one rate while slots come free at another, and counts those
-// admitted while fresh, and later, by priority.
+// overload pushes a request every asked interval and frees a slot every slots interval. It counts
+// the requests admitted in time and late, by priority.
 func overload(t *testing.T, priorities []int, asked, slots, length time.Duration) (inTime, late map[int]int) {
 	t.Helper()
 	w := &laburnumwaiting.Queue{}
@@ -31,7 +31,7 @@
 		if !now.Before(nextRequest) {
 			nextRequest = nextRequest.Add(asked)
 			r := &laburnumwaiting.Request{
-				Query: laburnumbalance.Query{Model: "m0"}, Priority: priorities[n%len(priorities)], Arrived: now, FreshUntil: now.Add(testFresh),
+				Query: laburnumbalance.Query{Model: "m0"}, Priority: priorities[n%len(priorities)], Arrived: now, FreshUntil: now.Add(testOnTime),
 			}
 			r.Admit = func(*laburnumbalance.Ticket) { admitted[r] = true }
 			require.True(t, w.Push(r))
@@ -68,22 +68,24 @@
 	return inTime, late
 }
 
-// Guards against a queue in which all answers are late: twice as many requests as slots.
-func TestOverloadServesInTimeWhomItServes(t *testing.T) {
+// Guards against a queue that makes all answers late when twice as many requests arrive as can be
+// served.
+func TestOverloadedQueueServesMostAnswersInTime(t *testing.T) {
 	inTime, late := overload(t, []int{1}, 20*time.Millisecond, 40*time.Millisecond, 20*time.Second)
 	require.Greater(t, inTime[1], 450)
 	require.Less(t, late[1], 50)
 }
 
-// Guards against refusals and reordering when as many requests arrive as slots come free.
+// Guards against refusals and reordering, which make answers late, when as many requests arrive as
+// can be served.
 func TestShortQueueIsServedInOrder(t *testing.T) {
 	inTime, late := overload(t, []int{1}, 40*time.Millisecond, 40*time.Millisecond, 10*time.Second)
 	require.GreaterOrEqual(t, inTime[1], 249)
 	require.Zero(t, late[1])
 }
 
-// Guards against urgent requests queued behind others in overload.
-func TestUrgentGoFirstWhileTheyAreInTime(t *testing.T) {
+// Guards against urgent requests that wait behind less urgent ones during overload.
+func TestUrgentRequestsAreServedFirst(t *testing.T) {
 	inTime, _ := overload(t, []int{0, 1}, 20*time.Millisecond, 40*time.Millisecond, 20*time.Second)
 	require.Greater(t, inTime[0], 10*max(1, inTime[1]))
 }
