--- a/laburnumdirector/adapters.go
+++ b/laburnumdirector/adapters.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	adapterLoad  = 12 * time.Millisecond  // expected duration of an adapter's load
-	needLimit    = 400 * time.Millisecond // timeout of a gateway's need
-	adapterQuiet = 400 * time.Millisecond // unused, before an adapter may be evicted
-	adapterInUse = 3 * time.Second        // since the last use, for the planner
-	comingLimit  = 4                      // concurrent loads of adapters at an engine
+	adapterLoadTime       = 12 * time.Millisecond  // expected duration of an adapter's load
+	adapterRequestTimeout = 400 * time.Millisecond // timeout of a gateway's need
+	adapterEvictAge       = 400 * time.Millisecond // unused, before an adapter may be evicted
+	adapterUseWindow      = 3 * time.Second        // since the last use, for the planner
+	maxAdapterLoads       = 4                      // concurrent loads of adapters at an engine
 )
 
-// need is a gateway's request for an adapter.
-type need struct {
+// adapterRequest is a gateway's request for an adapter.
+type adapterRequest struct {
 	service laburnumlever.ServiceName
 	key     adapterKey
 	except  []laburnumlever.BackendID
@@ -32,14 +32,14 @@
 // *NoAdapterPlaceError.
 type NeedFunc func(backends []laburnumlever.BackendID, err error)
 
-type needAnswer struct {
+type adapterAnswer struct {
 	backends []laburnumlever.BackendID
 	err      error
 }
 
 // Ask requests an adapter; reply is called once, on the control thread.
 func (d *Director) Ask(asked laburnumlever.AdapterNeed, reply NeedFunc) {
-	d.loop.Post(d, needed{need: &need{
+	d.loop.Post(d, adapterRequested{request: &adapterRequest{
 		service: asked.Service, key: adapterKey{model: asked.Model, adapter: asked.Adapter}, except: asked.Except,
 		since: d.timers.Now(), reply: reply,
 	}})
@@ -48,9 +48,9 @@
 // Need requests an adapter and waits for the engines that hold it. Errors: those of NeedFunc,
 // *ClosedError.
 func (d *Director) Need(ctx context.Context, asked laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
-	answer := make(chan needAnswer, 1)
+	answer := make(chan adapterAnswer, 1)
 	d.Ask(asked, func(backends []laburnumlever.BackendID, err error) {
-		answer <- needAnswer{backends: backends, err: err}
+		answer <- adapterAnswer{backends: backends, err: err}
 	})
 	select {
 	case a := <-answer:
@@ -62,68 +62,68 @@
 	}
 }
 
-func (d *Director) onNeed(n *need) {
+func (d *Director) onAdapterRequest(n *adapterRequest) {
 	if !d.lease.valid(d.clock()) {
 		n.reply(nil, &NotDirectorError{VM: d.self.ID})
 		return
 	}
-	if !d.serve(n) {
-		d.needs = append(d.needs, n)
+	if !d.tryAnswer(n) {
+		d.adapterRequests = append(d.adapterRequests, n)
 	}
 }
 
-// tendNeeds retries pending needs.
-func (d *Director) tendNeeds(now time.Time) {
-	var left []*need
-	for _, n := range d.needs {
-		if d.serve(n) {
+// retryAdapterRequests retries pending needs.
+func (d *Director) retryAdapterRequests(now time.Time) {
+	var pending []*adapterRequest
+	for _, n := range d.adapterRequests {
+		if d.tryAnswer(n) {
 			continue
 		}
-		if now.Sub(n.since) > needLimit {
+		if now.Sub(n.since) > adapterRequestTimeout {
 			n.reply(nil, &NoAdapterPlaceError{Model: n.key.model, Adapter: n.key.adapter, Detail: "none had a place in time"})
 			continue
 		}
-		left = append(left, n)
+		pending = append(pending, n)
 	}
-	d.needs = left
+	d.adapterRequests = pending
 }
 
-func (d *Director) failNeeds() {
-	for _, n := range d.needs {
+func (d *Director) failAdapterRequests() {
+	for _, n := range d.adapterRequests {
 		n.reply(nil, &NotDirectorError{VM: d.self.ID})
 	}
-	d.needs = nil
+	d.adapterRequests = nil
 }
 
-// serve replies to a need whose adapter is loaded, or orders its load.
-func (d *Director) serve(n *need) bool {
+// tryAnswer replies to a need whose adapter is loaded, or orders its load.
+func (d *Director) tryAnswer(n *adapterRequest) bool {
 	now := d.timers.Now()
-	var there []laburnumlever.BackendID
-	coming := false
-	for _, e := range d.engines.holding(n.key.model) {
+	var ready []laburnumlever.BackendID
+	found := false
+	for _, e := range d.engines.holdersOf(n.key.model) {
 		a := e.adapter(n.key)
 		if a == nil || slices.Contains(n.except, e.heartbeat.Backend) {
 			continue
 		}
-		coming = true
+		found = true
 		if a.ready {
 			a.usedAt = now
-			there = append(there, e.heartbeat.Backend)
+			ready = append(ready, e.heartbeat.Backend)
 		}
 	}
-	if len(there) > 0 {
-		n.reply(there, nil)
+	if len(ready) > 0 {
+		n.reply(ready, nil)
 		return true
 	}
-	if !coming {
-		d.bring(n, now)
+	if !found {
+		d.orderAdapter(n, now)
 	}
 	return false
 }
 
-// used updates the time of an adapter's last use at all engines.
-func (d *Director) used(key adapterKey, at time.Time) {
-	for _, e := range d.engines.holding(key.model) {
+// recordAdapterUse updates the time of an adapter's last use at all engines.
+func (d *Director) recordAdapterUse(key adapterKey, at time.Time) {
+	for _, e := range d.engines.holdersOf(key.model) {
 		if a := e.adapter(key); a != nil && at.After(a.usedAt) {
 			a.usedAt = at
 		}
@@ -138,55 +138,55 @@
 	return h.adapters[key.adapter]
 }
 
-// bring loads the adapter at the engine with most free adapter slots, or evicts the least recently
+// orderAdapter loads the adapter at the engine with most free adapter slots, or evicts the least recently
 // used one there.
-func (d *Director) bring(n *need, now time.Time) {
+func (d *Director) orderAdapter(n *adapterRequest, now time.Time) {
 	class := d.services[n.service]
 	if class == nil {
 		return
 	}
 	var best *engine
-	for _, e := range d.engines.holding(n.key.model) {
-		if slices.Contains(n.except, e.heartbeat.Backend) || !e.takesAdapterOf(n.key.model, now) {
+	for _, e := range d.engines.holdersOf(n.key.model) {
+		if slices.Contains(n.except, e.heartbeat.Backend) || !e.acceptsAdapterOf(n.key.model, now) {
 			continue
 		}
-		if best == nil || e.adapters() < best.adapters() {
+		if best == nil || e.adapterCount() < best.adapterCount() {
 			best = e
 		}
 	}
 	if best == nil {
 		return
 	}
-	if best.adapters() < class.AdapterSlots && best.roomFor(class, n.key.model) {
+	if best.adapterCount() < class.AdapterSlots && best.hasMemoryFor(class, n.key.model) {
 		d.send(best, laburnumlever.EngineOrder{Kind: laburnumlever.Load, Model: n.key.model, Adapter: n.key.adapter})
 		return
 	}
-	if victim, ok := best.unused(now); ok {
+	if victim, ok := best.leastRecentlyUsed(now); ok {
 		d.send(best, laburnumlever.EngineOrder{Kind: laburnumlever.Unload, Model: victim.model, Adapter: victim.adapter})
 	}
 }
 
-// takesAdapterOf tells whether an order for an adapter of the model can be sent.
-func (e *engine) takesAdapterOf(model laburnumlever.ModelName, now time.Time) bool {
+// acceptsAdapterOf tells whether an order for an adapter of the model can be sent.
+func (e *engine) acceptsAdapterOf(model laburnumlever.ModelName, now time.Time) bool {
 	h := e.held[model]
-	return h != nil && !h.withdrawn && e.takesAdapter(now)
+	return h != nil && !h.withdrawn && e.acceptsAdapterOrder(now)
 }
 
-// takesAdapter tells whether the engine accepts an order for an adapter; one that is loading a
+// acceptsAdapterOrder tells whether the engine accepts an order for an adapter; one that is loading a
 // model refuses it.
-func (e *engine) takesAdapter(now time.Time) bool {
-	coming := 0
+func (e *engine) acceptsAdapterOrder(now time.Time) bool {
+	loading := 0
 	for _, h := range e.held {
 		for _, a := range h.adapters {
 			if !a.ready {
-				coming++
+				loading++
 			}
 		}
 	}
-	return e.idle(now) && coming < comingLimit
+	return e.idle(now) && loading < maxAdapterLoads
 }
 
-func (e *engine) roomFor(class *laburnumlever.EngineClass, model laburnumlever.ModelName) bool {
+func (e *engine) hasMemoryFor(class *laburnumlever.EngineClass, model laburnumlever.ModelName) bool {
 	used := 0.0
 	for name, h := range e.held {
 		m, _ := class.Model(name)
@@ -196,14 +196,14 @@
 	return used+m.AdapterMB <= class.WeightsMB
 }
 
-// unused returns the least recently used adapter.
-func (e *engine) unused(now time.Time) (adapterKey, bool) {
+// leastRecentlyUsed returns the least recently used adapter.
+func (e *engine) leastRecentlyUsed(now time.Time) (adapterKey, bool) {
 	var oldest *heldAdapter
 	var key adapterKey
 	for model, h := range e.held {
 		for name, a := range h.adapters {
 			k := adapterKey{model: model, adapter: name}
-			if !a.ready || now.Sub(a.usedAt) < adapterQuiet || (oldest != nil && !olderUse(a, k, oldest, key)) {
+			if !a.ready || now.Sub(a.usedAt) < adapterEvictAge || (oldest != nil && !usedEarlier(a, k, oldest, key)) {
 				continue
 			}
 			oldest, key = a, k
@@ -212,23 +212,23 @@
 	return key, oldest != nil
 }
 
-// olderUse orders adapters by their last use, then by name.
-func olderUse(a *heldAdapter, ak adapterKey, b *heldAdapter, bk adapterKey) bool {
+// usedEarlier orders adapters by their last use, then by name.
+func usedEarlier(a *heldAdapter, ak adapterKey, b *heldAdapter, bk adapterKey) bool {
 	return cmp.Or(a.usedAt.Compare(b.usedAt), compareNames(ak.model, bk.model), cmp.Compare(ak.adapter, bk.adapter)) < 0
 }
 
-// adapterBegun records an accepted order for an adapter.
-func (d *Director) adapterBegun(e *engine, order laburnumlever.EngineOrder) {
+// onAdapterAccepted records an accepted order for an adapter.
+func (d *Director) onAdapterAccepted(e *engine, order laburnumlever.EngineOrder) {
 	key := adapterKey{model: order.Model, adapter: order.Adapter}
 	if order.Kind == laburnumlever.Unload {
-		e.drop(key, d.timers.Now())
+		e.removeAdapter(key, d.timers.Now())
 		return
 	}
 	id := e.heartbeat.Backend
-	d.timers.After(adapterLoad, func(time.Time) { d.loop.Post(d, arrived{backend: id, key: key}) })
+	d.timers.After(adapterLoadTime, func(time.Time) { d.loop.Post(d, adapterLoaded{backend: id, key: key}) })
 }
 
-func (d *Director) onArrived(ev arrived) {
+func (d *Director) onAdapterLoaded(ev adapterLoaded) {
 	e := d.engines.get(ev.backend)
 	if e == nil {
 		return
@@ -238,7 +238,7 @@
 		return
 	}
 	a.ready, a.usedAt = true, d.timers.Now()
-	e.touch()
+	e.markChanged()
 	_ = level.Debug(d.cfg.logger).Log("event", laburnumlever.EventAdapterThere, "backend", ev.backend, "model", ev.key.model, "adapter", ev.key.adapter)
-	d.tendNeeds(d.timers.Now())
+	d.retryAdapterRequests(d.timers.Now())
 }
--- a/laburnumdirector/bench_test.go
+++ b/laburnumdirector/bench_test.go
@@ -13,13 +13,13 @@
 func BenchmarkSecond(b *testing.B) {
 	for _, size := range []struct{ engines, models, gateways int }{{18, 31, 6}, {60, 104, 68}, {204, 353, 294}, {2100, 370, 780}} {
 		b.Run(fmt.Sprintf("engines=%d/models=%d/gateways=%d", size.engines, size.models, size.gateways), func(b *testing.B) {
-			w := newWorld(&testing.T{}, size.models, 0, 1)
+			w := newCluster(&testing.T{}, size.models, 0, 1)
 			w.class.LoadsPerSecond = 30
 			for i := range size.engines {
 				w.addEngine(laburnumlever.BackendID(fmt.Sprintf("i-%04d", i)), modelName(i%size.models), modelName((i*7+1)%size.models))
 			}
-			w.beat()
-			w.pass(8 * time.Second)
+			w.sendHeartbeats()
+			w.advance(8 * time.Second)
 			d := w.directors[0].director
 			for b.Loop() {
 				for g := range size.gateways {
@@ -28,7 +28,7 @@
 						d.SetNews(vm, gatewayNews(vm, g, part, size.models))
 					}
 				}
-				w.pass(time.Second)
+				w.advance(time.Second)
 			}
 		})
 	}
--- a/laburnumdirector/bucket.go
+++ b/laburnumdirector/bucket.go
@@ -8,7 +8,7 @@
 
 // burst is the size of the bucket, so that no window exceeds what the store allows.
 func (c config) burst(rate float64) float64 {
-	return spareLoads + max(0, rate*c.window.Seconds()*(c.overshoot-1))
+	return spareLoads + max(0, rate*c.storeWindow.Seconds()*(c.storeOvershoot-1))
 }
 
 // bucket is a token bucket for loads from the weight store. It starts empty: another owner may have
--- a/laburnumdirector/world_test.go
+++ b/laburnumdirector/cluster_test.go
@@ -21,25 +21,25 @@
 
 const leaseTime = 3 * time.Second
 
-// world is a few engines, the log's state machine and one director or more, all on one
+// cluster is a few engines, the log's state machine and one director or more, all on one
 // clock and one thread.
-type world struct {
-	t         *testing.T
-	now       time.Time
-	timers    *laburnumtimer.Manual
-	machine   *laburnumstate.Machine
-	class     laburnumlever.EngineClass
-	engines   map[laburnumlever.BackendID]*fakeEngine
-	directors []*node
-	orders    []sentOrder
-	asked     map[time.Time]int // how many engines were asked for their state at a moment
+type cluster struct {
+	t             *testing.T
+	now           time.Time
+	timers        *laburnumtimer.Manual
+	machine       *laburnumstate.Machine
+	class         laburnumlever.EngineClass
+	engines       map[laburnumlever.BackendID]*fakeEngine
+	directors     []*node
+	orders        []sentOrder
+	stateRequests map[time.Time]int // how many engines were asked for their state at a moment
 	// renewed is the last renewal of the lease that was seen, renewedAt when.
-	renewed   renewalMark
+	renewed   leaseRenewal
 	renewedAt time.Time
 }
 
-// renewalMark tells one renewal of a lease from the next.
-type renewalMark struct{ fence, renewals uint64 }
+// leaseRenewal tells one renewal of a lease from the next.
+type leaseRenewal struct{ fence, renewals uint64 }
 
 type sentOrder struct {
 	at     time.Time
@@ -50,19 +50,19 @@
 
 // node is a director with the machine that it runs on.
 type node struct {
-	w        *world
-	vm       laburnumlever.VM
-	loop     *laburnumcontrol.Loop
-	director *laburnumdirector.Director
-	leads    bool
-	cut      bool // from the log
-	frozen   bool
-	// holds keeps calls to other machines back, as on a VM that freezes between a
+	w            *cluster
+	vm           laburnumlever.VM
+	loop         *laburnumcontrol.Loop
+	director     *laburnumdirector.Director
+	isLeader     bool
+	disconnected bool // from the log
+	suspended    bool
+	// holdsCalls keeps calls to other machines back, as on a VM that freezes between a
 	// decision and its write; calls are those kept.
-	holds bool
-	calls []func()
-	// plansSlowly keeps rounds of planning back; rounds are those kept.
-	plansSlowly bool
+	holdsCalls bool
+	calls      []func()
+	// holdsRounds keeps rounds of planning back; rounds are those kept.
+	holdsRounds bool
 	rounds      []func()
 	overlays    map[laburnumlever.BackendID]laburnumregistry.Overlay
 	// registry keeps from the director what brings nothing new, as on a control VM.
@@ -71,32 +71,32 @@
 
 // fakeEngine keeps the platform's rules on orders, and reports whoever breaks them.
 type fakeEngine struct {
-	w        *world
-	id       laburnumlever.BackendID
-	held     map[laburnumlever.ModelName]map[laburnumlever.AdapterName]bool
-	born     uint64
-	accepted uint64
-	fence    uint64
-	busyTill time.Time
-	pending  func() // what the order under way does in the end
-	sequence uint64
-	// quick makes orders take no time, and the engine's word on their end come before the
+	w         *cluster
+	id        laburnumlever.BackendID
+	held      map[laburnumlever.ModelName]map[laburnumlever.AdapterName]bool
+	born      uint64
+	accepted  uint64
+	fence     uint64
+	busyUntil time.Time
+	pending   func() // what the order under way does in the end
+	sequence  uint64
+	// instant makes orders take no time, and the engine's word on their end come before the
 	// answer to them.
-	quick bool
-	// mute makes its word on what it holds get lost on its way to the directors.
-	mute bool
+	instant bool
+	// losesRecords makes its word on what it holds get lost on its way to the directors.
+	losesRecords bool
 	// loseAnswer makes the next order's answer get lost; late also makes it be
 	// carried out only after a while.
 	loseAnswer bool
-	late       time.Duration
+	lateBy     time.Duration
 	lateOrders []func()
 	lateAt     []time.Time
 }
 
-func newWorld(t *testing.T, models, engines, directors int) *world {
-	w := &world{
+func newCluster(t *testing.T, models, engines, directors int) *cluster {
+	w := &cluster{
 		t: t, timers: laburnumtimer.NewManual(time.Unix(1_000_000, 0)), machine: laburnumstate.New(),
-		engines: map[laburnumlever.BackendID]*fakeEngine{}, asked: map[time.Time]int{},
+		engines: map[laburnumlever.BackendID]*fakeEngine{}, stateRequests: map[time.Time]int{},
 		class: laburnumlever.EngineClass{Slots: 24, WeightsMB: 200, AdapterSlots: 3, LoadsPerSecond: 3},
 	}
 	w.now = w.timers.Now()
@@ -112,11 +112,11 @@
 	for i := range directors {
 		w.addDirector(i)
 	}
-	w.directors[0].leads = true
+	w.directors[0].isLeader = true
 	return w
 }
 
-func (w *world) addEngine(id laburnumlever.BackendID, models ...laburnumlever.ModelName) {
+func (w *cluster) addEngine(id laburnumlever.BackendID, models ...laburnumlever.ModelName) {
 	e := &fakeEngine{w: w, id: id, held: map[laburnumlever.ModelName]map[laburnumlever.AdapterName]bool{}}
 	for _, m := range models {
 		e.held[m] = map[laburnumlever.AdapterName]bool{}
@@ -126,7 +126,7 @@
 
 func modelName(i int) laburnumlever.ModelName { return laburnumlever.ModelName(fmt.Sprintf("m%d", i)) }
 
-func (w *world) addDirector(i int) {
+func (w *cluster) addDirector(i int) {
 	n := &node{
 		w: w, vm: laburnumlever.VM{ID: laburnumlever.VMID(fmt.Sprintf("10.0.0.%d", i)), Incarnation: 1},
 		loop: laburnumcontrol.New(), overlays: map[laburnumlever.BackendID]laburnumregistry.Overlay{},
@@ -136,7 +136,7 @@
 		laburnumdirector.WithLease(leaseTime), laburnumdirector.WithStore(5*time.Second, 1.1),
 		laburnumdirector.WithClock(func() time.Duration { return time.Duration(w.timers.Now().UnixNano()) }),
 		laburnumdirector.WithSpawn(n.spawn), laburnumdirector.WithCompute(n.compute))
-	n.director.OnLeads(func() bool { return n.leads })
+	n.director.OnLeads(func() bool { return n.isLeader })
 	n.director.OnOverlay(func(o laburnumregistry.Overlay) { n.overlays[o.Backend] = o })
 	n.director.SetRoutes(laburnumlever.RouteTable{Version: 1, Services: []laburnumlever.RoutedService{{Name: "quotes", Engine: &w.class}}})
 	n.director.Start()
@@ -145,7 +145,7 @@
 
 // compute runs a round of planning at once, or keeps it.
 func (n *node) compute(work func()) {
-	if n.plansSlowly {
+	if n.holdsRounds {
 		n.rounds = append(n.rounds, work)
 		return
 	}
@@ -154,7 +154,7 @@
 
 // spawn runs a call to another machine at once, or keeps it.
 func (n *node) spawn(call func()) {
-	if n.holds {
+	if n.holdsCalls {
 		n.calls = append(n.calls, call)
 		return
 	}
@@ -163,24 +163,24 @@
 
 // Propose puts a command through the log at once.
 func (n *node) Propose(_ context.Context, cmd laburnumlever.Command) (laburnumlever.Result, error) {
-	if n.cut {
+	if n.disconnected {
 		return laburnumlever.Result{}, &laburnumlever.NoQuorumError{Detail: "cut off"}
 	}
 	return n.w.machine.Apply(n.w.timers.Now().UnixMilli(), cmd), nil
 }
 
-// watch notes when leases were renewed last.
-func (w *world) watch() {
+// recordRenewals notes when leases were renewed last.
+func (w *cluster) recordRenewals() {
 	for _, l := range w.machine.Leases() {
-		if mark := (renewalMark{fence: l.Fence, renewals: l.Renewals}); w.renewed != mark {
+		if mark := (leaseRenewal{fence: l.Fence, renewals: l.Renewals}); w.renewed != mark {
 			w.renewed, w.renewedAt = mark, w.timers.Now()
 		}
 	}
 }
 
 // expire ends a lease that was not renewed for its whole term, as the log's leader does.
-func (w *world) expire() {
-	w.watch()
+func (w *cluster) expire() {
+	w.recordRenewals()
 	for _, l := range w.machine.Leases() {
 		renewed := w.timers.Now().Sub(w.renewedAt) < time.Duration(l.TTL)
 		if l.Holder != "" && !renewed {
@@ -194,38 +194,38 @@
 	}
 }
 
-// pass lets time go on in steps, with a heartbeat of each engine a second.
-func (w *world) pass(d time.Duration) {
+// advance lets time go on in steps, with a heartbeat of each engine a second.
+func (w *cluster) advance(d time.Duration) {
 	const step = 50 * time.Millisecond
 	for end := w.timers.Now().Add(d); w.timers.Now().Before(end); {
 		w.timers.Advance(step)
 		for _, e := range w.engines {
-			e.work()
+			e.runDue()
 		}
 		if w.timers.Now().UnixMilli()%1000 < step.Milliseconds() {
-			w.beat()
+			w.sendHeartbeats()
 		}
 		for _, n := range w.directors {
-			if !n.frozen {
+			if !n.suspended {
 				n.loop.Drain()
 			}
 		}
-		w.watch()
+		w.recordRenewals()
 	}
 }
 
-func (w *world) beat() {
+func (w *cluster) sendHeartbeats() {
 	for _, e := range w.engines {
-		e.beat()
+		e.sendHeartbeat()
 	}
 }
 
-// beat tells the directors what the engine holds, or only that it is there still.
-func (e *fakeEngine) beat() {
+// sendHeartbeat tells the directors what the engine holds, or only that it is there still.
+func (e *fakeEngine) sendHeartbeat() {
 	e.sequence++
 	h := e.heartbeat()
 	for _, n := range e.w.directors {
-		if n.registry.Take(h, e.w.timers.Now()) && !e.mute {
+		if n.registry.Take(h, e.w.timers.Now()) && !e.losesRecords {
 			n.director.SetRecord(laburnumregistry.Record{Heartbeat: h})
 		} else {
 			n.director.SetHeard(h)
@@ -233,7 +233,7 @@
 	}
 }
 
-func (w *world) ask(model int, perSecond float64) {
+func (w *cluster) setDemand(model int, perSecond float64) {
 	for _, n := range w.directors {
 		n.director.SetNews("gateway", laburnumlever.GatewayNews{Demand: []laburnumlever.ModelDemand{{
 			Model: modelName(model), VM: "gateway", RequestsPerSecond: perSecond, PromptTokens: perSecond * 700, AnswerTokens: perSecond * 280,
@@ -261,10 +261,10 @@
 	return list
 }
 
-// work ends what is under way and carries out what comes late.
-func (e *fakeEngine) work() {
+// runDue ends what is under way and carries out what comes late.
+func (e *fakeEngine) runDue() {
 	now := e.w.timers.Now()
-	if e.pending != nil && !now.Before(e.busyTill) {
+	if e.pending != nil && !now.Before(e.busyUntil) {
 		e.pending()
 		e.pending = nil
 	}
@@ -283,11 +283,11 @@
 func (e *fakeEngine) restart() {
 	e.born, e.sequence, e.accepted, e.fence, e.pending = e.born+1, 0, 0, 0, nil
 	e.held = map[laburnumlever.ModelName]map[laburnumlever.AdapterName]bool{}
-	e.beat()
+	e.sendHeartbeat()
 }
 
 // size is what the engine holds or will hold; more than it has would crash it.
-func (e *fakeEngine) check() {
+func (e *fakeEngine) checkMemory() {
 	adapters := 0
 	for _, a := range e.held {
 		adapters += len(a)
@@ -299,7 +299,7 @@
 type engineCalls struct{ n *node }
 
 func (c engineCalls) State(_ context.Context, to laburnumlever.Heartbeat) (laburnumlever.EngineState, error) {
-	c.n.w.asked[c.n.w.timers.Now()]++
+	c.n.w.stateRequests[c.n.w.timers.Now()]++
 	e := c.n.w.engines[to.Backend]
 	if e == nil {
 		return laburnumlever.EngineState{}, &laburnumlever.NotSentError{Cause: errors.New("refused")}
@@ -314,17 +314,17 @@
 		return 0, &laburnumlever.NotSentError{Cause: errors.New("refused")}
 	}
 	w.orders = append(w.orders, sentOrder{at: w.timers.Now(), by: c.n.vm.ID, fence: order.Fence, engine: to.Backend})
-	if e.late > 0 {
-		e.lateOrders = append(e.lateOrders, func() { e.take(order) })
-		e.lateAt = append(e.lateAt, w.timers.Now().Add(e.late))
-		e.late = 0
+	if e.lateBy > 0 {
+		e.lateOrders = append(e.lateOrders, func() { e.handleOrder(order) })
+		e.lateAt = append(e.lateAt, w.timers.Now().Add(e.lateBy))
+		e.lateBy = 0
 		return 0, errors.New("no answer")
 	}
-	verdict := e.take(order)
-	if e.quick && e.pending != nil {
+	verdict := e.handleOrder(order)
+	if e.instant && e.pending != nil {
 		e.pending()
 		e.pending = nil
-		e.beat()
+		e.sendHeartbeat()
 	}
 	if e.loseAnswer {
 		e.loseAnswer = false
@@ -333,8 +333,8 @@
 	return verdict, nil
 }
 
-// take is the platform's rules on an order.
-func (e *fakeEngine) take(o laburnumlever.EngineOrder) laburnumlever.EngineVerdict {
+// handleOrder is the platform's rules on an order.
+func (e *fakeEngine) handleOrder(o laburnumlever.EngineOrder) laburnumlever.EngineVerdict {
 	switch {
 	case o.Fence < e.fence:
 		return laburnumlever.VerdictStaleFence
@@ -344,25 +344,25 @@
 	e.fence = o.Fence
 	holds := e.held[o.Model] != nil
 	if o.Adapter != "" {
-		return e.takeAdapter(o, holds)
+		return e.handleAdapterOrder(o, holds)
 	}
 	if holds == (o.Kind == laburnumlever.Load) {
 		return laburnumlever.VerdictHeld
 	}
 	e.accepted++
-	e.busyTill = e.w.timers.Now().Add(time.Second)
+	e.busyUntil = e.w.timers.Now().Add(time.Second)
 	if o.Kind == laburnumlever.Unload {
 		e.pending = func() { delete(e.held, o.Model) }
 		return laburnumlever.VerdictAccepted
 	}
 	e.held[o.Model] = map[laburnumlever.AdapterName]bool{}
-	e.check()
+	e.checkMemory()
 	delete(e.held, o.Model)
 	e.pending = func() { e.held[o.Model] = map[laburnumlever.AdapterName]bool{} }
 	return laburnumlever.VerdictAccepted
 }
 
-func (e *fakeEngine) takeAdapter(o laburnumlever.EngineOrder, holds bool) laburnumlever.EngineVerdict {
+func (e *fakeEngine) handleAdapterOrder(o laburnumlever.EngineOrder, holds bool) laburnumlever.EngineVerdict {
 	if !holds || e.held[o.Model][o.Adapter] == (o.Kind == laburnumlever.Load) {
 		return laburnumlever.VerdictHeld
 	}
@@ -372,6 +372,6 @@
 		return laburnumlever.VerdictHeld
 	}
 	e.held[o.Model][o.Adapter] = true
-	e.check()
+	e.checkMemory()
 	return laburnumlever.VerdictAccepted
 }
--- a/laburnumdirector/director.go
+++ b/laburnumdirector/director.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	tickPeriod   = 100 * time.Millisecond
-	withdrawTime = 250 * time.Millisecond // between the notice to gateways and an unload
-	stateTimeout = time.Second
-	orderTimeout = time.Second
-	maxAsking    = 64                     // concurrent state requests, each with a connection
-	stateRetry   = 500 * time.Millisecond // longer than a state report lags
-	unsureRetry  = 300 * time.Millisecond
+	tickPeriod       = 100 * time.Millisecond
+	withdrawDelay    = 250 * time.Millisecond // between the notice to gateways and an unload
+	stateTimeout     = time.Second
+	orderTimeout     = time.Second
+	maxStateRequests = 64                     // concurrent state requests, each with a connection
+	stateRetryDelay  = 500 * time.Millisecond // longer than a state report lags
+	resendDelay      = 300 * time.Millisecond
 	// The state of an engine is requested when an order takes workStretch times as long as
-	// expected and workSlack more; concurrent loads are slower.
-	workSlack   = 4 * time.Second
-	workStretch = 3
+	// expected and overdueSlack more; concurrent loads are slower.
+	overdueSlack  = 4 * time.Second
+	overdueFactor = 3
 )
 
 // Director orders engines to load and unload models while its VM holds the placement lease.
@@ -42,27 +42,27 @@
 	once     sync.Once
 	cancel   func()
 
-	leads       func() bool
-	onOverlay   func(laburnumregistry.Overlay)
-	onDirecting func(directs bool)
-	onGone      func(laburnumlever.BackendID)
+	isLeader      func() bool
+	onOverlay     func(laburnumregistry.Overlay)
+	onLeaseChange func(directs bool)
+	onReplaced    func(laburnumlever.BackendID)
 
 	// Control thread only, from here on.
 	lease lease
 	// lastFence is the fencing number of the last lease of this VM since its start.
-	lastFence  uint64
-	services   map[laburnumlever.ServiceName]*laburnumlever.EngineClass
-	records    map[laburnumlever.BackendID]laburnumregistry.Record
-	engines    *engineTable
-	asking     int // state requests in flight
-	demand     *estimator
-	outliers   *laburnumoutlier.Detector
-	store      map[laburnumlever.ServiceName]*bucket
-	needs      []*need
-	startedAt  time.Time
-	lastPlan   time.Time
-	planning   map[laburnumlever.ServiceName]bool // rounds in progress
-	lastLayout map[laburnumlever.ServiceName]time.Time
+	lastFence       uint64
+	services        map[laburnumlever.ServiceName]*laburnumlever.EngineClass
+	records         map[laburnumlever.BackendID]laburnumregistry.Record
+	engines         *engineTable
+	stateRequests   int // state requests in flight
+	demand          *estimator
+	outliers        *laburnumoutlier.Detector
+	storeBuckets    map[laburnumlever.ServiceName]*bucket
+	adapterRequests []*adapterRequest
+	startedAt       time.Time
+	lastPlan        time.Time
+	planning        map[laburnumlever.ServiceName]bool // rounds in progress
+	layoutLogged    map[laburnumlever.ServiceName]time.Time
 }
 
 var _ laburnumlever.Part = (*Director)(nil)
@@ -74,37 +74,37 @@
 	cfg := config{
 		lease: defaultLease, heartbeat: defaultHeartbeat, logger: log.NewNopLogger(), scope: tally.NoopScope, clock: bootClock,
 		spawn: func(call func()) { go call() }, compute: func(work func()) { go work() },
-		next: laburnumresidency.Next, rise: riseTime, fall: fallTime, quiet: quietTime,
+		planner: laburnumresidency.Next, rise: riseTime, fall: fallTime, quiet: quietTime,
 	}
 	for _, opt := range opts {
 		opt(&cfg)
 	}
 	return &Director{
 		loop: loop, timers: timers, proposer: proposer, calls: calls, self: self, cfg: cfg, clock: cfg.clock,
-		done: make(chan struct{}), leads: func() bool { return false },
-		onOverlay: func(laburnumregistry.Overlay) {}, onDirecting: func(bool) {}, onGone: func(laburnumlever.BackendID) {},
+		done: make(chan struct{}), isLeader: func() bool { return false },
+		onOverlay: func(laburnumregistry.Overlay) {}, onLeaseChange: func(bool) {}, onReplaced: func(laburnumlever.BackendID) {},
 		services: map[laburnumlever.ServiceName]*laburnumlever.EngineClass{},
 		records:  map[laburnumlever.BackendID]laburnumregistry.Record{},
 		engines:  newEngineTable(), demand: newEstimator(cfg.rise, cfg.fall, cfg.quiet), outliers: laburnumoutlier.New(), startedAt: timers.Now(),
-		store:      map[laburnumlever.ServiceName]*bucket{},
-		lastLayout: map[laburnumlever.ServiceName]time.Time{},
-		planning:   map[laburnumlever.ServiceName]bool{},
+		storeBuckets: map[laburnumlever.ServiceName]*bucket{},
+		layoutLogged: map[laburnumlever.ServiceName]time.Time{},
+		planning:     map[laburnumlever.ServiceName]bool{},
 	}
 }
 
 // OnLeads sets the function that tells whether this VM leads the log; set it before Start.
-func (d *Director) OnLeads(leads func() bool) { d.leads = leads }
+func (d *Director) OnLeads(leads func() bool) { d.isLeader = leads }
 
 // OnOverlay sets the callback for changes of an engine that no heartbeat shows yet. It runs on the
 // control thread.
 func (d *Director) OnOverlay(fn func(laburnumregistry.Overlay)) { d.onOverlay = fn }
 
 // OnDirecting sets the callback for gaining and losing the lease. It runs on the control thread.
-func (d *Director) OnDirecting(fn func(directs bool)) { d.onDirecting = fn }
+func (d *Director) OnDirecting(fn func(directs bool)) { d.onLeaseChange = fn }
 
 // OnGone sets the callback for an engine whose address another one answers at. It runs on the
 // control thread.
-func (d *Director) OnGone(fn func(laburnumlever.BackendID)) { d.onGone = fn }
+func (d *Director) OnGone(fn func(laburnumlever.BackendID)) { d.onReplaced = fn }
 
 // Start starts the director's timer.
 func (d *Director) Start() {
@@ -122,17 +122,19 @@
 }
 
 // SetRecord updates a backend server. It is safe for concurrent use.
-func (d *Director) SetRecord(r laburnumregistry.Record) { d.loop.Post(d, recorded{record: r}) }
+func (d *Director) SetRecord(r laburnumregistry.Record) { d.loop.Post(d, recordUpdated{record: r}) }
 
 // SetHeard records a heartbeat without changes. It is safe for concurrent use.
-func (d *Director) SetHeard(h laburnumlever.Heartbeat) { d.loop.Post(d, heard{heartbeat: h}) }
+func (d *Director) SetHeard(h laburnumlever.Heartbeat) {
+	d.loop.Post(d, heartbeatReceived{heartbeat: h})
+}
 
 // SetRoutes sets the routes in force. It is safe for concurrent use.
-func (d *Director) SetRoutes(t laburnumlever.RouteTable) { d.loop.Post(d, routed{table: t}) }
+func (d *Director) SetRoutes(t laburnumlever.RouteTable) { d.loop.Post(d, routesUpdated{table: t}) }
 
 // SetNews updates a gateway's demand and adapter use. It is safe for concurrent use.
 func (d *Director) SetNews(vm laburnumlever.VMID, news laburnumlever.GatewayNews) {
-	d.loop.Post(d, told{vm: vm, news: news})
+	d.loop.Post(d, gatewayReported{vm: vm, news: news})
 }
 
 // Handle implements laburnumlever.Part.
@@ -140,39 +142,39 @@
 	switch ev := ev.(type) {
 	case ticked:
 		d.onTick(ev.now)
-	case recorded:
+	case recordUpdated:
 		d.onRecord(ev.record)
-	case heard:
-		d.onHeard(ev)
+	case heartbeatReceived:
+		d.onHeartbeat(ev)
 		return // nothing to publish
-	case routed:
+	case routesUpdated:
 		d.onRoutes(ev.table)
-	case told:
-		d.onTold(ev)
-	case leased:
-		d.onLeased(ev)
-	case ordered:
-		d.onOrdered(ev)
-	case stated:
-		d.onStated(ev)
-	case arrived:
-		d.onArrived(ev)
-	case needed:
-		d.onNeed(ev.need)
-	case planned:
-		d.onPlanned(ev)
+	case gatewayReported:
+		d.onGatewayReport(ev)
+	case leaseAnswered:
+		d.onLeaseAnswered(ev)
+	case orderAnswered:
+		d.onOrderAnswered(ev)
+	case stateReceived:
+		d.onStateReceived(ev)
+	case adapterLoaded:
+		d.onAdapterLoaded(ev)
+	case adapterRequested:
+		d.onAdapterRequest(ev.request)
+	case roundPlanned:
+		d.onRoundPlanned(ev)
 	}
 	d.publish()
 }
 
 func (d *Director) onTick(now time.Time) {
-	d.tendLease()
+	d.maintainLease()
 	if !d.lease.valid(d.clock()) {
 		return
 	}
 	for _, id := range d.engines.ids() {
 		if e := d.engines.get(id); e != nil {
-			d.tendEngine(e, now)
+			d.maintainEngine(e, now)
 		}
 	}
 	if now.Sub(d.lastPlan) >= planPeriod {
@@ -181,16 +183,16 @@
 			d.plan(name, class, now)
 		}
 	}
-	d.tendNeeds(now)
+	d.retryAdapterRequests(now)
 }
 
-func (d *Director) onTold(ev told) {
+func (d *Director) onGatewayReport(ev gatewayReported) {
 	now := d.timers.Now()
 	if len(ev.news.Demand) > 0 {
 		d.demand.add(ev.vm, ev.news.Demand, now)
 	}
 	for _, use := range ev.news.Adapters {
-		d.used(adapterKey{model: use.Model, adapter: use.Adapter}, now.Add(-time.Duration(use.Idle)))
+		d.recordAdapterUse(adapterKey{model: use.Model, adapter: use.Adapter}, now.Add(-time.Duration(use.Idle)))
 	}
 	d.onOutcomes(ev.news.Outcomes, now)
 	for _, id := range ev.news.Unreachable {
@@ -227,55 +229,55 @@
 	}
 	e := d.engines.get(id)
 	if e == nil || r.Heartbeat.Born > e.heartbeat.Born {
-		e = d.startEngine(r.Heartbeat, e)
+		e = d.registerRestart(r.Heartbeat, e)
 	} else if r.Heartbeat.NewerThan(e.heartbeat) {
-		e.heardAt = d.timers.Now()
-		if e.takeHeartbeat(r.Heartbeat, d.timers.Now()) {
+		e.heartbeatAt = d.timers.Now()
+		if e.applyHeartbeat(r.Heartbeat, d.timers.Now()) {
 			_ = level.Info(d.cfg.logger).Log("event", laburnumlever.EventOrderDone, "backend", id, "models", len(e.held))
 		}
 	}
 	e.silent = r.Silent
 }
 
-// strayTime is the longest delay of an order in the network. Source: the platform's protocol.
-const strayTime = 12 * time.Second
+// maxOrderDelay is the longest delay of an order in the network. Source: the platform's protocol.
+const maxOrderDelay = 12 * time.Second
 
-// startEngine registers a restarted engine; before is its previous state, or nil. An order without
+// registerRestart registers a restarted engine; before is its previous state, or nil. An order without
 // an answer may still reach the new process, which counts its orders from zero and may accept it.
 // No other order is sent meanwhile, so that the two can't overcommit its memory.
-func (d *Director) startEngine(h laburnumlever.Heartbeat, before *engine) *engine {
+func (d *Director) registerRestart(h laburnumlever.Heartbeat, before *engine) *engine {
 	e := newEngine(h, d.engines)
-	e.heardAt = d.timers.Now()
-	if before != nil && (before.sending != nil || before.unsure != nil) {
-		e.tryAt = e.heardAt.Add(strayTime)
+	e.heartbeatAt = d.timers.Now()
+	if before != nil && (before.inFlight != nil || before.unresolved != nil) {
+		e.retryAt = e.heartbeatAt.Add(maxOrderDelay)
 	}
 	d.engines.put(e)
 	return e
 }
 
-// onHeard records that an engine is alive. The heartbeat does not become its last one, as it may be
+// onHeartbeat records that an engine is alive. The heartbeat does not become its last one, as it may be
 // older than the orders in progress.
-func (d *Director) onHeard(ev heard) {
+func (d *Director) onHeartbeat(ev heartbeatReceived) {
 	if e := d.engines.get(ev.heartbeat.Backend); e != nil && e.heartbeat.Born == ev.heartbeat.Born && ev.heartbeat.NewerThan(e.heartbeat) {
-		e.heardAt = d.timers.Now()
+		e.heartbeatAt = d.timers.Now()
 	}
 }
 
-// forgetEngines rebuilds the engines from their heartbeats, since another owner may have sent
+// rebuildEngines rebuilds the engines from their heartbeats, since another owner may have sent
 // orders.
-func (d *Director) forgetEngines() {
+func (d *Director) rebuildEngines() {
 	d.engines = newEngineTable()
-	d.store = map[laburnumlever.ServiceName]*bucket{}
+	d.storeBuckets = map[laburnumlever.ServiceName]*bucket{}
 	for _, r := range d.records {
 		d.onRecord(r)
 	}
 }
 
-func (d *Director) payStore(e *engine, class *laburnumlever.EngineClass) bool {
-	b := d.store[e.heartbeat.Service]
+func (d *Director) takeStoreToken(e *engine, class *laburnumlever.EngineClass) bool {
+	b := d.storeBuckets[e.heartbeat.Service]
 	if b == nil {
 		b = &bucket{}
-		d.store[e.heartbeat.Service] = b
+		d.storeBuckets[e.heartbeat.Service] = b
 	}
 	return class.LoadsPerSecond <= 0 || b.take(d.clock(), class.LoadsPerSecond, d.cfg.burst(class.LoadsPerSecond))
 }
--- a/laburnumdirector/director_test.go
+++ b/laburnumdirector/director_test.go
@@ -13,7 +13,7 @@
 	"laburnumlever/laburnumregistry"
 )
 
-func (w *world) copies() map[laburnumlever.ModelName]int {
+func (w *cluster) copies() map[laburnumlever.ModelName]int {
 	copies := map[laburnumlever.ModelName]int{}
 	for _, e := range w.engines {
 		for m := range e.held {
@@ -26,9 +26,9 @@
 // Engines start empty, as after a loss of power. Every model of the catalogue must be
 // held by one of them soon, within the store's rate.
 func TestEmptyEnginesGetEveryModel(t *testing.T) {
-	w := newWorld(t, 8, 5, 1)
-	w.beat()
-	w.pass(15 * time.Second)
+	w := newCluster(t, 8, 5, 1)
+	w.sendHeartbeats()
+	w.advance(15 * time.Second)
 	require.Len(t, w.copies(), 8)
 	begun := map[int64]int{}
 	for _, o := range w.orders {
@@ -41,10 +41,10 @@
 
 // A gateway's caller asks for an adapter that nobody has loaded. It is ordered at once;
 // whoever asks for a fourth where three have places gets it in the place of one unused.
-func TestAdapterComesOnFirstUse(t *testing.T) {
-	w := newWorld(t, 1, 1, 1)
-	w.beat()
-	w.pass(8 * time.Second)
+func TestAdapterIsLoadedOnFirstUse(t *testing.T) {
+	w := newCluster(t, 1, 1, 1)
+	w.sendHeartbeats()
+	w.advance(8 * time.Second)
 	need := func(adapter string) []laburnumlever.BackendID {
 		got := make(chan []laburnumlever.BackendID, 1)
 		go func() {
@@ -53,13 +53,13 @@
 		}()
 		require.Eventually(t, func() bool { return w.directors[0].loop.Len() > 0 }, 10*time.Second, time.Millisecond)
 		for range 20 {
-			w.pass(50 * time.Millisecond)
+			w.advance(50 * time.Millisecond)
 		}
 		return <-got
 	}
 	for i := range 5 {
 		require.Equal(t, []laburnumlever.BackendID{"i-0"}, need(fmt.Sprintf("a%d", i)))
-		w.pass(2 * time.Second)
+		w.advance(2 * time.Second)
 	}
 	require.Len(t, w.engines["i-0"].held["m0"], 3)
 }
@@ -67,15 +67,15 @@
 // The answer to an order is lost, or the order itself comes seconds late, after newer
 // ones. The model must count as held all the while: with a third one beside it the
 // engine would crash.
-func TestOrderOfUnknownOutcomeCountsUntilItIsKnown(t *testing.T) {
+func TestOrderOfUnknownOutcomeReservesMemory(t *testing.T) {
 	for _, late := range []time.Duration{0, 4 * time.Second, 9 * time.Second} {
 		t.Run(late.String(), func(t *testing.T) {
-			w := newWorld(t, 4, 2, 1)
-			w.beat()
+			w := newCluster(t, 4, 2, 1)
+			w.sendHeartbeats()
 			for _, e := range w.engines {
-				e.loseAnswer, e.late = late == 0, late
+				e.loseAnswer, e.lateBy = late == 0, late
 			}
-			w.pass(25 * time.Second)
+			w.advance(25 * time.Second)
 			require.Len(t, w.copies(), 4)
 		})
 	}
@@ -83,34 +83,34 @@
 
 // The owner of the engines is cut off from the log. Another takes over; the two must
 // never be at work within a lease's length of each other, nor use one number.
-func TestOwnersStayApart(t *testing.T) {
-	w := newWorld(t, 8, 5, 2)
-	w.beat()
-	w.pass(2 * time.Second)
-	w.directors[0].cut, w.directors[0].leads = true, false
-	w.directors[1].leads = true
-	w.pass(1600 * time.Millisecond) // the lease's term and a little
+func TestDirectorsDoNotOverlap(t *testing.T) {
+	w := newCluster(t, 8, 5, 2)
+	w.sendHeartbeats()
+	w.advance(2 * time.Second)
+	w.directors[0].disconnected, w.directors[0].isLeader = true, false
+	w.directors[1].isLeader = true
+	w.advance(1600 * time.Millisecond) // the lease's term and a little
 	w.expire()
-	w.pass(15 * time.Second)
+	w.advance(15 * time.Second)
 	require.Len(t, w.copies(), 8)
 	w.checkOwners()
 	require.Equal(t, laburnumlever.VMID("10.0.0.1"), w.orders[len(w.orders)-1].by)
 }
 
 // Guards against a new director that waits longer than two directors have to be apart.
-func TestTakeoverWaitsNoLongerThanItMust(t *testing.T) {
-	w := newWorld(t, 8, 5, 2)
-	w.beat()
-	w.pass(2 * time.Second)
-	w.directors[0].frozen, w.directors[0].cut = true, true
-	w.directors[0].leads, w.directors[1].leads = false, true
-	w.pass(leaseTime / 2)
+func TestTakeoverDelayIsMinimal(t *testing.T) {
+	w := newCluster(t, 8, 5, 2)
+	w.sendHeartbeats()
+	w.advance(2 * time.Second)
+	w.directors[0].suspended, w.directors[0].disconnected = true, true
+	w.directors[0].isLeader, w.directors[1].isLeader = false, true
+	w.advance(leaseTime / 2)
 	w.expire()
 	granted := w.timers.Now()
 	before := len(w.orders)
 	for range 8 {
-		w.ask(0, 120)
-		w.pass(leaseTime / 6)
+		w.setDemand(0, 120)
+		w.advance(leaseTime / 6)
 	}
 	w.checkOwners()
 	require.Greater(t, len(w.orders), before)
@@ -122,19 +122,19 @@
 // leader for long after the previous owner's last renewal.
 func TestTakeoverCountsFromTheLastRenewal(t *testing.T) {
 	const election = 1200 * time.Millisecond
-	w := newWorld(t, 8, 5, 2)
-	w.beat()
-	w.pass(2 * time.Second)
-	w.directors[0].frozen, w.directors[0].cut = true, true
-	w.directors[0].leads = false
-	w.pass(leaseTime/2 + election)
-	w.directors[1].leads = true
+	w := newCluster(t, 8, 5, 2)
+	w.sendHeartbeats()
+	w.advance(2 * time.Second)
+	w.directors[0].suspended, w.directors[0].disconnected = true, true
+	w.directors[0].isLeader = false
+	w.advance(leaseTime/2 + election)
+	w.directors[1].isLeader = true
 	w.expire()
 	granted := w.timers.Now()
 	before := len(w.orders)
 	for range 12 {
-		w.ask(0, 120)
-		w.pass(leaseTime / 12)
+		w.setDemand(0, 120)
+		w.advance(leaseTime / 12)
 	}
 	w.checkOwners()
 	require.Greater(t, len(w.orders), before)
@@ -143,35 +143,35 @@
 
 // The owner loses the log for a second and its lease runs out, but nobody else gets it.
 // It goes on at once when the log is back: there is no other owner to be apart from.
-func TestOwnerGoesOnWhenNobodyWasInBetween(t *testing.T) {
-	w := newWorld(t, 4, 4, 1)
-	w.beat()
-	w.pass(8 * time.Second)
-	w.directors[0].cut = true
-	w.pass(1500 * time.Millisecond)
+func TestReacquiredLeaseResumesAtOnce(t *testing.T) {
+	w := newCluster(t, 4, 4, 1)
+	w.sendHeartbeats()
+	w.advance(8 * time.Second)
+	w.directors[0].disconnected = true
+	w.advance(1500 * time.Millisecond)
 	w.expire()
-	w.directors[0].cut = false
+	w.directors[0].disconnected = false
 	before := len(w.orders)
 	for range 4 {
-		w.ask(0, 120)
-		w.pass(500 * time.Millisecond)
+		w.setDemand(0, 120)
+		w.advance(500 * time.Millisecond)
 	}
 	require.Greater(t, len(w.orders), before)
 }
 
 // The owner is frozen in the middle of its work and wakes after another has taken over.
 // Its lease ran out while it slept; it must send nothing more.
-func TestFrozenOwnerSendsNothingWhenItWakes(t *testing.T) {
-	w := newWorld(t, 8, 5, 2)
-	w.beat()
-	w.pass(1500 * time.Millisecond)
-	w.directors[0].frozen, w.directors[0].leads = true, false
-	w.directors[1].leads = true
-	w.pass(1600 * time.Millisecond)
+func TestSuspendedDirectorSendsNothingAfterResume(t *testing.T) {
+	w := newCluster(t, 8, 5, 2)
+	w.sendHeartbeats()
+	w.advance(1500 * time.Millisecond)
+	w.directors[0].suspended, w.directors[0].isLeader = true, false
+	w.directors[1].isLeader = true
+	w.advance(1600 * time.Millisecond)
 	w.expire()
-	w.pass(6 * time.Second)
-	w.directors[0].frozen = false
-	w.pass(10 * time.Second)
+	w.advance(6 * time.Second)
+	w.directors[0].suspended = false
+	w.advance(10 * time.Second)
 	w.checkOwners()
 	require.Len(t, w.copies(), 8)
 }
@@ -179,20 +179,20 @@
 // The owner decides on an order and freezes before it is written. Another takes over, and
 // the frozen VM wakes with the order in hand. Written now, it would come beside the new
 // owner's, and an engine that does not check fencing numbers would carry it out.
-func TestOrderDecidedBeforeAFreezeIsNotSentAfterIt(t *testing.T) {
-	w := newWorld(t, 8, 5, 2)
-	w.beat()
-	w.pass(10 * time.Second)
+func TestOrderDecidedBeforeSuspensionIsNotSent(t *testing.T) {
+	w := newCluster(t, 8, 5, 2)
+	w.sendHeartbeats()
+	w.advance(10 * time.Second)
 	old := w.directors[0]
-	old.holds = true
+	old.holdsCalls = true
 	old.director.Ask(laburnumlever.AdapterNeed{Service: "quotes", Model: modelName(0), Adapter: "a1"}, func([]laburnumlever.BackendID, error) {})
 	old.loop.Drain()
 	require.NotEmpty(t, old.calls)
-	old.frozen, old.leads = true, false
-	w.directors[1].leads = true
-	w.pass(1600 * time.Millisecond)
+	old.suspended, old.isLeader = true, false
+	w.directors[1].isLeader = true
+	w.advance(1600 * time.Millisecond)
 	w.expire()
-	w.pass(6 * time.Second)
+	w.advance(6 * time.Second)
 	before := len(w.orders)
 	for _, call := range old.calls {
 		call()
@@ -203,7 +203,7 @@
 }
 
 // checkOwners looks at all orders to each engine.
-func (w *world) checkOwners() {
+func (w *cluster) checkOwners() {
 	last := map[laburnumlever.BackendID]sentOrder{}
 	byFence := map[uint64]laburnumlever.VMID{}
 	for _, o := range w.orders {
@@ -221,10 +221,10 @@
 
 // An engine dies and its address is taken by another. Orders to the old identity are
 // refused by the new one; the old must be forgotten, not ordered again and again.
-func TestLostEngineIsPlannedAround(t *testing.T) {
-	w := newWorld(t, 4, 3, 1)
-	w.beat()
-	w.pass(12 * time.Second)
+func TestModelsOfAGoneEngineAreRestored(t *testing.T) {
+	w := newCluster(t, 4, 3, 1)
+	w.sendHeartbeats()
+	w.advance(12 * time.Second)
 	require.Len(t, w.copies(), 4)
 	var victim laburnumlever.BackendID
 	for id, e := range w.engines {
@@ -234,7 +234,7 @@
 	}
 	delete(w.engines, victim)
 	w.directors[0].director.SetRecord(laburnumregistry.Record{Heartbeat: laburnumlever.Heartbeat{Backend: victim}, Gone: true})
-	w.pass(12 * time.Second)
+	w.advance(12 * time.Second)
 	require.Len(t, w.copies(), 4)
 }
 
@@ -242,31 +242,31 @@
 // busiest model should get a copy, and the empty engine looks best. The first order that
 // finds no connection shows that it is dark; without that it is ordered again and again,
 // while another engine stands empty and callers are refused.
-func TestEngineThatTakesNoConnectionIsPlannedAround(t *testing.T) {
-	w := newWorld(t, 4, 4, 1)
+func TestUnreachableEngineIsPlannedAround(t *testing.T) {
+	w := newCluster(t, 4, 4, 1)
 	for i := range 4 {
 		w.engines[laburnumlever.BackendID(fmt.Sprintf("i-%d", i/2))].held[modelName(i)] = map[laburnumlever.AdapterName]bool{}
 	}
-	w.beat()
-	w.pass(3 * time.Second)
+	w.sendHeartbeats()
+	w.advance(3 * time.Second)
 	delete(w.engines, "i-2")
 	for range 8 {
-		w.ask(0, 120)
-		w.pass(time.Second)
+		w.setDemand(0, 120)
+		w.advance(time.Second)
 	}
 	require.Contains(t, w.engines["i-3"].held, modelName(0))
 }
 
 // A gateway is cut off from the engines and says that none takes a connection. Their
 // heartbeats go on, so they are planned with as before: no model may move.
-func TestHeartbeatsOutweighAGatewaysWord(t *testing.T) {
-	w := newWorld(t, 4, 3, 1)
-	w.beat()
-	w.pass(12 * time.Second)
+func TestHeartbeatsOutweighAGatewaysReport(t *testing.T) {
+	w := newCluster(t, 4, 3, 1)
+	w.sendHeartbeats()
+	w.advance(12 * time.Second)
 	before := len(w.orders)
 	for range 10 {
 		w.directors[0].director.SetNews("gateway", laburnumlever.GatewayNews{Unreachable: []laburnumlever.BackendID{"i-0", "i-1", "i-2"}})
-		w.pass(500 * time.Millisecond)
+		w.advance(500 * time.Millisecond)
 	}
 	require.Len(t, w.orders, before)
 	require.Len(t, w.copies(), 4)
@@ -278,30 +278,30 @@
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 7))
-			w := newWorld(t, 7, 4, 2)
-			w.beat()
+			w := newCluster(t, 7, 4, 2)
+			w.sendHeartbeats()
 			for range 60 {
-				w.disturb(random)
-				w.pass(time.Duration(100+random.IntN(900)) * time.Millisecond)
+				w.injectFault(random)
+				w.advance(time.Duration(100+random.IntN(900)) * time.Millisecond)
 			}
 			w.checkOwners()
 		})
 	}
 }
 
-func (w *world) disturb(random *rand.Rand) {
+func (w *cluster) injectFault(random *rand.Rand) {
 	e := w.engines[laburnumlever.BackendID(fmt.Sprintf("i-%d", random.IntN(len(w.engines))))]
 	switch random.IntN(7) {
 	case 6:
 		n := w.directors[random.IntN(len(w.directors))]
-		n.plansSlowly = !n.plansSlowly
-		n.finishRounds()
+		n.holdsRounds = !n.holdsRounds
+		n.runRounds()
 	case 0:
 		e.loseAnswer = true
 	case 1:
-		e.late = time.Duration(1+random.IntN(11)) * time.Second
+		e.lateBy = time.Duration(1+random.IntN(11)) * time.Second
 	case 2, 3:
-		w.ask(random.IntN(7), float64(random.IntN(60)))
+		w.setDemand(random.IntN(7), float64(random.IntN(60)))
 	case 4:
 		model, adapter := modelName(random.IntN(7)), laburnumlever.AdapterName(fmt.Sprintf("a%d", random.IntN(6)))
 		go func() {
@@ -313,10 +313,10 @@
 		}()
 	case 5:
 		from := random.IntN(2)
-		w.directors[from].leads, w.directors[1-from].leads = false, true
-		w.directors[from].cut = random.IntN(2) == 0
-		w.directors[1-from].cut = false
-		w.pass(1600 * time.Millisecond)
+		w.directors[from].isLeader, w.directors[1-from].isLeader = false, true
+		w.directors[from].disconnected = random.IntN(2) == 0
+		w.directors[1-from].disconnected = false
+		w.advance(1600 * time.Millisecond)
 		w.expire()
 	}
 }
@@ -325,18 +325,18 @@
 // the other. Its word that the first is gone overtakes its answer to the order, and later
 // words bring nothing new: the order seemed to be under way for ever, the engine took no
 // other, and callers were refused for minutes before an engine that did nothing.
-func TestWordOfAnOrdersEndMayOvertakeItsAnswer(t *testing.T) {
-	w := newWorld(t, 2, 1, 1)
+func TestHeartbeatMayOvertakeOrderAnswer(t *testing.T) {
+	w := newCluster(t, 2, 1, 1)
 	w.class.WeightsMB = 100
 	e := w.engines["i-0"]
-	e.quick = true
+	e.instant = true
 	e.held["m0"] = map[laburnumlever.AdapterName]bool{}
-	w.beat()
-	w.pass(time.Second)
+	w.sendHeartbeats()
+	w.advance(time.Second)
 	for _, wanted := range []int{1, 0, 1} {
 		for range 16 {
-			w.ask(wanted, 20)
-			w.pass(500 * time.Millisecond)
+			w.setDemand(wanted, 20)
+			w.advance(500 * time.Millisecond)
 		}
 		require.Contains(t, e.held, modelName(wanted))
 	}
@@ -345,17 +345,17 @@
 // An engine carries an order out, and its word on that is lost on the way: later ones bring
 // nothing new. The engine is asked when its work takes too long, and what it says then
 // counts; it seemed to be at work for ever before.
-func TestOrderWhoseEndWasNeverHeardEndsByTheReport(t *testing.T) {
-	w := newWorld(t, 2, 1, 1)
+func TestOverdueOrderEndsByStateReport(t *testing.T) {
+	w := newCluster(t, 2, 1, 1)
 	w.class.WeightsMB = 100
 	e := w.engines["i-0"]
 	e.held["m0"] = map[laburnumlever.AdapterName]bool{}
-	w.beat()
-	w.pass(time.Second)
-	e.mute = true
+	w.sendHeartbeats()
+	w.advance(time.Second)
+	e.losesRecords = true
 	for range 60 {
-		w.ask(1, 20)
-		w.pass(500 * time.Millisecond)
+		w.setDemand(1, 20)
+		w.advance(500 * time.Millisecond)
 	}
 	require.Contains(t, e.held, modelName(1))
 }
@@ -364,34 +364,34 @@
 // identity, and the order is carried out by the new start: it counts its orders from
 // nothing, and has come to the number that the old order expects. With the models that
 // it was given meanwhile it would hold more than it has room for.
-func TestOrderToAnEarlierStartMayReachTheNext(t *testing.T) {
+func TestDelayedOrderMayReachRestartedEngine(t *testing.T) {
 	for late := 2 * time.Second; late < 12*time.Second; late += 500 * time.Millisecond {
 		t.Run(late.String(), func(t *testing.T) {
-			w := newWorld(t, 6, 3, 1)
+			w := newCluster(t, 6, 3, 1)
 			e := w.engines["i-0"]
-			e.accepted, e.late = 2, late
-			w.beat()
+			e.accepted, e.lateBy = 2, late
+			w.sendHeartbeats()
 			for len(e.lateOrders) == 0 {
-				w.pass(50 * time.Millisecond)
+				w.advance(50 * time.Millisecond)
 			}
 			e.restart()
 			// The model that it was to load comes to another engine.
 			delete(w.engines, "i-2")
 			w.addEngine("i-3", "m0", "m1")
-			w.pass(40 * time.Second)
+			w.advance(40 * time.Second)
 			require.GreaterOrEqual(t, len(w.copies()), 4)
 		})
 	}
 }
 
 // Guards against a new director that queries all engines at once and runs out of descriptors.
-func TestEnginesAreAskedSomeAtATime(t *testing.T) {
+func TestConcurrentStateRequestsAreLimited(t *testing.T) {
 	const engines, most = 200, 64
-	w := newWorld(t, 1, engines, 1)
-	w.beat()
-	w.pass(10 * time.Second)
+	w := newCluster(t, 1, engines, 1)
+	w.sendHeartbeats()
+	w.advance(10 * time.Second)
 	asked := 0
-	for _, n := range w.asked {
+	for _, n := range w.stateRequests {
 		require.LessOrEqual(t, n, most)
 		asked += n
 	}
--- a/laburnumdirector/engine.go
+++ b/laburnumdirector/engine.go
@@ -19,45 +19,45 @@
 type engine struct {
 	heartbeat laburnumlever.Heartbeat
 	silent    bool
-	// heardAt is the time of its last heartbeat, unreachableAt of the last report that it can't be
+	// heartbeatAt is the time of its last heartbeat, unreachableAt of the last report that it can't be
 	// connected to.
-	heardAt, unreachableAt time.Time
-	// accepted is the number of accepted orders, if known.
-	known    bool
-	accepted uint64
-	asking   bool
-	held     map[laburnumlever.ModelName]*heldModel
-	// sending is the order in flight, unsure an order of unknown outcome, to be retried.
-	sending *laburnumlever.EngineOrder
-	unsure  *laburnumlever.EngineOrder
-	tryAt   time.Time
-	// sentAfter is the sequence of the last heartbeat before the last order.
-	sentAfter uint64
-	// working is the model being loaded or unloaded; heartbeats up to workingAfter can't show
+	heartbeatAt, unreachableAt time.Time
+	// accepted is the number of accepted orders, if acceptedKnown.
+	acceptedKnown  bool
+	accepted       uint64
+	stateRequested bool
+	held           map[laburnumlever.ModelName]*heldModel
+	// inFlight is the order in flight, unsure an order of unknown outcome, to be retried.
+	inFlight   *laburnumlever.EngineOrder
+	unresolved *laburnumlever.EngineOrder
+	retryAt    time.Time
+	// sentAfterSequence is the sequence of the last heartbeat before the last order.
+	sentAfterSequence uint64
+	// activeModel is the model being loaded or unloaded; heartbeats up to workingAfter can't show
 	// its end.
-	working      laburnumlever.ModelName
-	workingKind  laburnumlever.OrderKind
-	workingSince time.Time
-	workingAfter uint64
-	workingTime  time.Duration // expected; 0 if unknown
-	overdue      bool
-	changed      bool   // since the last overlay
-	revision     uint64 // number of changes
-	table        *engineTable
+	activeModel         laburnumlever.ModelName
+	activeKind          laburnumlever.OrderKind
+	activeSince         time.Time
+	activeAfterSequence uint64
+	activeDuration      time.Duration // expected; 0 if unknown
+	overdue             bool
+	changed             bool   // since the last overlay
+	revision            uint64 // number of changes
+	table               *engineTable
 }
 
-// lose removes a model.
-func (e *engine) lose(name laburnumlever.ModelName) {
+// removeModel removes a model.
+func (e *engine) removeModel(name laburnumlever.ModelName) {
 	delete(e.held, name)
-	e.table.losses++
+	e.table.removals++
 }
 
-// touch records a change that gateways have to learn of.
-func (e *engine) touch() {
+// markChanged records a change that gateways have to learn of.
+func (e *engine) markChanged() {
 	e.revision++
 	if !e.changed {
 		e.changed = true
-		e.table.noteChanged(e)
+		e.table.addChanged(e)
 	}
 }
 
@@ -71,8 +71,8 @@
 	withdrawnAt time.Time
 	withdrawn   bool
 	adapters    map[laburnumlever.AdapterName]*heldAdapter
-	// dropped are adapters unloaded lately, which a late heartbeat may list.
-	dropped map[laburnumlever.AdapterName]time.Time
+	// removedAt are adapters unloaded lately, which a late heartbeat may list.
+	removedAt map[laburnumlever.AdapterName]time.Time
 }
 
 type heldAdapter struct {
@@ -83,29 +83,29 @@
 }
 
 const (
-	youngTime         = 8 * time.Second // least lifetime of a copy
-	unreachableMemory = 3 * time.Second // gateways repeat their reports every second
-	duePeriods        = 1.25            // heartbeat periods until one is overdue
-	heartbeatLag      = 2500 * time.Millisecond
-	reportLag         = time.Second
+	minCopyAge     = 8 * time.Second // least lifetime of a copy
+	unreachableTTL = 3 * time.Second // gateways repeat their reports every second
+	overduePeriods = 1.25            // heartbeat periods until one is overdue
+	heartbeatLag   = 2500 * time.Millisecond
+	reportLag      = time.Second
 )
 
 func newEngine(h laburnumlever.Heartbeat, table *engineTable) *engine {
 	e := &engine{heartbeat: h, held: map[laburnumlever.ModelName]*heldModel{}, table: table}
-	e.touch()
+	e.markChanged()
 	for _, m := range h.Models {
-		e.add(m, true)
+		e.addModel(m, true)
 	}
 	return e
 }
 
-// add adds a model with adapters.
-func (e *engine) add(m laburnumlever.HeldModel, ready bool) *heldModel {
+// addModel adds a model with adapters.
+func (e *engine) addModel(m laburnumlever.HeldModel, ready bool) *heldModel {
 	h := e.held[m.Name]
 	if h == nil {
 		h = &heldModel{adapters: map[laburnumlever.AdapterName]*heldAdapter{}}
 		e.held[m.Name] = h
-		e.table.noteHolder(e, m.Name)
+		e.table.addHolder(e, m.Name)
 	}
 	h.version = m.Version
 	for _, a := range m.Adapters {
@@ -117,8 +117,8 @@
 	return h
 }
 
-// adapters counts held and loading adapters.
-func (e *engine) adapters() int {
+// adapterCount counts held and loading adapterCount.
+func (e *engine) adapterCount() int {
 	n := 0
 	for _, h := range e.held {
 		n += len(h.adapters)
@@ -126,48 +126,48 @@
 	return n
 }
 
-// takeHeartbeat applies a newer heartbeat and tells whether the order in progress has ended. A
+// applyHeartbeat applies a newer heartbeat and tells whether the order in progress has ended. A
 // model that is not listed is gone unless an order may be loading it.
-func (e *engine) takeHeartbeat(h laburnumlever.Heartbeat, now time.Time) bool {
+func (e *engine) applyHeartbeat(h laburnumlever.Heartbeat, now time.Time) bool {
 	e.heartbeat = h
-	e.touch()
+	e.markChanged()
 	for _, m := range h.Models {
-		held := e.add(laburnumlever.HeldModel{Name: m.Name, Version: m.Version}, true)
+		held := e.addModel(laburnumlever.HeldModel{Name: m.Name, Version: m.Version}, true)
 		held.listed = true
-		held.takeListed(m, now)
+		held.applyHeartbeat(m, now)
 	}
-	ended := e.workEnded(h)
+	ended := e.orderEnded(h)
 	if ended {
-		e.working = ""
+		e.activeModel = ""
 	}
 	for name, held := range e.held {
-		if held.listed && !h.Holds(name, "") && !e.pending(name) {
-			e.lose(name)
+		if held.listed && !h.Holds(name, "") && !e.mayBeLoading(name) {
+			e.removeModel(name)
 		}
 	}
 	return ended
 }
 
-// workEnded tells whether a heartbeat shows the end of the order in progress.
-func (e *engine) workEnded(h laburnumlever.Heartbeat) bool {
-	if e.working == "" || h.Sequence <= e.workingAfter {
+// orderEnded tells whether a heartbeat shows the end of the order in progress.
+func (e *engine) orderEnded(h laburnumlever.Heartbeat) bool {
+	if e.activeModel == "" || h.Sequence <= e.activeAfterSequence {
 		return false
 	}
-	return h.Holds(e.working, "") == (e.workingKind == laburnumlever.Load)
+	return h.Holds(e.activeModel, "") == (e.activeKind == laburnumlever.Load)
 }
 
-// pending tells whether an order may be loading the model.
-func (e *engine) pending(name laburnumlever.ModelName) bool {
+// mayBeLoading tells whether an order may be loading the model.
+func (e *engine) mayBeLoading(name laburnumlever.ModelName) bool {
 	loads := func(o *laburnumlever.EngineOrder) bool {
 		return o != nil && o.Kind == laburnumlever.Load && o.Model == name
 	}
-	return loads(e.sending) || loads(e.unsure) || (e.working == name && e.workingKind == laburnumlever.Load)
+	return loads(e.inFlight) || loads(e.unresolved) || (e.activeModel == name && e.activeKind == laburnumlever.Load)
 }
 
-// takeListed applies a heartbeat to the adapters.
-func (h *heldModel) takeListed(listed laburnumlever.HeldModel, now time.Time) {
+// applyHeartbeat applies a heartbeat to the adapters.
+func (h *heldModel) applyHeartbeat(listed laburnumlever.HeldModel, now time.Time) {
 	for _, name := range listed.Adapters {
-		if now.Sub(h.dropped[name]) < heartbeatLag {
+		if now.Sub(h.removedAt[name]) < heartbeatLag {
 			continue
 		}
 		if h.adapters[name] == nil {
@@ -182,11 +182,11 @@
 	}
 }
 
-// takeReported applies a state report to the adapters. The report covers all accepted orders, so
+// applyState applies a state report to the adapters. The report covers all accepted orders, so
 // that adapters neither listed there nor by a heartbeat are gone.
-func (h *heldModel) takeReported(reported laburnumlever.HeldModel, now time.Time) {
+func (h *heldModel) applyState(reported laburnumlever.HeldModel, now time.Time) {
 	for _, name := range reported.Adapters {
-		if h.adapters[name] == nil && now.Sub(h.dropped[name]) > reportLag {
+		if h.adapters[name] == nil && now.Sub(h.removedAt[name]) > reportLag {
 			h.adapters[name] = &heldAdapter{ready: true}
 		}
 	}
@@ -197,60 +197,60 @@
 	}
 }
 
-// drop removes an adapter.
-func (e *engine) drop(key adapterKey, now time.Time) {
+// removeAdapter removes an adapter.
+func (e *engine) removeAdapter(key adapterKey, now time.Time) {
 	h := e.held[key.model]
 	if h == nil {
 		return
 	}
 	delete(h.adapters, key.adapter)
-	if h.dropped == nil {
-		h.dropped = map[laburnumlever.AdapterName]time.Time{}
+	if h.removedAt == nil {
+		h.removedAt = map[laburnumlever.AdapterName]time.Time{}
 	}
-	for name, at := range h.dropped {
+	for name, at := range h.removedAt {
 		if now.Sub(at) > heartbeatLag {
-			delete(h.dropped, name)
+			delete(h.removedAt, name)
 		}
 	}
-	h.dropped[key.adapter] = now
-	e.touch()
+	h.removedAt[key.adapter] = now
+	e.markChanged()
 }
 
-// takeState applies a state report. The number of accepted orders stays unknown while an order of
+// applyState applies a state report. The number of accepted orders stays unknown while an order of
 // another owner is in progress.
-func (e *engine) takeState(s laburnumlever.EngineState, now time.Time) {
-	e.touch()
+func (e *engine) applyState(s laburnumlever.EngineState, now time.Time) {
+	e.markChanged()
 	for _, m := range s.Models {
-		h := e.add(laburnumlever.HeldModel{Name: m.Name, Version: m.Version}, true)
-		h.takeReported(withComing(m, s.Coming), now)
+		h := e.addModel(laburnumlever.HeldModel{Name: m.Name, Version: m.Version}, true)
+		h.applyState(withLoading(m, s.Coming), now)
 	}
-	if s.Busy && e.working == "" {
-		e.known, e.tryAt = false, now.Add(stateRetry)
+	if s.Busy && e.activeModel == "" {
+		e.acceptedKnown, e.retryAt = false, now.Add(stateRetryDelay)
 		return
 	}
-	e.known, e.accepted = true, s.Accepted
+	e.acceptedKnown, e.accepted = true, s.Accepted
 	for name, h := range e.held {
-		if !h.listed && !laburnumlever.Holds(s.Models, name, "") && !e.pending(name) {
-			e.lose(name)
+		if !h.listed && !laburnumlever.Holds(s.Models, name, "") && !e.mayBeLoading(name) {
+			e.removeModel(name)
 		}
 	}
 	if e.overdue && !s.Busy {
-		e.endReported(s)
+		e.endOverdue(s)
 	}
 	e.overdue = false
 }
 
-// endReported ends an overdue order: it failed, or the heartbeat with its end was lost. Otherwise
+// endOverdue ends an overdue order: it failed, or the heartbeat with its end was lost. Otherwise
 // the engine would never be idle again.
-func (e *engine) endReported(s laburnumlever.EngineState) {
-	if !laburnumlever.Holds(s.Models, e.working, "") {
-		e.lose(e.working)
+func (e *engine) endOverdue(s laburnumlever.EngineState) {
+	if !laburnumlever.Holds(s.Models, e.activeModel, "") {
+		e.removeModel(e.activeModel)
 	}
-	e.working = ""
+	e.activeModel = ""
 }
 
-// withComing adds a model's loading adapters.
-func withComing(m laburnumlever.HeldModel, coming []laburnumlever.HeldModel) laburnumlever.HeldModel {
+// withLoading adds a model's loading adapters.
+func withLoading(m laburnumlever.HeldModel, coming []laburnumlever.HeldModel) laburnumlever.HeldModel {
 	m.Adapters = slices.Clone(m.Adapters)
 	for _, c := range coming {
 		if c.Name == m.Name {
@@ -260,23 +260,23 @@
 	return m
 }
 
-// down tells whether the engine is unreachable: it is silent, or a heartbeat is overdue and a
+// unreachable tells whether the engine is unreachable: it is silent, or a heartbeat is overdue and a
 // connection has failed since the last one. Neither sign suffices: silence takes two periods more,
 // and a VM that is cut off reports all engines.
-func (e *engine) down(now time.Time, period time.Duration) bool {
-	refused := now.Sub(e.unreachableAt) < unreachableMemory && e.heardAt.Before(e.unreachableAt)
-	due := now.Sub(e.heardAt) > time.Duration(duePeriods*float64(period))
+func (e *engine) unreachable(now time.Time, period time.Duration) bool {
+	refused := now.Sub(e.unreachableAt) < unreachableTTL && e.heartbeatAt.Before(e.unreachableAt)
+	due := now.Sub(e.heartbeatAt) > time.Duration(overduePeriods*float64(period))
 	return e.silent || (refused && due)
 }
 
 // idle tells whether the engine accepts an order.
 func (e *engine) idle(now time.Time) bool {
-	return e.known && e.sending == nil && e.unsure == nil && e.working == "" && !e.silent && !e.asking &&
-		!now.Before(e.tryAt)
+	return e.acceptedKnown && e.inFlight == nil && e.unresolved == nil && e.activeModel == "" && !e.silent && !e.stateRequested &&
+		!now.Before(e.retryAt)
 }
 
-// planned converts the engine for the planner.
-func (e *engine) planned(now time.Time) laburnumresidency.Engine {
+// snapshot converts the engine for the planner.
+func (e *engine) snapshot(now time.Time) laburnumresidency.Engine {
 	p := laburnumresidency.Engine{
 		ID: e.heartbeat.Backend, Zone: e.heartbeat.Zone, Idle: e.idle(now),
 		InMemory: e.heartbeat.InMemory, OnDisk: e.heartbeat.OnDisk,
@@ -290,31 +290,31 @@
 		if h.withdrawn {
 			p.Unloading = name
 		}
-		if now.Sub(h.since) < youngTime {
+		if now.Sub(h.since) < minCopyAge {
 			p.Young = append(p.Young, name)
 		}
 	}
 	slices.SortFunc(p.Held, func(a, b laburnumlever.HeldModel) int {
 		return compareNames(a.Name, b.Name)
 	})
-	if e.working != "" && e.workingKind == laburnumlever.Load {
-		p.Loading, p.FreeIn = e.working, e.workLeft(now)
+	if e.activeModel != "" && e.activeKind == laburnumlever.Load {
+		p.Loading, p.FreeIn = e.activeModel, e.remainingSeconds(now)
 	}
-	if e.working != "" && e.workingKind == laburnumlever.Unload {
-		p.Unloading = e.working
+	if e.activeModel != "" && e.activeKind == laburnumlever.Unload {
+		p.Unloading = e.activeModel
 	}
 	return p
 }
 
-// leastLeft is assumed of orders that take longer than expected, in seconds.
-const leastLeft = 0.3
+// minRemaining is assumed of orders that take longer than expected, in seconds.
+const minRemaining = 0.3
 
-// workLeft is the expected rest of the order in progress, in seconds; 0 if unknown.
-func (e *engine) workLeft(now time.Time) float64 {
-	if e.workingTime == 0 {
+// remainingSeconds is the expected rest of the order in progress, in seconds; 0 if unknown.
+func (e *engine) remainingSeconds(now time.Time) float64 {
+	if e.activeDuration == 0 {
 		return 0
 	}
-	return max(leastLeft, (e.workingTime - now.Sub(e.workingSince)).Seconds())
+	return max(minRemaining, (e.activeDuration - now.Sub(e.activeSince)).Seconds())
 }
 
 func compareNames(a, b laburnumlever.ModelName) int {
--- a/laburnumdirector/enginetable.go
+++ b/laburnumdirector/enginetable.go
@@ -10,13 +10,13 @@
 // engineTable indexes the engines by identity and by model, and lists those that changed.
 type engineTable struct {
 	byID map[laburnumlever.BackendID]*engine
-	// order holds the sorted identities; nil after a change.
-	order []laburnumlever.BackendID
+	// sortedIDs holds the sorted identities; nil after a change.
+	sortedIDs []laburnumlever.BackendID
 	// holders are the engines that have held a model, including former ones.
 	holders map[laburnumlever.ModelName]map[laburnumlever.BackendID]*engine
 	changed []*engine
-	// losses counts removed engines and models.
-	losses uint64
+	// removals counts removed engines and models.
+	removals uint64
 }
 
 func newEngineTable() *engineTable {
@@ -31,37 +31,37 @@
 // put adds or replaces an engine.
 func (t *engineTable) put(e *engine) {
 	t.byID[e.heartbeat.Backend] = e
-	t.order = nil
+	t.sortedIDs = nil
 }
 
 func (t *engineTable) remove(id laburnumlever.BackendID) {
 	delete(t.byID, id)
-	t.order = nil
-	t.losses++
+	t.sortedIDs = nil
+	t.removals++
 }
 
 // ids returns the sorted identities.
 func (t *engineTable) ids() []laburnumlever.BackendID {
-	if t.order == nil {
-		t.order = make([]laburnumlever.BackendID, 0, len(t.byID))
+	if t.sortedIDs == nil {
+		t.sortedIDs = make([]laburnumlever.BackendID, 0, len(t.byID))
 		for id := range t.byID {
-			t.order = append(t.order, id)
+			t.sortedIDs = append(t.sortedIDs, id)
 		}
-		slices.Sort(t.order)
+		slices.Sort(t.sortedIDs)
 	}
-	return t.order
+	return t.sortedIDs
 }
 
-// noteHolder indexes an engine under a model.
-func (t *engineTable) noteHolder(e *engine, model laburnumlever.ModelName) {
+// addHolder indexes an engine under a model.
+func (t *engineTable) addHolder(e *engine, model laburnumlever.ModelName) {
 	if t.holders[model] == nil {
 		t.holders[model] = map[laburnumlever.BackendID]*engine{}
 	}
 	t.holders[model][e.heartbeat.Backend] = e
 }
 
-// holding returns the engines that hold a model, sorted.
-func (t *engineTable) holding(model laburnumlever.ModelName) []*engine {
+// holdersOf returns the engines that hold a model, sorted.
+func (t *engineTable) holdersOf(model laburnumlever.ModelName) []*engine {
 	var list []*engine
 	for id, e := range t.holders[model] {
 		if t.byID[id] != e || e.held[model] == nil {
@@ -76,8 +76,8 @@
 	return list
 }
 
-// noteChanged lists an engine for the next overlays.
-func (t *engineTable) noteChanged(e *engine) { t.changed = append(t.changed, e) }
+// addChanged lists an engine for the next overlays.
+func (t *engineTable) addChanged(e *engine) { t.changed = append(t.changed, e) }
 
 // takeChanged returns and clears the list.
 func (t *engineTable) takeChanged() []*engine {
--- a/laburnumdirector/enginetable_internal_test.go
+++ b/laburnumdirector/enginetable_internal_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against an index of adapters that misses an engine which a scan of all would find.
-func TestIndexFindsWhoHoldsAModel(t *testing.T) {
+func TestHolderIndexMatchesFullScan(t *testing.T) {
 	const engines, models = 12, 5
 	table := newEngineTable()
 	state := uint64(7)
@@ -31,11 +31,11 @@
 		case action == 1:
 			table.remove(id)
 		case action < 4:
-			e.takeHeartbeat(laburnumlever.Heartbeat{Backend: id, Models: []laburnumlever.HeldModel{model}}, now)
+			e.applyHeartbeat(laburnumlever.Heartbeat{Backend: id, Models: []laburnumlever.HeldModel{model}}, now)
 		case action < 6:
-			e.takeState(laburnumlever.EngineState{Models: []laburnumlever.HeldModel{model}}, now)
+			e.applyState(laburnumlever.EngineState{Models: []laburnumlever.HeldModel{model}}, now)
 		default:
-			e.note(laburnumlever.EngineOrder{Kind: laburnumlever.Load, Model: model.Name}, now)
+			e.recordLoad(laburnumlever.EngineOrder{Kind: laburnumlever.Load, Model: model.Name}, now)
 		}
 		for i := range models {
 			var want []*engine
@@ -44,7 +44,7 @@
 					want = append(want, e)
 				}
 			}
-			require.Equal(t, want, table.holding(name(i)))
+			require.Equal(t, want, table.holdersOf(name(i)))
 		}
 	}
 }
--- a/laburnumdirector/estimator_internal_test.go
+++ b/laburnumdirector/estimator_internal_test.go
@@ -17,7 +17,7 @@
 
 // Callers ask as often for a quick model as for a slow one. The quick one makes a tenth of
 // the work; counted alike, it would get as many engines.
-func TestQuickModelMakesLessWork(t *testing.T) {
+func TestFasterModelCountsAsLessWork(t *testing.T) {
 	s := newEstimator(riseTime, fallTime, quietTime)
 	now := time.Unix(1_000_000, 0)
 	s.loads(now, 24)
@@ -30,7 +30,7 @@
 
 // One gateway's answers come from busy engines, another's from one that has time. The
 // lower measure counts, and a high one moves it only slowly.
-func TestLowerMeasureOfAModelCounts(t *testing.T) {
+func TestLowerReadTimeIsPreferred(t *testing.T) {
 	s := newEstimator(riseTime, fallTime, quietTime)
 	now := time.Unix(1_000_000, 0)
 	s.add("busy", []laburnumlever.ModelDemand{demandOf("m0", 33*time.Microsecond)}, now)
@@ -44,7 +44,7 @@
 // The model that most callers ask for falls silent and another rises. Within three seconds
 // the estimate must have most of the rise and little of the old demand left: until then the
 // planner leaves six engines to a model that nobody asks for.
-func TestDemandThatMovesOnIsFollowed(t *testing.T) {
+func TestEstimateFollowsShiftingDemand(t *testing.T) {
 	s := newEstimator(riseTime, fallTime, quietTime)
 	now := time.Unix(1_000_000, 0)
 	step := func(model laburnumlever.ModelName, span time.Duration) (map[laburnumlever.ModelName]float64, time.Time) {
--- a/laburnumdirector/layout.go
+++ b/laburnumdirector/layout.go
@@ -11,19 +11,19 @@
 
 const (
 	layoutPeriod = 3 * time.Second
-	maxNone      = 32 // models without a copy that a line names
+	maxListed    = 32 // models without a copy that a line names
 )
 
-// reportLayout logs how many engines hold and load each model of a service, and how many have free
+// logLayout logs how many engines hold and load each model of a service, and how many have free
 // memory. Models with one copy are only counted, so that the line stays short with hundreds of
 // them.
-func (d *Director) reportLayout(name laburnumlever.ServiceName, class *laburnumlever.EngineClass, engines []laburnumresidency.Engine, now time.Time) {
-	if now.Sub(d.lastLayout[name]) < layoutPeriod {
+func (d *Director) logLayout(name laburnumlever.ServiceName, class *laburnumlever.EngineClass, engines []laburnumresidency.Engine, now time.Time) {
+	if now.Sub(d.layoutLogged[name]) < layoutPeriod {
 		return
 	}
-	d.lastLayout[name] = now
+	d.layoutLogged[name] = now
 	held, loading := countCopies(engines)
-	largest := largest(class)
+	largest := largestModel(class)
 	room := 0
 	for i := range engines {
 		if engines[i].HasRoom(class, largest) {
@@ -37,7 +37,7 @@
 		case held[m.Name] == 1 && loading[m.Name] == 0:
 			one++
 			delete(held, m.Name)
-		case held[m.Name] == 0 && loading[m.Name] == 0 && len(none) < maxNone:
+		case held[m.Name] == 0 && loading[m.Name] == 0 && len(none) < maxListed:
 			none = append(none, m.Name)
 		}
 	}
@@ -62,8 +62,8 @@
 	return held, loading
 }
 
-// largest returns the model with most weights.
-func largest(class *laburnumlever.EngineClass) laburnumlever.ResidentClass {
+// largestModel returns the model with most weights.
+func largestModel(class *laburnumlever.EngineClass) laburnumlever.ResidentClass {
 	var largest laburnumlever.ResidentClass
 	for _, m := range class.Models {
 		if m.WeightsMB > largest.WeightsMB {
--- a/laburnumdirector/lease.go
+++ b/laburnumdirector/lease.go
@@ -14,56 +14,58 @@
 	leaseName = "engines"
 	// termShare is the lease's term as a share of the time between two owners. A short term
 	// lets the next owner begin to wait early.
-	termShare  = 0.5
-	renewShare = 0.3 // of the term before a renewal, so that two renewals may fail
-	safeShare  = 0.7 // of the term that is used; the rest is for orders in flight and clock drift
+	termShare   = 0.5
+	renewShare  = 0.3 // of the term before a renewal, so that two renewals may fail
+	usableShare = 0.7 // of the term that is used; the rest is for orders in flight and clock drift
 
 	leaseTimeout = time.Second
 	// firstFence is the fencing number of the first lease ever, which has no owner before it.
-	firstFence  = 1
-	arrivalTime = 150 * time.Millisecond // network delay of the last order under a lease
+	firstFence     = 1
+	lastOrderDelay = 150 * time.Millisecond // network delay of the last order under a lease
 )
 
 // lease is the state of the director's lease, by a clock that counts suspensions.
 type lease struct {
 	held  bool
 	fence uint64
-	// until counts from the request of the last grant or renewal.
-	until  time.Duration
-	from   time.Duration // of the first order
-	asking bool
-	asked  time.Duration
+	// validUntil counts from the request of the last grant or renewal.
+	validUntil  time.Duration
+	validFrom   time.Duration // of the first order
+	pending     bool
+	requestedAt time.Duration
 }
 
 // valid tells whether an order may be sent.
-func (l *lease) valid(now time.Duration) bool { return l.held && now >= l.from && now < l.until }
+func (l *lease) valid(now time.Duration) bool {
+	return l.held && now >= l.validFrom && now < l.validUntil
+}
 
-// tendLease acquires the lease if this VM leads the log, and renews it.
-func (d *Director) tendLease() {
+// maintainLease acquires the lease if this VM leads the log, and renews it.
+func (d *Director) maintainLease() {
 	now := d.clock()
-	if d.lease.held && now >= d.lease.until {
+	if d.lease.held && now >= d.lease.validUntil {
 		d.loseLease("not renewed in time")
 	}
-	if d.lease.asking {
+	if d.lease.pending {
 		return
 	}
 	kind := laburnumlever.CommandAcquireLease
 	if d.lease.held {
-		if now < d.lease.asked+time.Duration(renewShare*float64(d.term())) {
+		if now < d.lease.requestedAt+time.Duration(renewShare*float64(d.term())) {
 			return
 		}
 		kind = laburnumlever.CommandRenewLease
-	} else if !d.leads() {
+	} else if !d.isLeader() {
 		return
 	}
-	d.lease.asking = true
-	d.askLease(kind, now)
+	d.lease.pending = true
+	d.proposeLease(kind, now)
 }
 
 // term is the lifetime of the lease without a renewal.
 func (d *Director) term() time.Duration { return time.Duration(termShare * float64(d.cfg.lease)) }
 
-func (d *Director) askLease(kind laburnumlever.CommandKind, now time.Duration) {
+func (d *Director) proposeLease(kind laburnumlever.CommandKind, now time.Duration) {
 	cmd := laburnumlever.Command{Kind: kind, Lease: &laburnumlever.LeaseCommand{
 		Name: leaseName, Holder: d.self.ID, Incarnation: d.self.Incarnation, Fence: d.lease.fence,
 		TTL: laburnumlever.Duration(d.term()),
@@ -72,12 +74,12 @@
 		ctx, cancel := context.WithTimeout(context.Background(), leaseTimeout)
 		defer cancel()
 		result, err := d.proposer.Propose(ctx, cmd)
-		d.loop.Post(d, leased{sentAt: now, result: result, err: err})
+		d.loop.Post(d, leaseAnswered{sentAt: now, result: result, err: err})
 	})
 }
 
-func (d *Director) onLeased(ev leased) {
-	d.lease.asking = false
+func (d *Director) onLeaseAnswered(ev leaseAnswered) {
+	d.lease.pending = false
 	if ev.err != nil {
 		return // the next tick tries again
 	}
@@ -87,40 +89,40 @@
 		}
 		return
 	}
-	d.lease.asked = ev.sentAt
-	d.lease.until = ev.sentAt + d.safeTerm()
+	d.lease.requestedAt = ev.sentAt
+	d.lease.validUntil = ev.sentAt + d.usableTerm()
 	if d.lease.held && d.lease.fence == ev.result.Fence {
 		return
 	}
 	d.lease.held, d.lease.fence = true, ev.result.Fence
-	d.lease.from = d.clock()
-	d.lease.from += d.handOverTime(ev.result)
+	d.lease.validFrom = d.clock()
+	d.lease.validFrom += d.takeoverDelay(ev.result)
 	d.lastFence = ev.result.Fence
-	d.forgetEngines()
-	d.demand.listen(d.timers.Now())
+	d.rebuildEngines()
+	d.demand.expectReports(d.timers.Now())
 	d.outliers = laburnumoutlier.New()
-	d.onDirecting(true)
-	_ = level.Info(d.cfg.logger).Log("event", laburnumlever.EventLeaseGot, "fence", d.lease.fence, "wait", d.lease.from-d.clock())
+	d.onLeaseChange(true)
+	_ = level.Info(d.cfg.logger).Log("event", laburnumlever.EventLeaseGot, "fence", d.lease.fence, "wait", d.lease.validFrom-d.clock())
 }
 
-// handOverTime is the delay of the first order under a new lease. The previous owner sent its
+// takeoverDelay is the delay of the first order under a new lease. The previous owner sent its
 // last order within the safe share of the term after its last renewal. A lease is granted a whole
 // term after that renewal, or later, when the log had no leader. A VM continues from its own
 // lease at once.
-func (d *Director) handOverTime(granted laburnumlever.Result) time.Duration {
+func (d *Director) takeoverDelay(granted laburnumlever.Result) time.Duration {
 	if granted.Fence == firstFence || granted.Fence == d.lastFence || granted.Fence == d.lastFence+1 {
 		return 0
 	}
-	unused := max(d.term(), time.Duration(granted.Idle)) - d.safeTerm()
-	return max(0, d.cfg.lease+arrivalTime-unused)
+	unused := max(d.term(), time.Duration(granted.Idle)) - d.usableTerm()
+	return max(0, d.cfg.lease+lastOrderDelay-unused)
 }
 
-// safeTerm is the part of the term that is used.
-func (d *Director) safeTerm() time.Duration { return time.Duration(safeShare * float64(d.term())) }
+// usableTerm is the part of the term that is used.
+func (d *Director) usableTerm() time.Duration { return time.Duration(usableShare * float64(d.term())) }
 
 func (d *Director) loseLease(why string) {
 	d.lease = lease{}
-	d.failNeeds()
-	d.onDirecting(false)
+	d.failAdapterRequests()
+	d.onLeaseChange(false)
 	_ = level.Warn(d.cfg.logger).Log("event", laburnumlever.EventLeaseLost, "cause", why)
 }
--- a/laburnumdirector/options.go
+++ b/laburnumdirector/options.go
@@ -12,18 +12,18 @@
 
 type config struct {
 	lease time.Duration
-	// window and overshoot bound the loads from the weight store.
-	window    time.Duration
-	overshoot float64
-	logger    log.Logger
-	scope     tally.Scope
-	clock     func() time.Duration
+	// storeWindow and overshoot bound the loads from the weight store.
+	storeWindow    time.Duration
+	storeOvershoot float64
+	logger         log.Logger
+	scope          tally.Scope
+	clock          func() time.Duration
 	// heartbeat is the period of the engines' heartbeats.
-	heartbeat time.Duration
-	spawn     func(call func()) // runs remote calls off the control thread
-	compute   func(work func()) // runs planning rounds off the control thread
-	next      Planner
-	rounds    []laburnumresidency.Option // for each planning round
+	heartbeat      time.Duration
+	spawn          func(call func()) // runs remote calls off the control thread
+	compute        func(work func()) // runs planning rounds off the control thread
+	planner        Planner
+	plannerOptions []laburnumresidency.Option // for each planning round
 	// rise and fall are the time constants of the demand estimate.
 	rise, fall time.Duration
 	quiet      time.Duration // without requests, after which a model may lose its last copy
@@ -44,7 +44,7 @@
 // WithStore sets the window in which the weight store's rate may be exceeded, and by
 // which factor.
 func WithStore(window time.Duration, overshoot float64) Option {
-	return func(c *config) { c.window, c.overshoot = window, overshoot }
+	return func(c *config) { c.storeWindow, c.storeOvershoot = window, overshoot }
 }
 
 // WithLogger sets the log; without it nothing is logged.
@@ -60,11 +60,11 @@
 func WithCompute(compute func(work func())) Option { return func(c *config) { c.compute = compute } }
 
 // WithPlanner sets the planner; the default is laburnumresidency.Next.
-func WithPlanner(next Planner) Option { return func(c *config) { c.next = next } }
+func WithPlanner(next Planner) Option { return func(c *config) { c.planner = next } }
 
 // WithPlannerOptions sets options for each planning round.
 func WithPlannerOptions(opts ...laburnumresidency.Option) Option {
-	return func(c *config) { c.rounds = opts }
+	return func(c *config) { c.plannerOptions = opts }
 }
 
 // WithDemandTimes sets the time constants of the demand estimate, up and down.
--- a/laburnumdirector/outliers.go
+++ b/laburnumdirector/outliers.go
@@ -19,7 +19,7 @@
 		_ = level.Info(d.cfg.logger).Log("event", laburnumlever.EventOutlierDetected, "backend", id, "service", r.Heartbeat.Service)
 		d.cfg.scope.Counter("outliers").Inc(1)
 		if e := d.engines.get(id); e != nil {
-			e.touch()
+			e.markChanged()
 			continue
 		}
 		d.onOverlay(laburnumregistry.Overlay{
--- a/laburnumdirector/outliers_test.go
+++ b/laburnumdirector/outliers_test.go
@@ -12,19 +12,19 @@
 
 // Guards against a failing backend server that each of hundreds of gateways has to find out for
 // itself.
-func TestGatewaysAreToldOfOutliers(t *testing.T) {
-	w := newWorld(t, 2, 3, 1)
-	w.beat()
+func TestOutliersAreSentToGateways(t *testing.T) {
+	w := newCluster(t, 2, 3, 1)
+	w.sendHeartbeats()
 	n := w.directors[0]
 	n.director.SetRecord(laburnumregistry.Record{Heartbeat: laburnumlever.Heartbeat{Backend: "plain-1", Service: "bookings", Sequence: 1}})
-	w.pass(8 * time.Second)
+	w.advance(8 * time.Second)
 	for _, id := range []laburnumlever.BackendID{"plain-1", "i-1"} {
 		report := laburnumlever.GatewayNews{Outcomes: []laburnumlever.BackendOutcome{{Backend: id, Failed: 1}}}
 		n.director.SetNews("gateway-1", report)
-		w.pass(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 		require.Zero(t, n.overlays[id].Outliers, "one failure may be the request's fault")
 		n.director.SetNews("gateway-2", report)
-		w.pass(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 		require.EqualValues(t, 1, n.overlays[id].Outliers)
 	}
 	require.Zero(t, n.overlays["i-0"].Outliers)
--- a/laburnumdirector/plan.go
+++ b/laburnumdirector/plan.go
@@ -22,10 +22,10 @@
 	service laburnumlever.ServiceName
 	class   *laburnumlever.EngineClass
 	engines []laburnumresidency.Engine
-	// known, revisions and losses are the state of the engines at the snapshot.
-	known     []*engine
+	// sources, revisions and losses are the state of the engines at the snapshot.
+	sources   []*engine
 	revisions []uint64
-	losses    uint64
+	removals  uint64
 }
 
 // plan starts a planning round for a service. It runs off the control thread, which renews leases
@@ -34,38 +34,38 @@
 	if d.planning[name] || now.Sub(d.startedAt) < time.Duration(settlePeriods*float64(d.cfg.heartbeat)) {
 		return
 	}
-	r := round{service: name, class: class, losses: d.engines.losses}
+	r := round{service: name, class: class, removals: d.engines.removals}
 	for _, id := range d.engines.ids() {
 		e := d.engines.get(id)
-		if e.heartbeat.Service != name || e.down(now, d.cfg.heartbeat) {
+		if e.heartbeat.Service != name || e.unreachable(now, d.cfg.heartbeat) {
 			continue
 		}
-		if !e.known {
-			d.ask(e, now)
+		if !e.acceptedKnown {
+			d.requestState(e, now)
 		}
-		r.engines = append(r.engines, e.planned(now))
-		r.known, r.revisions = append(r.known, e), append(r.revisions, e.revision)
+		r.engines = append(r.engines, e.snapshot(now))
+		r.sources, r.revisions = append(r.sources, e), append(r.revisions, e.revision)
 	}
-	d.reportLayout(name, class, r.engines, now)
+	d.logLayout(name, class, r.engines, now)
 	work, requests := d.demand.loads(now, class.Slots)
-	adapters, quiet := d.adaptersUsed(r.known, now), d.demand.quietModels(class, now)
+	adapters, quiet := d.adaptersInUse(r.sources, now), d.demand.quietModels(class, now)
 	d.planning[name] = true
-	opts := append(slices.Clone(d.cfg.rounds), laburnumresidency.WithRequests(requests), laburnumresidency.WithQuiet(quiet))
+	opts := append(slices.Clone(d.cfg.plannerOptions), laburnumresidency.WithRequests(requests), laburnumresidency.WithQuiet(quiet))
 	d.cfg.compute(func() {
-		steps := d.cfg.next(class, r.engines, work, adapters, opts...)
-		d.loop.Post(d, planned{round: r, steps: steps})
+		steps := d.cfg.planner(class, r.engines, work, adapters, opts...)
+		d.loop.Post(d, roundPlanned{round: r, steps: steps})
 	})
 }
 
-// onPlanned executes the steps of engines that have not changed since the snapshot.
-func (d *Director) onPlanned(ev planned) {
+// onRoundPlanned executes the steps of engines that have not changed since the snapshot.
+func (d *Director) onRoundPlanned(ev roundPlanned) {
 	delete(d.planning, ev.round.service)
 	if !d.lease.valid(d.clock()) || d.services[ev.round.service] != ev.round.class {
 		return
 	}
 	now := d.timers.Now()
 	revisions := map[laburnumlever.BackendID]uint64{}
-	for i, e := range ev.round.known {
+	for i, e := range ev.round.sources {
 		if d.engines.get(e.heartbeat.Backend) == e {
 			revisions[e.heartbeat.Backend] = ev.round.revisions[i]
 		}
@@ -75,26 +75,26 @@
 		if e == nil || revisions[step.Engine] != e.revision || !e.idle(now) {
 			continue
 		}
-		if step.Kind == laburnumlever.Unload && ev.round.losses != d.engines.losses {
+		if step.Kind == laburnumlever.Unload && ev.round.removals != d.engines.removals {
 			continue // the other copy may be gone
 		}
-		d.take(e, ev.round.class, step, now)
+		d.execute(e, ev.round.class, step, now)
 	}
 }
 
-// adaptersUsed counts the adapters in use, or needed, by model.
-func (d *Director) adaptersUsed(engines []*engine, now time.Time) map[laburnumlever.ModelName]int {
+// adaptersInUse counts the adapters in use, or needed, by model.
+func (d *Director) adaptersInUse(engines []*engine, now time.Time) map[laburnumlever.ModelName]int {
 	used := map[adapterKey]bool{}
 	for _, e := range engines {
 		for model, h := range e.held {
 			for name, a := range h.adapters {
-				if now.Sub(a.usedAt) < adapterInUse {
+				if now.Sub(a.usedAt) < adapterUseWindow {
 					used[adapterKey{model: model, adapter: name}] = true
 				}
 			}
 		}
 	}
-	for _, n := range d.needs {
+	for _, n := range d.adapterRequests {
 		used[n.key] = true
 	}
 	counts := map[laburnumlever.ModelName]int{}
@@ -104,19 +104,19 @@
 	return counts
 }
 
-// take executes a step. An unload begins with a notice to the gateways.
-func (d *Director) take(e *engine, class *laburnumlever.EngineClass, step laburnumresidency.Step, now time.Time) {
+// execute executes a step. An unload begins with a notice to the gateways.
+func (d *Director) execute(e *engine, class *laburnumlever.EngineClass, step laburnumresidency.Step, now time.Time) {
 	if step.Kind == laburnumlever.Unload {
 		h := e.held[step.Model]
 		if h == nil || h.withdrawn {
 			return
 		}
 		h.withdrawn, h.withdrawnAt = true, now
-		e.touch()
+		e.markChanged()
 		_ = level.Info(d.cfg.logger).Log("event", laburnumlever.EventModelWithdrawn, "backend", e.heartbeat.Backend, "model", step.Model, "cause", step.Reason)
 		return
 	}
-	if step.FromStore && !d.payStore(e, class) {
+	if step.FromStore && !d.takeStoreToken(e, class) {
 		return
 	}
 	_ = level.Info(d.cfg.logger).Log("event", laburnumlever.EventLoadDecided, "backend", e.heartbeat.Backend, "model", step.Model,
--- a/laburnumdirector/plan_test.go
+++ b/laburnumdirector/plan_test.go
@@ -10,8 +10,8 @@
 	"laburnumlever/laburnumregistry"
 )
 
-// finishRounds ends the rounds of planning that were kept back.
-func (n *node) finishRounds() {
+// runRounds ends the rounds of planning that were kept back.
+func (n *node) runRounds() {
 	rounds := n.rounds
 	n.rounds = nil
 	for _, round := range rounds {
@@ -19,52 +19,52 @@
 	}
 }
 
-// settleRounds ends the round that began before the engines had told their state and the one
+// runFirstRounds ends the round that began before the engines had told their state and the one
 // whose loads the store does not allow yet. The next is under way then.
-func (w *world) settleRounds(n *node) {
+func (w *cluster) runFirstRounds(n *node) {
 	for range 2 {
-		n.finishRounds()
-		w.pass(time.Second)
+		n.runRounds()
+		w.advance(time.Second)
 	}
 }
 
 // Guards against a slow round of planning that keeps the lease from being renewed.
-func TestSlowRoundHoldsNothingUp(t *testing.T) {
-	w := newWorld(t, 4, 3, 1)
+func TestSlowPlanningKeepsTheLease(t *testing.T) {
+	w := newCluster(t, 4, 3, 1)
 	n := w.directors[0]
-	n.plansSlowly = true
-	w.beat()
-	w.pass(6 * time.Second)
+	n.holdsRounds = true
+	w.sendHeartbeats()
+	w.advance(6 * time.Second)
 	require.Len(t, n.rounds, 1, "one round at a time")
 	require.Empty(t, w.orders)
 	fence := w.machine.Leases()[0].Fence
-	w.settleRounds(n)
-	n.finishRounds()
-	w.pass(time.Second)
+	w.runFirstRounds(n)
+	n.runRounds()
+	w.advance(time.Second)
 	require.NotEmpty(t, w.orders, "the round's steps are carried out")
 	require.Equal(t, fence, w.machine.Leases()[0].Fence, "the lease was never lost")
 }
 
 // Guards against orders to an engine that has changed since the round of planning began.
 func TestStepsForAChangedEngineAreDropped(t *testing.T) {
-	w := newWorld(t, 1, 1, 1)
+	w := newCluster(t, 1, 1, 1)
 	n := w.directors[0]
-	n.plansSlowly = true
-	w.beat()
-	w.pass(4 * time.Second)
-	w.settleRounds(n)
+	n.holdsRounds = true
+	w.sendHeartbeats()
+	w.advance(4 * time.Second)
+	w.runFirstRounds(n)
 	w.engines["i-0"].held[modelName(0)] = map[laburnumlever.AdapterName]bool{}
-	w.beat()
-	w.pass(100 * time.Millisecond)
-	n.finishRounds()
-	w.pass(100 * time.Millisecond)
+	w.sendHeartbeats()
+	w.advance(100 * time.Millisecond)
+	n.runRounds()
+	w.advance(100 * time.Millisecond)
 	require.Empty(t, w.orders)
 }
 
 // Guards against the unload of a model's last copy: the other copy went while the round of
 // planning was under way.
-func TestUnloadIsDroppedWhenACopyWentMeanwhile(t *testing.T) {
-	w := newWorld(t, 5, 3, 1)
+func TestUnloadIsDroppedAfterLossOfACopy(t *testing.T) {
+	w := newCluster(t, 5, 3, 1)
 	n := w.directors[0]
 	hold := func(engine laburnumlever.BackendID, models ...int) {
 		for _, m := range models {
@@ -74,19 +74,19 @@
 	hold("i-0", 0, 1)
 	hold("i-1", 0, 2)
 	hold("i-2", 3, 4)
-	n.plansSlowly = true
-	w.beat()
-	w.pass(4 * time.Second)
-	w.ask(4, 60) // the busy model needs the slot of a second copy
-	w.pass(400 * time.Millisecond)
-	n.finishRounds()
-	w.pass(300 * time.Millisecond) // a round that knows of the demand is under way
+	n.holdsRounds = true
+	w.sendHeartbeats()
+	w.advance(4 * time.Second)
+	w.setDemand(4, 60) // the busy model needs the slot of a second copy
+	w.advance(400 * time.Millisecond)
+	n.runRounds()
+	w.advance(300 * time.Millisecond) // a round that knows of the demand is under way
 	require.Empty(t, w.orders)
 	require.Len(t, n.rounds, 1)
 	delete(w.engines, "i-1")
 	n.director.SetRecord(laburnumregistry.Record{Heartbeat: laburnumlever.Heartbeat{Backend: "i-1"}, Gone: true})
-	w.pass(100 * time.Millisecond)
-	n.finishRounds()
-	w.pass(time.Second)
+	w.advance(100 * time.Millisecond)
+	n.runRounds()
+	w.advance(time.Second)
 	require.Empty(t, w.orders, "the other copy of m0 is the last one")
 }
