--- a/laburnumresidency/change.go
+++ b/laburnumresidency/change.go
@@ -14,11 +14,11 @@
 
 // relocates tells whether a last copy moves to another engine.
 func (c change) relocates() bool {
-	return slices.ContainsFunc(c.evictions, func(v eviction) bool { return v.to != nowhere })
+	return slices.ContainsFunc(c.evictions, func(v eviction) bool { return v.to != none })
 }
 
-// sizeAt is the memory that relocated models take at an engine, in MB.
-func (c change) sizeAt(l *layout, e int) float64 {
+// relocatedSize is the memory that relocated models take at an engine, in MB.
+func (c change) relocatedSize(l *layout, e int) float64 {
 	total := 0.0
 	for _, v := range c.evictions {
 		if v.to == e {
--- a/laburnumresidency/fill.go
+++ b/laburnumresidency/fill.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// fillWork is the least work of a copy in free memory, as a share of an engine's. Rarely used
+// minFillWork is the least work of a copy in free memory, as a share of an engine's. Rarely used
 // copies would have to be evicted again.
-const fillWork = 0.05
+const minFillWork = 0.05
 
 // fill loads copies into free memory while nothing else is loading.
 //
@@ -19,7 +19,7 @@
 		if !engine.Idle {
 			continue
 		}
-		if m := p.likeliest(e, candidates); m != nowhere {
+		if m := p.bestFill(e, candidates); m != none {
 			p.copies[m]++
 			p.load(e, m, "free room for what is asked for most", 0)
 		}
@@ -31,18 +31,18 @@
 func (p *planner) fillCandidates() []int {
 	var list []int
 	for m := range p.class.Models {
-		if p.fillWeight(m) > p.fillLeast() {
+		if p.fillWeight(m) > p.minFillWeight() {
 			list = append(list, m)
 		}
 	}
 	return list
 }
 
-func (p *planner) fillLeast() float64 {
+func (p *planner) minFillWeight() float64 {
 	if len(p.demand) == 0 {
 		return 0
 	}
-	return fillWork
+	return minFillWork
 }
 
 // fillWeight is the work per copy with another copy.
@@ -54,10 +54,10 @@
 	return work / float64(p.copies[m]+1)
 }
 
-// likeliest returns the candidate with most weight that fits an engine, or nowhere.
-func (p *planner) likeliest(e int, candidates []int) int {
-	best, most := nowhere, p.fillLeast()
-	used := p.usedNow(e)
+// bestFill returns the candidate with most weight that fits an engine, or nowhere.
+func (p *planner) bestFill(e int, candidates []int) int {
+	best, most := none, p.minFillWeight()
+	used := p.usedMB(e)
 	for _, m := range candidates {
 		if w := p.fillWeight(m); w > most && used+p.target.size[m] <= p.class.WeightsMB && !slices.Contains(p.heldBy[e], m) {
 			best, most = m, w
--- a/laburnumresidency/golden_test.go
+++ b/laburnumresidency/golden_test.go
@@ -24,7 +24,7 @@
 	for seed := range uint64(fleets) {
 		f := randomFleet(seed)
 		fmt.Fprintf(&got, "fleet %d: %d engines, %d models\n", seed, len(f.engines), len(f.class.Models))
-		for _, s := range Next(f.class, f.engines, f.demand, f.adapters, append(f.options, WithPolicy(DefaultPolicy().WithMinGain(easyGain).WithDisplacement(false)))...) {
+		for _, s := range Next(f.class, f.engines, f.demand, f.adapters, append(f.options, WithPolicy(DefaultPolicy().WithMinGain(minSpareGain).WithDisplacement(false)))...) {
 			fmt.Fprintf(&got, "  %s %s %s from-store=%t: %s\n", s.Engine, s.Kind, s.Model, s.FromStore, s.Reason)
 		}
 	}
--- a/laburnumresidency/layout.go
+++ b/laburnumresidency/layout.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	easyWork   = 0.5 // work up to which requests find a free slot at once
-	overWeight = 4   // of the congestion beyond easyWork
-	nowhere    = -1  // no engine, or no model
+	uncongestedWork  = 0.5 // work up to which requests find a free slot at once
+	congestionWeight = 4   // of the congestion beyond easyWork
+	none             = -1  // no engine, or no model
 )
 
 // layout maps engines to models, with the resulting work. Operations cost what they touch, not the
 // size of the fleet.
 type layout struct {
-	size   []float64
-	demand []float64
-	need   []float64 // adapters in use
-	slots  float64   // adapter slots of an engine
+	size     []float64
+	demand   []float64
+	adapters []float64 // adapters in use
+	slots    float64   // adapter slots of an engine
 	// models are those of each engine, holders the engines of each model, both ascending.
 	models  [][]int
 	holders [][]int
 	used    []float64
 	work    []float64
-	// ranked are the engines in the order of their work.
-	ranked []int
+	// byWork are the engines in the order of their work.
+	byWork []int
 	// delta is the change of work evaluated by relief, touched the engines with one.
 	delta   []float64
 	touched []int
-	stale   []bool // scratch of update
+	dirty   []bool // scratch of update
 }
 
 // newLayout is the layout after the orders in progress.
@@ -38,13 +38,13 @@
 	engines, models := len(p.engines), len(p.class.Models)
 	l := &layout{
 		slots: float64(p.class.AdapterSlots),
-		size:  make([]float64, models), demand: make([]float64, models), need: make([]float64, models),
+		size:  make([]float64, models), demand: make([]float64, models), adapters: make([]float64, models),
 		models: make([][]int, engines), holders: make([][]int, models),
-		used: make([]float64, engines), work: make([]float64, engines), ranked: make([]int, engines),
-		delta: make([]float64, engines), stale: make([]bool, engines),
+		used: make([]float64, engines), work: make([]float64, engines), byWork: make([]int, engines),
+		delta: make([]float64, engines), dirty: make([]bool, engines),
 	}
 	for i, m := range p.class.Models {
-		l.size[i], l.demand[i], l.need[i] = size(m), p.demand[m.Name], float64(p.adapters[m.Name])
+		l.size[i], l.demand[i], l.adapters[i] = size(m), p.demand[m.Name], float64(p.adapters[m.Name])
 	}
 	for e, engine := range p.engines {
 		for _, m := range p.heldBy[e] {
@@ -54,9 +54,9 @@
 		}
 	}
 	for e := range l.models {
-		l.work[e], l.ranked[e] = l.sum(e), e
+		l.work[e], l.byWork[e] = l.workOf(e), e
 	}
-	slices.SortFunc(l.ranked, l.compare)
+	slices.SortFunc(l.byWork, l.compare)
 	return l
 }
 
@@ -107,38 +107,38 @@
 		}
 	}
 	moved := l.touched
-	l.ranked = slices.DeleteFunc(l.ranked, func(e int) bool { return l.stale[e] })
+	l.byWork = slices.DeleteFunc(l.byWork, func(e int) bool { return l.dirty[e] })
 	for _, e := range moved {
-		l.stale[e] = false
-		at, _ := slices.BinarySearchFunc(l.ranked, e, l.compare)
-		l.ranked = slices.Insert(l.ranked, at, e)
+		l.dirty[e] = false
+		at, _ := slices.BinarySearchFunc(l.byWork, e, l.compare)
+		l.byWork = slices.Insert(l.byWork, at, e)
 	}
 	l.touched = l.touched[:0]
 }
 
 func (l *layout) refresh(e int) {
-	if l.stale[e] {
+	if l.dirty[e] {
 		return
 	}
-	l.stale[e] = true
+	l.dirty[e] = true
 	l.touched = append(l.touched, e)
-	l.work[e] = l.sum(e)
+	l.work[e] = l.workOf(e)
 }
 
-// sum is the work of an engine.
-func (l *layout) sum(e int) float64 {
+// workOf is the work of an engine.
+func (l *layout) workOf(e int) float64 {
 	work := 0.0
 	for _, m := range l.models[e] {
-		work += l.share(m)
+		work += l.workPerCopy(m)
 	}
 	return work
 }
 
-// share is the work per copy of a model.
-func (l *layout) share(m int) float64 { return l.demand[m] / float64(max(1, l.copies(m))) }
+// workPerCopy is the work per copy of a model.
+func (l *layout) workPerCopy(m int) float64 { return l.demand[m] / float64(max(1, l.copies(m))) }
 
-// loss is the work that moves to each other copy if one is evicted.
-func (l *layout) loss(m int) float64 {
+// evictionLoss is the work that moves to each other copy if one is evicted.
+func (l *layout) evictionLoss(m int) float64 {
 	n := l.copies(m)
 	if n <= 1 {
 		const lastCopy = 1000
@@ -149,15 +149,15 @@
 
 // congestion is the cost of an engine's work to its callers.
 func congestion(work float64) float64 {
-	over := max(0, work-easyWork)
-	return work*work + overWeight*over*over
+	over := max(0, work-uncongestedWork)
+	return work*work + congestionWeight*over*over
 }
 
 // relief is the reduction of congestion and of adapters without a slot by a change.
 func (l *layout) relief(c change) float64 {
-	l.shift(c.model, c.engine, nowhere)
+	l.shiftWork(c.model, c.engine, none)
 	for _, v := range c.evictions {
-		l.shift(v.model, v.to, c.engine)
+		l.shiftWork(v.model, v.to, c.engine)
 	}
 	slices.Sort(l.touched) // sums of floats depend on their order
 	relief := 0.0
@@ -168,68 +168,68 @@
 		}
 	}
 	l.touched = l.touched[:0]
-	return relief + shortageWeight*min(l.shortage(c.model), l.slotsFor(c.engine, c.model))
+	return relief + shortageWeight*min(l.slotShortage(c.model), l.slotShare(c.engine, c.model))
 }
 
-// shift adds the change of work when a model gets a copy at one engine and loses that at another;
+// shiftWork adds the change of work when a model gets a copy at one engine and loses that at another;
 // either may be nowhere.
-func (l *layout) shift(m, gets, loses int) {
+func (l *layout) shiftWork(m, gets, loses int) {
 	if l.demand[m] == 0 {
 		return
 	}
 	n := l.copies(m)
 	after := n
-	if gets != nowhere {
+	if gets != none {
 		after++
 	}
-	if loses != nowhere {
+	if loses != none {
 		after--
 	}
 	before, now := l.demand[m]/float64(max(1, n)), l.demand[m]/float64(max(1, after))
 	for _, e := range l.holders[m] {
 		if e != loses && e != gets {
-			l.add(e, now-before)
+			l.addDelta(e, now-before)
 		}
 	}
-	if loses != nowhere {
-		l.add(loses, -before)
+	if loses != none {
+		l.addDelta(loses, -before)
 	}
-	if gets != nowhere {
-		l.add(gets, now)
+	if gets != none {
+		l.addDelta(gets, now)
 	}
 }
 
-func (l *layout) add(e int, work float64) {
+func (l *layout) addDelta(e int, work float64) {
 	if l.delta[e] == 0 {
 		l.touched = append(l.touched, e)
 	}
 	l.delta[e] += work
 }
 
-// slotsFor is the model's part of an engine's adapter slots.
-func (l *layout) slotsFor(e, m int) float64 {
-	if l.need[m] == 0 {
+// slotShare is the model's part of an engine's adapter slots.
+func (l *layout) slotShare(e, m int) float64 {
+	if l.adapters[m] == 0 {
 		return 0
 	}
-	total := l.need[m]
+	total := l.adapters[m]
 	for _, other := range l.models[e] {
 		if other != m {
-			total += l.need[other]
+			total += l.adapters[other]
 		}
 	}
-	return l.slots * l.need[m] / total
+	return l.slots * l.adapters[m] / total
 }
 
-// shortage is the number of a model's adapters without a slot.
-func (l *layout) shortage(m int) float64 {
-	if l.need[m] == 0 || l.slots == 0 {
+// slotShortage is the number of a model's adapters without a slot.
+func (l *layout) slotShortage(m int) float64 {
+	if l.adapters[m] == 0 || l.slots == 0 {
 		return 0
 	}
 	slots := 0.0
 	for _, e := range l.holders[m] {
-		slots += l.slotsFor(e, m)
+		slots += l.slotShare(e, m)
 	}
-	return max(0, l.need[m]-slots)
+	return max(0, l.adapters[m]-slots)
 }
 
 // apply applies a change.
@@ -237,7 +237,7 @@
 	models := []int{c.model}
 	for _, v := range c.evictions {
 		l.set(c.engine, v.model, false)
-		if v.to != nowhere {
+		if v.to != none {
 			l.set(v.to, v.model, true)
 		}
 		models = append(models, v.model)
--- a/laburnumresidency/planner.go
+++ b/laburnumresidency/planner.go
@@ -13,34 +13,34 @@
 	policy  Policy
 	engines []*Engine
 	demand  Demand
-	// requests are the rates by model, per second; asked holds them by index.
-	requests map[laburnumlever.ModelName]float64
-	asked    []float64
-	quiet    []bool // models without recent requests
-	// total is the sum of the rates; 0 if they are unknown.
-	total    float64
-	adapters map[laburnumlever.ModelName]int
-	target   *layout
-	index    map[laburnumlever.ModelName]int
+	// requestRates are the rates by model, per second; asked holds them by index.
+	requestRates map[laburnumlever.ModelName]float64
+	rates        []float64
+	quiet        []bool // models without recent requests
+	// totalRate is the sum of the rates; 0 if they are unknown.
+	totalRate float64
+	adapters  map[laburnumlever.ModelName]int
+	target    *layout
+	index     map[laburnumlever.ModelName]int
 	// heldBy are the models that take memory at each engine, tiers its weights outside the
 	// accelerator.
 	heldBy [][]int
 	tiers  []tier
 	// copies counts the copies of each model, loading ones included; ready counts those that
 	// take requests, coming those that load, with this round's steps.
-	copies []int
-	ready  []int
-	coming []int
+	copies  []int
+	ready   []int
+	loading []int
 	// relocating tells that a last copy is being moved to another engine.
 	relocating bool
 	// displaced are the models whose last copy is evicted for a busy model.
 	displaced map[int]bool
-	// rescues are the missing models by the engine that loads them.
-	rescues map[int]int
-	steps   []urgentStep
-	// least and evictions are scratch space.
-	least     []int
-	evictions []eviction
+	// restoring are the missing models by the engine that loads them.
+	restoring map[int]int
+	steps     []urgentStep
+	// candidates and evictions are scratch space.
+	candidates []int
+	evictions  []eviction
 }
 
 // tier is the weights that an engine can load without the store.
@@ -59,9 +59,9 @@
 // demand.
 func WithRequests(rates map[laburnumlever.ModelName]float64) Option {
 	return func(p *planner) {
-		p.requests = rates
+		p.requestRates = rates
 		for _, rate := range rates {
-			p.total += rate
+			p.totalRate += rate
 		}
 	}
 }
@@ -85,26 +85,26 @@
 	p.placeMissing()
 	p.rebalance()
 	for e, engine := range p.engines {
-		p.approach(e, engine)
+		p.planStep(e, engine)
 	}
-	if p.policy.fills && len(p.steps) == 0 && !slices.ContainsFunc(p.engines, (*Engine).loads) {
+	if p.policy.fills && len(p.steps) == 0 && !slices.ContainsFunc(p.engines, (*Engine).isLoading) {
 		p.fill()
 	}
 	slices.SortStableFunc(p.steps, func(a, b urgentStep) int { return cmp.Compare(b.urgency, a.urgency) })
-	return p.withinStore()
+	return p.limitStoreLoads()
 }
 
 func newPlanner(class *laburnumlever.EngineClass, engines []Engine, demand Demand, adapters map[laburnumlever.ModelName]int, opts []Option) *planner {
 	p := &planner{
-		class: class, policy: DefaultPolicy(), demand: demand, requests: demand, adapters: adapters, rescues: map[int]int{}, displaced: map[int]bool{},
-		index: make(map[laburnumlever.ModelName]int, len(class.Models)), asked: make([]float64, len(class.Models)),
+		class: class, policy: DefaultPolicy(), demand: demand, requestRates: demand, adapters: adapters, restoring: map[int]int{}, displaced: map[int]bool{},
+		index: make(map[laburnumlever.ModelName]int, len(class.Models)), rates: make([]float64, len(class.Models)),
 		quiet: make([]bool, len(class.Models)),
 	}
 	for _, opt := range opts {
 		opt(p)
 	}
 	for i, m := range class.Models {
-		p.index[m.Name], p.asked[i] = i, p.requests[m.Name]
+		p.index[m.Name], p.rates[i] = i, p.requestRates[m.Name]
 	}
 	engines = slices.Clone(engines)
 	slices.SortFunc(engines, func(a, b Engine) int { return cmp.Compare(a.ID, b.ID) })
@@ -113,26 +113,26 @@
 		engine := &engines[e]
 		p.engines[e], p.tiers[e] = engine, tier{inMemory: p.indices(engine.InMemory), onDisk: p.indices(engine.OnDisk)}
 		for _, h := range engine.Held {
-			if m := p.find(h.Name); m != nowhere {
+			if m := p.indexOf(h.Name); m != none {
 				p.heldBy[e] = append(p.heldBy[e], m)
 			}
 		}
 	}
 	p.target = newLayout(p)
 	p.countCopies()
-	p.relocating = slices.ContainsFunc(p.engines, p.loadsRelocated)
+	p.relocating = slices.ContainsFunc(p.engines, p.loadsRelocatedModel)
 	return p
 }
 
 // countCopies counts the copies of each model.
 func (p *planner) countCopies() {
 	models := len(p.class.Models)
-	p.copies, p.ready, p.coming = make([]int, models), make([]int, models), make([]int, models)
+	p.copies, p.ready, p.loading = make([]int, models), make([]int, models), make([]int, models)
 	for m := range p.copies {
 		p.copies[m] = p.target.copies(m)
 		for _, e := range p.target.holders[m] {
 			if p.engines[e].Loading == p.class.Models[m].Name {
-				p.coming[m]++
+				p.loading[m]++
 			} else {
 				p.ready[m]++
 			}
@@ -140,10 +140,10 @@
 	}
 }
 
-// loadsRelocated tells whether the engine loads a second copy of a model without work.
-func (p *planner) loadsRelocated(e *Engine) bool {
-	m := p.find(e.Loading)
-	return m != nowhere && p.copies[m] == 2 && p.target.demand[m] < idleShare
+// loadsRelocatedModel tells whether the engine loads a second copy of a model without work.
+func (p *planner) loadsRelocatedModel(e *Engine) bool {
+	m := p.indexOf(e.Loading)
+	return m != none && p.copies[m] == 2 && p.target.demand[m] < negligibleWork
 }
 
 // loadTime is the time until the engine holds a copy, in seconds.
@@ -151,7 +151,7 @@
 	if slices.Contains(p.heldBy[e], m) && p.engines[e].Unloading != p.class.Models[m].Name {
 		return 0
 	}
-	return p.engines[e].wait() + p.loadSeconds(e, m)
+	return p.engines[e].waitSeconds() + p.loadSeconds(e, m)
 }
 
 // loadSeconds is the duration of a load from the nearest tier.
@@ -171,37 +171,37 @@
 	return !slices.Contains(p.tiers[e].inMemory, m) && !slices.Contains(p.tiers[e].onDisk, m)
 }
 
-// leastUseful lists an engine's models in the order of eviction; none if no memory is needed.
-func (p *planner) leastUseful(e int, need float64) []int {
-	p.least = p.least[:0]
+// evictionOrder lists an engine's models in the order of eviction; none if no memory is needed.
+func (p *planner) evictionOrder(e int, need float64) []int {
+	p.candidates = p.candidates[:0]
 	if need <= 0 {
 		return nil
 	}
-	p.least = append(p.least, p.target.models[e]...)
-	if len(p.least) > 1 {
-		slices.SortStableFunc(p.least, func(a, b int) int { return cmp.Compare(p.loss(a), p.loss(b)) })
+	p.candidates = append(p.candidates, p.target.models[e]...)
+	if len(p.candidates) > 1 {
+		slices.SortStableFunc(p.candidates, func(a, b int) int { return cmp.Compare(p.evictionLoss(a), p.evictionLoss(b)) })
 	}
-	return p.least
+	return p.candidates
 }
 
-// loss is the cost of evicting a copy.
-func (p *planner) loss(m int) float64 {
+// evictionLoss is the cost of evicting a copy.
+func (p *planner) evictionLoss(m int) float64 {
 	if p.quiet[m] {
 		return p.target.demand[m]
 	}
-	return p.target.loss(m)
+	return p.target.evictionLoss(m)
 }
 
 // unloadSeconds is the duration of an unload, in seconds.
 func (p *planner) unloadSeconds(v int) float64 {
-	return unloadTime + busyUnloadTime*min(1, p.target.share(v)/busyWork)
+	return unloadTime + busyUnloadTime*min(1, p.target.workPerCopy(v)/busyWork)
 }
 
-// blockCost is the cost of a load for adapters, which the engine can't load meanwhile.
-func (p *planner) blockCost(e, m int) float64 {
+// adapterBlockCost is the cost of a load for adapters, which the engine can't load meanwhile.
+func (p *planner) adapterBlockCost(e, m int) float64 {
 	blocked := 0.0
 	for _, held := range p.target.models[e] {
-		blocked += p.target.need[held] / float64(max(1, p.target.copies(held)))
+		blocked += p.target.adapters[held] / float64(max(1, p.target.copies(held)))
 	}
 	if blocked == 0 {
 		return 0
@@ -210,11 +210,11 @@
 }
 
 // bestOf returns the change with the highest gain over some engines; false if none is possible.
-func bestOf(engines []int, try func(e int) (change, bool)) (change, bool) {
+func bestOf(engines []int, evaluate func(e int) (change, bool)) (change, bool) {
 	var best change
 	found := false
 	for _, e := range engines {
-		c, ok := try(e)
+		c, ok := evaluate(e)
 		if ok && (!found || c.gain > best.gain) {
 			c.evictions = slices.Clone(c.evictions)
 			best, found = c, true
@@ -223,19 +223,19 @@
 	return best, found
 }
 
-// find returns a model's index, or nowhere.
-func (p *planner) find(name laburnumlever.ModelName) int {
+// indexOf returns a model's index, or nowhere.
+func (p *planner) indexOf(name laburnumlever.ModelName) int {
 	if m, ok := p.index[name]; ok {
 		return m
 	}
-	return nowhere
+	return none
 }
 
 // indices returns those of the models in the class.
 func (p *planner) indices(names []laburnumlever.ModelName) []int {
 	list := make([]int, 0, len(names))
 	for _, name := range names {
-		if m := p.find(name); m != nowhere {
+		if m := p.indexOf(name); m != none {
 			list = append(list, m)
 		}
 	}
--- a/laburnumresidency/planner_test.go
+++ b/laburnumresidency/planner_test.go
@@ -31,7 +31,7 @@
 // The only engine with a rare model dies. Its callers are refused until another
 // engine loads it; with all places taken, a copy that another engine holds too has
 // to give way first, never the last one of a model.
-func TestLostModelComesBack(t *testing.T) {
+func TestMissingModelIsRestored(t *testing.T) {
 	class := testClass(5)
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m0", "m2"), testEngine(3, "m0", "m3")}
 	steps := Next(class, engines, Demand{"m0": 0.04}, nil)
@@ -48,7 +48,7 @@
 
 // An engine has the weights on its disk: the load there takes a fifth of the time
 // and nothing of the store's rate.
-func TestLoadsComeFromTheDiskWhereTheyCan(t *testing.T) {
+func TestLoadsPreferTheLocalDisk(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0"), testEngine(2, "m0")}
 	engines[1].OnDisk = []laburnumlever.ModelName{"m1"}
 	steps := Next(testClass(2), engines, Demand{}, nil)
@@ -78,7 +78,7 @@
 // A calm fleet where every model is held and no room is free must be left alone: each
 // needless load is paid for and takes from the store what a lost model may need. Where room
 // is free, models that hardly anybody asks for are left alone as well.
-func TestCalmFleetIsLeftAlone(t *testing.T) {
+func TestStableFleetNeedsNoSteps(t *testing.T) {
 	demand := Demand{"m0": 0.2, "m1": 0.2, "m2": 0.15}
 	full := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3, "m1", "m2")}
 	require.Empty(t, Next(testClass(3), full, demand, nil))
@@ -90,7 +90,7 @@
 // Demand is about to move, and an engine stands empty while the store is idle. Loaded only
 // once callers are refused, a copy comes seconds too late: the room goes to what is asked for
 // most for each copy, one load at a time for each engine, and then there is peace.
-func TestFreeRoomGoesToWhatIsAskedForMost(t *testing.T) {
+func TestFillPrefersMostDemandPerCopy(t *testing.T) {
 	demand := Demand{"m0": 0.2, "m1": 0.2, "m2": 0.15}
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3)}
 	var loaded []string
@@ -108,7 +108,7 @@
 
 // Nobody has asked yet after a start. Whoever placed the models has put those that are
 // wanted on more engines than one: free room goes to these.
-func TestFreeRoomBeforeAnyDemandGoesToWhatHasCopies(t *testing.T) {
+func TestFillBeforeDemandFollowsInitialCopies(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3)}
 	steps := Next(testClass(3), engines, Demand{}, nil)
 	require.Len(t, steps, 1)
@@ -140,7 +140,7 @@
 					}
 					e.Held = kept
 				}
-				require.LessOrEqual(t, e.used(class), class.WeightsMB)
+				require.LessOrEqual(t, e.usedMB(class), class.WeightsMB)
 			}
 		}
 		for i := range engines {
@@ -159,7 +159,7 @@
 // Fitters ask one model for a dozen adapters in turn, and its only engine has places
 // for eight. Each request would push another's adapter out and wait; the model must
 // get a second engine, though the first has little work.
-func TestModelWhoseAdaptersLackPlacesGetsACopy(t *testing.T) {
+func TestAdapterSlotShortageAddsACopy(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2")}
 	steps := Next(testClass(3), engines, Demand{"m0": 0.04}, map[laburnumlever.ModelName]int{"m0": 12})
 	require.Len(t, steps, 1)
@@ -170,7 +170,7 @@
 
 // A copy that was loaded a moment ago must stay: demand that swings would otherwise
 // have the same two models loaded in turns.
-func TestYoungCopyStays(t *testing.T) {
+func TestRecentCopyIsNotEvicted(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3, "m2", "m0")}
 	engines[1].Young = []laburnumlever.ModelName{"m2", "m0"}
 	engines[2].Young = []laburnumlever.ModelName{"m2", "m0"}
@@ -179,7 +179,7 @@
 
 // A second copy of a model is on its way, which takes four seconds. Until it is there
 // the first must stay, or all who ask meanwhile are refused.
-func TestCopyOnItsWayIsNoneYet(t *testing.T) {
+func TestLoadingCopyDoesNotCountAsReady(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m1"), testEngine(3, "m3", "m2")}
 	engines[1].Loading, engines[1].Idle = "m1", false
 	for _, step := range Next(testClass(5), engines, Demand{"m4": 1, "m1": 0.1}, nil) {
@@ -213,7 +213,7 @@
 // of a model that somebody asks for now and then. The busy model must take the place of
 // one of these at once; it was never loaded again while plans to move one aside followed
 // each other.
-func TestBusyModelTakesALastPlace(t *testing.T) {
+func TestMissingBusyModelEvictsALastCopy(t *testing.T) {
 	engines := []Engine{testEngine(1, "m1", "m2"), testEngine(2, "m3", "m4"), testEngine(3, "m5", "m6")}
 	rates := map[laburnumlever.ModelName]float64{"m0": 90}
 	demand := Demand{"m0": 2}
@@ -236,7 +236,7 @@
 
 // Guards against a model with several engines' work that stays on one, while the others hold last
 // copies of models that hardly anybody asks for.
-func TestOverloadedModelDisplacesRarelyAskedOnes(t *testing.T) {
+func TestOverloadedModelDisplacesRarelyUsedOnes(t *testing.T) {
 	rates := map[laburnumlever.ModelName]float64{"m0": 90}
 	demand := Demand{"m0": 2.4}
 	for i := 1; i < 6; i++ {
@@ -261,7 +261,7 @@
 
 // Guards against a busy model that stays on one engine because all other memory holds models that
 // nobody asks for.
-func TestQuietModelsMakeRoom(t *testing.T) {
+func TestQuietModelsAreEvicted(t *testing.T) {
 	quiet := map[laburnumlever.ModelName]bool{"m2": true, "m3": true}
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m3")}
 	rates := map[laburnumlever.ModelName]float64{"m0": 30, "m1": 1}
@@ -284,7 +284,7 @@
 // A missing model could come to an engine that loads another for four seconds more, or to
 // one that has to let a spare copy go first. The plan must go by the time that is left;
 // by a fixed guess it waited for the first, load after load.
-func TestMissingModelGoesWhereItIsSoonest(t *testing.T) {
+func TestMissingModelLoadsWhereSoonest(t *testing.T) {
 	engines := []Engine{testEngine(1, "m1"), testEngine(2, "m1", "m2"), testEngine(3, "m2", "m3")}
 	engines[0].Idle, engines[0].Loading, engines[0].FreeIn = false, "m1", 4
 	engines[0].Held = nil
@@ -299,7 +299,7 @@
 
 // Two models are missing and the store gives one load now. It must be that of the model
 // which callers wait for.
-func TestMostWantedModelGetsTheStoreFirst(t *testing.T) {
+func TestStoreLoadsHighestDemandFirst(t *testing.T) {
 	engines := []Engine{testEngine(1), testEngine(2)}
 	rates := map[laburnumlever.ModelName]float64{"m0": 0.5, "m1": 40}
 	steps := Next(testClass(2), engines, Demand{"m1": 0.4}, nil, WithRequests(rates))
@@ -309,7 +309,7 @@
 
 // Most callers ask for one model, which one engine serves with ease. It must have a second
 // copy all the same: with the engine all of them would be refused until another has loaded it.
-func TestModelOfMostCallersHasTwoCopies(t *testing.T) {
+func TestModelWithMostRequestsGetsASecondCopy(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2")}
 	rates := map[laburnumlever.ModelName]float64{"m0": 60, "m1": 1, "m2": 1}
 	steps := Next(testClass(3), engines, Demand{"m0": 0.1}, nil, WithRequests(rates))
@@ -319,7 +319,7 @@
 // The model that nearly all ask for needs a second engine. None has room for it, but one
 // has room for a smaller model that few ask for. Waiting until that one is loaded there
 // takes seconds more, in which the busy model's callers are late; it leaves at once.
-func TestModelMovesAsideAtOnceWhereEnginesAreOverrun(t *testing.T) {
+func TestOverloadEvictsWithoutRelocation(t *testing.T) {
 	class := testClass(5)
 	class.Models[0].WeightsMB = 120000
 	class.Models[4].WeightsMB = 100000
@@ -339,7 +339,7 @@
 
 // Guards against loads that slow each other down: the store gives one and a half a second, and
 // three under way take its whole rate.
-func TestNoMoreLoadsThanTheStoreHasTimeFor(t *testing.T) {
+func TestConcurrentStoreLoadsAreLimited(t *testing.T) {
 	class := testClass(6)
 	class.LoadsPerSecond = 0.8
 	rates := map[laburnumlever.ModelName]float64{"m4": 9, "m5": 5, "m0": 1}
@@ -359,7 +359,7 @@
 }
 
 // Guards against copies in free room that keep the store from what callers wait for.
-func TestFreeRoomWaitsForLoadsUnderWay(t *testing.T) {
+func TestFillWaitsForLoadsInProgress(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3)}
 	demand := Demand{"m0": 0.2, "m1": 0.2, "m2": 0.15}
 	require.NotEmpty(t, Next(testClass(3), engines, demand, nil))
--- a/laburnumresidency/rebalance.go
+++ b/laburnumresidency/rebalance.go
@@ -8,19 +8,19 @@
 const (
 	// Bounds of a round. More changes would be outdated before engines complete them; engines
 	// beyond the least busy would not be chosen.
-	maxChanges        = 12
-	consideredModels  = 12 // with most work per copy
-	consideredEngines = 24 // with least work
+	maxChanges          = 12
+	maxCandidateModels  = 12 // with most work per copy
+	maxCandidateEngines = 24 // with least work
 
 	// Least gain of a change, in congestion. Demand is sampled once a second, and noise alone
 	// would make smaller gains evict copies in use.
-	minGain  = 0.4  // if it evicts copies in use
-	easyGain = 0.05 // otherwise
+	minGain      = 0.4  // if it evicts copies in use
+	minSpareGain = 0.05 // otherwise
 
 	// Costs, in congestion.
 	loadCost       = 0.02  // of a load
 	relocateCost   = 0.4   // of moving a last copy: two engines are blocked
-	parkCost       = 0.02  // of evicting a last copy: the next caller waits for a load
+	lastCopyCost   = 0.02  // of evicting a last copy: the next caller waits for a load
 	adapterWeight  = 0.002 // of an adapter in use, for each second in which its engine loads a model
 	shortageWeight = 0.05  // of an adapter in use without a slot
 	riskWeight     = 0.2   // of a single copy of a model with all requests
@@ -29,26 +29,26 @@
 	absentTime = 80.0
 	// displaceFactor is the least ratio of requests for which a last copy is displaced.
 	displaceFactor = 10
-	// demandTime is the time that demand for a model lasts, in seconds; a change that
+	// demandDuration is the time that demand for a model lasts, in seconds; a change that
 	// takes as long gains nothing.
-	demandTime = 12.0
+	demandDuration = 12.0
 
 	// Durations in seconds. A copy with busyWork or more finishes its answers before it
 	// unloads.
 	unloadTime     = 0.4 // with the notice to gateways before it
 	busyUnloadTime = 3.0
 	busyWork       = 0.1
-	busyWait       = 3.0 // of an order in progress whose duration is unknown
+	unknownWait    = 3.0 // of an order in progress whose duration is unknown
 
-	evictShare = 0.3  // of a new copy's work, the most that an evicted copy may have
-	idleShare  = 0.02 // of an engine's work, negligible
+	evictShare     = 0.3  // of a new copy's work, the most that an evicted copy may have
+	negligibleWork = 0.02 // of an engine's work, negligible
 )
 
 // rebalance adds the best copy until no change gains enough.
 func (p *planner) rebalance() {
 	for range maxChanges {
 		var best change
-		for _, m := range p.considered() {
+		for _, m := range p.candidateModels() {
 			if c, ok := p.bestCopy(m); ok && c.gain >= p.leastGain(c) && c.gain > best.gain {
 				best = c
 			}
@@ -71,11 +71,11 @@
 			return p.policy.minGain
 		}
 	}
-	return min(easyGain, p.policy.minGain)
+	return min(minSpareGain, p.policy.minGain)
 }
 
-// considered lists the models with most work, or most adapters without a slot, per copy.
-func (p *planner) considered() []int {
+// candidateModels lists the models with most work, or most adapters without a slot, per copy.
+func (p *planner) candidateModels() []int {
 	type weighted struct {
 		model  int
 		weight float64
@@ -85,14 +85,14 @@
 		if p.target.copies(m) == 0 {
 			continue
 		}
-		share, shortage := p.target.share(m), p.target.shortage(m)
-		if share > idleShare || shortage > 0 {
-			list = append(list, weighted{model: m, weight: share + shortageWeight*shortage})
+		work, shortage := p.target.workPerCopy(m), p.target.slotShortage(m)
+		if work > negligibleWork || shortage > 0 {
+			list = append(list, weighted{model: m, weight: work + shortageWeight*shortage})
 		}
 	}
 	slices.SortStableFunc(list, func(a, b weighted) int { return cmp.Compare(b.weight, a.weight) })
 	var models []int
-	for _, w := range list[:min(len(list), consideredModels)] {
+	for _, w := range list[:min(len(list), maxCandidateModels)] {
 		models = append(models, w.model)
 	}
 	return models
@@ -100,34 +100,34 @@
 
 // bestCopy finds the best engine for one more copy, among those with least work.
 func (p *planner) bestCopy(m int) (change, bool) {
-	engines := make([]int, 0, consideredEngines)
-	for _, e := range p.target.ranked {
-		if len(engines) == consideredEngines {
+	engines := make([]int, 0, maxCandidateEngines)
+	for _, e := range p.target.byWork {
+		if len(engines) == maxCandidateEngines {
 			break
 		}
 		if !p.target.holds(e, m) {
 			engines = append(engines, e)
 		}
 	}
-	return bestOf(engines, func(e int) (change, bool) { return p.addCopy(e, m) })
+	return bestOf(engines, func(e int) (change, bool) { return p.evaluateCopy(e, m) })
 }
 
-// addCopy evaluates a copy at an engine with its evictions and relocations. The gain shrinks with
+// evaluateCopy evaluates a copy at an engine with its evictions and relocations. The gain shrinks with
 // the delay, as demand moves on.
-func (p *planner) addCopy(e, m int) (change, bool) {
+func (p *planner) evaluateCopy(e, m int) (change, bool) {
 	c := change{engine: e, model: m, evictions: p.evictions[:0]}
 	delay := p.loadTime(e, m)
 	loads := 1
 	need := p.target.used[e] + p.target.size[m] - p.class.WeightsMB
-	for _, v := range p.leastUseful(e, need) {
+	for _, v := range p.evictionOrder(e, need) {
 		if need <= 0 {
 			break
 		}
-		evicted, ok := p.evict(e, v, m, c)
+		evicted, ok := p.tryEvict(e, v, m, c)
 		if !ok {
 			continue
 		}
-		if evicted.to != nowhere {
+		if evicted.to != none {
 			delay += p.loadTime(evicted.to, v)
 			loads++
 		}
@@ -139,8 +139,8 @@
 	if need > 0 {
 		return c, false
 	}
-	c.gain = (p.target.relief(c)+p.risk(m))*max(0, 1-delay/demandTime) -
-		loadCost*float64(loads) - p.blockCost(e, m)
+	c.gain = (p.target.relief(c)+p.singleCopyRisk(m))*max(0, 1-delay/demandDuration) -
+		loadCost*float64(loads) - p.adapterBlockCost(e, m)
 	if c.relocates() {
 		c.gain -= relocateCost
 	}
@@ -150,7 +150,7 @@
 
 // displaces tells whether an eviction removes the last copy.
 func (p *planner) displaces(v eviction) bool {
-	return v.to == nowhere && p.target.copies(v.model) == 1
+	return v.to == none && p.target.copies(v.model) == 1
 }
 
 // displacementCost is the cost of requests for the models that a change leaves without a copy.
@@ -158,29 +158,29 @@
 	cost := 0.0
 	for _, v := range c.evictions {
 		if p.displaces(v) {
-			cost += parkCost + p.asked[v.model]*absentTime/congestedRequests
+			cost += lastCopyCost + p.rates[v.model]*absentTime/congestedRequests
 		}
 	}
 	return cost
 }
 
-// risk is the cost of a single copy: if its engine fails, all requests are refused until another
+// singleCopyRisk is the cost of a single copy: if its engine fails, all requests are refused until another
 // has loaded the model.
-func (p *planner) risk(m int) float64 {
-	if p.target.copies(m) != 1 || p.total == 0 {
+func (p *planner) singleCopyRisk(m int) float64 {
+	if p.target.copies(m) != 1 || p.totalRate == 0 {
 		return 0
 	}
-	return riskWeight * p.asked[m] / p.total
+	return riskWeight * p.rates[m] / p.totalRate
 }
 
-// evict tells whether a model may be evicted for another, and where its last copy moves.
-func (p *planner) evict(e, v, m int, c change) (eviction, bool) {
-	evicted := eviction{model: v, to: nowhere}
+// tryEvict tells whether a model may be evicted for another, and where its last copy moves.
+func (p *planner) tryEvict(e, v, m int, c change) (eviction, bool) {
+	evicted := eviction{model: v, to: none}
 	if slices.Contains(p.engines[e].Young, p.class.Models[v].Name) {
 		return evicted, false
 	}
 	// Models with similar work would evict each other in turns.
-	if coming := p.target.demand[m] / float64(p.target.copies(m)+1); p.target.share(v) > p.policy.evictShare*coming {
+	if newCopy := p.target.demand[m] / float64(p.target.copies(m)+1); p.target.workPerCopy(v) > p.policy.evictShare*newCopy {
 		return evicted, false
 	}
 	if p.target.copies(v) > 1 {
@@ -191,20 +191,20 @@
 	}
 	// One relocation at a time: orders in progress count as done, so that others would
 	// follow.
-	if to := p.roomElsewhere(v, e, c); to != nowhere {
+	if to := p.relocationTarget(v, e, c); to != none {
 		evicted.to = to
 		return evicted, p.copies[v] == 1 && !p.relocating
 	}
-	return evicted, p.policy.displaces && p.target.share(m) > overloadWork && p.asked[m] > displaceFactor*p.asked[v]
+	return evicted, p.policy.displaces && p.target.workPerCopy(m) > overloadWork && p.rates[m] > displaceFactor*p.rates[v]
 }
 
-// roomElsewhere finds the least busy engine with memory for a model.
-func (p *planner) roomElsewhere(m, not int, c change) int {
-	for _, e := range p.target.ranked {
-		if e != not && p.engines[e].Idle && !p.target.holds(e, m) &&
-			p.target.used[e]+p.target.size[m]+c.sizeAt(p.target, e) <= p.class.WeightsMB {
+// relocationTarget finds the least busy engine with memory for a model.
+func (p *planner) relocationTarget(m, except int, c change) int {
+	for _, e := range p.target.byWork {
+		if e != except && p.engines[e].Idle && !p.target.holds(e, m) &&
+			p.target.used[e]+p.target.size[m]+c.relocatedSize(p.target, e) <= p.class.WeightsMB {
 			return e
 		}
 	}
-	return nowhere
+	return none
 }
--- a/laburnumresidency/steps.go
+++ b/laburnumresidency/steps.go
@@ -11,37 +11,37 @@
 // few requests is evicted for another copy at once.
 const overloadWork = 1.0
 
-// approach adds an engine's next step towards the target: a load if there is memory, else the
+// planStep adds an engine's next step towards the target: a load if there is memory, else the
 // unload of a model that is ready elsewhere.
-func (p *planner) approach(e int, engine *Engine) {
+func (p *planner) planStep(e int, engine *Engine) {
 	if !engine.Idle {
 		return
 	}
-	wanted := p.wanted(e)
-	if wanted == nowhere {
+	wanted := p.nextLoad(e)
+	if wanted == none {
 		return
 	}
 	reason := "takes over work of a busy engine"
 	if p.ready[wanted] == 0 {
 		reason = "no engine holds it"
 	}
-	if p.usedNow(e)+p.target.size[wanted] <= p.class.WeightsMB {
+	if p.usedMB(e)+p.target.size[wanted] <= p.class.WeightsMB {
 		p.load(e, wanted, reason, p.urgency(wanted))
 		return
 	}
-	p.makeRoom(e, engine, wanted, reason)
+	p.unloadFor(e, engine, wanted, reason)
 }
 
-// wanted returns the model that an engine should load next, that with fewest ready and loading
+// nextLoad returns the model that an engine should load next, that with fewest ready and loading
 // copies, or nowhere.
-func (p *planner) wanted(e int) int {
-	best := nowhere
+func (p *planner) nextLoad(e int) int {
+	best := none
 	for _, m := range p.target.models[e] {
 		if slices.Contains(p.heldBy[e], m) {
 			continue
 		}
-		if best == nowhere || cmp.Or(
-			cmp.Compare(p.ready[m], p.ready[best]), cmp.Compare(p.coming[m], p.coming[best]), cmp.Compare(p.target.share(best), p.target.share(m)),
+		if best == none || cmp.Or(
+			cmp.Compare(p.ready[m], p.ready[best]), cmp.Compare(p.loading[m], p.loading[best]), cmp.Compare(p.target.workPerCopy(best), p.target.workPerCopy(m)),
 		) < 0 {
 			best = m
 		}
@@ -49,11 +49,11 @@
 	return best
 }
 
-// usedNow is the memory in use at an engine, in MB.
-func (p *planner) usedNow(e int) float64 {
+// usedMB is the memory in use at an engine, in MB.
+func (p *planner) usedMB(e int) float64 {
 	total := 0.0
 	for _, h := range p.engines[e].Held {
-		if m := p.find(h.Name); m != nowhere {
+		if m := p.indexOf(h.Name); m != none {
 			total += p.class.Models[m].WeightsMB + p.class.Models[m].AdapterMB*float64(len(h.Adapters))
 		}
 	}
@@ -66,10 +66,10 @@
 	}})
 }
 
-func (p *planner) makeRoom(e int, engine *Engine, wanted int, reason string) {
+func (p *planner) unloadFor(e int, engine *Engine, wanted int, reason string) {
 	for _, m := range p.heldBy[e] {
 		name := p.class.Models[m].Name
-		if p.target.holds(e, m) || engine.Unloading == name || !p.mayGo(e, m, wanted) {
+		if p.target.holds(e, m) || engine.Unloading == name || !p.mayUnload(e, m, wanted) {
 			continue
 		}
 		p.steps = append(p.steps, urgentStep{urgency: p.urgency(wanted), Step: Step{
@@ -83,17 +83,17 @@
 	}
 }
 
-// mayGo reports whether model m of engine e may be unloaded for the wanted one: another copy is
+// mayUnload reports whether model m of engine e may be unloaded for the wanted one: another copy is
 // ready, it is hardly asked for, or the wanted one is needed more.
-func (p *planner) mayGo(e, m, wanted int) bool {
+func (p *planner) mayUnload(e, m, wanted int) bool {
 	if p.ready[m] >= 2 || p.quiet[m] || p.displaced[m] {
 		return true
 	}
 	if !p.outweighs(wanted, m) {
 		return false
 	}
-	rescued, rescues := p.rescues[e]
-	overload := p.target.copies(m) > 0 && p.target.share(wanted) > overloadWork
+	rescued, rescues := p.restoring[e]
+	overload := p.target.copies(m) > 0 && p.target.workPerCopy(wanted) > overloadWork
 	return rescues && rescued == wanted || overload
 }
 
@@ -103,6 +103,6 @@
 	if p.ready[m] > 0 {
 		return 0
 	}
-	p.coming[m]++
-	return p.askedAtLeast(m) / float64(p.coming[m])
+	p.loading[m]++
+	return p.effectiveRate(m) / float64(p.loading[m])
 }
--- a/laburnumresidency/store.go
+++ b/laburnumresidency/store.go
@@ -6,8 +6,8 @@
 // it slow down the urgent ones.
 const storeShare = 0.9
 
-// withinStore drops the loads that exceed the capacity of the weight store.
-func (p *planner) withinStore() []Step {
+// limitStoreLoads drops the loads that exceed the capacity of the weight store.
+func (p *planner) limitStoreLoads() []Step {
 	steps := make([]Step, 0, len(p.steps))
 	left := p.storeSlots() - p.storeLoads()
 	for _, s := range p.steps {
@@ -39,7 +39,7 @@
 func (p *planner) storeLoads() int {
 	n := 0
 	for e, engine := range p.engines {
-		if m := p.find(engine.Loading); m != nowhere && p.fromStore(e, m) {
+		if m := p.indexOf(engine.Loading); m != none && p.fromStore(e, m) {
 			n++
 		}
 	}
--- a/laburnumresidency/values.go
+++ b/laburnumresidency/values.go
@@ -41,8 +41,8 @@
 	return e.Unloading != model && laburnumlever.Holds(e.Held, model, "")
 }
 
-// used is the memory in use, in MB.
-func (e *Engine) used(class *laburnumlever.EngineClass) float64 {
+// usedMB is the memory in use, in MB.
+func (e *Engine) usedMB(class *laburnumlever.EngineClass) float64 {
 	total := 0.0
 	for _, h := range e.Held {
 		m, _ := class.Model(h.Name)
@@ -53,7 +53,7 @@
 
 // HasRoom tells whether the model fits into free memory.
 func (e *Engine) HasRoom(class *laburnumlever.EngineClass, m laburnumlever.ResidentClass) bool {
-	return e.used(class)+size(m) <= class.WeightsMB
+	return e.usedMB(class)+size(m) <= class.WeightsMB
 }
 
 // Holds tells whether the model takes memory.
@@ -61,18 +61,18 @@
 	return laburnumlever.Holds(e.Held, model, "")
 }
 
-// loads tells whether the engine loads a model.
-func (e *Engine) loads() bool { return e.Loading != "" }
+// isLoading tells whether the engine isLoading a model.
+func (e *Engine) isLoading() bool { return e.Loading != "" }
 
-// wait is the time until the engine accepts an order, in seconds.
-func (e *Engine) wait() float64 {
+// waitSeconds is the time until the engine accepts an order, in seconds.
+func (e *Engine) waitSeconds() float64 {
 	switch {
 	case e.Idle:
 		return 0
 	case e.FreeIn > 0:
 		return e.FreeIn
 	default:
-		return busyWait
+		return unknownWait
 	}
 }
 
