--- a/laburnumdirector/cluster_test.go
+++ b/laburnumdirector/cluster_test.go
@@ -85,8 +85,8 @@
 	instant bool
 	// losesRecords drops the heartbeats that change what the engine holds.
 	losesRecords bool
-	// loseAnswer drops the answer to the next order. lateBy also delays the order by that time.
-	loseAnswer bool
+	// losesAnswer drops the answer to the next order. lateBy also delays the order by that time.
+	losesAnswer bool
 	lateBy     time.Duration
 	lateOrders []func()
 	lateAt     []time.Time
@@ -326,8 +326,8 @@
 		e.pending = nil
 		e.sendHeartbeat()
 	}
-	if e.loseAnswer {
-		e.loseAnswer = false
+	if e.losesAnswer {
+		e.losesAnswer = false
 		return 0, errors.New("no answer")
 	}
 	return verdict, nil
--- a/laburnumdirector/director.go
+++ b/laburnumdirector/director.go
@@ -231,7 +231,7 @@
 	}
 	e := d.engines.get(id)
 	if e == nil || r.Heartbeat.Born > e.heartbeat.Born {
-		e = d.registerRestart(r.Heartbeat, e)
+		e = d.registerEngine(r.Heartbeat, e)
 	} else if r.Heartbeat.NewerThan(e.heartbeat) {
 		e.heartbeatAt = d.timers.Now()
 		if e.applyHeartbeat(r.Heartbeat, d.timers.Now()) {
@@ -245,11 +245,11 @@
 // platform's protocol.
 const maxOrderDelay = 12 * time.Second
 
-// registerRestart registers a new or restarted engine; before is its previous state, or nil. An
+// registerEngine registers a new or restarted engine; before is its previous state, or nil. An
 // order without an answer may still reach the new process, which counts its orders from zero and
 // may accept it. No other order is sent for maxOrderDelay, as both together could overcommit the
 // engine's memory.
-func (d *Director) registerRestart(h laburnumlever.Heartbeat, before *engine) *engine {
+func (d *Director) registerEngine(h laburnumlever.Heartbeat, before *engine) *engine {
 	e := newEngine(h, d.engines)
 	e.heartbeatAt = d.timers.Now()
 	if before != nil && (before.inFlight != nil || before.unresolved != nil) {
--- a/laburnumdirector/director_test.go
+++ b/laburnumdirector/director_test.go
@@ -45,7 +45,7 @@
 	w := newCluster(t, 1, 1, 1)
 	w.sendHeartbeats()
 	w.advance(8 * time.Second)
-	need := func(adapter string) []laburnumlever.BackendID {
+	request := func(adapter string) []laburnumlever.BackendID {
 		got := make(chan []laburnumlever.BackendID, 1)
 		go func() {
 			ids, _ := w.directors[0].director.Need(context.Background(), laburnumlever.AdapterNeed{Service: "quotes", Model: "m0", Adapter: laburnumlever.AdapterName(adapter)})
@@ -58,7 +58,7 @@
 		return <-got
 	}
 	for i := range 5 {
-		require.Equal(t, []laburnumlever.BackendID{"i-0"}, need(fmt.Sprintf("a%d", i)))
+		require.Equal(t, []laburnumlever.BackendID{"i-0"}, request(fmt.Sprintf("a%d", i)))
 		w.advance(2 * time.Second)
 	}
 	require.Len(t, w.engines["i-0"].held["m0"], 3)
@@ -72,7 +72,7 @@
 			w := newCluster(t, 4, 2, 1)
 			w.sendHeartbeats()
 			for _, e := range w.engines {
-				e.loseAnswer, e.lateBy = late == 0, late
+				e.losesAnswer, e.lateBy = late == 0, late
 			}
 			w.advance(25 * time.Second)
 			require.Len(t, w.copies(), 4)
@@ -92,7 +92,7 @@
 	w.expire()
 	w.advance(15 * time.Second)
 	require.Len(t, w.copies(), 8)
-	w.checkOwners()
+	w.checkOverlap()
 	require.Equal(t, laburnumlever.VMID("10.0.0.1"), w.orders[len(w.orders)-1].by)
 }
 
@@ -111,7 +111,7 @@
 		w.setDemand(0, 120)
 		w.advance(leaseTime / 6)
 	}
-	w.checkOwners()
+	w.checkOverlap()
 	require.Greater(t, len(w.orders), before)
 	require.Less(t, w.orders[before].at.Sub(granted), leaseTime+900*time.Millisecond,
 		"including the time to acquire the lease, request the engines' state and learn the demand")
@@ -135,7 +135,7 @@
 		w.setDemand(0, 120)
 		w.advance(leaseTime / 12)
 	}
-	w.checkOwners()
+	w.checkOverlap()
 	require.Greater(t, len(w.orders), before)
 	require.Less(t, w.orders[before].at.Sub(granted), leaseTime+900*time.Millisecond-election)
 }
@@ -171,7 +171,7 @@
 	w.advance(6 * time.Second)
 	w.directors[0].suspended = false
 	w.advance(10 * time.Second)
-	w.checkOwners()
+	w.checkOverlap()
 	require.Len(t, w.copies(), 8)
 }
 
@@ -201,9 +201,9 @@
 	}
 }
 
-// checkOwners checks that orders of different directors to an engine are a lease apart and have
+// checkOverlap checks that orders of different directors to an engine are a lease apart and have
 // different, rising fencing numbers.
-func (w *cluster) checkOwners() {
+func (w *cluster) checkOverlap() {
 	last := map[laburnumlever.BackendID]sentOrder{}
 	byFence := map[uint64]laburnumlever.VMID{}
 	for _, o := range w.orders {
@@ -283,7 +283,7 @@
 				w.injectFault(random)
 				w.advance(time.Duration(100+random.IntN(900)) * time.Millisecond)
 			}
-			w.checkOwners()
+			w.checkOverlap()
 		})
 	}
 }
@@ -296,7 +296,7 @@
 		n.holdsRounds = !n.holdsRounds
 		n.runRounds()
 	case 0:
-		e.loseAnswer = true
+		e.losesAnswer = true
 	case 1:
 		e.lateBy = time.Duration(1+random.IntN(11)) * time.Second
 	case 2, 3:
