--- a/laburnumresidency/planner.go
+++ b/laburnumresidency/planner.go
@@ -25,7 +25,7 @@
 	// heldBy are the models that take memory at each engine, tiers its weights outside the
 	// accelerator.
 	heldBy [][]int
-	tiers  []tier
+	local  []localWeights
 	// copies counts the copies of each model, loading ones included; ready counts those that
 	// take requests, coming those that load, with this round's steps.
 	copies  []int
@@ -38,13 +38,13 @@
 	// restoring are the missing models by the engine that loads them.
 	restoring map[int]int
 	steps     []urgentStep
-	// candidates and evictions are scratch space.
-	candidates []int
-	evictions  []eviction
+	// byLoss and evictions are scratch space.
+	byLoss    []int
+	evictions []eviction
 }
 
-// tier is the weights that an engine can load without the store.
-type tier struct{ inMemory, onDisk []int }
+// localWeights is the weights that an engine can load without the store.
+type localWeights struct{ inMemory, onDisk []int }
 
 // urgentStep is a step with the rate of requests that can't be served without it.
 type urgentStep struct {
@@ -108,10 +108,10 @@
 	}
 	engines = slices.Clone(engines)
 	slices.SortFunc(engines, func(a, b Engine) int { return cmp.Compare(a.ID, b.ID) })
-	p.engines, p.heldBy, p.tiers = make([]*Engine, len(engines)), make([][]int, len(engines)), make([]tier, len(engines))
+	p.engines, p.heldBy, p.local = make([]*Engine, len(engines)), make([][]int, len(engines)), make([]localWeights, len(engines))
 	for e := range engines {
 		engine := &engines[e]
-		p.engines[e], p.tiers[e] = engine, tier{inMemory: p.indices(engine.InMemory), onDisk: p.indices(engine.OnDisk)}
+		p.engines[e], p.local[e] = engine, localWeights{inMemory: p.indices(engine.InMemory), onDisk: p.indices(engine.OnDisk)}
 		for _, h := range engine.Held {
 			if m := p.indexOf(h.Name); m != none {
 				p.heldBy[e] = append(p.heldBy[e], m)
@@ -157,9 +157,9 @@
 // loadSeconds is the duration of a load from the nearest tier.
 func (p *planner) loadSeconds(e, m int) float64 {
 	switch model := &p.class.Models[m]; {
-	case slices.Contains(p.tiers[e].inMemory, m):
+	case slices.Contains(p.local[e].inMemory, m):
 		return seconds(model.MemoryLoad)
-	case slices.Contains(p.tiers[e].onDisk, m):
+	case slices.Contains(p.local[e].onDisk, m):
 		return seconds(model.DiskLoad)
 	default:
 		return seconds(model.StoreLoad)
@@ -168,20 +168,20 @@
 
 // fromStore tells whether a load fetches the weights from the store.
 func (p *planner) fromStore(e, m int) bool {
-	return !slices.Contains(p.tiers[e].inMemory, m) && !slices.Contains(p.tiers[e].onDisk, m)
+	return !slices.Contains(p.local[e].inMemory, m) && !slices.Contains(p.local[e].onDisk, m)
 }
 
 // evictionOrder lists an engine's models in the order of eviction; none if no memory is needed.
 func (p *planner) evictionOrder(e int, need float64) []int {
-	p.candidates = p.candidates[:0]
+	p.byLoss = p.byLoss[:0]
 	if need <= 0 {
 		return nil
 	}
-	p.candidates = append(p.candidates, p.target.models[e]...)
-	if len(p.candidates) > 1 {
-		slices.SortStableFunc(p.candidates, func(a, b int) int { return cmp.Compare(p.evictionLoss(a), p.evictionLoss(b)) })
+	p.byLoss = append(p.byLoss, p.target.models[e]...)
+	if len(p.byLoss) > 1 {
+		slices.SortStableFunc(p.byLoss, func(a, b int) int { return cmp.Compare(p.evictionLoss(a), p.evictionLoss(b)) })
 	}
-	return p.candidates
+	return p.byLoss
 }
 
 // evictionLoss is the cost of evicting a copy.
--- a/laburnumresidency/rebalance.go
+++ b/laburnumresidency/rebalance.go
@@ -123,7 +123,7 @@
 		if need <= 0 {
 			break
 		}
-		evicted, ok := p.tryEvict(e, v, m, c)
+		evicted, ok := p.planEviction(e, v, m, c)
 		if !ok {
 			continue
 		}
@@ -173,8 +173,8 @@
 	return riskWeight * p.rates[m] / p.totalRate
 }
 
-// tryEvict tells whether a model may be evicted for another, and where its last copy moves.
-func (p *planner) tryEvict(e, v, m int, c change) (eviction, bool) {
+// planEviction tells whether a model may be evicted for another, and where its last copy moves.
+func (p *planner) planEviction(e, v, m int, c change) (eviction, bool) {
 	evicted := eviction{model: v, to: none}
 	if slices.Contains(p.engines[e].Young, p.class.Models[v].Name) {
 		return evicted, false
--- a/laburnumresidency/steps.go
+++ b/laburnumresidency/steps.go
@@ -92,9 +92,9 @@
 	if !p.outweighs(wanted, m) {
 		return false
 	}
-	rescued, rescues := p.restoring[e]
+	restored, restores := p.restoring[e]
 	overload := p.target.copies(m) > 0 && p.target.workPerCopy(wanted) > overloadWork
-	return rescues && rescued == wanted || overload
+	return restores && restored == wanted || overload
 }
 
 // urgency is the rate of requests for a model without a ready copy, divided by the copies that
