--- a/laburnumresidency/fill.go
+++ b/laburnumresidency/fill.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// minFillWork is the least work of a copy in free memory, as a share of an engine's. Rarely used
-// copies would have to be evicted again.
+// minFillWork is the least work of a copy that is loaded into free memory, as a share of an engine's
+// capacity. Rarely used copies would only have to be evicted again.
 const minFillWork = 0.05
 
 // fill loads copies into free memory while nothing else is loading.
 //
-// Load pattern: demand moves to another model faster than the weight store loads copies. Evicted
-// copies stay in the engine's host memory and on its disk.
+// Load pattern: demand moves to another model faster than copies can be loaded from the weight
+// store. Weights that have been loaded once stay in the engine's host memory and on its disk after
+// their eviction.
 func (p *planner) fill() {
 	candidates := p.fillCandidates()
 	if len(candidates) == 0 {
@@ -21,13 +22,13 @@
 		}
 		if m := p.bestFill(e, candidates); m != none {
 			p.copies[m]++
-			p.load(e, m, "free room for what is asked for most", 0)
+			p.load(e, m, "fills free memory with a model of high demand", 0)
 		}
 	}
 }
 
-// fillCandidates lists the models for which another copy is useful. Before the first requests the
-// number of initial copies stands for demand.
+// fillCandidates lists the models for which another copy is useful. Before the first requests, the
+// number of initial copies is used in place of demand.
 func (p *planner) fillCandidates() []int {
 	var list []int
 	for m := range p.class.Models {
@@ -45,7 +46,7 @@
 	return minFillWork
 }
 
-// fillWeight is the work per copy with another copy.
+// fillWeight is the work per copy after another copy is added.
 func (p *planner) fillWeight(m int) float64 {
 	work := p.target.demand[m]
 	if len(p.demand) == 0 {
@@ -54,7 +55,7 @@
 	return work / float64(p.copies[m]+1)
 }
 
-// bestFill returns the candidate with most weight that fits an engine, or nowhere.
+// bestFill returns the candidate with the highest weight that fits into an engine, or none.
 func (p *planner) bestFill(e int, candidates []int) int {
 	best, most := none, p.minFillWeight()
 	used := p.usedMB(e)
--- a/laburnumresidency/golden_test.go
+++ b/laburnumresidency/golden_test.go
@@ -14,9 +14,9 @@
 	"laburnumlever"
 )
 
-var update = flag.Bool("update", false, "write golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Guards against a planner whose steps for 300 random fleets change unintentionally.
+// Guards against unintended changes in the planner's steps, for 300 random fleets.
 func TestStepsOfRandomFleets(t *testing.T) {
 	const fleets = 300
 	golden := filepath.Join("testdata", "steps.golden")
@@ -44,12 +44,12 @@
 	options  []Option
 }
 
-// randomFleet is a fleet in the middle of its changes: loads and unloads are under way, some
-// models have many copies and some none, and a few get most requests.
+// randomFleet returns a fleet with loads and unloads in progress, in which some models have many
+// copies, some have none, and a few get most requests.
 func randomFleet(seed uint64) fleet {
-	r := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // repeatable
+	r := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // seeded, so that runs are repeatable
 	class := testClass(3 + r.IntN(70))
-	class.LoadsPerSecond = 0 // no bound by the store
+	class.LoadsPerSecond = 0 // not limited by the weight store
 	for i := range class.Models {
 		class.Models[i].WeightsMB = []float64{42700, 65100, 72700}[r.IntN(3)]
 		class.Models[i].Adapters, class.Models[i].AdapterMB = r.IntN(3)*r.IntN(20), 66
--- a/laburnumresidency/layout.go
+++ b/laburnumresidency/layout.go
@@ -9,31 +9,31 @@
 
 const (
 	uncongestedWork  = 0.5 // work up to which requests find a free slot at once
-	congestionWeight = 4   // of the congestion beyond easyWork
-	none             = -1  // no engine, or no model
+	congestionWeight = 4   // weight of the work beyond uncongestedWork
+	none             = -1  // stands for no engine or no model
 )
 
-// layout maps engines to models, with the resulting work. Operations cost what they touch, not the
-// size of the fleet.
+// layout is an assignment of models to engines, with the resulting work. The cost of an operation
+// depends on the engines and models involved, not on the size of the fleet.
 type layout struct {
 	size     []float64
 	demand   []float64
-	adapters []float64 // adapters in use
+	adapters []float64 // number of adapters in use, by model
 	slots    float64   // adapter slots of an engine
-	// models are those of each engine, holders the engines of each model, both ascending.
+	// models are the models of each engine, holders the engines of each model, both ascending.
 	models  [][]int
 	holders [][]int
 	used    []float64
 	work    []float64
-	// byWork are the engines in the order of their work.
+	// byWork are the engines, ordered by ascending work.
 	byWork []int
-	// delta is the change of work evaluated by relief, touched the engines with one.
+	// delta is the change in each engine's work that relief evaluates, touched the changed engines.
 	delta   []float64
 	touched []int
-	dirty   []bool // scratch of update
+	dirty   []bool // engines in touched, during update
 }
 
-// newLayout is the layout after the orders in progress.
+// newLayout returns the layout that results from the orders in progress.
 func newLayout(p *planner) *layout {
 	engines, models := len(p.engines), len(p.class.Models)
 	l := &layout{
@@ -60,7 +60,7 @@
 	return l
 }
 
-// size is the memory of a model with some adapters, in MB.
+// size is the memory of a model with a few of its adapters, in MB.
 func size(m laburnumlever.ResidentClass) float64 {
 	const spareAdapters = 4
 	return m.WeightsMB + m.AdapterMB*float64(min(m.Adapters, spareAdapters))
@@ -74,7 +74,7 @@
 
 func (l *layout) copies(m int) int { return len(l.holders[m]) }
 
-// set adds or removes a copy. The caller must update the work.
+// set adds or removes a copy. The caller must call update for the work.
 func (l *layout) set(e, m int, held bool) {
 	if l.holds(e, m) == held {
 		return
@@ -98,7 +98,7 @@
 	return slices.Delete(sorted, at, at+1)
 }
 
-// update recomputes the work of the engine and of all that hold the models.
+// update recomputes the work of an engine and of all engines that hold the models.
 func (l *layout) update(engine int, models ...int) {
 	l.refresh(engine)
 	for _, m := range models {
@@ -125,7 +125,7 @@
 	l.work[e] = l.workOf(e)
 }
 
-// workOf is the work of an engine.
+// workOf computes the work of an engine, as a share of its capacity.
 func (l *layout) workOf(e int) float64 {
 	work := 0.0
 	for _, m := range l.models[e] {
@@ -137,7 +137,8 @@
 // workPerCopy is the work per copy of a model.
 func (l *layout) workPerCopy(m int) float64 { return l.demand[m] / float64(max(1, l.copies(m))) }
 
-// evictionLoss is the work that moves to each other copy if one is evicted.
+// evictionLoss is the work that each remaining copy takes over if one is evicted. The last copy
+// ranks above all others.
 func (l *layout) evictionLoss(m int) float64 {
 	n := l.copies(m)
 	if n <= 1 {
@@ -147,19 +148,20 @@
 	return l.demand[m]/float64(n-1) - l.demand[m]/float64(n)
 }
 
-// congestion is the cost of an engine's work to its callers.
+// congestion is the cost that an engine's work has for its callers, through waiting.
 func congestion(work float64) float64 {
 	over := max(0, work-uncongestedWork)
 	return work*work + congestionWeight*over*over
 }
 
-// relief is the reduction of congestion and of adapters without a slot by a change.
+// relief is the gain of a change: the reduction in congestion, plus that in adapters without a
+// slot, weighted.
 func (l *layout) relief(c change) float64 {
 	l.shiftWork(c.model, c.engine, none)
 	for _, v := range c.evictions {
 		l.shiftWork(v.model, v.to, c.engine)
 	}
-	slices.Sort(l.touched) // sums of floats depend on their order
+	slices.Sort(l.touched) // float sums depend on the order
 	relief := 0.0
 	for _, e := range l.touched {
 		if d := l.delta[e]; d != 0 {
@@ -171,8 +173,8 @@
 	return relief + shortageWeight*min(l.slotShortage(c.model), l.slotShare(c.engine, c.model))
 }
 
-// shiftWork adds the change of work when a model gets a copy at one engine and loses that at another;
-// either may be nowhere.
+// shiftWork adds to delta the change in work when a model gains a copy on one engine and loses one
+// on another. Either engine may be none.
 func (l *layout) shiftWork(m, gets, loses int) {
 	if l.demand[m] == 0 {
 		return
@@ -206,7 +208,8 @@
 	l.delta[e] += work
 }
 
-// slotShare is the model's part of an engine's adapter slots.
+// slotShare is the number of an engine's adapter slots that a model gets, in proportion to its
+// adapters in use.
 func (l *layout) slotShare(e, m int) float64 {
 	if l.adapters[m] == 0 {
 		return 0
@@ -220,7 +223,7 @@
 	return l.slots * l.adapters[m] / total
 }
 
-// slotShortage is the number of a model's adapters without a slot.
+// slotShortage is the number of a model's adapters in use that have no slot.
 func (l *layout) slotShortage(m int) float64 {
 	if l.adapters[m] == 0 || l.slots == 0 {
 		return 0
@@ -232,7 +235,7 @@
 	return max(0, l.adapters[m]-slots)
 }
 
-// apply applies a change.
+// apply applies a change and updates the work.
 func (l *layout) apply(c change) {
 	models := []int{c.model}
 	for _, v := range c.evictions {
--- a/laburnumresidency/missing.go
+++ b/laburnumresidency/missing.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	congestedRequests = 80  // requests lost to a unit of congestion within demandTime
-	reloadTime        = 8.0 // seconds until an evicted model is loaded elsewhere
-	// outweighFactor is the least ratio of requests for which a missing model evicts a last
-	// copy, so that two with similar demand do not evict each other in turns.
+	congestedRequests = 80  // requests that one unit of congestion costs within demandDuration
+	reloadTime        = 8.0 // time until an evicted model is loaded elsewhere, in seconds
+	// outweighFactor is the least ratio of request rates for which a missing model evicts a last
+	// copy. It keeps two models with similar demand from evicting each other in turns.
 	outweighFactor = 3
-	minRequestRate = 0.1 // requests per second assumed of a model without any
+	minRequestRate = 0.1 // requests per second assumed for a model without requests
 )
 
-// placeMissing places the models that no engine holds, those with most requests first.
+// placeMissing places the models that no engine holds, in descending order of requests.
 //
 // Load pattern: an engine with the only copy of a busy model fails. All requests for the model are
-// refused until it is loaded elsewhere, so the cost of a placement is the number of requests
-// refused meanwhile. Copies held twice are evicted first, then the last copy of a model with far
-// fewer requests. A model without requests takes free memory only.
+// refused until it is loaded elsewhere, so the cost of a placement is the number of requests refused
+// until then. Models with another copy are evicted first, then the last copy of a model with far
+// fewer requests. A model without requests is placed in free memory only.
 func (p *planner) placeMissing() {
 	var missing []int
 	for m := range p.class.Models {
@@ -36,12 +36,13 @@
 	}
 }
 
-// cheapestRestore finds the engine with the lowest cost for a missing model.
+// cheapestRestore finds the engine on which a missing model costs least.
 func (p *planner) cheapestRestore(m int) (change, bool) {
 	return bestOf(p.target.byWork, func(e int) (change, bool) { return p.evaluateRestore(e, m) })
 }
 
-// evaluateRestore evaluates a load of a missing model. The gain is its cost in requests, negative.
+// evaluateRestore evaluates the load of a missing model on an engine. The gain is counted in
+// requests: minus the refused ones, plus those that the change in congestion is worth.
 func (p *planner) evaluateRestore(e, m int) (change, bool) {
 	c := change{engine: e, model: m, evictions: p.evictions[:0]}
 	seconds := p.loadTime(e, m)
@@ -69,7 +70,7 @@
 	return c, true
 }
 
-// evictableSize is the memory at an engine that a missing model may take, in MB.
+// evictableSize is the memory on an engine that can be freed for a missing model, in MB.
 func (p *planner) evictableSize(e, m int) float64 {
 	total := 0.0
 	for _, v := range p.target.models[e] {
@@ -80,7 +81,8 @@
 	return total
 }
 
-// isSpare tells whether another ready copy is left, or the model has no requests.
+// isSpare tells whether a copy may be evicted: another ready one remains, or the model has no recent
+// requests.
 func (p *planner) isSpare(v int) bool {
 	return p.target.copies(v) > 1 && p.ready[v] >= 2 || p.quiet[v]
 }
--- a/laburnumresidency/planner.go
+++ b/laburnumresidency/planner.go
@@ -7,56 +7,56 @@
 	"laburnumlever"
 )
 
-// planner is the state of a round. Engines and models go by their indices.
+// planner is the state of a planning round. Engines and models are identified by their indices.
 type planner struct {
 	class   *laburnumlever.EngineClass
 	policy  Policy
 	engines []*Engine
 	demand  Demand
-	// requestRates are the rates by model, per second; asked holds them by index.
+	// requestRates are the requests per second by model name, rates the same by index.
 	requestRates map[laburnumlever.ModelName]float64
 	rates        []float64
 	quiet        []bool // models without recent requests
-	// totalRate is the sum of the rates; 0 if they are unknown.
+	// totalRate is the sum of the rates; 0 if unknown.
 	totalRate float64
 	adapters  map[laburnumlever.ModelName]int
 	target    *layout
 	index     map[laburnumlever.ModelName]int
-	// heldBy are the models that take memory at each engine, tiers its weights outside the
-	// accelerator.
+	// heldBy are the models that occupy memory on each engine, local the weights in its host memory
+	// and on its disk.
 	heldBy [][]int
 	local  []localWeights
-	// copies counts the copies of each model, loading ones included; ready counts those that
-	// take requests, coming those that load, with this round's steps.
+	// copies counts all copies of each model, ready those that accept requests, and loading those
+	// that are being loaded. The steps of this round change ready and loading.
 	copies  []int
 	ready   []int
 	loading []int
-	// relocating tells that a last copy is being moved to another engine.
+	// relocating tells that a last copy is being relocated to another engine.
 	relocating bool
 	// displaced are the models whose last copy is evicted for a busy model.
 	displaced map[int]bool
-	// restoring are the missing models by the engine that loads them.
+	// restoring are the missing models to load, by engine.
 	restoring map[int]int
 	steps     []urgentStep
-	// byLoss and evictions are scratch space.
+	// byLoss and evictions are buffers, reused between calls.
 	byLoss    []int
 	evictions []eviction
 }
 
-// localWeights is the weights that an engine can load without the store.
+// localWeights are the models whose weights an engine can load without the weight store.
 type localWeights struct{ inMemory, onDisk []int }
 
-// urgentStep is a step with the rate of requests that can't be served without it.
+// urgentStep is a step with the rate of requests that are refused without it, as returned by urgency.
 type urgentStep struct {
 	Step
 	urgency float64
 }
 
-// Option changes a round.
+// Option configures a planning round.
 type Option func(*planner)
 
-// WithRequests sets the rate of requests for each model, served or not. The default is the
-// demand.
+// WithRequests sets the requests per second for each model, including refused ones. The default is
+// the demand.
 func WithRequests(rates map[laburnumlever.ModelName]float64) Option {
 	return func(p *planner) {
 		p.requestRates = rates
@@ -66,7 +66,8 @@
 	}
 }
 
-// WithQuiet sets the models without recent requests, which have no copy where memory is short.
+// WithQuiet sets the models without recent requests. They may lose their last copy if memory is
+// short.
 func WithQuiet(quiet map[laburnumlever.ModelName]bool) Option {
 	return func(p *planner) {
 		for m, model := range p.class.Models {
@@ -75,11 +76,11 @@
 	}
 }
 
-// Next returns the next steps, at most one per engine, the most urgent first. The adapters are
-// the numbers in use by model.
+// NextSteps returns the next steps, at most one per engine, in descending order of urgency. adapters
+// is the number of adapters in use by model.
 //
-// Each round computes the whole target layout from the current one. Orders in progress count as
-// done, so a change of several steps is found again until it is complete.
+// Each round computes the target layout anew from the current one, with orders in progress counted
+// as complete. A change of several steps is thereby found again in each round until it is complete.
 func Next(class *laburnumlever.EngineClass, engines []Engine, demand Demand, adapters map[laburnumlever.ModelName]int, opts ...Option) []Step {
 	p := newPlanner(class, engines, demand, adapters, opts)
 	p.placeMissing()
@@ -140,13 +141,14 @@
 	}
 }
 
-// loadsRelocatedModel tells whether the engine loads a second copy of a model without work.
+// loadsRelocatedModel tells whether the engine is loading a model that is being relocated to it: one
+// with negligible work and two copies.
 func (p *planner) loadsRelocatedModel(e *Engine) bool {
 	m := p.indexOf(e.Loading)
 	return m != none && p.copies[m] == 2 && p.target.demand[m] < negligibleWork
 }
 
-// loadTime is the time until the engine holds a copy, in seconds.
+// loadTime is the time until an engine holds a copy of a model, in seconds.
 func (p *planner) loadTime(e, m int) float64 {
 	if slices.Contains(p.heldBy[e], m) && p.engines[e].Unloading != p.class.Models[m].Name {
 		return 0
@@ -154,7 +156,7 @@
 	return p.engines[e].waitSeconds() + p.loadSeconds(e, m)
 }
 
-// loadSeconds is the duration of a load from the nearest tier.
+// loadSeconds is the duration of a load from the fastest source of the weights, in seconds.
 func (p *planner) loadSeconds(e, m int) float64 {
 	switch model := &p.class.Models[m]; {
 	case slices.Contains(p.local[e].inMemory, m):
@@ -166,12 +168,13 @@
 	}
 }
 
-// fromStore tells whether a load fetches the weights from the store.
+// fromStore tells whether an engine loads a model from the weight store.
 func (p *planner) fromStore(e, m int) bool {
 	return !slices.Contains(p.local[e].inMemory, m) && !slices.Contains(p.local[e].onDisk, m)
 }
 
-// evictionOrder lists an engine's models in the order of eviction; none if no memory is needed.
+// evictionOrder lists an engine's models in ascending order of evictionLoss; nil if no memory is
+// needed.
 func (p *planner) evictionOrder(e int, need float64) []int {
 	p.byLoss = p.byLoss[:0]
 	if need <= 0 {
@@ -184,7 +187,8 @@
 	return p.byLoss
 }
 
-// evictionLoss is the cost of evicting a copy.
+// evictionLoss ranks the copies to evict, as layout.evictionLoss does, but ignores for quiet models
+// whether a copy is the last one.
 func (p *planner) evictionLoss(m int) float64 {
 	if p.quiet[m] {
 		return p.target.demand[m]
@@ -192,12 +196,13 @@
 	return p.target.evictionLoss(m)
 }
 
-// unloadSeconds is the duration of an unload, in seconds.
+// unloadSeconds is the expected duration of an unload.
 func (p *planner) unloadSeconds(v int) float64 {
 	return unloadTime + busyUnloadTime*min(1, p.target.workPerCopy(v)/busyWork)
 }
 
-// adapterBlockCost is the cost of a load for adapters, which the engine can't load meanwhile.
+// adapterBlockCost is the cost of a model's load to the requests for adapters on the engine, which
+// loads none in the meantime.
 func (p *planner) adapterBlockCost(e, m int) float64 {
 	blocked := 0.0
 	for _, held := range p.target.models[e] {
@@ -209,7 +214,7 @@
 	return adapterWeight * blocked * p.loadSeconds(e, m)
 }
 
-// bestOf returns the change with the highest gain over some engines; false if none is possible.
+// bestOf returns the change with the highest gain among the engines; false if none is possible.
 func bestOf(engines []int, evaluate func(e int) (change, bool)) (change, bool) {
 	var best change
 	found := false
@@ -223,7 +228,7 @@
 	return best, found
 }
 
-// indexOf returns a model's index, or nowhere.
+// indexOf returns a model's index, or none if the class has no such model.
 func (p *planner) indexOf(name laburnumlever.ModelName) int {
 	if m, ok := p.index[name]; ok {
 		return m
@@ -231,7 +236,7 @@
 	return none
 }
 
-// indices returns those of the models in the class.
+// indices returns the indices of those models that the class has.
 func (p *planner) indices(names []laburnumlever.ModelName) []int {
 	list := make([]int, 0, len(names))
 	for _, name := range names {
--- a/laburnumresidency/planner_test.go
+++ b/laburnumresidency/planner_test.go
@@ -28,9 +28,8 @@
 	return e
 }
 
-// The only engine with a rare model dies. Its callers are refused until another
-// engine loads it; with all places taken, a copy that another engine holds too has
-// to give way first, never the last one of a model.
+// Guards against a model that stays missing after the only engine that held it has failed. If all
+// memory is in use, a copy of which another engine holds a second is evicted, never a last copy.
 func TestMissingModelIsRestored(t *testing.T) {
 	class := testClass(5)
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m0", "m2"), testEngine(3, "m0", "m3")}
@@ -42,12 +41,12 @@
 	engines = []Engine{testEngine(1, "m1"), testEngine(2, "m0", "m2"), testEngine(3, "m0", "m3")}
 	steps = Next(class, engines, Demand{"m0": 0.04}, nil)
 	require.Equal(t, []Step{{
-		Engine: "e1", Kind: laburnumlever.Load, Model: "m4", FromStore: true, Reason: "no engine holds it",
+		Engine: "e1", Kind: laburnumlever.Load, Model: "m4", FromStore: true, Reason: "no engine holds the model",
 	}}, steps)
 }
 
-// An engine has the weights on its disk: the load there takes a fifth of the time
-// and nothing of the store's rate.
+// Guards against loads from the weight store when an engine has the weights on its disk, where a
+// load takes a fifth of the time and nothing of the store's rate.
 func TestLoadsPreferTheLocalDisk(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0"), testEngine(2, "m0")}
 	engines[1].OnDisk = []laburnumlever.ModelName{"m1"}
@@ -57,9 +56,8 @@
 	require.False(t, steps[0].FromStore)
 }
 
-// Demand moves to a model with one copy: that engine has far more work than others,
-// whose models nobody asks for any more. The model must get copies, in the places of
-// those that have more than one.
+// Guards against a busy model that keeps a single copy after demand has moved to it. It must get
+// further copies, in place of models that have more than one and no demand.
 func TestBusyModelGetsCopies(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3, "m2", "m0")}
 	steps := Next(testClass(3), engines, Demand{"m1": 0.9}, nil)
@@ -75,21 +73,21 @@
 	require.Equal(t, laburnumlever.BackendID("e2"), steps[0].Engine)
 }
 
-// A calm fleet where every model is held and no room is free must be left alone: each
-// needless load is paid for and takes from the store what a lost model may need. Where room
-// is free, models that hardly anybody asks for are left alone as well.
+// Guards against steps without benefit: every model has a copy, and memory is full or demand is low.
+// Each needless load costs money and takes capacity of the weight store that a missing model may
+// need.
 func TestStableFleetNeedsNoSteps(t *testing.T) {
 	demand := Demand{"m0": 0.2, "m1": 0.2, "m2": 0.15}
 	full := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3, "m1", "m2")}
 	require.Empty(t, Next(testClass(3), full, demand, nil))
 	roomy := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3)}
 	require.Empty(t, Next(testClass(3), roomy, Demand{"m0": 0.04, "m1": 0.04, "m2": 0.04}, nil))
-	require.Empty(t, Next(testClass(3), full, Demand{}, nil), "nobody has asked yet")
+	require.Empty(t, Next(testClass(3), full, Demand{}, nil), "no requests yet")
 }
 
-// Demand is about to move, and an engine stands empty while the store is idle. Loaded only
-// once callers are refused, a copy comes seconds too late: the room goes to what is asked for
-// most for each copy, one load at a time for each engine, and then there is peace.
+// Guards against free memory that stays unused until demand has moved and callers are refused, when
+// a load comes seconds too late. The models with most demand per copy are loaded first, one load per
+// engine at a time, until no more are useful.
 func TestFillPrefersMostDemandPerCopy(t *testing.T) {
 	demand := Demand{"m0": 0.2, "m1": 0.2, "m2": 0.15}
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3)}
@@ -106,8 +104,8 @@
 	require.Empty(t, Next(testClass(3), engines, demand, nil))
 }
 
-// Nobody has asked yet after a start. Whoever placed the models has put those that are
-// wanted on more engines than one: free room goes to these.
+// Guards against free memory that stays unused after a start, before any requests. Models that were
+// initially placed on more than one engine are loaded.
 func TestFillBeforeDemandFollowsInitialCopies(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3)}
 	steps := Next(testClass(3), engines, Demand{}, nil)
@@ -115,8 +113,7 @@
 	require.Equal(t, laburnumlever.ModelName("m0"), steps[0].Model)
 }
 
-// No step may commit more memory than an engine has, whatever is held and wanted:
-// an engine that is ordered to hold more crashes.
+// Guards against steps that overcommit an engine's memory, which would crash it.
 func TestNoStepExceedsTheMemory(t *testing.T) {
 	class := testClass(9)
 	engines := []Engine{testEngine(1), testEngine(2), testEngine(3, "m0"), testEngine(4, "m1", "m0")}
@@ -153,12 +150,11 @@
 			copies[h.Name]++
 		}
 	}
-	require.Len(t, copies, 8, "four engines with two places each hold eight models")
+	require.Len(t, copies, 8, "four engines with memory for two models each hold eight models")
 }
 
-// Fitters ask one model for a dozen adapters in turn, and its only engine has places
-// for eight. Each request would push another's adapter out and wait; the model must
-// get a second engine, though the first has little work.
+// Guards against adapters that evict each other: twelve adapters of a model are in use, and its only
+// engine has eight slots. The model must get a second copy, though the engine has little work.
 func TestAdapterSlotShortageAddsACopy(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2")}
 	steps := Next(testClass(3), engines, Demand{"m0": 0.04}, map[laburnumlever.ModelName]int{"m0": 12})
@@ -168,8 +164,8 @@
 	require.Empty(t, Next(testClass(3), engines, Demand{"m0": 0.04}, map[laburnumlever.ModelName]int{"m0": 8}))
 }
 
-// A copy that was loaded a moment ago must stay: demand that swings would otherwise
-// have the same two models loaded in turns.
+// Guards against eviction of a copy that was just loaded: with alternating demand, the same two
+// models would be loaded in turns.
 func TestRecentCopyIsNotEvicted(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3, "m2", "m0")}
 	engines[1].Young = []laburnumlever.ModelName{"m2", "m0"}
@@ -177,8 +173,8 @@
 	require.Empty(t, Next(testClass(3), engines, Demand{"m1": 0.9}, nil))
 }
 
-// A second copy of a model is on its way, which takes four seconds. Until it is there
-// the first must stay, or all who ask meanwhile are refused.
+// Guards against eviction of a model's only ready copy while its second copy is loading: until the
+// load ends four seconds later, all requests for the model would be refused.
 func TestLoadingCopyDoesNotCountAsReady(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m1"), testEngine(3, "m3", "m2")}
 	engines[1].Loading, engines[1].Idle = "m1", false
@@ -187,8 +183,8 @@
 	}
 }
 
-// BenchmarkNext is the cost of a round on fleets of growing size: each engine holds two models,
-// a dozen models are busy, and those that nobody holds are missing.
+// BenchmarkNext measures a round on fleets of increasing size. Each engine holds two models, up to
+// sixty models are busy, and those that no engine holds are missing.
 func BenchmarkNext(b *testing.B) {
 	for _, size := range []struct{ engines, models, busy int }{{12, 21, 12}, {60, 111, 12}, {112, 135, 12}, {204, 353, 60}, {600, 1000, 60}, {2100, 370, 60}} {
 		b.Run(fmt.Sprintf("engines=%d/models=%d", size.engines, size.models), func(b *testing.B) {
@@ -208,11 +204,9 @@
 	}
 }
 
-// Engines are taken away until not all models fit, and with one of them goes the only
-// copy of the model that nearly all callers ask for. Every place left holds the last copy
-// of a model that somebody asks for now and then. The busy model must take the place of
-// one of these at once; it was never loaded again while plans to move one aside followed
-// each other.
+// Guards against a missing busy model that is never loaded again because all memory holds last
+// copies of rarely used models, and each round planned another relocation. One of these copies must
+// be evicted at once.
 func TestMissingBusyModelEvictsALastCopy(t *testing.T) {
 	engines := []Engine{testEngine(1, "m1", "m2"), testEngine(2, "m3", "m4"), testEngine(3, "m5", "m6")}
 	rates := map[laburnumlever.ModelName]float64{"m0": 90}
@@ -228,14 +222,14 @@
 
 	engines[0] = testEngine(1, "m2")
 	steps = Next(testClass(7), engines, demand, nil, WithRequests(rates), keeps)
-	require.Equal(t, []Step{{Engine: "e1", Kind: laburnumlever.Load, Model: "m0", FromStore: true, Reason: "no engine holds it"}}, steps)
+	require.Equal(t, []Step{{Engine: "e1", Kind: laburnumlever.Load, Model: "m0", FromStore: true, Reason: "no engine holds the model"}}, steps)
 
 	engines[0] = testEngine(1, "m0", "m2")
-	require.Empty(t, Next(testClass(7), engines, demand, nil, WithRequests(rates), keeps), "the one without a place waits: no other is asked for less")
+	require.Empty(t, Next(testClass(7), engines, demand, nil, WithRequests(rates), keeps), "the missing model waits: no other has fewer requests")
 }
 
-// Guards against a model with several engines' work that stays on one, while the others hold last
-// copies of models that hardly anybody asks for.
+// Guards against a model with the work of several engines that stays on one, while the others hold
+// last copies of rarely used models.
 func TestOverloadedModelDisplacesRarelyUsedOnes(t *testing.T) {
 	rates := map[laburnumlever.ModelName]float64{"m0": 90}
 	demand := Demand{"m0": 2.4}
@@ -254,13 +248,13 @@
 	}
 	require.Equal(t, 2, unloads())
 	demand["m0"] = 0.9
-	require.Zero(t, unloads(), "one engine's work")
+	require.Zero(t, unloads(), "the work of one engine")
 	demand["m0"], rates["m2"], rates["m3"], rates["m4"], rates["m5"] = 2.4, 40, 40, 40, 40
-	require.Zero(t, unloads(), "the others are asked for as well")
+	require.Zero(t, unloads(), "the other models have requests too")
 }
 
-// Guards against a busy model that stays on one engine because all other memory holds models that
-// nobody asks for.
+// Guards against a busy model that stays on one engine because all other memory holds models without
+// requests.
 func TestQuietModelsAreEvicted(t *testing.T) {
 	quiet := map[laburnumlever.ModelName]bool{"m2": true, "m3": true}
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m3")}
@@ -271,19 +265,19 @@
 	require.Equal(t, laburnumlever.BackendID("e2"), steps[0].Engine)
 
 	engines[1] = testEngine(2, "m0", "m3")
-	require.Empty(t, Next(testClass(4), engines, Demand{"m0": 0.4}, nil, WithRequests(rates), WithQuiet(quiet)), "m2 waits for free room")
+	require.Empty(t, Next(testClass(4), engines, Demand{"m0": 0.4}, nil, WithRequests(rates), WithQuiet(quiet)), "m2 waits for free memory")
 	engines = append(engines, testEngine(3))
 	steps = Next(testClass(4), engines, Demand{"m0": 0.4}, nil, WithRequests(rates), WithQuiet(quiet))
-	require.Contains(t, steps, Step{Engine: "e3", Kind: laburnumlever.Load, Model: "m2", FromStore: true, Reason: "no engine holds it"})
+	require.Contains(t, steps, Step{Engine: "e3", Kind: laburnumlever.Load, Model: "m2", FromStore: true, Reason: "no engine holds the model"})
 
 	rates["m2"] = 1
 	steps = Next(testClass(4), engines[:2], Demand{"m0": 0.4}, nil, WithRequests(rates), WithQuiet(map[laburnumlever.ModelName]bool{"m3": true}))
-	require.Equal(t, []Step{{Engine: "e2", Kind: laburnumlever.Unload, Model: "m3", Reason: "makes room for a model: no engine holds it"}}, steps, "somebody asks for it")
+	require.Equal(t, []Step{{Engine: "e2", Kind: laburnumlever.Unload, Model: "m3", Reason: "frees memory for a load: no engine holds the model"}}, steps, "m2 has requests")
 }
 
-// A missing model could come to an engine that loads another for four seconds more, or to
-// one that has to let a spare copy go first. The plan must go by the time that is left;
-// by a fixed guess it waited for the first, load after load.
+// Guards against a missing model that waits for a busy engine, load after load, because the planner
+// assumed a fixed remaining time. Here an engine that evicts a spare copy is ready before the one
+// whose load takes four more seconds.
 func TestMissingModelLoadsWhereSoonest(t *testing.T) {
 	engines := []Engine{testEngine(1, "m1"), testEngine(2, "m1", "m2"), testEngine(3, "m2", "m3")}
 	engines[0].Idle, engines[0].Loading, engines[0].FreeIn = false, "m1", 4
@@ -297,8 +291,8 @@
 	require.Equal(t, laburnumlever.ModelName("m2"), steps[0].Model)
 }
 
-// Two models are missing and the store gives one load now. It must be that of the model
-// which callers wait for.
+// Guards against a load of the less requested of two missing models while the weight store has
+// capacity for one load.
 func TestStoreLoadsHighestDemandFirst(t *testing.T) {
 	engines := []Engine{testEngine(1), testEngine(2)}
 	rates := map[laburnumlever.ModelName]float64{"m0": 0.5, "m1": 40}
@@ -307,18 +301,17 @@
 	require.Equal(t, laburnumlever.ModelName("m1"), steps[0].Model)
 }
 
-// Most callers ask for one model, which one engine serves with ease. It must have a second
-// copy all the same: with the engine all of them would be refused until another has loaded it.
+// Guards against a single copy of the model that gets most requests, even if one engine can serve
+// them: if the engine failed, all of them would be refused until another has loaded the model.
 func TestModelWithMostRequestsGetsASecondCopy(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2")}
 	rates := map[laburnumlever.ModelName]float64{"m0": 60, "m1": 1, "m2": 1}
 	steps := Next(testClass(3), engines, Demand{"m0": 0.1}, nil, WithRequests(rates))
-	require.Equal(t, []Step{{Engine: "e2", Kind: laburnumlever.Load, Model: "m0", FromStore: true, Reason: "takes over work of a busy engine"}}, steps)
+	require.Equal(t, []Step{{Engine: "e2", Kind: laburnumlever.Load, Model: "m0", FromStore: true, Reason: "relieves a busy engine"}}, steps)
 }
 
-// The model that nearly all ask for needs a second engine. None has room for it, but one
-// has room for a smaller model that few ask for. Waiting until that one is loaded there
-// takes seconds more, in which the busy model's callers are late; it leaves at once.
+// Guards against an overloaded model that waits for seconds until a smaller, rarely used one is
+// relocated to make room for it. The small model must be evicted at once.
 func TestOverloadEvictsWithoutRelocation(t *testing.T) {
 	class := testClass(5)
 	class.Models[0].WeightsMB = 120000
@@ -334,11 +327,11 @@
 		return counts
 	}
 	require.Equal(t, map[laburnumlever.OrderKind]int{laburnumlever.Load: 1, laburnumlever.Unload: 1}, kinds(4))
-	require.Equal(t, map[laburnumlever.OrderKind]int{laburnumlever.Load: 1}, kinds(1.5), "first loaded there where callers are served")
+	require.Equal(t, map[laburnumlever.OrderKind]int{laburnumlever.Load: 1}, kinds(1.5), "relocated first, as no copy is overloaded")
 }
 
-// Guards against loads that slow each other down: the store gives one and a half a second, and
-// three under way take its whole rate.
+// Guards against concurrent loads from the weight store that slow each other down: at 0.8 loads per
+// second of 4.2 s each, three of them take its usable rate.
 func TestConcurrentStoreLoadsAreLimited(t *testing.T) {
 	class := testClass(6)
 	class.LoadsPerSecond = 0.8
@@ -354,11 +347,11 @@
 			fromStore = append(fromStore, s.Model)
 		}
 	}
-	require.Equal(t, []laburnumlever.ModelName{"m4", "m5"}, fromStore, "one is under way, and the most wanted go first")
-	require.Greater(t, len(steps), len(fromStore), "loads from an engine's own disk take nothing of the store")
+	require.Equal(t, []laburnumlever.ModelName{"m4", "m5"}, fromStore, "one load is in progress, and the models with most requests come first")
+	require.Greater(t, len(steps), len(fromStore), "loads from an engine's disk don't use the store")
 }
 
-// Guards against copies in free room that keep the store from what callers wait for.
+// Guards against loads into free memory that delay loads of models with waiting callers.
 func TestFillWaitsForLoadsInProgress(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3)}
 	demand := Demand{"m0": 0.2, "m1": 0.2, "m2": 0.15}
--- a/laburnumresidency/rebalance.go
+++ b/laburnumresidency/rebalance.go
@@ -6,45 +6,45 @@
 )
 
 const (
-	// Bounds of a round. More changes would be outdated before engines complete them; engines
-	// beyond the least busy would not be chosen.
+	// Limits of a round. More changes would be outdated before the engines complete them, and busier
+	// engines would not be chosen.
 	maxChanges          = 12
-	maxCandidateModels  = 12 // with most work per copy
-	maxCandidateEngines = 24 // with least work
+	maxCandidateModels  = 12 // those with most work per copy
+	maxCandidateEngines = 24 // those with least work
 
-	// Least gain of a change, in congestion. Demand is sampled once a second, and noise alone
-	// would make smaller gains evict copies in use.
-	minGain      = 0.4  // if it evicts copies in use
-	minSpareGain = 0.05 // otherwise
+	// Least gain of a change, in congestion. Demand is sampled once per second, and with a lower
+	// threshold its noise alone would evict copies in use.
+	minGain      = 0.4  // for a change that evicts copies in use
+	minSpareGain = 0.05 // for other changes
 
 	// Costs, in congestion.
 	loadCost       = 0.02  // of a load
-	relocateCost   = 0.4   // of moving a last copy: two engines are blocked
-	lastCopyCost   = 0.02  // of evicting a last copy: the next caller waits for a load
-	adapterWeight  = 0.002 // of an adapter in use, for each second in which its engine loads a model
+	relocateCost   = 0.4   // of relocating a last copy, which blocks two engines
+	lastCopyCost   = 0.02  // of evicting a last copy, as the next request waits for a load
+	adapterWeight  = 0.002 // of an adapter in use, per second in which its engine loads a model
 	shortageWeight = 0.05  // of an adapter in use without a slot
-	riskWeight     = 0.2   // of a single copy of a model with all requests
+	riskWeight     = 0.2   // of a single copy of a model that gets all requests
 
-	// absentTime is the time until a displaced model has memory again, in seconds.
+	// absentTime is the time until a displaced model is given memory again, in seconds.
 	absentTime = 80.0
-	// displaceFactor is the least ratio of requests for which a last copy is displaced.
+	// displaceFactor is the ratio of request rates above which a busy model displaces a last copy.
 	displaceFactor = 10
-	// demandDuration is the time that demand for a model lasts, in seconds; a change that
-	// takes as long gains nothing.
+	// demandDuration is the time for which demand for a model lasts, in seconds. A change that takes
+	// as long gains nothing.
 	demandDuration = 12.0
 
-	// Durations in seconds. A copy with busyWork or more finishes its answers before it
-	// unloads.
-	unloadTime     = 0.4 // with the notice to gateways before it
+	// Durations in seconds. A busy copy finishes its answers before it unloads: busyUnloadTime is
+	// added in full from busyWork, and in proportion below it.
+	unloadTime     = 0.4 // including the notice to gateways before it
 	busyUnloadTime = 3.0
 	busyWork       = 0.1
-	unknownWait    = 3.0 // of an order in progress whose duration is unknown
+	unknownWait    = 3.0 // for an order in progress of unknown duration
 
-	evictShare     = 0.3  // of a new copy's work, the most that an evicted copy may have
-	negligibleWork = 0.02 // of an engine's work, negligible
+	evictShare     = 0.3  // most work of an evicted copy, as a share of the new copy's
+	negligibleWork = 0.02 // as a share of an engine's capacity
 )
 
-// rebalance adds the best copy until no change gains enough.
+// rebalance adds copies, best change first, until no change reaches its least gain.
 func (p *planner) rebalance() {
 	for range maxChanges {
 		var best change
@@ -64,7 +64,7 @@
 	}
 }
 
-// leastGain is the threshold for a change.
+// leastGain is the least gain for which a change is made.
 func (p *planner) leastGain(c change) float64 {
 	for _, v := range c.evictions {
 		if !p.quiet[v.model] {
@@ -74,7 +74,8 @@
 	return min(minSpareGain, p.policy.minGain)
 }
 
-// candidateModels lists the models with most work, or most adapters without a slot, per copy.
+// candidateModels lists the models for which another copy may help: those with most work per copy,
+// or most adapters without a slot.
 func (p *planner) candidateModels() []int {
 	type weighted struct {
 		model  int
@@ -98,7 +99,7 @@
 	return models
 }
 
-// bestCopy finds the best engine for one more copy, among those with least work.
+// bestCopy finds the engine on which another copy of a model gains most, among those with least work.
 func (p *planner) bestCopy(m int) (change, bool) {
 	engines := make([]int, 0, maxCandidateEngines)
 	for _, e := range p.target.byWork {
@@ -112,8 +113,8 @@
 	return bestOf(engines, func(e int) (change, bool) { return p.evaluateCopy(e, m) })
 }
 
-// evaluateCopy evaluates a copy at an engine with its evictions and relocations. The gain shrinks with
-// the delay, as demand moves on.
+// evaluateCopy evaluates another copy of a model on an engine, with the evictions and relocations it
+// needs. The gain decreases with the delay, as demand may have moved by then.
 func (p *planner) evaluateCopy(e, m int) (change, bool) {
 	c := change{engine: e, model: m, evictions: p.evictions[:0]}
 	delay := p.loadTime(e, m)
@@ -148,12 +149,12 @@
 	return c, true
 }
 
-// displaces tells whether an eviction removes the last copy.
+// displaces tells whether an eviction removes a model's last copy.
 func (p *planner) displaces(v eviction) bool {
 	return v.to == none && p.target.copies(v.model) == 1
 }
 
-// displacementCost is the cost of requests for the models that a change leaves without a copy.
+// displacementCost is the cost of the requests for models that a change leaves without a copy.
 func (p *planner) displacementCost(c change) float64 {
 	cost := 0.0
 	for _, v := range c.evictions {
@@ -164,8 +165,8 @@
 	return cost
 }
 
-// singleCopyRisk is the cost of a single copy: if its engine fails, all requests are refused until another
-// has loaded the model.
+// singleCopyRisk is the cost of the risk that the engine with a model's only copy fails: all requests
+// for the model are refused until another engine has loaded it.
 func (p *planner) singleCopyRisk(m int) float64 {
 	if p.target.copies(m) != 1 || p.totalRate == 0 {
 		return 0
@@ -173,13 +174,15 @@
 	return riskWeight * p.rates[m] / p.totalRate
 }
 
-// planEviction tells whether a model may be evicted for another, and where its last copy moves.
+// planEviction returns the eviction of model v from engine e in favour of model m, and whether it is
+// allowed. A last copy with requests is relocated if another engine has memory for it, else
+// displaced if the policy allows that.
 func (p *planner) planEviction(e, v, m int, c change) (eviction, bool) {
 	evicted := eviction{model: v, to: none}
 	if slices.Contains(p.engines[e].Young, p.class.Models[v].Name) {
 		return evicted, false
 	}
-	// Models with similar work would evict each other in turns.
+	// Without this limit, models with similar work would evict each other in turns.
 	if newCopy := p.target.demand[m] / float64(p.target.copies(m)+1); p.target.workPerCopy(v) > p.policy.evictShare*newCopy {
 		return evicted, false
 	}
@@ -189,8 +192,8 @@
 	if p.quiet[v] {
 		return evicted, true
 	}
-	// One relocation at a time: orders in progress count as done, so that others would
-	// follow.
+	// Only one relocation at a time: orders in progress count as complete, so more relocations
+	// would be planned on top of an unfinished one.
 	if to := p.relocationTarget(v, e, c); to != none {
 		evicted.to = to
 		return evicted, p.copies[v] == 1 && !p.relocating
@@ -198,7 +201,7 @@
 	return evicted, p.policy.displaces && p.target.workPerCopy(m) > overloadWork && p.rates[m] > displaceFactor*p.rates[v]
 }
 
-// relocationTarget finds the least busy engine with memory for a model.
+// relocationTarget finds the least busy idle engine with memory for a model, or none.
 func (p *planner) relocationTarget(m, except int, c change) int {
 	for _, e := range p.target.byWork {
 		if e != except && p.engines[e].Idle && !p.target.holds(e, m) &&
--- a/laburnumresidency/steps.go
+++ b/laburnumresidency/steps.go
@@ -7,12 +7,12 @@
 	"laburnumlever"
 )
 
-// overloadWork is the work of a copy from which its answers are late, so that a last copy with
-// few requests is evicted for another copy at once.
+// overloadWork is the work of a copy beyond which its answers are late. A last copy with few requests
+// is then evicted at once, without relocation, to make room for another copy.
 const overloadWork = 1.0
 
-// planStep adds an engine's next step towards the target: a load if there is memory, else the
-// unload of a model that is ready elsewhere.
+// planStep adds an engine's next step towards the target layout: a load if it fits into memory, else
+// the unload of a model for it.
 func (p *planner) planStep(e int, engine *Engine) {
 	if !engine.Idle {
 		return
@@ -21,9 +21,9 @@
 	if wanted == none {
 		return
 	}
-	reason := "takes over work of a busy engine"
+	reason := "relieves a busy engine"
 	if p.ready[wanted] == 0 {
-		reason = "no engine holds it"
+		reason = "no engine holds the model"
 	}
 	if p.usedMB(e)+p.target.size[wanted] <= p.class.WeightsMB {
 		p.load(e, wanted, reason, p.urgency(wanted))
@@ -32,8 +32,8 @@
 	p.unloadFor(e, engine, wanted, reason)
 }
 
-// nextLoad returns the model that an engine should load next, that with fewest ready and loading
-// copies, or nowhere.
+// nextLoad returns the model that an engine should load next, or none: the one with the fewest ready
+// copies, then the fewest loading ones, then the most work per copy.
 func (p *planner) nextLoad(e int) int {
 	best := none
 	for _, m := range p.target.models[e] {
@@ -49,7 +49,7 @@
 	return best
 }
 
-// usedMB is the memory in use at an engine, in MB.
+// usedMB is the memory in use on an engine, in MB.
 func (p *planner) usedMB(e int) float64 {
 	total := 0.0
 	for _, h := range p.engines[e].Held {
@@ -73,7 +73,7 @@
 			continue
 		}
 		p.steps = append(p.steps, urgentStep{urgency: p.urgency(wanted), Step: Step{
-			Engine: engine.ID, Kind: laburnumlever.Unload, Model: name, Reason: "makes room for a model: " + reason,
+			Engine: engine.ID, Kind: laburnumlever.Unload, Model: name, Reason: "frees memory for a load: " + reason,
 		}})
 		if engine.Loading != name {
 			p.ready[m]--
@@ -83,8 +83,9 @@
 	}
 }
 
-// mayUnload reports whether model m of engine e may be unloaded for the wanted one: another copy is
-// ready, it is hardly asked for, or the wanted one is needed more.
+// mayUnload tells whether model m of engine e may be unloaded for the wanted one: another copy is
+// ready, m is quiet or displaced, or the wanted one has far more requests and either is missing or is
+// overloaded while m has a copy in the target layout.
 func (p *planner) mayUnload(e, m, wanted int) bool {
 	if p.ready[m] >= 2 || p.quiet[m] || p.displaced[m] {
 		return true
@@ -97,8 +98,8 @@
 	return restores && restored == wanted || overload
 }
 
-// urgency is the rate of requests for a model without a ready copy, divided by the copies that
-// load.
+// urgency is the rate of requests for a model without a ready copy, divided by the number of its
+// loading copies. Each call adds one to these copies.
 func (p *planner) urgency(m int) float64 {
 	if p.ready[m] > 0 {
 		return 0
--- a/laburnumresidency/store.go
+++ b/laburnumresidency/store.go
@@ -2,11 +2,11 @@
 
 import "laburnumlever"
 
-// storeShare is the part of the store's capacity for concurrent loads that is used. Loads beyond
-// it slow down the urgent ones.
+// storeShare is the share of the weight store's capacity for concurrent loads that is used. More
+// loads would slow down the urgent ones.
 const storeShare = 0.9
 
-// limitStoreLoads drops the loads that exceed the capacity of the weight store.
+// limitStoreLoads returns the steps without the loads that exceed the capacity of the weight store.
 func (p *planner) limitStoreLoads() []Step {
 	steps := make([]Step, 0, len(p.steps))
 	left := p.storeSlots() - p.storeLoads()
@@ -22,7 +22,7 @@
 	return steps
 }
 
-// storeSlots is the number of concurrent loads from the store.
+// storeSlots is the number of concurrent loads that the weight store has capacity for.
 func (p *planner) storeSlots() int {
 	if p.class.LoadsPerSecond <= 0 {
 		return len(p.engines)
@@ -35,7 +35,7 @@
 	return max(1, int(storeShare*p.class.LoadsPerSecond*mean))
 }
 
-// storeLoads counts the loads from the store in progress.
+// storeLoads counts the loads in progress from the weight store.
 func (p *planner) storeLoads() int {
 	n := 0
 	for e, engine := range p.engines {
--- a/laburnumresidency/values.go
+++ b/laburnumresidency/values.go
@@ -6,19 +6,19 @@
 	"laburnumlever"
 )
 
-// Engine is the state of a model engine.
+// Engine is the state of a model engine, as input of a planning round.
 type Engine struct {
 	ID   laburnumlever.BackendID
 	Zone laburnumlever.ZoneName
-	// Held are the models that take memory, loading and unloading ones included.
+	// Held are the models that occupy memory, including loading and unloading ones.
 	Held               []laburnumlever.HeldModel
 	Loading, Unloading laburnumlever.ModelName // empty for none
 	// Idle tells that the engine accepts an order.
 	Idle bool
-	// FreeIn is the time until the order in progress ends, in seconds; 0 if unknown.
+	// IdleInSeconds is the time until the order in progress ends; 0 if unknown.
 	FreeIn           float64
 	InMemory, OnDisk []laburnumlever.ModelName
-	// Young are models loaded too recently to be evicted.
+	// RecentlyLoaded are the models loaded too recently to be evicted.
 	Young []laburnumlever.ModelName
 }
 
@@ -32,11 +32,11 @@
 	Model  laburnumlever.ModelName
 	// FromStore tells that the weights come from the weight store.
 	FromStore bool
-	// Reason is for the log.
+	// Reason is logged as the cause of the order.
 	Reason string
 }
 
-// Serves tells whether the engine holds or loads the model.
+// Serves tells whether the engine holds or is loading the model, and is not unloading it.
 func (e *Engine) Serves(model laburnumlever.ModelName) bool {
 	return e.Unloading != model && laburnumlever.Holds(e.Held, model, "")
 }
@@ -51,20 +51,20 @@
 	return total
 }
 
-// HasRoom tells whether the model fits into free memory.
+// HasRoom tells whether the model fits into the engine's free memory.
 func (e *Engine) HasRoom(class *laburnumlever.EngineClass, m laburnumlever.ResidentClass) bool {
 	return e.usedMB(class)+size(m) <= class.WeightsMB
 }
 
-// Holds tells whether the model takes memory.
+// Holds tells whether the model occupies memory on the engine.
 func (e *Engine) Holds(model laburnumlever.ModelName) bool {
 	return laburnumlever.Holds(e.Held, model, "")
 }
 
-// isLoading tells whether the engine isLoading a model.
+// isLoading tells whether a load is in progress.
 func (e *Engine) isLoading() bool { return e.Loading != "" }
 
-// waitSeconds is the time until the engine accepts an order, in seconds.
+// waitSeconds is the expected time until the engine accepts an order.
 func (e *Engine) waitSeconds() float64 {
 	switch {
 	case e.Idle:
@@ -76,7 +76,8 @@
 	}
 }
 
-// LoadSeconds is the duration of a load from the nearest tier.
+// LoadSeconds is the duration of a load from the fastest source of the weights: host memory, disk or
+// the weight store.
 func (e *Engine) LoadSeconds(m laburnumlever.ResidentClass) float64 {
 	switch {
 	case slices.Contains(e.InMemory, m.Name):
