--- a/laburnumdirector/adapters.go
+++ b/laburnumdirector/adapters.go
@@ -39,18 +39,18 @@
 
 // EnsureAdapterAsync requests an adapter, which is loaded if no engine holds it. It calls reply
 // once, on the control thread.
-func (d *Director) Ask(asked laburnumlever.AdapterNeed, reply NeedFunc) {
+func (d *Director) Ask(request laburnumlever.AdapterNeed, reply NeedFunc) {
 	d.loop.Post(d, adapterRequested{request: &adapterRequest{
-		service: asked.Service, key: adapterKey{model: asked.Model, adapter: asked.Adapter}, except: asked.Except,
+		service: request.Service, key: adapterKey{model: request.Model, adapter: request.Adapter}, except: request.Except,
 		since: d.timers.Now(), reply: reply,
 	}})
 }
 
 // EnsureAdapter requests an adapter, which is loaded if no engine holds it, and returns the engines
 // that hold it. Errors: those of AdapterFunc, *ClosedError, and that of ctx.
-func (d *Director) Need(ctx context.Context, asked laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
+func (d *Director) Need(ctx context.Context, request laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
 	answer := make(chan adapterAnswer, 1)
-	d.Ask(asked, func(backends []laburnumlever.BackendID, err error) {
+	d.Ask(request, func(backends []laburnumlever.BackendID, err error) {
 		answer <- adapterAnswer{backends: backends, err: err}
 	})
 	select {
--- a/laburnumdirector/bench_test.go
+++ b/laburnumdirector/bench_test.go
@@ -25,7 +25,7 @@
 				for g := range size.gateways {
 					vm := laburnumlever.VMID(fmt.Sprintf("10.0.1.%d", g))
 					for part := range 4 {
-						d.SetNews(vm, gatewayNews(vm, g, part, size.models))
+						d.SetNews(vm, gatewayReport(vm, g, part, size.models))
 					}
 				}
 				w.advance(time.Second)
@@ -34,15 +34,15 @@
 	}
 }
 
-// gatewayNews returns the report of a gateway with about ten requests per second.
-func gatewayNews(vm laburnumlever.VMID, g, part, models int) laburnumlever.GatewayNews {
-	var news laburnumlever.GatewayNews
+// gatewayReport returns the report of a gateway with about ten requests per second.
+func gatewayReport(vm laburnumlever.VMID, g, part, models int) laburnumlever.GatewayNews {
+	var report laburnumlever.GatewayNews
 	for i := range 8 {
 		model := modelName((g + i*i) % min(models, 60))
-		news.Adapters = append(news.Adapters, laburnumlever.AdapterUse{Model: model, Adapter: laburnumlever.AdapterName(fmt.Sprintf("a%d", i%6))})
+		report.Adapters = append(report.Adapters, laburnumlever.AdapterUse{Model: model, Adapter: laburnumlever.AdapterName(fmt.Sprintf("a%d", i%6))})
 		if part == 0 {
-			news.Demand = append(news.Demand, laburnumlever.ModelDemand{Model: model, VM: vm, RequestsPerSecond: 1, PromptTokens: 700, AnswerTokens: 200})
+			report.Demand = append(report.Demand, laburnumlever.ModelDemand{Model: model, VM: vm, RequestsPerSecond: 1, PromptTokens: 700, AnswerTokens: 200})
 		}
 	}
-	return news
+	return report
 }
--- a/laburnumdirector/cluster_test.go
+++ b/laburnumdirector/cluster_test.go
@@ -87,9 +87,9 @@
 	losesRecords bool
 	// losesAnswer drops the answer to the next order. lateBy also delays the order by that time.
 	losesAnswer bool
-	lateBy     time.Duration
-	lateOrders []func()
-	lateAt     []time.Time
+	lateBy      time.Duration
+	lateOrders  []func()
+	lateAt      []time.Time
 }
 
 func newCluster(t *testing.T, models, engines, directors int) *cluster {
--- a/laburnumdirector/director.go
+++ b/laburnumdirector/director.go
@@ -135,8 +135,8 @@
 
 // SetGatewayReport applies a gateway's report on demand, adapter use, outcomes and unreachable
 // backend servers. It is safe for concurrent use.
-func (d *Director) SetNews(vm laburnumlever.VMID, news laburnumlever.GatewayNews) {
-	d.loop.Post(d, gatewayReported{vm: vm, news: news})
+func (d *Director) SetNews(vm laburnumlever.VMID, report laburnumlever.GatewayNews) {
+	d.loop.Post(d, gatewayReported{vm: vm, report: report})
 }
 
 // Handle implements laburnumlever.Part.
@@ -190,14 +190,14 @@
 
 func (d *Director) onGatewayReport(ev gatewayReported) {
 	now := d.timers.Now()
-	if len(ev.news.Demand) > 0 {
-		d.demand.add(ev.vm, ev.news.Demand, now)
+	if len(ev.report.Demand) > 0 {
+		d.demand.add(ev.vm, ev.report.Demand, now)
 	}
-	for _, use := range ev.news.Adapters {
+	for _, use := range ev.report.Adapters {
 		d.recordAdapterUse(adapterKey{model: use.Model, adapter: use.Adapter}, now.Add(-time.Duration(use.Idle)))
 	}
-	d.onOutcomes(ev.news.Outcomes, now)
-	for _, id := range ev.news.Unreachable {
+	d.onOutcomes(ev.report.Outcomes, now)
+	for _, id := range ev.report.Unreachable {
 		if e := d.engines.get(id); e != nil {
 			e.unreachableAt = now
 		}
--- a/laburnumdirector/director_test.go
+++ b/laburnumdirector/director_test.go
@@ -388,11 +388,11 @@
 	w := newCluster(t, 1, engines, 1)
 	w.sendHeartbeats()
 	w.advance(10 * time.Second)
-	asked := 0
+	requests := 0
 	for _, n := range w.stateRequests {
 		require.LessOrEqual(t, n, most)
-		asked += n
+		requests += n
 	}
-	require.GreaterOrEqual(t, asked, engines)
+	require.GreaterOrEqual(t, requests, engines)
 	require.NotEmpty(t, w.copies())
 }
--- a/laburnumdirector/events.go
+++ b/laburnumdirector/events.go
@@ -17,8 +17,8 @@
 	routesUpdated     struct{ table laburnumlever.RouteTable }
 	// gatewayReported is a gateway's report on demand, adapter use and backend servers.
 	gatewayReported struct {
-		vm   laburnumlever.VMID
-		news laburnumlever.GatewayNews
+		vm     laburnumlever.VMID
+		report laburnumlever.GatewayNews
 	}
 	// leaseAnswered is the result of acquiring or renewing the lease.
 	leaseAnswered struct {
--- a/laburnumdirector/layout.go
+++ b/laburnumdirector/layout.go
@@ -24,25 +24,25 @@
 	d.layoutLogged[name] = now
 	held, loading := countCopies(engines)
 	largest := largestModel(class)
-	room := 0
+	withRoom := 0
 	for i := range engines {
 		if engines[i].HasRoom(class, largest) {
-			room++
+			withRoom++
 		}
 	}
-	one := 0
+	single := 0
 	var none []laburnumlever.ModelName
 	for _, m := range class.Models {
 		switch {
 		case held[m.Name] == 1 && loading[m.Name] == 0:
-			one++
+			single++
 			delete(held, m.Name)
 		case held[m.Name] == 0 && loading[m.Name] == 0 && len(none) < maxListed:
 			none = append(none, m.Name)
 		}
 	}
 	_ = level.Info(d.cfg.logger).Log("event", laburnumlever.EventLayout, "service", name, "engines", len(engines),
-		"room", room, "held", held, "loading", loading, "one", one, "none", none)
+		"room", withRoom, "held", held, "loading", loading, "one", single, "none", none)
 }
 
 // countCopies returns for each model how many engines serve it and how many are loading it.
--- a/laburnumresidency/missing.go
+++ b/laburnumresidency/missing.go
@@ -47,12 +47,12 @@
 	c := change{engine: e, model: m, evictions: p.evictions[:0]}
 	seconds := p.loadTime(e, m)
 	lost := 0.0
-	need := p.target.used[e] + p.target.size[m] - p.class.WeightsMB
-	if need > 0 && (p.quiet[m] || need > p.evictableSize(e, m)) {
+	shortfall := p.target.used[e] + p.target.size[m] - p.class.WeightsMB
+	if shortfall > 0 && (p.quiet[m] || shortfall > p.evictableSize(e, m)) {
 		return c, false
 	}
-	for _, v := range p.evictionOrder(e, need) {
-		if need <= 0 {
+	for _, v := range p.evictionOrder(e, shortfall) {
+		if shortfall <= 0 {
 			break
 		}
 		if !p.isSpare(v) && !p.outweighs(m, v) {
@@ -62,7 +62,7 @@
 			lost += p.effectiveRate(v) * reloadTime
 		}
 		seconds += p.unloadSeconds(v)
-		need -= p.target.size[v]
+		shortfall -= p.target.size[v]
 		c.evictions = append(c.evictions, eviction{model: v, to: none})
 	}
 	p.evictions = c.evictions
--- a/laburnumresidency/planner.go
+++ b/laburnumresidency/planner.go
@@ -175,9 +175,9 @@
 
 // evictionOrder lists an engine's models in ascending order of evictionLoss; nil if no memory is
 // needed.
-func (p *planner) evictionOrder(e int, need float64) []int {
+func (p *planner) evictionOrder(e int, shortfall float64) []int {
 	p.byLoss = p.byLoss[:0]
-	if need <= 0 {
+	if shortfall <= 0 {
 		return nil
 	}
 	p.byLoss = append(p.byLoss, p.target.models[e]...)
--- a/laburnumresidency/rebalance.go
+++ b/laburnumresidency/rebalance.go
@@ -119,9 +119,9 @@
 	c := change{engine: e, model: m, evictions: p.evictions[:0]}
 	delay := p.loadTime(e, m)
 	loads := 1
-	need := p.target.used[e] + p.target.size[m] - p.class.WeightsMB
-	for _, v := range p.evictionOrder(e, need) {
-		if need <= 0 {
+	shortfall := p.target.used[e] + p.target.size[m] - p.class.WeightsMB
+	for _, v := range p.evictionOrder(e, shortfall) {
+		if shortfall <= 0 {
 			break
 		}
 		evicted, ok := p.planEviction(e, v, m, c)
@@ -133,11 +133,11 @@
 			loads++
 		}
 		delay += p.unloadSeconds(v)
-		need -= p.target.size[v]
+		shortfall -= p.target.size[v]
 		c.evictions = append(c.evictions, evicted)
 	}
 	p.evictions = c.evictions
-	if need > 0 {
+	if shortfall > 0 {
 		return c, false
 	}
 	c.gain = (p.target.relief(c)+p.singleCopyRisk(m))*max(0, 1-delay/demandDuration) -
