--- a/laburnumresidency/values.go
+++ b/laburnumresidency/values.go
@@ -51,7 +51,7 @@
 	return total
 }
 
-// HasRoom tells whether the model fits into the engine's free memory.
+// HasMemoryFor tells whether the model fits into the engine's free memory.
 func (e *Engine) HasRoom(class *laburnumlever.EngineClass, m laburnumlever.ResidentClass) bool {
 	return e.usedMB(class)+size(m) <= class.WeightsMB
 }
