--- a/laburnumdirector/layout.go
+++ b/laburnumdirector/layout.go
@@ -11,41 +11,41 @@
 
 const (
 	layoutPeriod = 3 * time.Second
-	maxNone      = 32 // models without a copy that a line names
+	maxListed    = 32 // models without a copy named in a log line
 )
 
-// reportLayout logs how many engines hold and load each model of a service, and how many have free
-// memory. Models with one copy are only counted, so that the line stays short with hundreds of
-// them.
-func (d *Director) reportLayout(name laburnumlever.ServiceName, class *laburnumlever.EngineClass, engines []laburnumresidency.Engine, now time.Time) {
-	if now.Sub(d.lastLayout[name]) < layoutPeriod {
+// logLayout logs how many engines hold and load each model of a service, and how many have memory
+// for its largest model. Models with one copy are only counted, which keeps the line short with
+// hundreds of models.
+func (d *Director) logLayout(name laburnumlever.ServiceName, class *laburnumlever.EngineClass, engines []laburnumresidency.Engine, now time.Time) {
+	if now.Sub(d.layoutLogged[name]) < layoutPeriod {
 		return
 	}
-	d.lastLayout[name] = now
+	d.layoutLogged[name] = now
 	held, loading := countCopies(engines)
-	largest := largest(class)
-	room := 0
+	largest := largestModel(class)
+	withRoom := 0
 	for i := range engines {
 		if engines[i].HasRoom(class, largest) {
-			room++
+			withRoom++
 		}
 	}
-	one := 0
+	single := 0
 	var none []laburnumlever.ModelName
 	for _, m := range class.Models {
 		switch {
 		case held[m.Name] == 1 && loading[m.Name] == 0:
-			one++
+			single++
 			delete(held, m.Name)
-		case held[m.Name] == 0 && loading[m.Name] == 0 && len(none) < maxNone:
+		case held[m.Name] == 0 && loading[m.Name] == 0 && len(none) < maxListed:
 			none = append(none, m.Name)
 		}
 	}
 	_ = level.Info(d.cfg.logger).Log("event", laburnumlever.EventLayout, "service", name, "engines", len(engines),
-		"room", room, "held", held, "loading", loading, "one", one, "none", none)
+		"room", withRoom, "held", held, "loading", loading, "one", single, "none", none)
 }
 
-// countCopies returns how many engines hold each model ready, and how many load it.
+// countCopies returns for each model how many engines serve it and how many are loading it.
 func countCopies(engines []laburnumresidency.Engine) (held, loading map[laburnumlever.ModelName]int) {
 	held, loading = map[laburnumlever.ModelName]int{}, map[laburnumlever.ModelName]int{}
 	for i := range engines {
@@ -62,8 +62,8 @@
 	return held, loading
 }
 
-// largest returns the model with most weights.
-func largest(class *laburnumlever.EngineClass) laburnumlever.ResidentClass {
+// largestModel returns the model with the largest weights.
+func largestModel(class *laburnumlever.EngineClass) laburnumlever.ResidentClass {
 	var largest laburnumlever.ResidentClass
 	for _, m := range class.Models {
 		if m.WeightsMB > largest.WeightsMB {
--- a/laburnumdirector/outliers.go
+++ b/laburnumdirector/outliers.go
@@ -9,7 +9,7 @@
 	"github.com/go-kit/log/level"
 )
 
-// onOutcomes adds the outcomes that a gateway reports and tells all gateways of outliers.
+// onOutcomes adds the outcomes that a gateway reports and publishes new outliers to all gateways.
 func (d *Director) onOutcomes(outcomes []laburnumlever.BackendOutcome, now time.Time) {
 	for _, id := range d.outliers.Add(outcomes, now) {
 		r, ok := d.records[id]
@@ -19,7 +19,7 @@
 		_ = level.Info(d.cfg.logger).Log("event", laburnumlever.EventOutlierDetected, "backend", id, "service", r.Heartbeat.Service)
 		d.cfg.scope.Counter("outliers").Inc(1)
 		if e := d.engines.get(id); e != nil {
-			e.touch()
+			e.markChanged()
 			continue
 		}
 		d.onOverlay(laburnumregistry.Overlay{
