--- a/laburnumdisk/crash_test.go
+++ b/laburnumdisk/crash_test.go
@@ -181,7 +181,7 @@
 }
 
 // Guards against data that a folder opened again after an error counts as durable and loses.
-func TestOpenedAgainWithoutARestart(t *testing.T) {
+func TestReopenAfterWriteError(t *testing.T) {
 	writes := []laburnumlog.Write{
 		write(1, 1, 4), write(1, 5, 9), snapshotWrite(4, 1, false), write(2, 8, 12), snapshotWrite(12, 2, false),
 		write(2, 13, 14), snapshotWrite(30, 3, true), write(3, 31, 33), write(4, 33, 35),
@@ -305,7 +305,7 @@
 
 // A crash comes after the leader's snapshot is durable and before its frame. The
 // entries that follow must not be joined to the old ones on the disk.
-func TestSnapshotWithoutItsFrameIsGoneOnFrom(t *testing.T) {
+func TestEntriesAfterSnapshotWithoutItsFrame(t *testing.T) {
 	for name, tail := range map[string]uint64{"the old log ends before it": 5, "the old log goes on beyond it": 30} {
 		t.Run(name, func(t *testing.T) {
 			for at := 0; ; at++ {
--- a/laburnumdisk/store_test.go
+++ b/laburnumdisk/store_test.go
@@ -46,7 +46,7 @@
 	return names
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestWriteAndReopen(t *testing.T) {
 	cases := map[string]struct {
 		writes      []laburnumlog.Write
 		first, last uint64 // entries expected
--- a/laburnumstate/machine_test.go
+++ b/laburnumstate/machine_test.go
@@ -53,7 +53,7 @@
 	want laburnumlever.ResultCode
 }
 
-func TestStories(t *testing.T) {
+func TestCommandSequences(t *testing.T) {
 	const (
 		ok, conflict, repeated, claimed = laburnumlever.ResultOK, laburnumlever.ResultConflict, laburnumlever.ResultRepeated, laburnumlever.ResultClaimed
 		answered, mismatch, full        = laburnumlever.ResultAnswered, laburnumlever.ResultMismatch, laburnumlever.ResultFull
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestUnresolvedIntentsComeWithTheLease(t *testing.T) {
+func TestAcquireReturnsUnresolvedIntents(t *testing.T) {
 	m := laburnumstate.New()
 	require.EqualValues(t, 1, m.Apply(0, lease(laburnumlever.CommandAcquireLease, "a", 0, 0)).Fence)
 	m.Apply(0, intent(laburnumlever.CommandRecordIntent, "o1", 1))
@@ -147,7 +147,7 @@
 }
 
 // Guards against a time of the last owner but one, or of one that released its lease.
-func TestIdleTimeOfALeaseIsOfItsLastHolder(t *testing.T) {
+func TestLeaseIdleTimeIsOfLastHolder(t *testing.T) {
 	m := laburnumstate.New()
 	expire := lease(laburnumlever.CommandExpireLease, "a", 1, 0)
 	expire.Lease.Idle = laburnumlever.Duration(2 * time.Second)
@@ -183,7 +183,7 @@
 }
 
 // Replicas that start from a snapshot at any place must end where the others do.
-func TestSnapshotAnywhereEndsTheSame(t *testing.T) {
+func TestSnapshotAtAnyPointGivesSameState(t *testing.T) {
 	limits := laburnumstate.DefaultLimits()
 	limits.OwnerClaims, limits.ClaimMillis, limits.TotalBytes = 6, 30, 20
 	rapid.Check(t, func(t *rapid.T) {
--- a/laburnumvoter/bench_test.go
+++ b/laburnumvoter/bench_test.go
@@ -20,7 +20,7 @@
 
 var benchNames = []string{"a", "b", "c", "d", "e"}
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -72,7 +72,7 @@
 			b.Run(fmt.Sprintf("voters=%d/batch=%d", voters, batch), func(b *testing.B) {
 				f, leader := benchFleet(b, voters, laburnumvoter.WithBatch(batch))
 				var n atomic.Int64
-				sent, used := f.net.bytes.Load(), processorTime()
+				sent, used := f.net.bytes.Load(), cpuTime()
 				b.SetParallelism(256/12 + 1)
 				b.ResetTimer()
 				b.RunParallel(func(pb *testing.PB) {
@@ -87,7 +87,7 @@
 				b.StopTimer()
 				b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "claims/s")
 				b.ReportMetric(float64(f.net.bytes.Load()-sent)/float64(b.N), "link-bytes/claim")
-				b.ReportMetric(float64((processorTime()-used).Microseconds())/float64(b.N), "cpu-us/claim")
+				b.ReportMetric(float64((cpuTime()-used).Microseconds())/float64(b.N), "cpu-us/claim")
 			})
 		}
 	}
--- a/laburnumvoter/drive.go
+++ b/laburnumvoter/drive.go
@@ -24,26 +24,26 @@
 	}
 	out := v.log.Step(ev)
 	if out.Fault != nil {
-		v.fail(out.Fault)
+		v.failReplica(out.Fault)
 		return laburnumlog.Output{}
 	}
 	for _, m := range out.Messages {
 		v.transmit(m)
 	}
 	if out.Write != nil {
-		v.after = append(v.after, laburnumlog.Write{Seq: out.Write.Seq, After: out.Write.After})
+		v.pendingAfter = append(v.pendingAfter, laburnumlog.Write{Seq: out.Write.Seq, After: out.Write.After})
 		write := *out.Write
 		write.After = nil
 		v.writer.add(write)
 	}
 	if out.Install != nil {
-		v.install(*out.Install)
+		v.installSnapshot(*out.Install)
 	}
 	for _, e := range out.Committed {
 		v.apply(e)
 	}
 	if len(out.Committed) > 0 {
-		v.tellCatalogue()
+		v.notifyCatalogue()
 		v.maybeSnapshot()
 	}
 	if v.log == nil { // an entry could not be applied
@@ -52,55 +52,55 @@
 	return out
 }
 
-func (v *Voter) onWrote(ev wrote) {
+func (v *Voter) onWriteDone(ev writeDone) {
 	if ev.generation != v.generation || v.log == nil {
 		return
 	}
 	if ev.err != nil {
 		old := v.writer
-		v.fail(ev.err)
+		v.failReplica(ev.err)
 		v.openLater(func() (*replica, error) { return reopenReplica(v.cfg, v.self, old) })
 		return
 	}
 	v.step(laburnumlog.Written{Seq: ev.seq})
-	for len(v.after) > 0 && v.after[0].Seq <= ev.seq {
-		for _, m := range v.after[0].After {
+	for len(v.pendingAfter) > 0 && v.pendingAfter[0].Seq <= ev.seq {
+		for _, m := range v.pendingAfter[0].After {
 			v.transmit(m)
 		}
-		v.after = v.after[1:]
+		v.pendingAfter = v.pendingAfter[1:]
 	}
 }
 
-// fail stops the replica: after a failed fsync the disk's contents are unknown, so it must
+// failReplica stops the replica: after a failed fsync the disk's contents are unknown, so it must
 // neither acknowledge nor lead. The VM goes on without a replica. After a disk failure
 // openLater opens the folder again; a log that contradicts the others stays closed.
-func (v *Voter) fail(err error) {
+func (v *Voter) failReplica(err error) {
 	_ = level.Error(v.cfg.logger).Log("event", laburnumlever.EventReplicaFailed, "err", err)
 	v.cfg.scope.Counter("voter-failures").Inc(1)
 	v.failure = err
-	v.drop()
+	v.stopReplica()
 }
 
-// drop stops the open replica.
-func (v *Voter) drop() {
+// stopReplica stops the open replica.
+func (v *Voter) stopReplica() {
 	v.log = nil
 	v.leaderlessTicks.Store(0)
 	v.generation++
-	v.after, v.inbox = nil, nil
+	v.pendingAfter, v.inbox = nil, nil
 	v.writer.stop()
-	v.releaseWaiters("the replica on this VM stopped")
+	v.failWaiters("the replica on this VM stopped")
 }
 
-func (v *Voter) install(s laburnumlog.Snapshot) {
+func (v *Voter) installSnapshot(s laburnumlog.Snapshot) {
 	machine, err := laburnumstate.Decode(s.Data, v.cfg.stateOptions...)
 	if err != nil {
-		v.fail(err)
+		v.failReplica(err)
 		return
 	}
 	v.machine = machine
 	v.applied = s.Index
 	v.logBytes = 0
-	v.tellCatalogue()
+	v.notifyCatalogue()
 }
 
 func (v *Voter) apply(e laburnumlog.Entry) {
@@ -117,7 +117,7 @@
 	}
 	var data entryData
 	if err := json.Unmarshal(e.Data, &data); err != nil {
-		v.fail(&BadEntryError{Index: e.Index, Cause: err})
+		v.failReplica(&BadEntryError{Index: e.Index, Cause: err})
 		return
 	}
 	result := v.machine.Apply(data.At, data.Command)
@@ -126,25 +126,25 @@
 	}
 }
 
-func (v *Voter) tellCatalogue() {
+func (v *Voter) notifyCatalogue() {
 	if v.machine == nil {
 		return
 	}
 	catalogue := v.machine.Catalogue()
-	if catalogue.Revision > v.told {
-		v.told = catalogue.Revision
+	if catalogue.Revision > v.notifiedRevision {
+		v.notifiedRevision = catalogue.Revision
 		v.onCatalogue(catalogue)
 	}
-	if routes := v.machine.Routes(); routes != nil && routes.Version() > v.toldRoutes {
-		v.toldRoutes = routes.Version()
-		v.tellRoutes(*routes)
+	if routes := v.machine.Routes(); routes != nil && routes.Version() > v.notifiedRoutes {
+		v.notifiedRoutes = routes.Version()
+		v.notifyRoutes(*routes)
 	}
 }
 
-func (v *Voter) tellRoutes(routes laburnumlever.EncodedRoutes) {
+func (v *Voter) notifyRoutes(routes laburnumlever.EncodedRoutes) {
 	table, err := routes.Table()
 	if err != nil {
-		v.fail(&BadEntryError{Index: v.applied, Cause: err})
+		v.failReplica(&BadEntryError{Index: v.applied, Cause: err})
 		return
 	}
 	v.onRoutes(table)
@@ -161,17 +161,17 @@
 	image, index, generation := v.machine.Image(), v.applied, v.generation
 	go func() {
 		data, err := image.Encode()
-		v.loop.Post(v, encoded{generation: generation, snapshot: laburnumlog.Snapshot{Index: index, Data: data}, err: err})
+		v.loop.Post(v, snapshotEncoded{generation: generation, snapshot: laburnumlog.Snapshot{Index: index, Data: data}, err: err})
 	}()
 }
 
-func (v *Voter) onEncoded(ev encoded) {
+func (v *Voter) onSnapshotEncoded(ev snapshotEncoded) {
 	if ev.generation != v.generation || v.log == nil {
 		return
 	}
 	v.encoding = false
 	if ev.err != nil {
-		v.fail(ev.err)
+		v.failReplica(ev.err)
 		return
 	}
 	v.lastSnapshot = len(ev.snapshot.Data)
--- a/laburnumvoter/fault_test.go
+++ b/laburnumvoter/fault_test.go
@@ -77,7 +77,7 @@
 }
 
 // Guards against a replica that gives up for good when its disk refuses writes for a while.
-func TestReplicaComesBackOnceItsDiskTakesWrites(t *testing.T) {
+func TestReplicaReopensAfterDiskFailure(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	files := startWithFaults(f)
 	revision := f.vms["a"].apply(t, "first", 0).Revision
@@ -138,19 +138,19 @@
 // Guards against a replaced voter that comes back and warns for ever that the log has no leader.
 func TestReplacedVoterKnowsThatItIsStandby(t *testing.T) {
 	f, _ := fleetWithReplacedVoter(t)
-	said := &lines{}
-	c := f.start("c", f.folder("c"), laburnumvoter.WithLogger(said))
-	f.wait("it is told", func() bool { return said.has(laburnumlever.EventVoterStandby, "replica c/") })
+	logs := &logRecorder{}
+	c := f.start("c", f.folder("c"), laburnumvoter.WithLogger(logs))
+	f.wait("it is told", func() bool { return logs.has(laburnumlever.EventVoterStandby, "replica c/") })
 	for range 60 { // ticks, far more than a voter without a leader keeps quiet
 		f.waitTick(c)
 	}
-	require.False(t, said.has(laburnumlever.EventNoLeader))
+	require.False(t, logs.has(laburnumlever.EventNoLeader))
 	_, err := c.Propose(context.Background(), change("second", 1))
 	require.NoError(t, err, "it finds the leader")
 	for _, voter := range []string{"a", "b", "d"} {
 		f.stop(voter)
 	}
-	f.wait("without any leader it says so again", func() bool { return said.has(laburnumlever.EventNoLeader) })
+	f.wait("without any leader it says so again", func() bool { return logs.has(laburnumlever.EventNoLeader) })
 }
 
 // A VM is restored from a copy of its folder that is older than what it had
@@ -158,8 +158,8 @@
 func TestOlderFolderIsANewInstance(t *testing.T) {
 	for name, extraStarts := range map[string]int{"same count of starts": 0, "fewer starts": 2} {
 		t.Run(name, func(t *testing.T) {
-			said := &lines{}
-			f := newFleet(t, []string{"a", "b", "c"}, laburnumvoter.WithLogger(said))
+			logs := &logRecorder{}
+			f := newFleet(t, []string{"a", "b", "c"}, laburnumvoter.WithLogger(logs))
 			f.startAll()
 			revision := f.vms["a"].apply(t, "first", 0).Revision
 			f.vms["c"].waitRevision(t, revision)
@@ -185,7 +185,7 @@
 			require.NoError(t, os.Rename(copied, f.folder("c")))
 			f.start("c", f.folder("c")).waitRevision(t, revision)
 			// Until the leader has found it out, c calls itself a follower by its older folder.
-			f.wait("c is another instance", func() bool { return said.has(laburnumlever.EventVoterReplaced, "replica c/") })
+			f.wait("c is another instance", func() bool { return logs.has(laburnumlever.EventVoterReplaced, "replica c/") })
 			f.wait("c counts again", func() bool { s := f.vms["c"].Status(); return s.Role != "learner" && len(s.Voters) == 3 })
 			f.stop("b")
 			require.Equal(t, revision+1, f.vms["c"].apply(t, "last", revision).Revision)
@@ -204,7 +204,7 @@
 }
 
 // Guards against a new leader that counts a dead director's whole lease term again.
-func TestLeaseOfADeadLeaderIsNotCountedAgain(t *testing.T) {
+func TestNewLeaderDoesNotRestartLeaseTerm(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	f.startAll()
 	f.vms["a"].apply(t, "first", 0)
@@ -223,7 +223,7 @@
 		f.wait("all have applied it", func() bool { return m.Status().Applied == f.vms[f.leader()].Status().Applied })
 		f.waitTick(m) // at which it counts the lease's term
 	}
-	f.pass(ttl / 2)
+	f.advanceClocks(ttl / 2)
 	old := f.leader()
 	f.stop(old)
 	next := "a"
@@ -231,7 +231,7 @@
 		next = "b"
 	}
 	require.False(t, acquire(next, "y"), "not before the term is over")
-	f.pass(ttl / 2)
+	f.advanceClocks(ttl / 2)
 	f.wait("another gets the lease, counted from the last renewal", func() bool { return acquire(next, "y") })
 	require.GreaterOrEqual(t, time.Duration(granted.Idle), ttl, "all the time since the last renewal")
 	require.Less(t, time.Duration(granted.Idle), ttl+ttl/4)
--- a/laburnumvoter/lead.go
+++ b/laburnumvoter/lead.go
@@ -16,24 +16,24 @@
 	fence    uint64
 	renewals uint64
 	seen     time.Time
-	// expired is when an expiry was proposed last.
-	expired time.Time
+	// expiryProposed is when an expiry was proposed last.
+	expiryProposed time.Time
 }
 
-// noteRole handles a change of leadership.
-func (v *Voter) noteRole() {
-	leads := v.leads()
+// updateRole handles a change of leadership.
+func (v *Voter) updateRole() {
+	leads := v.isLeader()
 	if leads != v.wasLeader {
 		v.wasLeader = leads
 		if leads {
-			v.clockBase, v.clockFrom = v.machine.Clock(), v.timers.Now()
+			v.clockBase, v.clockStart = v.machine.Clock(), v.timers.Now()
 			if v.clockBase == 0 {
-				v.clockBase = v.clockFrom.UnixMilli()
+				v.clockBase = v.clockStart.UnixMilli()
 			}
 			_ = level.Info(v.cfg.logger).Log("event", laburnumlever.EventBecameLeader, "term", v.log.Term())
 			v.cfg.scope.Counter("voter-elections-won").Inc(1)
 		} else {
-			v.releaseWaiters("this VM stopped to lead")
+			v.failWaiters("this VM stopped to lead")
 		}
 	}
 	if !leads {
@@ -47,7 +47,7 @@
 // clock continues the latest time in the log by the monotonic clock, so that a wrong wall
 // clock has no effect.
 func (v *Voter) clock(now time.Time) int64 {
-	return v.clockBase + now.Sub(v.clockFrom).Milliseconds()
+	return v.clockBase + now.Sub(v.clockStart).Milliseconds()
 }
 
 // expireLeases proposes the end of leases that were not renewed in time, counted from when
@@ -62,13 +62,13 @@
 		}
 		last, ok := v.renewals[l.Name]
 		if !ok || last.fence != l.Fence || last.renewals != l.Renewals {
-			v.renewals[l.Name] = renewal{fence: l.Fence, renewals: l.Renewals, seen: now, expired: now}
+			v.renewals[l.Name] = renewal{fence: l.Fence, renewals: l.Renewals, seen: now, expiryProposed: now}
 			continue
 		}
-		if !leads || now.Sub(last.expired) < time.Duration(l.TTL) {
+		if !leads || now.Sub(last.expiryProposed) < time.Duration(l.TTL) {
 			continue
 		}
-		last.expired = now // a lost expiry is proposed again after another term
+		last.expiryProposed = now // a lost expiry is proposed again after another term
 		v.renewals[l.Name] = last
 		v.proposeExpiry(laburnumlever.LeaseCommand{
 			Name: l.Name, Holder: l.Holder, Incarnation: l.Incarnation, Fence: l.Fence, Renewals: l.Renewals,
@@ -91,7 +91,7 @@
 // with ctx's error.
 func (v *Voter) HandOver(ctx context.Context) error {
 	done := make(chan struct{})
-	v.loop.Post(v, handingOver{done: done})
+	v.loop.Post(v, handOverRequested{done: done})
 	select {
 	case <-done:
 		return nil
@@ -102,7 +102,7 @@
 	}
 }
 
-func (v *Voter) onHandingOver(ev handingOver) {
+func (v *Voter) onHandOverRequested(ev handOverRequested) {
 	if v.log != nil && len(v.log.Configuration().Voters()) == 1 {
 		// no other voter
 		close(ev.done)
--- a/laburnumvoter/members.go
+++ b/laburnumvoter/members.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// membersEvery is the number of ticks between two hellos of a replica that is no
+	// memberCheckTicks is the number of ticks between two hellos of a replica that is no
 	// voter or has no leader.
-	membersEvery = 10
+	memberCheckTicks = 10
 	// helloTicks is how long a hello is valid, and how long a replica is without a
 	// leader before it sends one.
 	helloTicks = 30
@@ -31,27 +31,27 @@
 
 func (v *Voter) configured() bool { return len(v.log.Configuration().Members) > 0 }
 
-// tendMembers runs about once a second on each replica.
-func (v *Voter) tendMembers() {
+// checkMembers runs about once a second on each replica.
+func (v *Voter) checkMembers() {
 	for vm, j := range v.joiners {
 		if v.ticks-j.seen > helloTicks {
 			delete(v.joiners, vm)
 		}
 	}
-	if v.leads() {
-		v.warnSuperseded()
+	if v.isLeader() {
+		v.notifySuperseded()
 		return
 	}
 	_, in := v.log.Configuration().Find(v.log.ID())
 	if !in || v.ticks-v.leaderSeen > helloTicks {
-		v.sayHello()
+		v.sendHello()
 	}
 	if !v.configured() {
 		v.maybeBootstrap()
 	}
 }
 
-func (v *Voter) sayHello() {
+func (v *Voter) sendHello() {
 	m := helloMessage{Member: v.member(), Boot: v.boot, Configured: v.configured()}
 	for _, address := range v.helloAddresses() {
 		v.peers.Notify(address, methodHello, m)
@@ -83,18 +83,18 @@
 	v.joiners[h.Member.VM] = joiner{hello: h, seen: v.ticks}
 	v.addresses[h.Member.ID] = h.Member.Address
 	if h.Standby {
-		v.noteStandby(h.Member.VM)
+		v.setStandby(h.Member.VM)
 	}
 	if !h.Answer {
 		_, in := v.log.Configuration().Find(h.Member.ID)
 		v.peers.Notify(h.Member.Address, methodHello, helloMessage{
 			Member: v.member(), Boot: v.boot, Configured: v.configured(), Answer: true,
-			Standby: v.leads() && h.Configured && !in && !v.log.ChangePending(),
+			Standby: v.isLeader() && h.Configured && !in && !v.log.ChangePending(),
 		})
 	}
 	v.resendBootstrap(h)
-	if v.leads() {
-		v.tendConfiguration()
+	if v.isLeader() {
+		v.reconcileMembers()
 	}
 }
 
@@ -153,9 +153,9 @@
 	}
 }
 
-// warnSuperseded tells members whose disk was restored from an older copy that they are
+// notifySuperseded tells members whose disk was restored from an older copy that they are
 // new instances.
-func (v *Voter) warnSuperseded() {
+func (v *Voter) notifySuperseded() {
 	for _, m := range v.log.Configuration().Members {
 		p, ok := v.log.Progress(m.ID)
 		if ok && p.Older != 0 {
@@ -176,20 +176,20 @@
 	}
 	_ = level.Error(v.cfg.logger).Log("event", laburnumlever.EventDataFolderWentBack, "replica", m.ID)
 	old := v.writer
-	v.drop()
+	v.stopReplica()
 	go v.open(func() (*replica, error) {
 		<-old.done
-		return renewReplica(v.cfg, v.self)
+		return recreateReplica(v.cfg, v.self)
 	})
 }
 
-// tendConfiguration makes at most one change of the members. It runs at each tick of a
+// reconcileMembers makes at most one change of the members. It runs at each tick of a
 // leader, and when a replica sends a hello or a learner may have caught up, since until then
 // the log tolerates one lost disk less.
-func (v *Voter) tendConfiguration() {
+func (v *Voter) reconcileMembers() {
 	change, due := v.keeper.Next(laburnumquorum.View{
 		Configuration: v.log.Configuration(), Pending: v.log.ChangePending(), Commit: v.log.Commit(),
-		Progress: v.log.Progress, Joiners: v.joinersAllowed(),
+		Progress: v.log.Progress, Joiners: v.allowedJoiners(),
 	})
 	if !due {
 		return
@@ -199,18 +199,18 @@
 		"replica", change.Member.ID, "replaces", change.Replaced, "accepted", out.Accepted)
 }
 
-// joinersAllowed returns the replicas that may join.
-func (v *Voter) joinersAllowed() []laburnumlog.Member {
+// allowedJoiners returns the replicas that may join.
+func (v *Voter) allowedJoiners() []laburnumlog.Member {
 	var list []laburnumlog.Member
 	for vm, j := range v.joiners {
-		if v.allowed(vm) {
+		if v.mayJoin(vm) {
 			list = append(list, j.hello.Member)
 		}
 	}
 	return list
 }
 
-func (v *Voter) allowed(vm laburnumlever.VMID) bool {
+func (v *Voter) mayJoin(vm laburnumlever.VMID) bool {
 	is := func(voter laburnumlever.Voter) bool { return voter.VM == vm }
 	return v.cfg.candidates == nil || slices.ContainsFunc(v.cfg.voters, is) ||
 		slices.ContainsFunc(v.cfg.candidates(), is)
--- a/laburnumvoter/options.go
+++ b/laburnumvoter/options.go
@@ -17,9 +17,9 @@
 	defaultTick = 100 * time.Millisecond
 	// defaultProposalTimeout outlasts an election: two timeouts and a round or two.
 	defaultProposalTimeout = 5 * time.Second
-	// defaultLeaderlessPatience outlasts elections; without a leader for longer, a
+	// defaultLeaderlessTimeout outlasts elections; without a leader for longer, a
 	// quorum is missing.
-	defaultLeaderlessPatience = 3 * time.Second
+	defaultLeaderlessTimeout = 3 * time.Second
 	// defaultReplaceAfter outlasts a restart of a VM.
 	defaultReplaceAfter = time.Minute
 	// defaultSnapshotBytes is the size of entries after which a snapshot is taken.
@@ -36,24 +36,24 @@
 	candidates   func() []laburnumlever.Voter
 	contacts     func() []laburnumlever.Voter
 	voterTarget  int
-	// firstChangeBears and firstChangeWithin: see WithFirstChange.
-	firstChangeBears  int
-	firstChangeWithin time.Duration
-	logger            log.Logger
-	scope             tally.Scope
-	tick              time.Duration
-	proposalTimeout   time.Duration
-	// leaderlessPatience: see WithLeaderlessPatience.
-	leaderlessPatience time.Duration
-	replaceAfter       time.Duration
-	snapshotBytes      int
-	batch              int
+	// firstChangeTolerance and firstChangeWithin: see WithFirstChange.
+	firstChangeTolerance int
+	firstChangeTimeout   time.Duration
+	logger               log.Logger
+	scope                tally.Scope
+	tick                 time.Duration
+	proposalTimeout      time.Duration
+	// leaderlessTimeout: see WithLeaderlessPatience.
+	leaderlessTimeout time.Duration
+	replaceAfter      time.Duration
+	snapshotBytes     int
+	batch             int
 }
 
 func newConfig(opts []Option) config {
 	cfg := config{
 		logger: log.NewNopLogger(), scope: tally.NoopScope, tick: defaultTick,
-		proposalTimeout: defaultProposalTimeout, leaderlessPatience: defaultLeaderlessPatience,
+		proposalTimeout: defaultProposalTimeout, leaderlessTimeout: defaultLeaderlessTimeout,
 		replaceAfter:  defaultReplaceAfter,
 		snapshotBytes: defaultSnapshotBytes, batch: defaultBatch,
 	}
@@ -104,7 +104,7 @@
 // loss of that many disks, since a log starts with fewer voters. A deployment with too few
 // VMs goes on after the time given, counted from the leader's start.
 func WithFirstChange(losses int, within time.Duration) Option {
-	return func(c *config) { c.firstChangeBears, c.firstChangeWithin = losses, within }
+	return func(c *config) { c.firstChangeTolerance, c.firstChangeTimeout = losses, within }
 }
 
 // WithLogger sets the logger.
@@ -135,7 +135,7 @@
 // WithLeaderlessPatience sets how long a voter is without a leader before Propose fails once
 // all known VMs were asked, in place of waiting.
 func WithLeaderlessPatience(d time.Duration) Option {
-	return func(c *config) { c.leaderlessPatience = d }
+	return func(c *config) { c.leaderlessTimeout = d }
 }
 
 // WithReplaceAfter sets how long a voter is silent before another VM replaces it.
--- a/laburnumvoter/propose.go
+++ b/laburnumvoter/propose.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// maxWaiting bounds the proposals in flight on one leader.
-	maxWaiting = 1 << 14
+	// maxWaiters bounds the proposals in flight on one leader.
+	maxWaiters = 1 << 14
 	// maxCommandBytes bounds a command: a larger entry would not fit into a frame, and
 	// the log would resend it for ever.
 	maxCommandBytes = 4 << 20
@@ -35,21 +35,21 @@
 	decided *atomic.Bool
 }
 
-// intake batches proposals from other goroutines.
-type intake struct {
+// proposalQueue batches proposals from other goroutines.
+type proposalQueue struct {
 	mu   sync.Mutex
 	list []proposal
 }
 
 // add tells whether the control thread must be notified.
-func (i *intake) add(p proposal) bool {
+func (i *proposalQueue) add(p proposal) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.list = append(i.list, p)
 	return len(i.list) == 1
 }
 
-func (i *intake) take() []proposal {
+func (i *proposalQueue) take() []proposal {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	list := i.list
@@ -61,8 +61,8 @@
 // through elections until ctx or the proposal timeout ends. A *NoQuorumError means that the
 // command was not and will not be committed, an *OutcomeUnknownError that it may be.
 func (v *Voter) Propose(ctx context.Context, cmd laburnumlever.Command) (laburnumlever.Result, error) {
-	cmd = v.identified(cmd)
-	ctx, cancel := v.bounded(ctx)
+	cmd = v.withClaimID(cmd)
+	ctx, cancel := v.withProposalTimeout(ctx)
 	defer cancel()
 	s := search{voter: v, known: slices.Concat(v.known.list(), v.contacts())}
 	for {
@@ -81,8 +81,8 @@
 	}
 }
 
-// identified gives a claim an id, so that a retry after a lost answer is recognised.
-func (v *Voter) identified(cmd laburnumlever.Command) laburnumlever.Command {
+// withClaimID gives a claim an id, so that a retry after a lost answer is recognised.
+func (v *Voter) withClaimID(cmd laburnumlever.Command) laburnumlever.Command {
 	if cmd.Claim == nil || cmd.Claim.Claim != "" {
 		return cmd
 	}
@@ -93,17 +93,17 @@
 	return cmd
 }
 
-// bounded returns a context that ends with ctx, the proposal timeout or Close.
-func (v *Voter) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+// withProposalTimeout returns a context that ends with ctx, the proposal timeout or Close.
+func (v *Voter) withProposalTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := v.timers.After(v.cfg.proposalTimeout, func(time.Time) { cancel() })
 	return ctx, func() { stop(); cancel() }
 }
 
-// proposeHere proposes to this VM's own replica.
-func (v *Voter) proposeHere(ctx context.Context, cmd laburnumlever.Command) proposeAnswer {
+// proposeLocally proposes to this VM's own replica.
+func (v *Voter) proposeLocally(ctx context.Context, cmd laburnumlever.Command) proposeAnswer {
 	p := proposal{command: cmd, reply: make(chan proposeAnswer, 1), decided: &atomic.Bool{}}
-	if v.intake.add(p) {
+	if v.proposals.add(p) {
 		v.loop.Post(v, proposed{})
 	}
 	select {
@@ -123,13 +123,13 @@
 	if err := json.Unmarshal(params, &p); err != nil {
 		return nil, err
 	}
-	ctx, cancel := v.bounded(ctx)
+	ctx, cancel := v.withProposalTimeout(ctx)
 	defer cancel()
-	return v.proposeHere(ctx, p.Command), nil
+	return v.proposeLocally(ctx, p.Command), nil
 }
 
 func (v *Voter) onProposed() {
-	list := v.intake.take()
+	list := v.proposals.take()
 	for len(list) > 0 {
 		n := min(len(list), v.cfg.batch)
 		v.append(list[:n])
@@ -139,8 +139,8 @@
 
 // append appends proposals to the log as one batch, or rejects them.
 func (v *Voter) append(list []proposal) {
-	if !v.leads() || len(v.waiters)+len(list) > maxWaiting {
-		v.turnAway(list)
+	if !v.isLeader() || len(v.waiters)+len(list) > maxWaiters {
+		v.reject(list)
 		return
 	}
 	at := v.clock(v.timers.Now())
@@ -166,7 +166,7 @@
 	}
 	out := v.step(laburnumlog.Propose{Data: data})
 	if !out.Accepted {
-		v.turnAway(taken)
+		v.reject(taken)
 		return
 	}
 	v.cfg.scope.Counter("voter-proposals").Inc(int64(len(taken)))
@@ -183,11 +183,11 @@
 	}
 	committed := v.log.ConfigurationAt(v.log.Commit())
 	bears := committed.Spare(func(laburnumlog.Member) bool { return true })
-	return bears < v.cfg.firstChangeBears && v.timers.Now().Sub(v.startedAt) < v.cfg.firstChangeWithin
+	return bears < v.cfg.firstChangeTolerance && v.timers.Now().Sub(v.startedAt) < v.cfg.firstChangeTimeout
 }
 
-func (v *Voter) turnAway(list []proposal) {
-	answer := proposeAnswer{Verdict: verdictNotTaken, Detail: v.notLeading(), Voters: v.voterList()}
+func (v *Voter) reject(list []proposal) {
+	answer := proposeAnswer{Verdict: verdictNotTaken, Detail: v.notLeaderReason(), Voters: v.voterList()}
 	if v.log != nil {
 		if m, ok := v.log.Configuration().Find(v.log.Leader()); ok && m.ID != v.log.ID() {
 			answer.Leader = laburnumlever.Voter{VM: m.VM, PeerAddress: m.Address}
@@ -198,9 +198,9 @@
 	}
 }
 
-// releaseWaiters answers all proposals in flight when this VM loses leadership: the next
+// failWaiters answers all proposals in flight when this VM loses leadership: the next
 // leader may or may not commit them.
-func (v *Voter) releaseWaiters(detail string) {
+func (v *Voter) failWaiters(detail string) {
 	for index, w := range v.waiters {
 		w.reply <- proposeAnswer{Verdict: verdictUnknown, Detail: detail}
 		delete(v.waiters, index)
--- a/laburnumvoter/reopen.go
+++ b/laburnumvoter/reopen.go
@@ -19,8 +19,8 @@
 
 // open runs on its own goroutine, since the disk may be slow.
 func (v *Voter) open(open func() (*replica, error)) {
-	v.opening.Lock()
-	defer v.opening.Unlock()
+	v.openMu.Lock()
+	defer v.openMu.Unlock()
 	if v.isClosed() {
 		return
 	}
@@ -42,8 +42,8 @@
 		return
 	}
 	v.failure = nil
-	v.use(ev.replica)
-	v.begin()
+	v.installReplica(ev.replica)
+	v.startReplica()
 }
 
 func (v *Voter) isClosed() bool {
--- a/laburnumvoter/replica.go
+++ b/laburnumvoter/replica.go
@@ -113,8 +113,8 @@
 	w.ready.Broadcast()
 }
 
-// renewReplica opens the folder as a new instance.
-func renewReplica(cfg config, self laburnumlever.VM) (*replica, error) {
+// recreateReplica opens the folder as a new instance.
+func recreateReplica(cfg config, self laburnumlever.VM) (*replica, error) {
 	if err := laburnumdisk.SetAside(cfg.folder, cfg.diskOptions...); err != nil {
 		return nil, err
 	}
--- a/laburnumvoter/report.go
+++ b/laburnumvoter/report.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// leaderlessTicks without a leader are logged; they outlast an election.
-	leaderlessTicks = 20
-	// leaderlessEvery is the number of ticks until it is logged again.
-	leaderlessEvery = 50
+	// leaderlessLogTicks without a leader are logged; they outlast an election.
+	leaderlessLogTicks = 20
+	// leaderlessRepeatTicks is the number of ticks until it is logged again.
+	leaderlessRepeatTicks = 50
 	// noLeader is the value of the losses-borne gauge without a leader.
 	noLeader = -1
 )
 
-// report is the state last logged, so that each change is logged once.
-type report struct {
-	configuration uint64 // its index
-	committed     bool
-	since         time.Time // when it was appended here
-	leaderless    uint64    // the tick of the last line about a missing leader
+// loggedState is the state last logged, so that each change is logged once.
+type loggedState struct {
+	configuration  uint64 // its index
+	committed      bool
+	since          time.Time // when it was appended here
+	leaderlessTick uint64    // the tick of the last line about a missing leader
 }
 
 // reportOpened logs what the folder held: instance, last index and voters. After a loss of
@@ -34,7 +34,7 @@
 	_ = level.Info(v.cfg.logger).Log("event", laburnumlever.EventReplicaOpened, "replica", v.log.ID(),
 		"last", v.log.LastIndex(), "commit", v.log.Commit(), "term", v.log.Term(),
 		"voters", names(c.Voters()), "configuration", v.log.ConfigurationIndex())
-	v.said = report{configuration: v.log.ConfigurationIndex(), committed: !v.log.ChangePending(), since: v.timers.Now()}
+	v.logged = loggedState{configuration: v.log.ConfigurationIndex(), committed: !v.log.ChangePending(), since: v.timers.Now()}
 }
 
 // reportVoters logs each configuration when it is appended, from when it is in force, and
@@ -44,17 +44,17 @@
 		return
 	}
 	index, committed := v.log.ConfigurationIndex(), !v.log.ChangePending()
-	if index == v.said.configuration && committed == v.said.committed {
+	if index == v.logged.configuration && committed == v.logged.committed {
 		return
 	}
-	if index != v.said.configuration {
-		v.said.since = v.timers.Now()
+	if index != v.logged.configuration {
+		v.logged.since = v.timers.Now()
 	}
-	v.said.configuration, v.said.committed = index, committed
+	v.logged.configuration, v.logged.committed = index, committed
 	c := v.log.Configuration()
 	_ = level.Info(v.cfg.logger).Log("event", laburnumlever.EventVotersInForce, "voters", names(c.Voters()),
 		"learners", names(learners(c)), "configuration", index, "committed", committed,
-		"took", v.timers.Now().Sub(v.said.since))
+		"took", v.timers.Now().Sub(v.logged.since))
 }
 
 // reportLeaderless logs from time to time that there is no leader, and which votes are
@@ -68,16 +68,16 @@
 	without := v.leaderless()
 	v.leaderlessTicks.Store(v.ticks - v.leaderSeen)
 	v.cfg.scope.Gauge("leaderless_seconds").Update(without.Seconds())
-	if v.ticks-v.leaderSeen < leaderlessTicks || v.ticks-v.said.leaderless < leaderlessEvery {
+	if v.ticks-v.leaderSeen < leaderlessLogTicks || v.ticks-v.logged.leaderlessTick < leaderlessRepeatTicks {
 		return
 	}
-	v.said.leaderless = v.ticks
+	v.logged.leaderlessTick = v.ticks
 	_ = level.Warn(v.cfg.logger).Log("event", laburnumlever.EventNoLeader, "for", without, "term", v.log.Term(),
-		"last", v.log.LastIndex(), "voters", names(v.log.Configuration().Voters()), "waiting-for", v.waitingFor())
+		"last", v.log.LastIndex(), "voters", names(v.log.Configuration().Voters()), "waiting-for", v.missingVotes())
 }
 
-// noteStandby records a leader's word that this replica was replaced while it was down.
-func (v *Voter) noteStandby(leader laburnumlever.VMID) {
+// setStandby records a leader's word that this replica was replaced while it was down.
+func (v *Voter) setStandby(leader laburnumlever.VMID) {
 	if !v.isStandby() {
 		_ = level.Info(v.cfg.logger).Log("event", laburnumlever.EventVoterStandby, "replica", v.log.ID(), "leader", leader)
 	}
@@ -92,8 +92,8 @@
 	return time.Duration(v.ticks-v.leaderSeen) * v.cfg.tick
 }
 
-// waitingFor names the voters whose votes are missing, and what is known of each.
-func (v *Voter) waitingFor() []string {
+// missingVotes names the voters whose votes are missing, and what is known of each.
+func (v *Voter) missingVotes() []string {
 	var missing []string
 	for _, m := range v.log.Configuration().Voters() {
 		if m.ID == v.log.ID() {
@@ -113,8 +113,8 @@
 	return missing
 }
 
-// reportLosses updates the gauge of disks that may still be lost.
-func (v *Voter) reportLosses() {
+// reportTolerance updates the gauge of disks that may still be lost.
+func (v *Voter) reportTolerance() {
 	borne := v.log.LossesBorne()
 	if v.log.Leader() == "" {
 		borne = noLeader
@@ -122,8 +122,8 @@
 	v.cfg.scope.Gauge("losses_borne").Update(float64(borne))
 }
 
-// notLeading tells why this VM takes no commands.
-func (v *Voter) notLeading() string {
+// notLeaderReason tells why this VM takes no commands.
+func (v *Voter) notLeaderReason() string {
 	if v.failure != nil {
 		return v.failure.Error()
 	}
@@ -131,7 +131,7 @@
 	if v.log == nil || v.log.Leader() != "" || !v.log.Configuration().IsVoter(v.log.ID()) {
 		return detail
 	}
-	return detail + "; no leader for " + v.leaderless().String() + ", waiting for " + strings.Join(v.waitingFor(), ", ")
+	return detail + "; no leader for " + v.leaderless().String() + ", waiting for " + strings.Join(v.missingVotes(), ", ")
 }
 
 func learners(c laburnumlog.Configuration) []laburnumlog.Member {
--- a/laburnumvoter/search.go
+++ b/laburnumvoter/search.go
@@ -21,14 +21,14 @@
 
 // search finds the leader for one proposal.
 type search struct {
-	voter     *Voter
-	known     []laburnumlever.Voter
-	target    string // empty: this VM's own replica, if it has one
-	asked     int
-	redirects int // since the last pause
-	uncertain bool
-	detail    string
-	own       string // last answer of this VM's own replica
+	voter       *Voter
+	known       []laburnumlever.Voter
+	target      string // empty: this VM's own replica, if it has one
+	asked       int
+	redirects   int // since the last pause
+	uncertain   bool
+	detail      string
+	localDetail string // last answer of this VM's own replica
 }
 
 func (s *search) try(ctx context.Context, cmd laburnumlever.Command) proposeAnswer {
@@ -37,17 +37,17 @@
 		if v.cfg.folder == "" {
 			return proposeAnswer{Verdict: verdictNotTaken, Leader: v.known.leader()}
 		}
-		answer := v.proposeHere(ctx, cmd)
-		s.own = answer.Detail
+		answer := v.proposeLocally(ctx, cmd)
+		s.localDetail = answer.Detail
 		return answer
 	}
 	var answer proposeAnswer
 	err := v.peers.Call(ctx, s.target, methodPropose, proposeParams{Command: cmd}, &answer)
 	if err == nil {
-		v.known.note(answer, s.target)
+		v.known.update(answer, s.target)
 		return answer
 	}
-	v.known.forget(s.target)
+	v.known.forgetLeader(s.target)
 	var unreachable *laburnumlever.PeerUnreachableError
 	var refused *laburnumlever.PeerRefusedError
 	if errors.As(err, &unreachable) || errors.As(err, &refused) {
@@ -66,8 +66,8 @@
 		s.target = answer.Leader.PeerAddress
 		return ctx.Err() == nil
 	}
-	if s.asked > len(s.known) && s.voter.hopeless() {
-		s.detail = cmp.Or(s.own, s.detail)
+	if s.asked > len(s.known) && s.voter.leaderlessTooLong() {
+		s.detail = cmp.Or(s.localDetail, s.detail)
 		return false
 	}
 	if len(s.known) > 0 {
@@ -81,10 +81,10 @@
 	return s.voter.pause(ctx, retryPause)
 }
 
-// hopeless tells whether this replica has been without a leader for longer than elections
+// leaderlessTooLong tells whether this replica has been without a leader for longer than elections
 // take, so that Propose fails once all known VMs were asked.
-func (v *Voter) hopeless() bool {
-	return time.Duration(v.leaderlessTicks.Load())*v.cfg.tick >= v.cfg.leaderlessPatience
+func (v *Voter) leaderlessTooLong() bool {
+	return time.Duration(v.leaderlessTicks.Load())*v.cfg.tick >= v.cfg.leaderlessTimeout
 }
 
 func (s *search) failure() error {
@@ -110,9 +110,9 @@
 
 // knownVoters is a copy of the voters for other goroutines.
 type knownVoters struct {
-	mu     sync.Mutex
-	voters []laburnumlever.Voter
-	lead   laburnumlever.Voter
+	mu         sync.Mutex
+	voters     []laburnumlever.Voter
+	leaderHint laburnumlever.Voter
 }
 
 func (k *knownVoters) set(voters []laburnumlever.Voter) {
@@ -130,10 +130,10 @@
 func (k *knownVoters) leader() laburnumlever.Voter {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.lead
+	return k.leaderHint
 }
 
-func (k *knownVoters) note(a proposeAnswer, from string) {
+func (k *knownVoters) update(a proposeAnswer, from string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(a.Voters) > 0 {
@@ -141,16 +141,16 @@
 	}
 	switch {
 	case a.Verdict == verdictDone:
-		k.lead = laburnumlever.Voter{PeerAddress: from}
+		k.leaderHint = laburnumlever.Voter{PeerAddress: from}
 	case a.Leader.PeerAddress != "":
-		k.lead = a.Leader
+		k.leaderHint = a.Leader
 	}
 }
 
-func (k *knownVoters) forget(address string) {
+func (k *knownVoters) forgetLeader(address string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.lead.PeerAddress == address {
-		k.lead = laburnumlever.Voter{}
+	if k.leaderHint.PeerAddress == address {
+		k.leaderHint = laburnumlever.Voter{}
 	}
 }
--- a/laburnumvoter/transmit.go
+++ b/laburnumvoter/transmit.go
@@ -52,13 +52,13 @@
 	v.step(laburnumlog.Receive{Message: m.Message})
 }
 
-// sendingTable holds the members to which a snapshot is being sent.
-type sendingTable struct {
+// snapshotSends holds the members to which a snapshot is being sent.
+type snapshotSends struct {
 	mu   sync.Mutex
 	busy map[laburnumlog.ReplicaID]bool
 }
 
-func (t *sendingTable) begin(id laburnumlog.ReplicaID) bool {
+func (t *snapshotSends) begin(id laburnumlog.ReplicaID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.busy == nil {
@@ -71,7 +71,7 @@
 	return true
 }
 
-func (t *sendingTable) end(id laburnumlog.ReplicaID) {
+func (t *snapshotSends) end(id laburnumlog.ReplicaID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.busy, id)
@@ -80,11 +80,11 @@
 // sendSnapshot sends the snapshot in parts, one at a time. After a loss the log sends it again
 // from the start.
 func (v *Voter) sendSnapshot(address string, m wireMessage) {
-	if !v.sending.begin(m.To) {
+	if !v.snapshotSends.begin(m.To) {
 		return
 	}
 	go func() {
-		defer v.sending.end(m.To)
+		defer v.snapshotSends.end(m.To)
 		snapshot := *m.Snapshot
 		data := snapshot.Data
 		snapshot.Data = nil
@@ -93,16 +93,16 @@
 			end := min(len(data), offset+chunkBytes)
 			part := chunkParams{Message: m, Offset: offset, Data: data[offset:end], Last: end == len(data)}
 			var answer chunkAnswer
-			if err := v.callBriefly(address, part, &answer); err != nil || !answer.Accepted || part.Last {
+			if err := v.sendChunk(address, part, &answer); err != nil || !answer.Accepted || part.Last {
 				return
 			}
 		}
 	}()
 }
 
-// callBriefly sends one part. It times out on a frozen VM before the log sends the snapshot
+// sendChunk sends one part. It times out on a frozen VM before the log sends the snapshot
 // again, which would find the table busy.
-func (v *Voter) callBriefly(address string, part chunkParams, answer *chunkAnswer) error {
+func (v *Voter) sendChunk(address string, part chunkParams, answer *chunkAnswer) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	stop := v.timers.After(chunkTicks*v.cfg.tick, func(time.Time) { cancel() })
@@ -110,24 +110,24 @@
 	return v.peers.Call(ctx, address, methodChunk, part, answer)
 }
 
-// assembly holds the parts of an incoming snapshot.
-type assembly struct {
-	mu   sync.Mutex
-	from laburnumlog.ReplicaID
-	term uint64
-	at   uint64
-	data []byte
+// snapshotAssembly holds the parts of an incoming snapshot.
+type snapshotAssembly struct {
+	mu    sync.Mutex
+	from  laburnumlog.ReplicaID
+	term  uint64
+	index uint64
+	data  []byte
 }
 
-// take adds a part, and returns the snapshot once it is complete. A part out of order is
+// add adds a part, and returns the snapshot once it is complete. A part out of order is
 // rejected, and the sender starts over.
-func (a *assembly) take(p chunkParams) (whole []byte, done, ok bool) {
+func (a *snapshotAssembly) add(p chunkParams) (whole []byte, done, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if p.Offset == 0 {
-		a.from, a.term, a.at, a.data = p.Message.From, p.Message.Term, p.Message.Snapshot.Index, nil
+		a.from, a.term, a.index, a.data = p.Message.From, p.Message.Term, p.Message.Snapshot.Index, nil
 	}
-	same := a.from == p.Message.From && a.term == p.Message.Term && a.at == p.Message.Snapshot.Index
+	same := a.from == p.Message.From && a.term == p.Message.Term && a.index == p.Message.Snapshot.Index
 	if !same || len(a.data) != p.Offset {
 		return nil, false, false
 	}
@@ -140,8 +140,8 @@
 	return whole, true, true
 }
 
-// handlePeers sets the handlers of all methods.
-func (v *Voter) handlePeers() {
+// registerHandlers sets the handlers of all methods.
+func (v *Voter) registerHandlers() {
 	for _, kind := range laburnumlog.MessageKindValues() {
 		v.peers.Handle(logPrefix+kind.String(), v.handleMessage)
 	}
@@ -151,7 +151,7 @@
 		var m helloMessage
 		err := json.Unmarshal(params, &m)
 		if err == nil {
-			v.loop.Post(v, helloed{hello: m})
+			v.loop.Post(v, helloReceived{hello: m})
 		}
 		return nil, err
 	})
@@ -159,7 +159,7 @@
 		var m bootstrapMessage
 		err := json.Unmarshal(params, &m)
 		if err == nil {
-			v.loop.Post(v, booted{message: m})
+			v.loop.Post(v, bootstrapReceived{message: m})
 		}
 		return nil, err
 	})
@@ -167,7 +167,7 @@
 		var m supersededMessage
 		err := json.Unmarshal(params, &m)
 		if err == nil {
-			v.loop.Post(v, superseded{message: m})
+			v.loop.Post(v, supersededReceived{message: m})
 		}
 		return nil, err
 	})
@@ -190,7 +190,7 @@
 	if p.Message.Snapshot == nil {
 		return chunkAnswer{}, nil
 	}
-	whole, done, ok := v.assembly.take(p)
+	whole, done, ok := v.assembly.add(p)
 	if done {
 		p.Message.Snapshot.Data = whole
 		v.loop.Post(v, received{message: p.Message})
--- a/laburnumvoter/voter.go
+++ b/laburnumvoter/voter.go
@@ -21,53 +21,53 @@
 	cfg    config
 
 	// Control thread only, from here on.
-	log          *laburnumlog.Log // nil without a replica, or after a disk failure
-	machine      *laburnumstate.Machine
-	boot         uint64
-	writer       *writer
-	generation   int
-	after        []laburnumlog.Write
-	inbox        []laburnumlog.Message
-	waiters      map[uint64]waiter
-	addresses    map[laburnumlog.ReplicaID]string
-	joiners      map[laburnumlever.VMID]joiner
-	keeper       laburnumquorum.Keeper
-	renewals     map[string]renewal
-	onCatalogue  func(laburnumlever.Catalogue)
-	onRoutes     func(laburnumlever.RouteTable)
-	applied      uint64
-	told         uint64 // the revision last passed to onCatalogue
-	toldRoutes   uint64 // the version last passed to onRoutes
-	logBytes     int    // of entries since the last snapshot
-	lastSnapshot int    // size of the last snapshot
-	encoding     bool
-	ticks        uint64
-	leaderSeen   uint64 // the tick when a leader was last known
-	standbyUntil uint64 // the tick until which a leader's word counts that the replica is no member
-	wasLeader    bool
-	clockBase    int64
-	clockFrom    time.Time
-	handOvers    []chan struct{}
-	failure      error
-	published    publishedKey
-	said         report
+	log              *laburnumlog.Log // nil without a replica, or after a disk failure
+	machine          *laburnumstate.Machine
+	boot             uint64
+	writer           *writer
+	generation       int
+	pendingAfter     []laburnumlog.Write
+	inbox            []laburnumlog.Message
+	waiters          map[uint64]waiter
+	addresses        map[laburnumlog.ReplicaID]string
+	joiners          map[laburnumlever.VMID]joiner
+	keeper           laburnumquorum.Keeper
+	renewals         map[string]renewal
+	onCatalogue      func(laburnumlever.Catalogue)
+	onRoutes         func(laburnumlever.RouteTable)
+	applied          uint64
+	notifiedRevision uint64 // the revision last passed to onCatalogue
+	notifiedRoutes   uint64 // the version last passed to onRoutes
+	logBytes         int    // of entries since the last snapshot
+	lastSnapshot     int    // size of the last snapshot
+	encoding         bool
+	ticks            uint64
+	leaderSeen       uint64 // the tick when a leader was last known
+	standbyUntil     uint64 // the tick until which a leader's word counts that the replica is no member
+	wasLeader        bool
+	clockBase        int64
+	clockStart       time.Time
+	handOvers        []chan struct{}
+	failure          error
+	published        publishedKey
+	logged           loggedState
 
 	// Any goroutine.
-	status   atomic.Pointer[laburnumlever.VoterStatus]
-	intake   intake
-	known    knownVoters
-	assembly assembly
-	sending  sendingTable
-	claims   atomic.Uint64
+	status        atomic.Pointer[laburnumlever.VoterStatus]
+	proposals     proposalQueue
+	known         knownVoters
+	assembly      snapshotAssembly
+	snapshotSends snapshotSends
+	claims        atomic.Uint64
 	// leaderlessTicks is how long a voter has known of no leader.
 	leaderlessTicks atomic.Uint64
 	startedAt       time.Time
 	done            chan struct{}
 	closed          sync.Once
-	opening         sync.Mutex // held while a folder is opened again; Close waits for it
+	openMu          sync.Mutex // held while a folder is opened again; Close waits for it
 	mu              sync.Mutex // guards cancel and current
-	cancel          func()
-	current         *writer
+	cancelTicks     func()
+	currentWriter   *writer
 }
 
 // New makes a voter, to be started by Start. Errors are those of opening the data folder:
@@ -88,28 +88,28 @@
 		if err != nil {
 			return nil, err
 		}
-		v.use(r)
+		v.installReplica(r)
 	}
 	v.publish()
-	v.handlePeers()
+	v.registerHandlers()
 	return v, nil
 }
 
-// use installs an opened replica and starts its writer.
-func (v *Voter) use(r *replica) {
+// installReplica installs an opened replica and starts its writer.
+func (v *Voter) installReplica(r *replica) {
 	v.generation++
 	v.log, v.machine, v.boot = r.log, r.machine, r.boot
 	v.applied = r.log.SnapshotIndex()
 	v.lastSnapshot = r.snapshotBytes
-	v.after, v.inbox = nil, nil
+	v.pendingAfter, v.inbox = nil, nil
 	v.logBytes, v.encoding = 0, false
 	v.leaderSeen = v.ticks
 	generation := v.generation
 	v.writer = newWriter(r.store, v.cfg.batch, func(seq uint64, err error) {
-		v.loop.Post(v, wrote{generation: generation, seq: seq, err: err})
+		v.loop.Post(v, writeDone{generation: generation, seq: seq, err: err})
 	})
 	v.mu.Lock()
-	v.current = v.writer
+	v.currentWriter = v.writer
 	v.mu.Unlock()
 	go v.writer.run()
 	v.reportOpened()
@@ -129,7 +129,7 @@
 	cancel := v.timers.Every(v.cfg.tick, func(now time.Time) { v.loop.Post(v, ticked{now: now}) })
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.cancel = cancel
+	v.cancelTicks = cancel
 }
 
 // Close stops the replica once queued writes are on disk. It doesn't hand over leadership;
@@ -137,10 +137,10 @@
 func (v *Voter) Close() error {
 	v.closed.Do(func() {
 		close(v.done)
-		v.opening.Lock()
-		defer v.opening.Unlock()
+		v.openMu.Lock()
+		defer v.openMu.Unlock()
 		v.mu.Lock()
-		cancel, current := v.cancel, v.current
+		cancel, current := v.cancelTicks, v.currentWriter
 		v.mu.Unlock()
 		if cancel != nil {
 			cancel()
@@ -164,57 +164,57 @@
 		v.onReceived(ev.message)
 	case proposed:
 		v.onProposed()
-	case wrote:
-		v.onWrote(ev)
-	case encoded:
-		v.onEncoded(ev)
-	case helloed:
+	case writeDone:
+		v.onWriteDone(ev)
+	case snapshotEncoded:
+		v.onSnapshotEncoded(ev)
+	case helloReceived:
 		v.onHello(ev.hello)
-	case booted:
+	case bootstrapReceived:
 		v.onBootstrap(ev.message)
-	case superseded:
+	case supersededReceived:
 		v.onSuperseded(ev.message)
 	case reopened:
 		v.onReopened(ev)
-	case handingOver:
-		v.onHandingOver(ev)
+	case handOverRequested:
+		v.onHandOverRequested(ev)
 	}
-	v.settle()
+	v.finishEvent()
 }
 
-// settle continues a pending change of the members, handles messages of the replica to
+// finishEvent continues a pending change of the members, handles messages of the replica to
 // itself, then publishes the status.
-func (v *Voter) settle() {
-	if v.leads() && len(learners(v.log.Configuration())) > 0 {
-		v.tendConfiguration()
+func (v *Voter) finishEvent() {
+	if v.isLeader() && len(learners(v.log.Configuration())) > 0 {
+		v.reconcileMembers()
 	}
 	for len(v.inbox) > 0 {
 		m := v.inbox[0]
 		v.inbox = v.inbox[1:]
 		v.step(laburnumlog.Receive{Message: m})
 	}
-	v.noteRole()
+	v.updateRole()
 	v.reportVoters()
 	v.publish()
 }
 
-func (v *Voter) leads() bool { return v.log != nil && v.log.Role() == laburnumlog.Leader }
+func (v *Voter) isLeader() bool { return v.log != nil && v.log.Role() == laburnumlog.Leader }
 
 func (v *Voter) onStarted() {
 	if v.log != nil {
-		v.begin()
+		v.startReplica()
 	}
 }
 
-// begin starts a replica. It sends a hello even if it is a voter by its own log, since it may
+// startReplica starts a replica. It sends a hello even if it is a voter by its own log, since it may
 // have been replaced while it was down.
-func (v *Voter) begin() {
+func (v *Voter) startReplica() {
 	v.step(laburnumlog.Resume{})
-	v.tellCatalogue()
+	v.notifyCatalogue()
 	if v.log == nil { // an entry could not be applied
 		return
 	}
-	v.sayHello()
+	v.sendHello()
 	if !v.configured() {
 		v.maybeBootstrap()
 	}
@@ -234,11 +234,11 @@
 	}
 	v.expireLeases(now)
 	v.reportLeaderless()
-	if v.leads() {
-		v.tendConfiguration()
+	if v.isLeader() {
+		v.reconcileMembers()
 	}
-	if v.ticks%membersEvery == 0 {
-		v.reportLosses()
-		v.tendMembers()
+	if v.ticks%memberCheckTicks == 0 {
+		v.reportTolerance()
+		v.checkMembers()
 	}
 }
--- a/laburnumvoter/voter_test.go
+++ b/laburnumvoter/voter_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	tick     = 5 * time.Millisecond
-	patience = 20 * time.Second
+	tick        = 5 * time.Millisecond
+	waitTimeout = 20 * time.Second
 )
 
 // fleet is some VMs with replicas in folders of their own.
@@ -31,14 +31,14 @@
 	voters []laburnumlever.Voter
 	opts   []laburnumvoter.Option
 	vms    map[string]*vm
-	// stopped holds back all ticks of all VMs.
-	stopped atomic.Bool
-	// passed is by how much the clocks of all VMs go ahead.
-	passed atomic.Int64
+	// ticksPaused suppresses the ticks of all VMs.
+	ticksPaused atomic.Bool
+	// clockOffset is added to the clocks of all VMs, in nanoseconds.
+	clockOffset atomic.Int64
 }
 
 // pass puts the clocks of all VMs forward at once; their ticks come as before.
-func (f *fleet) pass(d time.Duration) { f.passed.Add(int64(d)) }
+func (f *fleet) advanceClocks(d time.Duration) { f.clockOffset.Add(int64(d)) }
 
 // fleetTimers are timers whose periods the fleet can hold back, and whose clock it can put
 // forward.
@@ -48,25 +48,25 @@
 	ticks *atomic.Int64
 }
 
-func (t fleetTimers) Now() time.Time { return t.ahead(t.Timers.Now()) }
+func (t fleetTimers) Now() time.Time { return t.shifted(t.Timers.Now()) }
 
-func (t fleetTimers) ahead(now time.Time) time.Time {
-	return now.Add(time.Duration(t.fleet.passed.Load()))
+func (t fleetTimers) shifted(now time.Time) time.Time {
+	return now.Add(time.Duration(t.fleet.clockOffset.Load()))
 }
 
 func (t fleetTimers) Every(period time.Duration, fn func(now time.Time)) func() {
 	return t.Timers.Every(period, func(now time.Time) {
-		if !t.fleet.stopped.Load() {
-			fn(t.ahead(now))
+		if !t.fleet.ticksPaused.Load() {
+			fn(t.shifted(now))
 			t.ticks.Add(1)
 		}
 	})
 }
 
 // barrier is a part whose event is handled after all that came to the control thread before.
-type barrier struct{ passed chan struct{} }
+type barrier struct{ handled chan struct{} }
 
-func (b barrier) Handle(laburnumlever.Event) { close(b.passed) }
+func (b barrier) Handle(laburnumlever.Event) { close(b.handled) }
 
 func (barrier) EventName() string { return "barrier" }
 
@@ -74,18 +74,18 @@
 func (f *fleet) waitTick(m *vm) {
 	before := m.ticks.Load()
 	f.wait("a tick", func() bool { return m.ticks.Load() > before+1 })
-	b := barrier{passed: make(chan struct{})}
+	b := barrier{handled: make(chan struct{})}
 	m.loop.Post(b, b)
-	<-b.passed
+	<-b.handled
 }
 
 type vm struct {
 	*laburnumvoter.Voter
-	port   *port
-	loop   *laburnumcontrol.Loop
-	timers *laburnumtimer.Timers
-	seen   chan uint64
-	ticks  atomic.Int64
+	port      *port
+	loop      *laburnumcontrol.Loop
+	timers    *laburnumtimer.Timers
+	revisions chan uint64
+	ticks     atomic.Int64
 }
 
 func newFleet(t testing.TB, names []string, opts ...laburnumvoter.Option) *fleet {
@@ -105,16 +105,16 @@
 
 // start starts a VM; a folder of "" makes it one without a replica.
 func (f *fleet) start(name, folder string, opts ...laburnumvoter.Option) *vm {
-	m := &vm{port: f.net.open(name), loop: laburnumcontrol.New(), timers: laburnumtimer.New(), seen: make(chan uint64, 1<<12)}
+	m := &vm{port: f.net.open(name), loop: laburnumcontrol.New(), timers: laburnumtimer.New(), revisions: make(chan uint64, 1<<12)}
 	all := append([]laburnumvoter.Option{
 		laburnumvoter.WithDataFolder(folder), laburnumvoter.WithVoters(f.voters), laburnumvoter.WithTick(tick),
-		laburnumvoter.WithProposalTimeout(patience),
+		laburnumvoter.WithProposalTimeout(waitTimeout),
 	}, f.opts...)
 	self := laburnumlever.VM{ID: laburnumlever.VMID(name), PeerAddress: name, HasDisk: folder != ""}
 	v, err := laburnumvoter.New(m.loop, fleetTimers{m.timers, f, &m.ticks}, m.port, self, append(all, opts...)...)
 	require.NoError(f.t, err)
 	m.Voter = v
-	v.OnCatalogue(func(c laburnumlever.Catalogue) { m.seen <- c.Revision })
+	v.OnCatalogue(func(c laburnumlever.Catalogue) { m.revisions <- c.Revision })
 	go m.loop.Run()
 	v.Start()
 	f.vms[name] = m
@@ -140,7 +140,7 @@
 
 func (f *fleet) wait(what string, cond func() bool) {
 	f.t.Helper()
-	require.Eventually(f.t, cond, patience, time.Millisecond, what)
+	require.Eventually(f.t, cond, waitTimeout, time.Millisecond, what)
 }
 
 func (f *fleet) leader() string {
@@ -174,10 +174,10 @@
 
 func (m *vm) waitRevision(t testing.TB, want uint64) {
 	t.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	for {
 		select {
-		case got := <-m.seen:
+		case got := <-m.revisions:
 			if got == want {
 				return
 			}
@@ -202,7 +202,7 @@
 
 // Guards against a control VM that starts again and keeps gateways without routes until the first
 // tick of its clock, though its disk says what is confirmed.
-func TestRestartTellsWhatIsConfirmedAtOnce(t *testing.T) {
+func TestRestartDeliversConfirmedCatalogueAtOnce(t *testing.T) {
 	f := newFleet(t, []string{"a"})
 	m := f.start("a", f.folder("a"))
 	f.leader()
@@ -211,9 +211,9 @@
 	f.stop("a")
 	m = f.start("a", f.folder("a"), laburnumvoter.WithTick(time.Hour))
 	select {
-	case got := <-m.seen:
+	case got := <-m.revisions:
 		require.GreaterOrEqual(t, got, uint64(1))
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("nothing was told")
 	}
 }
@@ -221,7 +221,7 @@
 // An operator's change goes to a VM without a disk while the leader is killed.
 // The change must be there afterwards, once, on every VM; the client's try that
 // was lost with the leader is made again by Propose.
-func TestChangesSurviveTheLeadersDeath(t *testing.T) {
+func TestChangesSurviveLeaderCrash(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	f.startAll()
 	client := f.start("d", "")
@@ -279,7 +279,7 @@
 	}
 	f.stop(lost)
 	require.NoError(t, os.RemoveAll(f.folder(lost)))
-	f.stopped.Store(true)
+	f.ticksPaused.Store(true)
 	back := f.start(lost, f.folder(lost))
 	f.wait("it counts again", func() bool {
 		s := back.Status()
