--- a/laburnumvoter/bench_test.go
+++ b/laburnumvoter/bench_test.go
@@ -45,7 +45,7 @@
 	return f, leader
 }
 
-// BenchmarkCommit is one proposer on the leader, one command after the other.
+// BenchmarkCommit measures the latency of sequential proposals on the leader.
 func BenchmarkCommit(b *testing.B) {
 	for _, voters := range []int{1, 3, 5} {
 		b.Run(fmt.Sprintf("voters=%d", voters), func(b *testing.B) {
@@ -65,7 +65,8 @@
 	}
 }
 
-// BenchmarkClaims is 256 proposers on the leader at once.
+// BenchmarkClaims measures the throughput of about 256 concurrent proposers on the leader (with 12
+// processors).
 func BenchmarkClaims(b *testing.B) {
 	for _, voters := range []int{1, 3, 5} {
 		for _, batch := range []int{512, 1} {
@@ -93,7 +94,7 @@
 	}
 }
 
-// BenchmarkRestart opens a folder after some changes of a catalogue with 50 models.
+// BenchmarkRestart measures the time to open a folder after changes of a catalogue with 50 models.
 func BenchmarkRestart(b *testing.B) {
 	for _, changes := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("changes=%d", changes), func(b *testing.B) {
@@ -119,8 +120,8 @@
 	}
 }
 
-// BenchmarkTimeWithoutLeader counts the ticks of a manual clock from the loss of the
-// leader until another one leads, with links and disks that take no time.
+// BenchmarkTimeWithoutLeader counts the ticks from the loss of the leader until another one is
+// elected, with links and disks that take no time.
 func BenchmarkTimeWithoutLeader(b *testing.B) {
 	for _, voters := range []int{3, 5} {
 		b.Run(fmt.Sprintf("voters=%d", voters), func(b *testing.B) {
--- a/laburnumvoter/drive.go
+++ b/laburnumvoter/drive.go
@@ -12,12 +12,13 @@
 
 // entryData is the payload of a log entry.
 type entryData struct {
-	// At is the leader's clock in milliseconds; see laburnumstate.
+	// At is the leader's clock in milliseconds; see laburnumstate.Machine.Apply.
 	At      int64                 `json:"at"`
 	Command laburnumlever.Command `json:"command"`
 }
 
-// step feeds one event to the log and carries out its output.
+// step passes one event to the log and executes its output: messages, writes, a snapshot to
+// install and committed entries to apply.
 func (v *Voter) step(ev laburnumlog.Event) laburnumlog.Output {
 	if v.log == nil {
 		return laburnumlog.Output{}
@@ -46,7 +47,7 @@
 		v.notifyCatalogue()
 		v.maybeSnapshot()
 	}
-	if v.log == nil { // an entry could not be applied
+	if v.log == nil { // applying an entry failed and stopped the replica
 		return laburnumlog.Output{}
 	}
 	return out
@@ -71,9 +72,10 @@
 	}
 }
 
-// failReplica stops the replica: after a failed fsync the disk's contents are unknown, so it must
-// neither acknowledge nor lead. The VM goes on without a replica. After a disk failure
-// openLater opens the folder again; a log that contradicts the others stays closed.
+// failReplica stops the replica after an error: after a failed fsync the disk's contents are
+// unknown, so the replica must neither acknowledge nor lead. The VM keeps running without a
+// replica. After a disk failure openLater reopens the data folder; after any other error, such
+// as a log that contradicts the other replicas, the replica stays stopped.
 func (v *Voter) failReplica(err error) {
 	_ = level.Error(v.cfg.logger).Log("event", laburnumlever.EventReplicaFailed, "err", err)
 	v.cfg.scope.Counter("voter-failures").Inc(1)
@@ -81,14 +83,14 @@
 	v.stopReplica()
 }
 
-// stopReplica stops the open replica.
+// stopReplica stops the open replica and invalidates the events of its goroutines.
 func (v *Voter) stopReplica() {
 	v.log = nil
 	v.leaderlessTicks.Store(0)
 	v.generation++
 	v.pendingAfter, v.inbox = nil, nil
 	v.writer.stop()
-	v.failWaiters("the replica on this VM stopped")
+	v.failWaiters("the replica on this VM was stopped")
 }
 
 func (v *Voter) installSnapshot(s laburnumlog.Snapshot) {
@@ -109,7 +111,7 @@
 	w, waiting := v.waiters[e.Index]
 	delete(v.waiters, e.Index)
 	if waiting && w.term != e.Term {
-		w.reply <- proposeAnswer{Verdict: verdictNotTaken, Detail: "another leader's entry took its place"}
+		w.reply <- proposeAnswer{Verdict: verdictNotTaken, Detail: "the entry was overwritten by another leader"}
 		waiting = false
 	}
 	if e.Kind != laburnumlog.EntryCommand || v.log == nil {
@@ -150,8 +152,8 @@
 	v.onRoutes(table)
 }
 
-// maybeSnapshot encodes a snapshot once the entries since the last one are as large as it,
-// which keeps the cost of snapshots proportional to the changes.
+// maybeSnapshot encodes a snapshot once the entries applied since the last snapshot are as large
+// as that snapshot, which keeps the cost of snapshots proportional to the changes.
 func (v *Voter) maybeSnapshot() {
 	if v.log == nil || v.encoding || v.logBytes < max(v.cfg.snapshotBytes, v.lastSnapshot) {
 		return
--- a/laburnumvoter/events.go
+++ b/laburnumvoter/events.go
@@ -10,9 +10,9 @@
 	ticked   struct{ now time.Time }
 	started  struct{}
 	received struct{ message wireMessage }
-	// proposed means that the intake holds proposals.
+	// proposed reports that the proposal queue is no longer empty.
 	proposed struct{}
-	// writeDone means that the writes up to seq are durable, or that the disk failed.
+	// writeDone reports that the writes up to seq are durable, or that the disk failed.
 	writeDone struct {
 		generation int
 		seq        uint64
@@ -29,7 +29,7 @@
 	reopened           struct {
 		replica *replica
 		err     error
-		// open is retried after a disk error.
+		// open is the function to retry if err is set.
 		open func() (*replica, error)
 	}
 	handOverRequested struct{ done chan struct{} }
--- a/laburnumvoter/fault_test.go
+++ b/laburnumvoter/fault_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// faultyFiles are real files whose sync can fail or wait.
+// faultyFiles are real files whose Sync can be made to fail or block.
 type faultyFiles struct {
 	laburnumdisk.Files
 	fail atomic.Bool
@@ -60,8 +60,8 @@
 	return files
 }
 
-// The leader's fsync fails. It must say so and stop taking part; the change that
-// was under way and all later ones go through the others.
+// Guards against a leader that keeps acknowledging after its fsync failed. It must report the
+// failure and stop its replica; the change in flight and later ones go to the other voters.
 func TestFailingFsyncStepsDown(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	files := startWithFaults(f)
@@ -76,7 +76,7 @@
 	f.start(old, f.folder(old)).waitRevision(t, 3)
 }
 
-// Guards against a replica that gives up for good when its disk refuses writes for a while.
+// Guards against a replica that stays stopped after its disk failed writes only for a while.
 func TestReplicaReopensAfterDiskFailure(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	files := startWithFaults(f)
@@ -86,13 +86,13 @@
 		revision = f.vms[name].apply(t, "change-"+strconv.Itoa(i), revision).Revision
 		f.wait("the failed disk is told", func() bool { return f.vms[name].Status().Role == "disk-failed" })
 		files[name].fail.Store(false)
-		f.wait("it counts again", func() bool { r := f.vms[name].Status().Role; return r == "follower" || r == "leader" })
+		f.wait("it is a voter again", func() bool { r := f.vms[name].Status().Role; return r == "follower" || r == "leader" })
 		f.vms[name].waitRevision(t, revision)
 	}
 }
 
-// The leader's disk hangs. Heartbeats must go on, or each slow fsync would cost an
-// election; the others' disks make the majority.
+// Guards against a slow fsync on the leader that delays heartbeats and so causes an election. The
+// other voters' disks are a majority, so commits must continue.
 func TestSlowDiskDoesNotStopHeartbeats(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	files := startWithFaults(f)
@@ -113,7 +113,8 @@
 	close(hold)
 }
 
-// fleetWithReplacedVoter returns a fleet with one change, in which d has replaced c, and d.
+// fleetWithReplacedVoter returns d and its fleet, in which d has replaced the stopped voter c and one
+// change was applied.
 func fleetWithReplacedVoter(t *testing.T) (*fleet, *vm) {
 	f := newFleet(t, []string{"a", "b", "c"}, laburnumvoter.WithReplaceAfter(60*tick))
 	f.startAll()
@@ -127,34 +128,34 @@
 	return f, d
 }
 
-// A voter is gone for good, and a spare VM has a disk: it must take the place
-// without an operator, and then count: a second loss right after loses nothing.
+// Guards against a lost voter that is not replaced by a spare VM without an operator, or a
+// replacement that doesn't count: a second loss right afterwards must lose nothing.
 func TestGoneVoterIsReplaced(t *testing.T) {
 	f, d := fleetWithReplacedVoter(t)
 	f.stop("b")
 	require.EqualValues(t, 2, d.apply(t, "second", 1).Revision)
 }
 
-// Guards against a replaced voter that comes back and warns for ever that the log has no leader.
+// Guards against a replaced voter that comes back and forever warns that the log has no leader.
 func TestReplacedVoterKnowsThatItIsStandby(t *testing.T) {
 	f, _ := fleetWithReplacedVoter(t)
 	logs := &logRecorder{}
 	c := f.start("c", f.folder("c"), laburnumvoter.WithLogger(logs))
-	f.wait("it is told", func() bool { return logs.has(laburnumlever.EventVoterStandby, "replica c/") })
-	for range 60 { // ticks, far more than a voter without a leader keeps quiet
+	f.wait("c is told that it is standby", func() bool { return logs.has(laburnumlever.EventVoterStandby, "replica c/") })
+	for range 60 { // more ticks than a voter without a leader waits before it logs that
 		f.waitTick(c)
 	}
 	require.False(t, logs.has(laburnumlever.EventNoLeader))
 	_, err := c.Propose(context.Background(), change("second", 1))
-	require.NoError(t, err, "it finds the leader")
+	require.NoError(t, err, "c finds the leader")
 	for _, voter := range []string{"a", "b", "d"} {
 		f.stop(voter)
 	}
-	f.wait("without any leader it says so again", func() bool { return logs.has(laburnumlever.EventNoLeader) })
+	f.wait("c logs a missing leader once there is none", func() bool { return logs.has(laburnumlever.EventNoLeader) })
 }
 
-// A VM is restored from a copy of its folder that is older than what it had
-// acknowledged since. It must come back as a new instance and catch up.
+// Guards against a VM whose folder was restored from a copy older than what it has acknowledged
+// since: it must come back as a new instance and catch up before it counts.
 func TestOlderFolderIsANewInstance(t *testing.T) {
 	for name, extraStarts := range map[string]int{"same count of starts": 0, "fewer starts": 2} {
 		t.Run(name, func(t *testing.T) {
@@ -175,7 +176,7 @@
 				f.start("c", f.folder("c"))
 				revision = f.vms["a"].apply(t, "change-"+strconv.FormatUint(revision, 10), revision).Revision
 				f.vms["c"].waitRevision(t, revision)
-				f.wait("all is acknowledged", func() bool { return f.vms["c"].Status().Leader != "" })
+				f.wait("c knows the leader", func() bool { return f.vms["c"].Status().Leader != "" })
 				if f.leader() == "c" {
 					require.NoError(t, f.vms["c"].HandOver(context.Background()))
 				}
@@ -184,7 +185,7 @@
 			require.NoError(t, os.RemoveAll(f.folder("c")))
 			require.NoError(t, os.Rename(copied, f.folder("c")))
 			f.start("c", f.folder("c")).waitRevision(t, revision)
-			// Until the leader has found it out, c calls itself a follower by its older folder.
+			// Until the leader has noticed, c is a follower according to its older folder.
 			f.wait("c is another instance", func() bool { return logs.has(laburnumlever.EventVoterReplaced, "replica c/") })
 			f.wait("c counts again", func() bool { s := f.vms["c"].Status(); return s.Role != "learner" && len(s.Voters) == 3 })
 			f.stop("b")
@@ -203,7 +204,7 @@
 	require.NotEqual(t, old, f.leader())
 }
 
-// Guards against a new leader that counts a dead director's whole lease term again.
+// Guards against a new leader that waits for the whole lease term of a dead holder again.
 func TestNewLeaderDoesNotRestartLeaseTerm(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	f.startAll()
@@ -220,8 +221,8 @@
 	require.True(t, acquire("a", "x"))
 	for _, name := range []string{"a", "b", "c"} {
 		m := f.vms[name]
-		f.wait("all have applied it", func() bool { return m.Status().Applied == f.vms[f.leader()].Status().Applied })
-		f.waitTick(m) // at which it counts the lease's term
+		f.wait("all have applied the lease", func() bool { return m.Status().Applied == f.vms[f.leader()].Status().Applied })
+		f.waitTick(m) // in which it starts to measure the lease's term
 	}
 	f.advanceClocks(ttl / 2)
 	old := f.leader()
@@ -230,15 +231,15 @@
 	if old == next {
 		next = "b"
 	}
-	require.False(t, acquire(next, "y"), "not before the term is over")
+	require.False(t, acquire(next, "y"), "the lease term is not over")
 	f.advanceClocks(ttl / 2)
-	f.wait("another gets the lease, counted from the last renewal", func() bool { return acquire(next, "y") })
-	require.GreaterOrEqual(t, time.Duration(granted.Idle), ttl, "all the time since the last renewal")
+	f.wait("another holder gets the lease one term after the last renewal", func() bool { return acquire(next, "y") })
+	require.GreaterOrEqual(t, time.Duration(granted.Idle), ttl, "the whole time since the last renewal")
 	require.Less(t, time.Duration(granted.Idle), ttl+ttl/4)
 }
 
-// A holder stops renewing; its lease must end by the leader's clock, and the next
-// holder gets a higher fence. A holder that renews keeps it.
+// Guards against a lease that outlives its holder: without renewals it must expire by the leader's
+// clock, and the next holder must get a higher fence. A holder that renews keeps it.
 func TestLeaseEndsWithoutRenewal(t *testing.T) {
 	f := newFleet(t, []string{"a"})
 	a := f.start("a", f.folder("a"))
--- a/laburnumvoter/lead.go
+++ b/laburnumvoter/lead.go
@@ -11,16 +11,16 @@
 	"github.com/go-kit/log/level"
 )
 
-// renewal is the last change of a lease seen by this VM.
+// renewal is the last grant or renewal of a lease that this VM has applied.
 type renewal struct {
 	fence    uint64
 	renewals uint64
 	seen     time.Time
-	// expiryProposed is when an expiry was proposed last.
+	// expiryProposed is when an expiry was last proposed; initially the same as seen.
 	expiryProposed time.Time
 }
 
-// updateRole handles a change of leadership.
+// updateRole reacts to this VM gaining or losing leadership.
 func (v *Voter) updateRole() {
 	leads := v.isLeader()
 	if leads != v.wasLeader {
@@ -33,7 +33,7 @@
 			_ = level.Info(v.cfg.logger).Log("event", laburnumlever.EventBecameLeader, "term", v.log.Term())
 			v.cfg.scope.Counter("voter-elections-won").Inc(1)
 		} else {
-			v.failWaiters("this VM stopped to lead")
+			v.failWaiters("this VM lost leadership")
 		}
 	}
 	if !leads {
@@ -44,15 +44,16 @@
 	}
 }
 
-// clock continues the latest time in the log by the monotonic clock, so that a wrong wall
-// clock has no effect.
+// clock returns the leader's time in milliseconds. It advances the latest time in the log by the
+// monotonic clock, so that a wrong wall clock has no effect.
 func (v *Voter) clock(now time.Time) int64 {
 	return v.clockBase + now.Sub(v.clockStart).Milliseconds()
 }
 
-// expireLeases proposes the end of leases that were not renewed in time, counted from when
-// this VM saw the last renewal. The holder counts from when it sent it, so it always stops
-// first. All VMs keep count, so that a new leader need not wait a whole term.
+// expireLeases proposes the expiry of leases that were not renewed within their term, measured
+// from when this VM applied the last renewal. The holder measures from when it sent the renewal,
+// so it always stops first. All replicas track renewals, so that a new leader doesn't have to wait
+// for a whole lease term.
 func (v *Voter) expireLeases(now time.Time) {
 	leads := v.log.Role() == laburnumlog.Leader
 	for _, l := range v.machine.Leases() {
@@ -68,7 +69,7 @@
 		if !leads || now.Sub(last.expiryProposed) < time.Duration(l.TTL) {
 			continue
 		}
-		last.expiryProposed = now // a lost expiry is proposed again after another term
+		last.expiryProposed = now // a lost expiry is proposed again after another lease term
 		v.renewals[l.Name] = last
 		v.proposeExpiry(laburnumlever.LeaseCommand{
 			Name: l.Name, Holder: l.Holder, Incarnation: l.Incarnation, Fence: l.Fence, Renewals: l.Renewals,
@@ -87,8 +88,8 @@
 	v.step(laburnumlog.Propose{Data: [][]byte{data}})
 }
 
-// HandOver transfers leadership to another voter and returns once this VM doesn't lead, or
-// with ctx's error.
+// HandOver transfers leadership to another voter. It returns nil once this VM is not the leader
+// or the voter is closed, or ctx's error.
 func (v *Voter) HandOver(ctx context.Context) error {
 	done := make(chan struct{})
 	v.loop.Post(v, handOverRequested{done: done})
@@ -104,7 +105,7 @@
 
 func (v *Voter) onHandOverRequested(ev handOverRequested) {
 	if v.log != nil && len(v.log.Configuration().Voters()) == 1 {
-		// no other voter
+		// There is no other voter to take over.
 		close(ev.done)
 		return
 	}
--- a/laburnumvoter/members.go
+++ b/laburnumvoter/members.go
@@ -11,10 +11,9 @@
 )
 
 const (
-	// memberCheckTicks is the number of ticks between two hellos of a replica that is no
-	// voter or has no leader.
+	// memberCheckTicks is the number of ticks between two runs of checkMembers.
 	memberCheckTicks = 10
-	// helloTicks is how long a hello is valid, and how long a replica is without a
+	// helloTicks is how many ticks a hello is valid, and how many a member is without a
 	// leader before it sends one.
 	helloTicks = 30
 )
@@ -22,7 +21,7 @@
 // joiner is a replica that has sent a hello.
 type joiner struct {
 	hello helloMessage
-	seen  uint64 // tick
+	seen  uint64 // the tick of the last hello
 }
 
 func (v *Voter) member() laburnumlog.Member {
@@ -31,7 +30,8 @@
 
 func (v *Voter) configured() bool { return len(v.log.Configuration().Members) > 0 }
 
-// checkMembers runs about once a second on each replica.
+// checkMembers discards expired hellos. On the leader it notifies superseded replicas; on others
+// it sends hellos while the replica is no member or has no leader, and bootstraps the log.
 func (v *Voter) checkMembers() {
 	for vm, j := range v.joiners {
 		if v.ticks-j.seen > helloTicks {
@@ -99,8 +99,8 @@
 }
 
 // maybeBootstrap creates the first configuration, on the first voter by name, once all
-// voters have reported that they have none. All must answer: the others could hold a log
-// already if one had lost its folder or was cut off.
+// voters have reported that they have none. All must answer: a voter that has not could already
+// have a log, if this replica has lost its data folder or either of them was cut off.
 func (v *Voter) maybeBootstrap() {
 	voters := slices.Clone(v.cfg.voters)
 	slices.SortFunc(voters, func(a, b laburnumlever.Voter) int {
@@ -132,8 +132,8 @@
 	}
 }
 
-// resendBootstrap sends the first configuration to a member without it, in case the first
-// sender failed halfway.
+// resendBootstrap sends the first configuration to a member without it, in case the bootstrapping
+// voter failed before it had reached all members.
 func (v *Voter) resendBootstrap(h helloMessage) {
 	if h.Configured || v.log.SnapshotIndex() != 1 {
 		return
@@ -153,7 +153,7 @@
 	}
 }
 
-// notifySuperseded tells members whose disk was restored from an older copy that they are
+// notifySuperseded tells members whose data folder was restored from an older copy to restart as
 // new instances.
 func (v *Voter) notifySuperseded() {
 	for _, m := range v.log.Configuration().Members {
@@ -168,8 +168,8 @@
 	}
 }
 
-// onSuperseded restarts the replica as a new instance: the folder is renamed, and an empty
-// one opened, by a worker.
+// onSuperseded restarts the replica as a new instance. A separate goroutine waits for the old
+// writer, quarantines the folder's files and opens the then empty folder.
 func (v *Voter) onSuperseded(m supersededMessage) {
 	if v.log == nil || m.ID != v.log.ID() || m.Boot != v.boot {
 		return
@@ -183,9 +183,9 @@
 	})
 }
 
-// reconcileMembers makes at most one change of the members. It runs at each tick of a
-// leader, and when a replica sends a hello or a learner may have caught up, since until then
-// the log tolerates one lost disk less.
+// reconcileMembers proposes at most one membership change. It runs on the leader at each tick and
+// also when a replica sends a hello or a learner may have caught up, since until the change the
+// log tolerates the loss of one disk less.
 func (v *Voter) reconcileMembers() {
 	change, due := v.keeper.Next(laburnumquorum.View{
 		Configuration: v.log.Configuration(), Pending: v.log.ChangePending(), Commit: v.log.Commit(),
@@ -199,7 +199,7 @@
 		"replica", change.Member.ID, "replaces", change.Replaced, "accepted", out.Accepted)
 }
 
-// allowedJoiners returns the replicas that may join.
+// allowedJoiners returns the replicas with a valid hello that may become members.
 func (v *Voter) allowedJoiners() []laburnumlog.Member {
 	var list []laburnumlog.Member
 	for vm, j := range v.joiners {
--- a/laburnumvoter/network_test.go
+++ b/laburnumvoter/network_test.go
@@ -9,12 +9,12 @@
 	"laburnumlever"
 )
 
-// network is the links between VMs in memory. A cut is one way.
+// network is an in-memory network between VMs. Each direction of a link can be cut on its own.
 type network struct {
 	mu    sync.Mutex
 	ports map[string]*port
 	cuts  map[[2]string]bool
-	bytes atomic.Int64 // of all parameters and answers
+	bytes atomic.Int64 // total size of all sent parameters
 }
 
 type port struct {
--- a/laburnumvoter/options.go
+++ b/laburnumvoter/options.go
@@ -15,16 +15,17 @@
 const (
 	// defaultTick is a tenth of the shortest election timeout.
 	defaultTick = 100 * time.Millisecond
-	// defaultProposalTimeout outlasts an election: two timeouts and a round or two.
+	// defaultProposalTimeout outlasts an election, which takes up to two election timeouts
+	// and one or two rounds of votes.
 	defaultProposalTimeout = 5 * time.Second
-	// defaultLeaderlessTimeout outlasts elections; without a leader for longer, a
-	// quorum is missing.
+	// defaultLeaderlessTimeout outlasts elections; a longer time without a leader means that
+	// there is no quorum.
 	defaultLeaderlessTimeout = 3 * time.Second
-	// defaultReplaceAfter outlasts a restart of a VM.
+	// defaultReplaceAfter outlasts a VM restart.
 	defaultReplaceAfter = time.Minute
-	// defaultSnapshotBytes is the size of entries after which a snapshot is taken.
+	// defaultSnapshotBytes is the total size of applied entries after which a snapshot is taken.
 	defaultSnapshotBytes = 4 << 20
-	// defaultBatch bounds the commands of one append and the writes of one fsync.
+	// defaultBatch is the maximum number of commands per append and of writes per fsync.
 	defaultBatch = 512
 )
 
@@ -36,14 +37,14 @@
 	candidates   func() []laburnumlever.Voter
 	contacts     func() []laburnumlever.Voter
 	voterTarget  int
-	// firstChangeTolerance and firstChangeWithin: see WithFirstChange.
+	// firstChangeTolerance and firstChangeTimeout: see WithFirstChangeTolerance.
 	firstChangeTolerance int
 	firstChangeTimeout   time.Duration
 	logger               log.Logger
 	scope                tally.Scope
 	tick                 time.Duration
 	proposalTimeout      time.Duration
-	// leaderlessTimeout: see WithLeaderlessPatience.
+	// leaderlessTimeout: see WithLeaderlessTimeout.
 	leaderlessTimeout time.Duration
 	replaceAfter      time.Duration
 	snapshotBytes     int
@@ -66,43 +67,45 @@
 	return cfg
 }
 
-// policy decides the voters.
+// policy returns the rules by which the leader adds and replaces voters.
 func (c config) policy() laburnumquorum.Policy {
 	ticks := int(c.replaceAfter / max(c.tick, time.Millisecond))
 	return laburnumquorum.Policy{Target: c.voterTarget, ReplaceTicks: ticks}
 }
 
-// Option changes a new voter.
+// Option configures a new voter.
 type Option func(*config)
 
-// WithDataFolder makes the VM a replica with its data in the folder; empty means none.
+// WithDataFolder makes the VM a replica that stores its data in the folder. With an empty path
+// the VM has no replica.
 func WithDataFolder(path string) Option { return func(c *config) { c.folder = path } }
 
-// WithVoters sets the first voters, the same on all VMs. The leader keeps their number;
-// the list in force is in the log.
+// WithVoters sets the initial voters, which must be the same on all VMs. The leader keeps their
+// number unless WithVoterTarget sets another; the current voters are recorded in the log.
 func WithVoters(voters []laburnumlever.Voter) Option {
 	return func(c *config) { c.voters = voters }
 }
 
-// WithCandidates sets who may replace a lost voter, besides the first voters; without it
-// any replica may. It is called on the control thread.
+// WithCandidates sets which VMs may replace a lost voter besides the initial voters. Without it
+// any replica may. The function is called on the control thread.
 func WithCandidates(candidates func() []laburnumlever.Voter) Option {
 	return func(c *config) { c.candidates = candidates }
 }
 
-// WithContacts sets the VMs to ask for the voters in force: a replica with a new folder
-// doesn't know them. It may be called on any goroutine.
+// WithContacts sets the VMs to ask for the current voters, which a replica with a new data folder
+// doesn't know. The function may be called on any goroutine.
 func WithContacts(contacts func() []laburnumlever.Voter) Option {
 	return func(c *config) { c.contacts = contacts }
 }
 
-// WithVoterTarget sets how many voters the leader aims at; by default the number of first
-// voters. A log that started with fewer grows to it.
+// WithVoterTarget sets the number of voters that the leader maintains, by default the number of
+// initial voters. A log that started with fewer voters grows to the target.
 func WithVoterTarget(n int) Option { return func(c *config) { c.voterTarget = n } }
 
-// WithFirstChange delays an operator's first change until the committed voters tolerate the
-// loss of that many disks, since a log starts with fewer voters. A deployment with too few
-// VMs goes on after the time given, counted from the leader's start.
+// WithFirstChange rejects an operator's first change until the committed voters tolerate
+// the loss of that many disks, since a log starts with fewer voters than its target. A deployment
+// with too few VMs accepts the change after the timeout, measured from the start of the leader's
+// process.
 func WithFirstChange(losses int, within time.Duration) Option {
 	return func(c *config) { c.firstChangeTolerance, c.firstChangeTimeout = losses, within }
 }
@@ -110,7 +113,7 @@
 // WithLogger sets the logger.
 func WithLogger(logger log.Logger) Option { return func(c *config) { c.logger = logger } }
 
-// WithScope sets where counters go.
+// WithScope sets the metrics scope.
 func WithScope(scope tally.Scope) Option { return func(c *config) { c.scope = scope } }
 
 // WithDisk sets options of the data folder.
@@ -118,13 +121,12 @@
 	return func(c *config) { c.diskOptions = opts }
 }
 
-// WithState sets options of the state machine, the same on all VMs.
+// WithState sets options of the state machine, which must be the same on all VMs.
 func WithState(opts ...laburnumstate.Option) Option {
 	return func(c *config) { c.stateOptions = opts }
 }
 
-// WithTick sets the length of a tick. An election starts after 10 to 20 ticks without a
-// leader.
+// WithTick sets the tick interval. An election starts after 10 to 20 ticks without a leader.
 func WithTick(d time.Duration) Option { return func(c *config) { c.tick = d } }
 
 // WithProposalTimeout sets the timeout of Propose.
@@ -132,18 +134,18 @@
 	return func(c *config) { c.proposalTimeout = d }
 }
 
-// WithLeaderlessPatience sets how long a voter is without a leader before Propose fails once
-// all known VMs were asked, in place of waiting.
+// WithLeaderlessPatience sets how long a voter must be without a leader before Propose fails once it
+// has asked all known VMs, instead of retrying until its timeout.
 func WithLeaderlessPatience(d time.Duration) Option {
 	return func(c *config) { c.leaderlessTimeout = d }
 }
 
-// WithReplaceAfter sets how long a voter is silent before another VM replaces it.
+// WithReplaceAfter sets how long a voter must be silent before the leader replaces it.
 func WithReplaceAfter(d time.Duration) Option { return func(c *config) { c.replaceAfter = d } }
 
-// WithSnapshotBytes sets the size of entries after which a snapshot is taken.
+// WithSnapshotBytes sets the minimum total size of applied entries after which a snapshot is taken.
 func WithSnapshotBytes(n int) Option { return func(c *config) { c.snapshotBytes = n } }
 
-// WithBatch bounds the commands of an append and the writes of an fsync; 1 turns batching
-// off.
+// WithBatch sets the maximum number of commands per append and of writes per fsync; 1 disables
+// batching.
 func WithBatch(n int) Option { return func(c *config) { c.batch = max(1, n) } }
--- a/laburnumvoter/propose.go
+++ b/laburnumvoter/propose.go
@@ -16,12 +16,12 @@
 const (
 	// maxWaiters bounds the proposals in flight on one leader.
 	maxWaiters = 1 << 14
-	// maxCommandBytes bounds a command: a larger entry would not fit into a frame, and
-	// the log would resend it for ever.
+	// maxCommandBytes bounds an encoded command: a larger entry would not fit into a frame
+	// of a peer connection, and the log would resend it forever.
 	maxCommandBytes = 4 << 20
 )
 
-// waiter is a proposal whose entry is in the log but not yet committed.
+// waiter is a proposal whose entry was appended to the log but is not committed yet.
 type waiter struct {
 	term  uint64
 	reply chan proposeAnswer
@@ -31,17 +31,17 @@
 	command laburnumlever.Command
 	reply   chan proposeAnswer
 	// decided is set once, by the control thread when it appends the command or by the
-	// proposer when it gives up. So a command given up first is never appended.
+	// proposer when it stops waiting, after which the command is never appended.
 	decided *atomic.Bool
 }
 
-// proposalQueue batches proposals from other goroutines.
+// proposalQueue passes proposals from other goroutines to the control thread in batches.
 type proposalQueue struct {
 	mu   sync.Mutex
 	list []proposal
 }
 
-// add tells whether the control thread must be notified.
+// add reports whether the queue was empty, in which case the control thread must be notified.
 func (i *proposalQueue) add(p proposal) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -57,9 +57,10 @@
 	return list
 }
 
-// Propose returns once the command is committed and applied. It finds the leader and retries
-// through elections until ctx or the proposal timeout ends. A *NoQuorumError means that the
-// command was not and will not be committed, an *OutcomeUnknownError that it may be.
+// Propose finds the leader and returns the result once the command is committed and applied. It
+// retries during elections until ctx is done or the proposal timeout has passed. A *NoQuorumError
+// means that the command was not and will not be committed, an *OutcomeUnknownError that it may
+// have been or may still be.
 func (v *Voter) Propose(ctx context.Context, cmd laburnumlever.Command) (laburnumlever.Result, error) {
 	cmd = v.withClaimID(cmd)
 	ctx, cancel := v.withProposalTimeout(ctx)
@@ -81,7 +82,8 @@
 	}
 }
 
-// withClaimID gives a claim an id, so that a retry after a lost answer is recognised.
+// withClaimID sets a unique id on a claim without one, so that the state machine recognises a
+// retry after a lost answer.
 func (v *Voter) withClaimID(cmd laburnumlever.Command) laburnumlever.Command {
 	if cmd.Claim == nil || cmd.Claim.Claim != "" {
 		return cmd
@@ -93,7 +95,7 @@
 	return cmd
 }
 
-// withProposalTimeout returns a context that ends with ctx, the proposal timeout or Close.
+// withProposalTimeout returns a context that is canceled with ctx or after the proposal timeout.
 func (v *Voter) withProposalTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := v.timers.After(v.cfg.proposalTimeout, func(time.Time) { cancel() })
@@ -113,9 +115,9 @@
 	case <-v.done:
 	}
 	if p.decided.CompareAndSwap(false, true) {
-		return proposeAnswer{Verdict: verdictNotTaken, Detail: "given up before it was taken"}
+		return proposeAnswer{Verdict: verdictNotTaken, Detail: "stopped waiting before the command was appended"}
 	}
-	return proposeAnswer{Verdict: verdictUnknown, Detail: "no answer in time"}
+	return proposeAnswer{Verdict: verdictUnknown, Detail: "stopped waiting before the outcome was known"}
 }
 
 func (v *Voter) handlePropose(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
@@ -137,7 +139,8 @@
 	}
 }
 
-// append appends proposals to the log as one batch, or rejects them.
+// append appends proposals to the log as one batch, or rejects all of them if this VM isn't the
+// leader or has too many proposals in flight.
 func (v *Voter) append(list []proposal) {
 	if !v.isLeader() || len(v.waiters)+len(list) > maxWaiters {
 		v.reject(list)
@@ -151,13 +154,13 @@
 			continue
 		}
 		if p.command.ChangesCatalogue() && v.tooFewVoters() {
-			p.reply <- proposeAnswer{Verdict: verdictNotTaken, Detail: "the log has too few voters yet", Voters: v.voterList()}
+			p.reply <- proposeAnswer{Verdict: verdictNotTaken, Detail: "too few committed voters for the first change; more must join", Voters: v.voterList()}
 			continue
 		}
 		d, err := json.Marshal(entryData{At: at, Command: p.command})
 		if err != nil || len(d) > maxCommandBytes {
 			p.reply <- proposeAnswer{Verdict: verdictDone, Result: laburnumlever.Result{
-				Code: laburnumlever.ResultInvalid, Detail: "the command can't be encoded or is too large",
+				Code: laburnumlever.ResultInvalid, Detail: "the command can't be encoded or is larger than 4 MiB",
 			}}
 			continue
 		}
@@ -175,8 +178,9 @@
 	}
 }
 
-// tooFewVoters tells whether the first change has to wait. Only committed voters count, since
-// another leader may undo an uncommitted configuration.
+// tooFewVoters reports whether the first change must still be rejected, see
+// WithFirstChangeTolerance. Only committed voters count, since another leader may overwrite an
+// uncommitted configuration.
 func (v *Voter) tooFewVoters() bool {
 	if v.machine.Routes() != nil || v.machine.Catalogue().Revision > 0 {
 		return false
@@ -198,8 +202,8 @@
 	}
 }
 
-// failWaiters answers all proposals in flight when this VM loses leadership: the next
-// leader may or may not commit them.
+// failWaiters answers all proposals in flight with an unknown outcome: the next leader may or may
+// not commit them.
 func (v *Voter) failWaiters(detail string) {
 	for index, w := range v.waiters {
 		w.reply <- proposeAnswer{Verdict: verdictUnknown, Detail: detail}
--- a/laburnumvoter/reopen.go
+++ b/laburnumvoter/reopen.go
@@ -8,16 +8,17 @@
 	"github.com/go-kit/log/level"
 )
 
-// reopenTicks is the pause before a folder is opened again after a disk failure.
+// reopenTicks is the number of ticks between attempts to reopen a data folder.
 const reopenTicks = 10
 
-// openLater opens a folder again after a disk failure. Without it a disk that was full for a
-// moment would cost the log a voter until the VM is restarted.
+// openLater schedules another attempt to open the data folder after a disk failure. Without it a
+// disk that was full for a moment would cost the log a voter until the VM is restarted.
 func (v *Voter) openLater(open func() (*replica, error)) {
 	v.timers.After(reopenTicks*v.cfg.tick, func(time.Time) { go v.open(open) })
 }
 
-// open runs on its own goroutine, since the disk may be slow.
+// open opens the replica and posts the result. It runs on its own goroutine, since the disk may be
+// slow.
 func (v *Voter) open(open func() (*replica, error)) {
 	v.openMu.Lock()
 	defer v.openMu.Unlock()
--- a/laburnumvoter/replica.go
+++ b/laburnumvoter/replica.go
@@ -20,12 +20,12 @@
 	log     *laburnumlog.Log
 	machine *laburnumstate.Machine
 	boot    uint64
-	// snapshotBytes is the size of the snapshot read.
+	// snapshotBytes is the size of the snapshot read from the folder.
 	snapshotBytes int
 }
 
-// openReplica opens the folder. A damaged one is renamed and logged, and the VM starts as a
-// new instance: a part of a log may lack acknowledged entries.
+// openReplica opens the data folder. The files of a damaged folder are quarantined, and the VM
+// starts as a new instance: what is left of the log may lack acknowledged entries.
 func openReplica(cfg config, self laburnumlever.VM) (*replica, error) {
 	store, recovered, err := laburnumdisk.Open(cfg.folder, cfg.diskOptions...)
 	var damaged *laburnumdisk.DamagedError
@@ -45,13 +45,14 @@
 	}
 	identity := store.Identity()
 	id := laburnumlog.ReplicaID(string(self.ID) + "/" + identity.Instance)
-	seed := xxhash.Sum64String(string(id)) | 1 // xorshift must not start from 0
+	seed := xxhash.Sum64String(string(id)) | 1 // the xorshift generator must not start from 0
 	boot := laburnumlog.Boot(identity.Boot, uuid.New().ID())
 	l := laburnumlog.New(id, recovered, laburnumlog.WithSeed(seed), laburnumlog.WithBoot(boot))
 	return &replica{store: store, log: l, machine: machine, boot: boot, snapshotBytes: len(recovered.Snapshot.Data)}, nil
 }
 
-// writer syncs writes on its own goroutine, batching those that queue up meanwhile.
+// writer syncs writes to the store on its own goroutine. Writes that queue up during an fsync are
+// synced together by the next one.
 type writer struct {
 	mu      sync.Mutex
 	ready   *sync.Cond
@@ -76,7 +77,7 @@
 	w.ready.Signal()
 }
 
-// run writes until stopped, then closes the store.
+// run writes until the writer is stopped and its queue is empty, then closes the store.
 func (w *writer) run() {
 	defer close(w.done)
 	for {
@@ -105,7 +106,7 @@
 	return writes
 }
 
-// stop ends run once the queue is written.
+// stop makes run return once the queue is written.
 func (w *writer) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,7 +114,7 @@
 	w.ready.Broadcast()
 }
 
-// recreateReplica opens the folder as a new instance.
+// recreateReplica quarantines the folder's files and opens a new instance in it.
 func recreateReplica(cfg config, self laburnumlever.VM) (*replica, error) {
 	if err := laburnumdisk.SetAside(cfg.folder, cfg.diskOptions...); err != nil {
 		return nil, err
@@ -121,8 +122,8 @@
 	return openReplica(cfg, self)
 }
 
-// reopenReplica opens the folder again after a disk failure, as the same instance with what
-// was durable.
+// reopenReplica reopens the folder after a disk failure, as the same instance with only the data
+// that was durable.
 func reopenReplica(cfg config, self laburnumlever.VM, old *writer) (*replica, error) {
 	<-old.done
 	if err := old.store.Rewind(); err != nil {
--- a/laburnumvoter/report.go
+++ b/laburnumvoter/report.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// leaderlessLogTicks without a leader are logged; they outlast an election.
+	// leaderlessLogTicks is how many ticks without a leader are logged. It outlasts an election.
 	leaderlessLogTicks = 20
-	// leaderlessRepeatTicks is the number of ticks until it is logged again.
+	// leaderlessRepeatTicks is the number of ticks between two such log lines.
 	leaderlessRepeatTicks = 50
-	// noLeader is the value of the losses-borne gauge without a leader.
+	// noLeader is the value of the gauge losses_borne without a leader.
 	noLeader = -1
 )
 
-// loggedState is the state last logged, so that each change is logged once.
+// loggedState is the state that was last logged, so that each change is logged once.
 type loggedState struct {
-	configuration  uint64 // its index
+	configuration  uint64 // index of the configuration
 	committed      bool
-	since          time.Time // when it was appended here
-	leaderlessTick uint64    // the tick of the last line about a missing leader
+	since          time.Time // when the configuration was appended here
+	leaderlessTick uint64    // the tick of the last log line about a missing leader
 }
 
-// reportOpened logs what the folder held: instance, last index and voters. After a loss of
-// disks it tells an empty replica from one that was only down.
+// reportOpened logs what the folder held: instance, last index and voters. After a loss of disks
+// this distinguishes a replica that has lost its data from one that was only down.
 func (v *Voter) reportOpened() {
 	c := v.log.Configuration()
 	_ = level.Info(v.cfg.logger).Log("event", laburnumlever.EventReplicaOpened, "replica", v.log.ID(),
@@ -37,8 +37,8 @@
 	v.logged = loggedState{configuration: v.log.ConfigurationIndex(), committed: !v.log.ChangePending(), since: v.timers.Now()}
 }
 
-// reportVoters logs each configuration when it is appended, from when it is in force, and
-// when it is committed.
+// reportVoters logs each configuration when it is appended, which is when it takes effect, and
+// again when it is committed.
 func (v *Voter) reportVoters() {
 	if v.log == nil {
 		return
@@ -57,8 +57,8 @@
 		"took", v.timers.Now().Sub(v.logged.since))
 }
 
-// reportLeaderless logs from time to time that there is no leader, and which votes are
-// missing.
+// reportLeaderless updates the time without a leader, and logs it periodically with the votes that
+// are missing. A replica that is no voter or is standby doesn't report it.
 func (v *Voter) reportLeaderless() {
 	if !v.log.Configuration().IsVoter(v.log.ID()) || v.isStandby() {
 		v.leaderlessTicks.Store(0)
@@ -76,7 +76,8 @@
 		"last", v.log.LastIndex(), "voters", names(v.log.Configuration().Voters()), "waiting-for", v.missingVotes())
 }
 
-// setStandby records a leader's word that this replica was replaced while it was down.
+// setStandby records that a leader answered a hello with the news that this replica is no longer a
+// member, since it was replaced while it was down.
 func (v *Voter) setStandby(leader laburnumlever.VMID) {
 	if !v.isStandby() {
 		_ = level.Info(v.cfg.logger).Log("event", laburnumlever.EventVoterStandby, "replica", v.log.ID(), "leader", leader)
@@ -84,15 +85,15 @@
 	v.standbyUntil = v.ticks + helloTicks
 }
 
-// isStandby tells whether a leader has answered lately that this replica is no member.
+// isStandby reports whether a leader has recently answered that this replica is no member.
 func (v *Voter) isStandby() bool { return v.ticks < v.standbyUntil }
 
-// leaderless returns the time without a known leader.
+// leaderless returns how long this replica has known no leader.
 func (v *Voter) leaderless() time.Duration {
 	return time.Duration(v.ticks-v.leaderSeen) * v.cfg.tick
 }
 
-// missingVotes names the voters whose votes are missing, and what is known of each.
+// missingVotes returns the voters that have not granted their vote, with the reason for each.
 func (v *Voter) missingVotes() []string {
 	var missing []string
 	for _, m := range v.log.Configuration().Voters() {
@@ -103,17 +104,17 @@
 		switch ballot := v.log.Ballot(m.ID); {
 		case ballot == laburnumlog.Granted:
 		case hello && j.hello.Member.ID != m.ID:
-			missing = append(missing, string(m.ID)+" (its VM is another instance now)")
+			missing = append(missing, string(m.ID)+" (its VM now runs another instance)")
 		case ballot == laburnumlog.Refused:
 			missing = append(missing, string(m.ID)+" (refused)")
 		default:
-			missing = append(missing, string(m.ID)+" (silent)")
+			missing = append(missing, string(m.ID)+" (no answer)")
 		}
 	}
 	return missing
 }
 
-// reportTolerance updates the gauge of disks that may still be lost.
+// reportTolerance updates the gauge of how many disks can be lost without losing the log.
 func (v *Voter) reportTolerance() {
 	borne := v.log.LossesBorne()
 	if v.log.Leader() == "" {
@@ -122,12 +123,12 @@
 	v.cfg.scope.Gauge("losses_borne").Update(float64(borne))
 }
 
-// notLeaderReason tells why this VM takes no commands.
+// notLeaderReason returns why this VM rejects commands.
 func (v *Voter) notLeaderReason() string {
 	if v.failure != nil {
 		return v.failure.Error()
 	}
-	const detail = "this VM does not lead"
+	const detail = "this VM is not the leader"
 	if v.log == nil || v.log.Leader() != "" || !v.log.Configuration().IsVoter(v.log.ID()) {
 		return detail
 	}
--- a/laburnumvoter/report_test.go
+++ b/laburnumvoter/report_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// logRecorder keeps what is logged, a line an entry, its fields in their order.
+// logRecorder is a logger that keeps each line with its fields in order.
 type logRecorder struct {
 	mu   sync.Mutex
 	list []string
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// has tells whether a line of the event holds all the texts.
+// has reports whether a line of the event contains all the texts.
 func (l *logRecorder) has(event laburnumlever.LogEvent, texts ...string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,26 +47,26 @@
 
 var _ log.Logger = (*logRecorder)(nil)
 
-// Changes are refused for lack of a quorum, and every VM is up. Of two voters one had lost
-// its folder, so that the other waits for a vote that can't come. Its lines must say so: who
-// the voters are, for whose vote it waits, and that this VM is another instance by now.
+// Guards against a missing quorum that the log doesn't explain although every VM is up: one of two
+// voters has lost its data folder, so its old instance can't vote. The log must name the voters, the
+// missing vote, and that its VM now runs another instance.
 func TestNoLeaderLogNamesMissingVotes(t *testing.T) {
 	f := newFleet(t, []string{"a", "b"}, laburnumvoter.WithProposalTimeout(time.Hour),
 		laburnumvoter.WithLeaderlessPatience(20*tick))
 	logs := &logRecorder{}
 	f.start("a", f.folder("a"), laburnumvoter.WithLogger(logs))
 	f.start("b", f.folder("b"))
-	f.wait("a change is taken", func() bool {
+	f.wait("a change is accepted", func() bool {
 		_, err := f.vms["a"].Propose(context.Background(), change("first", 0))
 		return err == nil
 	})
 	f.stop("b")
 	require.NoError(t, os.RemoveAll(f.folder("b")))
 	f.start("b", f.folder("b"))
-	f.wait("the want of a leader is told", func() bool {
-		return logs.has(laburnumlever.EventNoLeader, "waiting-for [b/", "its VM is another instance now")
+	f.wait("the missing leader is logged", func() bool {
+		return logs.has(laburnumlever.EventNoLeader, "waiting-for [b/", "its VM now runs another instance")
 	})
-	// An operator's change is not held until its time is over, here an hour, and told why.
+	// An operator's change fails with the reason long before its timeout of an hour.
 	_, err := f.vms["a"].Propose(context.Background(), change("second", 1))
 	var none *laburnumlever.NoQuorumError
 	require.ErrorAs(t, err, &none)
--- a/laburnumvoter/search.go
+++ b/laburnumvoter/search.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// retryPause is the pause when there is no other VM to ask.
+	// retryPause is the delay before the next VM is asked without a redirect.
 	retryPause = 50 * time.Millisecond
-	// maxRedirects bounds redirects without a pause: during an election two VMs may name
-	// each other.
+	// maxRedirects bounds consecutive redirects without a pause: during an election two VMs
+	// may each name the other as the leader.
 	maxRedirects = 2
 )
 
-// search finds the leader for one proposal.
+// search looks for the leader on behalf of one proposal.
 type search struct {
 	voter       *Voter
 	known       []laburnumlever.Voter
-	target      string // empty: this VM's own replica, if it has one
+	target      string // address to ask; empty for this VM's own replica
 	asked       int
 	redirects   int // since the last pause
 	uncertain   bool
 	detail      string
-	localDetail string // last answer of this VM's own replica
+	localDetail string // detail of the last answer of this VM's own replica
 }
 
 func (s *search) try(ctx context.Context, cmd laburnumlever.Command) proposeAnswer {
@@ -56,7 +56,7 @@
 	return proposeAnswer{Verdict: verdictUnknown, Detail: err.Error()}
 }
 
-// next picks the next VM to ask, and tells whether there is time left.
+// next picks the next VM to ask, pausing unless it was redirected. It reports whether to try again.
 func (s *search) next(ctx context.Context, answer proposeAnswer) bool {
 	if len(answer.Voters) > 0 {
 		s.known = answer.Voters
@@ -81,8 +81,8 @@
 	return s.voter.pause(ctx, retryPause)
 }
 
-// leaderlessTooLong tells whether this replica has been without a leader for longer than elections
-// take, so that Propose fails once all known VMs were asked.
+// leaderlessTooLong reports whether this replica has been without a leader for longer than an
+// election takes. Propose then fails once it has asked all known VMs.
 func (v *Voter) leaderlessTooLong() bool {
 	return time.Duration(v.leaderlessTicks.Load())*v.cfg.tick >= v.cfg.leaderlessTimeout
 }
@@ -94,7 +94,7 @@
 	return &laburnumlever.NoQuorumError{Detail: s.detail}
 }
 
-// pause waits, and tells whether ctx is still alive.
+// pause waits for d, and reports whether ctx was not done and the voter not closed meanwhile.
 func (v *Voter) pause(ctx context.Context, d time.Duration) bool {
 	woken := make(chan struct{})
 	stop := v.timers.After(d, func(time.Time) { close(woken) })
@@ -108,7 +108,7 @@
 	return false
 }
 
-// knownVoters is a copy of the voters for other goroutines.
+// knownVoters holds the last known voters and leader. It is safe for concurrent use.
 type knownVoters struct {
 	mu         sync.Mutex
 	voters     []laburnumlever.Voter
--- a/laburnumvoter/status.go
+++ b/laburnumvoter/status.go
@@ -5,17 +5,17 @@
 	"laburnumlever/laburnumlog"
 )
 
-// Roles besides those of the log.
+// Roles of a VM besides those of laburnumlog.Role.
 const (
 	roleClient  = "client"
 	roleLearner = "learner"
 	roleFailed  = "disk-failed"
 )
 
-// Status returns what this VM knows of the log. It may be called on any goroutine.
+// Status returns the log's state as this VM knows it. It may be called on any goroutine.
 func (v *Voter) Status() laburnumlever.VoterStatus { return *v.status.Load() }
 
-// publishedKey changes whenever a status does.
+// publishedKey is the part of the state from which a status is built, to publish only changes.
 type publishedKey struct {
 	role          string
 	term          uint64
@@ -67,7 +67,7 @@
 	return v.log.Role().String()
 }
 
-// voterList returns the voters in force, or the first voters without a log.
+// voterList returns the current voters, or those last known if the log has no members.
 func (v *Voter) voterList() []laburnumlever.Voter {
 	if v.log == nil || len(v.log.Configuration().Members) == 0 {
 		return v.known.list()
--- a/laburnumvoter/transmit.go
+++ b/laburnumvoter/transmit.go
@@ -10,14 +10,14 @@
 	"laburnumlever/laburnumlog"
 )
 
-// chunkBytes bounds a part of a snapshot, so that heartbeats don't queue behind it.
+// chunkBytes bounds one chunk of a snapshot, so that heartbeats don't queue behind a large one.
 const chunkBytes = 256 << 10
 
-// chunkTicks is the timeout of a part, below the time after which the log resends a
-// snapshot.
+// chunkTicks is the timeout of sending a chunk, in ticks. It is below the time after which the log
+// resends a snapshot.
 const chunkTicks = 30
 
-// transmit sends a log message; one to this replica goes through the inbox.
+// transmit sends a log message. A message to this replica itself goes to the inbox.
 func (v *Voter) transmit(m laburnumlog.Message) {
 	if v.log != nil && m.To == v.log.ID() {
 		v.inbox = append(v.inbox, m)
@@ -52,7 +52,7 @@
 	v.step(laburnumlog.Receive{Message: m.Message})
 }
 
-// snapshotSends holds the members to which a snapshot is being sent.
+// snapshotSends is the set of members to which a snapshot is being sent.
 type snapshotSends struct {
 	mu   sync.Mutex
 	busy map[laburnumlog.ReplicaID]bool
@@ -77,8 +77,8 @@
 	delete(t.busy, id)
 }
 
-// sendSnapshot sends the snapshot in parts, one at a time. After a loss the log sends it again
-// from the start.
+// sendSnapshot sends a snapshot in chunks, one at a time, unless one is already being sent to the
+// member. If a chunk is lost, the log later resends the whole snapshot.
 func (v *Voter) sendSnapshot(address string, m wireMessage) {
 	if !v.snapshotSends.begin(m.To) {
 		return
@@ -100,8 +100,8 @@
 	}()
 }
 
-// sendChunk sends one part. It times out on a frozen VM before the log sends the snapshot
-// again, which would find the table busy.
+// sendChunk sends one chunk. On a frozen VM it times out before the log resends the snapshot, which
+// would otherwise be skipped because this one is still being sent.
 func (v *Voter) sendChunk(address string, part chunkParams, answer *chunkAnswer) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -110,7 +110,7 @@
 	return v.peers.Call(ctx, address, methodChunk, part, answer)
 }
 
-// snapshotAssembly holds the parts of an incoming snapshot.
+// snapshotAssembly holds the chunks of an incoming snapshot.
 type snapshotAssembly struct {
 	mu    sync.Mutex
 	from  laburnumlog.ReplicaID
@@ -119,8 +119,8 @@
 	data  []byte
 }
 
-// add adds a part, and returns the snapshot once it is complete. A part out of order is
-// rejected, and the sender starts over.
+// add appends a chunk, and returns the snapshot once it is complete. It rejects a chunk out of
+// order, after which the sender starts over.
 func (a *snapshotAssembly) add(p chunkParams) (whole []byte, done, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -140,7 +140,7 @@
 	return whole, true, true
 }
 
-// registerHandlers sets the handlers of all methods.
+// registerHandlers registers the handlers of all peer methods.
 func (v *Voter) registerHandlers() {
 	for _, kind := range laburnumlog.MessageKindValues() {
 		v.peers.Handle(logPrefix+kind.String(), v.handleMessage)
--- a/laburnumvoter/voter.go
+++ b/laburnumvoter/voter.go
@@ -11,7 +11,7 @@
 	"laburnumlever/laburnumstate"
 )
 
-// Voter runs a replica, if the VM has a data folder, and proposes commands. It implements
+// Voter proposes commands and, if the VM has a data folder, runs a replica. It implements
 // laburnumlever.Part and laburnumlever.Proposer.
 type Voter struct {
 	loop   laburnumlever.Loop
@@ -20,8 +20,8 @@
 	self   laburnumlever.VM
 	cfg    config
 
-	// Control thread only, from here on.
-	log              *laburnumlog.Log // nil without a replica, or after a disk failure
+	// The fields below are used on the control thread only.
+	log              *laburnumlog.Log // nil without a replica and while it is stopped
 	machine          *laburnumstate.Machine
 	boot             uint64
 	writer           *writer
@@ -42,8 +42,8 @@
 	lastSnapshot     int    // size of the last snapshot
 	encoding         bool
 	ticks            uint64
-	leaderSeen       uint64 // the tick when a leader was last known
-	standbyUntil     uint64 // the tick until which a leader's word counts that the replica is no member
+	leaderSeen       uint64 // the last tick at which a leader was known
+	standbyUntil     uint64 // the tick until which a leader's answer that this replica is no member is valid
 	wasLeader        bool
 	clockBase        int64
 	clockStart       time.Time
@@ -52,26 +52,26 @@
 	published        publishedKey
 	logged           loggedState
 
-	// Any goroutine.
+	// The fields below may be used on any goroutine.
 	status        atomic.Pointer[laburnumlever.VoterStatus]
 	proposals     proposalQueue
 	known         knownVoters
 	assembly      snapshotAssembly
 	snapshotSends snapshotSends
 	claims        atomic.Uint64
-	// leaderlessTicks is how long a voter has known of no leader.
+	// leaderlessTicks is the number of ticks for which this voter has known no leader.
 	leaderlessTicks atomic.Uint64
 	startedAt       time.Time
 	done            chan struct{}
 	closed          sync.Once
-	openMu          sync.Mutex // held while a folder is opened again; Close waits for it
-	mu              sync.Mutex // guards cancel and current
+	openMu          sync.Mutex // held while a folder is reopened; Close waits for it
+	mu              sync.Mutex // guards cancelTicks and currentWriter
 	cancelTicks     func()
 	currentWriter   *writer
 }
 
-// New makes a voter, to be started by Start. Errors are those of opening the data folder:
-// *laburnumdisk.IOError and *laburnumstate.ImageError.
+// New returns a voter, to be started by Start. It fails if the data folder can't be opened, with
+// *laburnumdisk.IOError or *laburnumstate.ImageError.
 func New(loop laburnumlever.Loop, timers laburnumlever.Timers, peers laburnumlever.Peers, self laburnumlever.VM, opts ...Option) (*Voter, error) {
 	v := &Voter{
 		loop: loop, timers: timers, peers: peers, self: self, cfg: newConfig(opts),
@@ -115,15 +115,15 @@
 	v.reportOpened()
 }
 
-// OnCatalogue sets the function called on the control thread for each revision newly applied,
-// and after recovery. Set it before Start.
+// OnCatalogue sets the function called on the control thread with each newly applied revision of the
+// catalogue and after recovery. It must be called before Start.
 func (v *Voter) OnCatalogue(fn func(laburnumlever.Catalogue)) { v.onCatalogue = fn }
 
-// OnRoutes sets the function called on the control thread for each route table newly applied,
-// and after recovery. Set it before Start.
+// OnRoutes sets the function called on the control thread with each newly applied route table and
+// after recovery. It must be called before Start.
 func (v *Voter) OnRoutes(fn func(laburnumlever.RouteTable)) { v.onRoutes = fn }
 
-// Start starts the replica.
+// Start starts the replica and its ticks.
 func (v *Voter) Start() {
 	v.loop.Post(v, started{})
 	cancel := v.timers.Every(v.cfg.tick, func(now time.Time) { v.loop.Post(v, ticked{now: now}) })
@@ -132,8 +132,8 @@
 	v.cancelTicks = cancel
 }
 
-// Close stops the replica once queued writes are on disk. It doesn't hand over leadership;
-// call HandOver before.
+// Close stops the replica after its queued writes are on disk. It doesn't transfer leadership; call
+// HandOver first.
 func (v *Voter) Close() error {
 	v.closed.Do(func() {
 		close(v.done)
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// Handle runs on the control thread.
+// Handle handles one event. It runs on the control thread.
 func (v *Voter) Handle(ev laburnumlever.Event) {
 	switch ev := ev.(type) {
 	case started:
@@ -182,8 +182,8 @@
 	v.finishEvent()
 }
 
-// finishEvent continues a pending change of the members, handles messages of the replica to
-// itself, then publishes the status.
+// finishEvent runs after each event: it continues a pending membership change, handles messages of
+// the replica to itself, then logs changes and publishes the status.
 func (v *Voter) finishEvent() {
 	if v.isLeader() && len(learners(v.log.Configuration())) > 0 {
 		v.reconcileMembers()
@@ -206,12 +206,12 @@
 	}
 }
 
-// startReplica starts a replica. It sends a hello even if it is a voter by its own log, since it may
-// have been replaced while it was down.
+// startReplica starts the replica. It sends a hello even if its own log says that it is a voter,
+// since it may have been replaced while it was down.
 func (v *Voter) startReplica() {
 	v.step(laburnumlog.Resume{})
 	v.notifyCatalogue()
-	if v.log == nil { // an entry could not be applied
+	if v.log == nil { // applying an entry failed and stopped the replica
 		return
 	}
 	v.sendHello()
--- a/laburnumvoter/voter_test.go
+++ b/laburnumvoter/voter_test.go
@@ -23,7 +23,7 @@
 	waitTimeout = 20 * time.Second
 )
 
-// fleet is some VMs with replicas in folders of their own.
+// fleet is a set of VMs on one network, each replica with its own data folder.
 type fleet struct {
 	t      testing.TB
 	net    *network
@@ -37,11 +37,11 @@
 	clockOffset atomic.Int64
 }
 
-// pass puts the clocks of all VMs forward at once; their ticks come as before.
+// advanceClocks moves the clocks of all VMs forward; the tick rate stays the same.
 func (f *fleet) advanceClocks(d time.Duration) { f.clockOffset.Add(int64(d)) }
 
-// fleetTimers are timers whose periods the fleet can hold back, and whose clock it can put
-// forward.
+// fleetTimers are timers whose periodic calls the fleet can suppress and whose clock it can
+// advance.
 type fleetTimers struct {
 	laburnumlever.Timers
 	fleet *fleet
@@ -63,14 +63,14 @@
 	})
 }
 
-// barrier is a part whose event is handled after all that came to the control thread before.
+// barrier is an event that signals when the control thread has handled all events before it.
 type barrier struct{ handled chan struct{} }
 
 func (b barrier) Handle(laburnumlever.Event) { close(b.handled) }
 
 func (barrier) EventName() string { return "barrier" }
 
-// waitTick waits until the VM has handled a tick that came after this call.
+// waitTick waits until the VM has handled a tick that was posted after the call.
 func (f *fleet) waitTick(m *vm) {
 	before := m.ticks.Load()
 	f.wait("a tick", func() bool { return m.ticks.Load() > before+1 })
@@ -103,7 +103,7 @@
 
 func (f *fleet) folder(name string) string { return filepath.Join(f.root, name) }
 
-// start starts a VM; a folder of "" makes it one without a replica.
+// start starts a VM. With an empty folder the VM has no replica.
 func (f *fleet) start(name, folder string, opts ...laburnumvoter.Option) *vm {
 	m := &vm{port: f.net.open(name), loop: laburnumcontrol.New(), timers: laburnumtimer.New(), revisions: make(chan uint64, 1<<12)}
 	all := append([]laburnumvoter.Option{
@@ -127,7 +127,7 @@
 	}
 }
 
-// stop ends a VM as a kill does for all others: it says nothing more.
+// stop stops a VM. It is cut off first, so to the others it looks like a kill.
 func (f *fleet) stop(name string) {
 	m := f.vms[name]
 	delete(f.vms, name)
@@ -182,7 +182,7 @@
 				return
 			}
 		case <-deadline:
-			t.Fatalf("revision %d was not seen", want)
+			t.Fatalf("revision %d was not reported", want)
 		}
 	}
 }
@@ -200,8 +200,8 @@
 	require.Equal(t, laburnumlever.ResultInvalid, a.apply(t, strings.Repeat("large", 1<<20), 20).Code)
 }
 
-// Guards against a control VM that starts again and keeps gateways without routes until the first
-// tick of its clock, though its disk says what is confirmed.
+// Guards against a restarted control VM that leaves gateways without routes until its first tick,
+// although the confirmed state is on its disk.
 func TestRestartDeliversConfirmedCatalogueAtOnce(t *testing.T) {
 	f := newFleet(t, []string{"a"})
 	m := f.start("a", f.folder("a"))
@@ -214,13 +214,12 @@
 	case got := <-m.revisions:
 		require.GreaterOrEqual(t, got, uint64(1))
 	case <-time.After(waitTimeout):
-		t.Fatal("nothing was told")
+		t.Fatal("no revision was reported")
 	}
 }
 
-// An operator's change goes to a VM without a disk while the leader is killed.
-// The change must be there afterwards, once, on every VM; the client's try that
-// was lost with the leader is made again by Propose.
+// Guards against a change that is lost or applied twice when the leader is killed. The change is
+// proposed on a VM without a disk; Propose must retry an attempt that was lost with the leader.
 func TestChangesSurviveLeaderCrash(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	f.startAll()
@@ -240,9 +239,9 @@
 	require.EqualValues(t, 33, revision)
 }
 
-// A VM's data folder is lost. It comes back as a new instance, catches up and only
-// then takes the old one's place; right after, a second VM is lost. Nothing that
-// was acknowledged may be gone.
+// Guards against the loss of acknowledged changes when a VM loses its data folder and a second VM is
+// lost right after: the first comes back as a new instance and must catch up before it replaces the
+// old one.
 func TestLostFolderThenASecondLoss(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"}, laburnumvoter.WithSnapshotBytes(2000))
 	f.startAll()
@@ -268,7 +267,8 @@
 	b.waitRevision(t, 45)
 }
 
-// Guards against a voter with a lost folder that counts again only at the leader's next check.
+// Guards against a voter that lost its folder and becomes a voter again only at the leader's next
+// tick.
 func TestLostFolderIsRepairedWithoutWaiting(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	f.startAll()
@@ -281,13 +281,14 @@
 	require.NoError(t, os.RemoveAll(f.folder(lost)))
 	f.ticksPaused.Store(true)
 	back := f.start(lost, f.folder(lost))
-	f.wait("it counts again", func() bool {
+	f.wait("it is a voter again", func() bool {
 		s := back.Status()
 		return s.Role == "follower" && len(s.Voters) == 3
 	})
 }
 
-// Guards against a first change confirmed by fewer voters than bear the losses of the settings.
+// Guards against a first change that is committed by too few voters to tolerate the configured
+// losses.
 func TestFirstChangeWaitsForTheVoters(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"}, laburnumvoter.WithVoterTarget(5), laburnumvoter.WithFirstChange(2, time.Hour))
 	f.startAll()
@@ -303,8 +304,8 @@
 	require.Len(t, f.vms[f.leader()].Status().Voters, 5)
 }
 
-// Two operators hold revision 0 and apply at the same time through different VMs.
-// One must win; the other must be told so, with the revision that won.
+// Guards against both or neither of two concurrent changes at the same revision being applied. One
+// must win; the other must get a conflict with the winning revision.
 func TestRacingOperators(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	f.startAll()
@@ -321,8 +322,8 @@
 	}
 }
 
-// The leader can send but not receive, then is cut off whole. It must stop taking
-// commands rather than hold them, and the others must go on without it.
+// Guards against a cut-off leader that keeps accepting commands. First it can send but not receive,
+// then neither; it must step down, and the others must elect another leader.
 func TestCutOffLeaderStepsDown(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	f.startAll()
@@ -337,7 +338,7 @@
 	cut(true, false)
 	f.wait("the old leader steps down", func() bool { return f.vms[old].Status().Role != "leader" })
 	cut(true, true)
-	f.wait("another leads", func() bool { n := f.leader(); return n != old })
+	f.wait("another VM is the leader", func() bool { n := f.leader(); return n != old })
 	short, cancel := context.WithTimeout(context.Background(), 20*tick)
 	defer cancel()
 	_, err := f.vms[old].Propose(short, change("refused", 1))
--- a/laburnumvoter/wire.go
+++ b/laburnumvoter/wire.go
@@ -5,7 +5,7 @@
 	"laburnumlever/laburnumlog"
 )
 
-// Methods between voters, besides "log-" and the kind of a log message.
+// Peer methods. A log message is sent to the method named logPrefix and its kind.
 const (
 	methodPropose    = "propose"
 	methodHello      = "log-hello"
@@ -21,24 +21,24 @@
 	Address string `json:"address"`
 }
 
-// helloMessage announces a replica without a leader.
+// helloMessage announces a replica that has just started, is no member or knows no leader.
 type helloMessage struct {
 	Member laburnumlog.Member `json:"member"`
 	Boot   uint64             `json:"boot"`
-	// Configured tells that the replica has a configuration on its disk.
+	// Configured means that the replica has a configuration in its log.
 	Configured bool `json:"configured,omitempty"`
 	Answer     bool `json:"answer,omitempty"`
-	// Standby tells, in a leader's answer, that the asking replica is no member.
+	// Standby means, in a leader's answer, that the replica that sent the hello is no member.
 	Standby bool `json:"standby,omitempty"`
 }
 
-// bootstrapMessage carries the first configuration.
+// bootstrapMessage carries the first configuration of the log.
 type bootstrapMessage struct {
 	Configuration laburnumlog.Configuration `json:"configuration"`
 }
 
-// supersededMessage tells a replica that its disk was restored from an older copy, so that it
-// must restart as a new instance. Boot guards against a late message.
+// supersededMessage tells a replica that its data folder was restored from an older copy, so that it
+// must restart as a new instance. A replica with another Boot ignores it, since the message is late.
 type supersededMessage struct {
 	ID   laburnumlog.ReplicaID `json:"id"`
 	Boot uint64                `json:"boot"`
@@ -49,7 +49,7 @@
 
 const (
 	verdictDone     verdict = "done"
-	verdictNotTaken verdict = "not-taken" // not in any log by this attempt
+	verdictNotTaken verdict = "not-taken" // this attempt has not appended the command to any log
 	verdictUnknown  verdict = "unknown"
 )
 
@@ -60,13 +60,13 @@
 type proposeAnswer struct {
 	Verdict verdict              `json:"verdict"`
 	Result  laburnumlever.Result `json:"result"`
-	// Leader is the VM to try next, if known.
+	// Leader is the leader to ask next, if known.
 	Leader laburnumlever.Voter   `json:"leader"`
 	Voters []laburnumlever.Voter `json:"voters,omitempty"`
 	Detail string                `json:"detail,omitempty"`
 }
 
-// chunkParams is a part of a snapshot; the first one carries the message.
+// chunkParams is one chunk of a snapshot. Message has the snapshot's index and term but no data.
 type chunkParams struct {
 	Message wireMessage `json:"message"`
 	Offset  int         `json:"offset"`
