--- a/laburnumstate/changes.go
+++ b/laburnumstate/changes.go
@@ -11,7 +11,7 @@
 	Revision uint64                   `json:"revision"`
 }
 
-func (c change) resend(digest uint64) laburnumlever.Result {
+func (c change) repeatResult(digest uint64) laburnumlever.Result {
 	switch {
 	case c.Digest != digest:
 		return laburnumlever.Result{Code: laburnumlever.ResultMismatch, Detail: "the change id was used with other content"}
--- a/laburnumstate/claims.go
+++ b/laburnumstate/claims.go
@@ -52,7 +52,7 @@
 		return laburnumlever.Result{Code: laburnumlever.ResultInvalid, Detail: "a claim needs a key"}
 	}
 	if e, ok := t.byKey[key]; ok {
-		return t.known(*claimOf(e), r)
+		return t.existingResult(*claimOf(e), r)
 	}
 	if len(t.byKey) >= limits.Claims || t.byOwner[r.Owner] >= limits.OwnerClaims {
 		return laburnumlever.Result{Code: laburnumlever.ResultFull, Detail: "no room for another claim"}
@@ -61,7 +61,7 @@
 	return laburnumlever.Result{Code: laburnumlever.ResultOK, Holder: r.VM}
 }
 
-func (t *claimTable) known(c claim, r laburnumlever.ClaimRequest) laburnumlever.Result {
+func (t *claimTable) existingResult(c claim, r laburnumlever.ClaimRequest) laburnumlever.Result {
 	switch {
 	case c.Digest != r.Digest:
 		return laburnumlever.Result{Code: laburnumlever.ResultMismatch, Detail: "the key was used with other content"}
@@ -100,14 +100,14 @@
 	}
 	c.Settled, c.Outcome, c.Touched = true, r.Outcome, now
 	t.order.MoveToBack(e)
-	t.keepAnswer(limits, c, r.Answer)
+	t.storeAnswer(limits, c, r.Answer)
 	return laburnumlever.Result{Code: laburnumlever.ResultOK, Outcome: c.Outcome}
 }
 
-// keepAnswer stores an answer within the bounds. An answer that does not fit
+// storeAnswer stores an answer within the bounds. An answer that does not fit
 // leaves its claim settled as unknown: the caller is then told that it is not
 // run again, which is true, rather than an empty answer, which would not be.
-func (t *claimTable) keepAnswer(limits Limits, c *claim, answer *laburnumlever.RecordedAnswer) {
+func (t *claimTable) storeAnswer(limits Limits, c *claim, answer *laburnumlever.RecordedAnswer) {
 	if answer == nil || answerSize(answer) > limits.AnswerBytes {
 		if c.Outcome == laburnumlever.OutcomeAnswered {
 			c.Outcome = laburnumlever.OutcomeUnknown
@@ -118,11 +118,11 @@
 	t.bytes += answerSize(answer)
 	t.answers.PushBack(c)
 	for t.bytes > limits.TotalBytes {
-		t.dropAnswer(t.answers.Front())
+		t.evictAnswer(t.answers.Front())
 	}
 }
 
-func (t *claimTable) dropAnswer(e *list.Element) {
+func (t *claimTable) evictAnswer(e *list.Element) {
 	c := claimOf(e)
 	t.answers.Remove(e)
 	if c.Answer == nil {
--- a/laburnumstate/leases.go
+++ b/laburnumstate/leases.go
@@ -20,7 +20,7 @@
 	Idle laburnumlever.Duration `json:"idle,omitempty"`
 }
 
-func (l Lease) held(by laburnumlever.LeaseCommand) bool {
+func (l Lease) heldBy(by laburnumlever.LeaseCommand) bool {
 	return l.Holder == by.Holder && l.Incarnation == by.Incarnation && l.Holder != ""
 }
 
@@ -52,7 +52,7 @@
 	if kind == laburnumlever.CommandExpireLease {
 		return t.expire(i, c)
 	}
-	if !l.held(c) || l.Fence != c.Fence {
+	if !l.heldBy(c) || l.Fence != c.Fence {
 		return laburnumlever.Result{Code: laburnumlever.ResultNotHolder, Holder: l.Holder, Fence: l.Fence}
 	}
 	if kind == laburnumlever.CommandReleaseLease {
@@ -71,7 +71,7 @@
 	case i < 0:
 		t.list = append(t.list, Lease{Name: c.Name})
 		i = len(t.list) - 1
-	case t.list[i].held(c):
+	case t.list[i].heldBy(c):
 		return t.renew(i, c)
 	case t.list[i].Holder != "":
 		l := t.list[i]
@@ -80,12 +80,12 @@
 	t.fence++
 	idle := t.list[i].Idle
 	t.replace(i, Lease{Name: c.Name, Holder: c.Holder, Incarnation: c.Incarnation, Fence: t.fence, TTL: c.TTL})
-	result := t.granted(i)
+	result := t.grantResult(i)
 	result.Idle = idle
 	return result
 }
 
-func (t *leaseTable) granted(i int) laburnumlever.Result {
+func (t *leaseTable) grantResult(i int) laburnumlever.Result {
 	l := t.list[i]
 	result := laburnumlever.Result{Code: laburnumlever.ResultOK, Holder: l.Holder, Fence: l.Fence}
 	for _, in := range t.intents {
@@ -103,7 +103,7 @@
 		l.TTL = c.TTL
 	}
 	t.replace(i, l)
-	return t.granted(i)
+	return t.grantResult(i)
 }
 
 // expire frees the lease if nothing has happened to it since the leader last
@@ -138,15 +138,15 @@
 		t.intents = slices.Delete(slices.Clone(t.intents), known, known+1)
 		return laburnumlever.Result{Code: laburnumlever.ResultOK}
 	case laburnumlever.CommandRecordIntent:
-		return t.record(limits, known, in)
+		return t.recordIntent(limits, known, in)
 	default:
 		return laburnumlever.Result{Code: laburnumlever.ResultInvalid, Detail: "not an intent command"}
 	}
 }
 
-// record takes an intent only under the lease's present fence: a holder that was
+// recordIntent takes an intent only under the lease's present fence: a holder that was
 // frozen past its lease must not order anything more.
-func (t *leaseTable) record(limits Limits, known int, in laburnumlever.OrderIntent) laburnumlever.Result {
+func (t *leaseTable) recordIntent(limits Limits, known int, in laburnumlever.OrderIntent) laburnumlever.Result {
 	i := t.find(in.Lease)
 	if i < 0 {
 		return laburnumlever.Result{Code: laburnumlever.ResultUnknown, Detail: "no such lease"}
--- a/laburnumstate/machine.go
+++ b/laburnumstate/machine.go
@@ -91,8 +91,8 @@
 func (m *Machine) Apply(at int64, cmd laburnumlever.Command) laburnumlever.Result {
 	m.clock = max(m.clock, at)
 	m.claims.expire(m.clock, m.limits.ClaimMillis)
-	result := m.read(cmd)
-	if changes(cmd) {
+	result := m.readResult(cmd)
+	if mutates(cmd) {
 		result = m.dispatch(cmd)
 	}
 	if result.Revision == 0 { // a recorded answer keeps the revision that it gave
@@ -101,14 +101,14 @@
 	return result
 }
 
-// changes tells commands that change the state from those that only take a place
+// mutates tells commands that change the state from those that only take a place
 // in the log.
-func changes(cmd laburnumlever.Command) bool {
+func mutates(cmd laburnumlever.Command) bool {
 	return cmd.Kind != laburnumlever.CommandNoop && cmd.Kind != laburnumlever.CommandReadRoutes
 }
 
-// read answers a command that changes nothing.
-func (m *Machine) read(cmd laburnumlever.Command) laburnumlever.Result {
+// readResult answers a command that changes nothing.
+func (m *Machine) readResult(cmd laburnumlever.Command) laburnumlever.Result {
 	if cmd.Kind == laburnumlever.CommandReadRoutes {
 		return laburnumlever.Result{Routes: m.routes}
 	}
@@ -140,7 +140,7 @@
 		return laburnumlever.Result{Code: laburnumlever.ResultInvalid, Detail: "a change needs an id"}
 	}
 	if known, ok := m.changes.find(a.ChangeID); ok {
-		return known.resend(digest)
+		return known.repeatResult(digest)
 	}
 	if a.AskOnly {
 		return laburnumlever.Result{Code: laburnumlever.ResultUnknown, Detail: "the change id is not known"}
