--- a/laburnumstate/changes.go
+++ b/laburnumstate/changes.go
@@ -2,8 +2,8 @@
 
 import "laburnumlever"
 
-// change is what was answered to a change id. A conflict is kept too: a late
-// copy of a refused change could otherwise find its number current one day.
+// change is the recorded result of a change id. Conflicts are recorded too: otherwise a
+// delayed copy of a refused change could be applied once its expected revision is current.
 type change struct {
 	ID       string                   `json:"id"`
 	Digest   uint64                   `json:"digest"`
@@ -11,10 +11,11 @@
 	Revision uint64                   `json:"revision"`
 }
 
+// repeatResult returns the result for a repeated change id.
 func (c change) repeatResult(digest uint64) laburnumlever.Result {
 	switch {
 	case c.Digest != digest:
-		return laburnumlever.Result{Code: laburnumlever.ResultMismatch, Detail: "the change id was used with other content"}
+		return laburnumlever.Result{Code: laburnumlever.ResultMismatch, Detail: "the change id was already used with different content"}
 	case c.Code == laburnumlever.ResultOK:
 		return laburnumlever.Result{Code: laburnumlever.ResultRepeated, Revision: c.Revision}
 	default:
@@ -22,7 +23,7 @@
 	}
 }
 
-// changeTable remembers the latest changes, the oldest first.
+// changeTable holds the latest changes, oldest first.
 type changeTable struct {
 	list []change
 	byID map[string]change
--- a/laburnumstate/claims.go
+++ b/laburnumstate/claims.go
@@ -6,14 +6,14 @@
 	"laburnumlever"
 )
 
-// claimKey names a request: a key is its owner's own, for one service.
+// claimKey identifies a request. Keys are scoped to an owner and a service.
 type claimKey struct {
 	Owner   laburnumlever.OwnerName   `json:"owner"`
 	Service laburnumlever.ServiceName `json:"service"`
 	Key     string                    `json:"key"`
 }
 
-// claim is the one run of a request.
+// claim is the record that a VM may run a request, and of its outcome once settled.
 type claim struct {
 	claimKey
 	Digest  uint64                        `json:"digest"`
@@ -25,8 +25,8 @@
 	Answer  *laburnumlever.RecordedAnswer `json:"answer,omitempty"`
 }
 
-// claimTable holds the claims in the order in which they were last touched, so
-// that to expire them costs only what has expired.
+// claimTable holds the claims ordered by when they were last touched, so that the cost
+// of expiry is proportional to the number of expired claims.
 type claimTable struct {
 	byKey   map[claimKey]*list.Element
 	order   *list.List
@@ -43,48 +43,49 @@
 }
 
 func claimOf(e *list.Element) *claim {
-	return e.Value.(*claim) //nolint:forcetypeassert // the lists hold nothing but claims
+	return e.Value.(*claim) //nolint:forcetypeassert // the lists hold only claims
 }
 
 func (t *claimTable) claim(now int64, limits Limits, r laburnumlever.ClaimRequest) laburnumlever.Result {
 	key := claimKey{Owner: r.Owner, Service: r.Service, Key: r.Key}
 	if r.Key == "" {
-		return laburnumlever.Result{Code: laburnumlever.ResultInvalid, Detail: "a claim needs a key"}
+		return laburnumlever.Result{Code: laburnumlever.ResultInvalid, Detail: "the claim has no key"}
 	}
 	if e, ok := t.byKey[key]; ok {
 		return t.existingResult(*claimOf(e), r)
 	}
 	if len(t.byKey) >= limits.Claims || t.byOwner[r.Owner] >= limits.OwnerClaims {
-		return laburnumlever.Result{Code: laburnumlever.ResultFull, Detail: "no room for another claim"}
+		return laburnumlever.Result{Code: laburnumlever.ResultFull, Detail: "the claim table or the owner's share of it is full"}
 	}
 	t.insert(&claim{claimKey: key, Digest: r.Digest, VM: r.VM, Claim: r.Claim, Touched: now})
 	return laburnumlever.Result{Code: laburnumlever.ResultOK, Holder: r.VM}
 }
 
+// existingResult returns the result for a claim whose key is already claimed.
 func (t *claimTable) existingResult(c claim, r laburnumlever.ClaimRequest) laburnumlever.Result {
 	switch {
 	case c.Digest != r.Digest:
-		return laburnumlever.Result{Code: laburnumlever.ResultMismatch, Detail: "the key was used with other content"}
+		return laburnumlever.Result{Code: laburnumlever.ResultMismatch, Detail: "the key was already used with different content"}
 	case c.Settled:
 		return laburnumlever.Result{Code: laburnumlever.ResultAnswered, Holder: c.VM, Outcome: c.Outcome, Answer: c.Answer}
 	case r.Claim != "" && c.Claim == r.Claim:
-		// The same command a second time, its first answer lost.
+		// The same command again, after its first answer was lost.
 		return laburnumlever.Result{Code: laburnumlever.ResultOK, Holder: c.VM}
 	default:
 		return laburnumlever.Result{Code: laburnumlever.ResultClaimed, Holder: c.VM}
 	}
 }
 
-// answer settles a claim. Only the VM that holds it may; what is settled as
-// answered stays so.
+// answer settles a claim, or frees it if the request did not run. Only the VM that
+// holds the claim may do so. A claim settled as answered does not change.
 func (t *claimTable) answer(now int64, limits Limits, r laburnumlever.RecordAnswer) laburnumlever.Result {
 	e, ok := t.byKey[claimKey{Owner: r.Owner, Service: r.Service, Key: r.Key}]
 	if !ok {
-		return laburnumlever.Result{Code: laburnumlever.ResultUnknown, Detail: "no such claim"}
+		return laburnumlever.Result{Code: laburnumlever.ResultUnknown, Detail: "no claim has this key"}
 	}
 	c := claimOf(e)
-	// A record that was held up on its way must not settle or free a later claim on
-	// the same key: freeing one whose call is being run would let it run twice.
+	// A delayed record must not settle or free a later claim on the same key: freeing the
+	// claim of a request that is running would let the request run twice.
 	if c.VM != r.VM || (r.Claim != "" && c.Claim != r.Claim) {
 		return laburnumlever.Result{Code: laburnumlever.ResultNotHolder, Holder: c.VM}
 	}
@@ -104,9 +105,9 @@
 	return laburnumlever.Result{Code: laburnumlever.ResultOK, Outcome: c.Outcome}
 }
 
-// storeAnswer stores an answer within the bounds. An answer that does not fit
-// leaves its claim settled as unknown: the caller is then told that it is not
-// run again, which is true, rather than an empty answer, which would not be.
+// storeAnswer stores an answer within the limits, evicting the oldest answers. If the
+// answer is too large, its claim is settled with an unknown outcome: the caller learns
+// that the request is not run again, which is true, while an empty answer would be wrong.
 func (t *claimTable) storeAnswer(limits Limits, c *claim, answer *laburnumlever.RecordedAnswer) {
 	if answer == nil || answerSize(answer) > limits.AnswerBytes {
 		if c.Outcome == laburnumlever.OutcomeAnswered {
@@ -164,7 +165,7 @@
 	}
 }
 
-// expire forgets the claims last touched too long ago.
+// expire removes the claims last touched more than keep milliseconds before now.
 func (t *claimTable) expire(now, keep int64) {
 	for e := t.order.Front(); e != nil && claimOf(e).Touched < now-keep; e = t.order.Front() {
 		t.remove(e)
--- a/laburnumstate/claims_test.go
+++ b/laburnumstate/claims_test.go
@@ -9,10 +9,9 @@
 	"laburnumlever/laburnumstate"
 )
 
-// A caller's booking is told not-run since its claim hung in a cut; the VM sends the
-// word that frees the claim, and that hangs too. The caller's second try is claimed
-// and runs. Then the old word arrives: if it freed the second claim, a third try
-// would run the booking twice.
+// Guards against a delayed release freeing a later claim on the same key: the release of the
+// first attempt arrives while the second one is claimed and runs, and a third attempt would
+// then run the request twice.
 func TestLateReleaseDoesNotFreeALaterClaim(t *testing.T) {
 	m := laburnumstate.New()
 	claim := func(id string) laburnumlever.ResultCode {
--- a/laburnumstate/leases.go
+++ b/laburnumstate/leases.go
@@ -6,17 +6,18 @@
 	"laburnumlever"
 )
 
-// Lease is a named lease. Fence is that of the last grant; Holder is empty when
-// nobody holds it.
+// Lease is a named lease. Fence is the fencing number of the last grant; Holder is empty
+// if the lease is free.
 type Lease struct {
 	Name        string                 `json:"name"`
 	Holder      laburnumlever.VMID     `json:"holder,omitempty"`
 	Incarnation uint64                 `json:"incarnation,omitempty"`
 	Fence       uint64                 `json:"fence"`
 	TTL         laburnumlever.Duration `json:"ttl"`
-	// Renewals counts the renewals since the grant.
+	// Renewals is the number of renewals since the grant.
 	Renewals uint64 `json:"renewals"`
-	// Idle is at most the time for which the last holder had not renewed it.
+	// Idle is at most the time for which the last holder had not renewed the lease when it
+	// expired; 0 if it was released.
 	Idle laburnumlever.Duration `json:"idle,omitempty"`
 }
 
@@ -24,8 +25,8 @@
 	return l.Holder == by.Holder && l.Incarnation == by.Incarnation && l.Holder != ""
 }
 
-// leaseTable holds leases and intents. Fences come from one counter, so that a
-// number is never given twice, whatever the lease.
+// leaseTable holds leases and intents. All leases draw fencing numbers from one counter,
+// so that a number is never granted twice.
 type leaseTable struct {
 	fence   uint64
 	list    []Lease
@@ -63,11 +64,11 @@
 
 func (t *leaseTable) acquire(limits Limits, i int, c laburnumlever.LeaseCommand) laburnumlever.Result {
 	if c.Name == "" || c.Holder == "" || c.TTL <= 0 {
-		return laburnumlever.Result{Code: laburnumlever.ResultInvalid, Detail: "a lease needs a name, a holder and a time"}
+		return laburnumlever.Result{Code: laburnumlever.ResultInvalid, Detail: "the lease lacks a name, a holder or a positive TTL"}
 	}
 	switch {
 	case i < 0 && len(t.list) >= limits.Leases:
-		return laburnumlever.Result{Code: laburnumlever.ResultFull, Detail: "no room for another lease"}
+		return laburnumlever.Result{Code: laburnumlever.ResultFull, Detail: "the lease table is full"}
 	case i < 0:
 		t.list = append(t.list, Lease{Name: c.Name})
 		i = len(t.list) - 1
@@ -85,6 +86,7 @@
 	return result
 }
 
+// grantResult returns the lease's holder and fence with the unresolved intents under it.
 func (t *leaseTable) grantResult(i int) laburnumlever.Result {
 	l := t.list[i]
 	result := laburnumlever.Result{Code: laburnumlever.ResultOK, Holder: l.Holder, Fence: l.Fence}
@@ -106,8 +108,8 @@
 	return t.grantResult(i)
 }
 
-// expire frees the lease if nothing has happened to it since the leader last
-// looked: a renewal on its way when the leader's time ran out wins.
+// expire frees the lease unless it was renewed or granted again since the leader proposed
+// the expiry: a renewal that was in flight at that time wins.
 func (t *leaseTable) expire(i int, c laburnumlever.LeaseCommand) laburnumlever.Result {
 	l := t.list[i]
 	if l.Holder == "" || l.Fence != c.Fence || l.Renewals != c.Renewals {
@@ -122,7 +124,8 @@
 	return laburnumlever.Result{Code: laburnumlever.ResultOK, Fence: l.Fence}
 }
 
-// replace keeps the old list whole for whoever has read it.
+// replace sets one lease in a copy of the list, so that images and callers of Leases keep
+// an unchanged list.
 func (t *leaseTable) replace(i int, l Lease) {
 	t.list = slices.Clone(t.list)
 	t.list[i] = l
@@ -133,7 +136,7 @@
 	switch kind {
 	case laburnumlever.CommandResolveIntent:
 		if known < 0 {
-			return laburnumlever.Result{Code: laburnumlever.ResultUnknown, Detail: "no such intent"}
+			return laburnumlever.Result{Code: laburnumlever.ResultUnknown, Detail: "no intent has this order id"}
 		}
 		t.intents = slices.Delete(slices.Clone(t.intents), known, known+1)
 		return laburnumlever.Result{Code: laburnumlever.ResultOK}
@@ -144,8 +147,8 @@
 	}
 }
 
-// recordIntent takes an intent only under the lease's present fence: a holder that was
-// frozen past its lease must not order anything more.
+// recordIntent accepts an intent only with the lease's current fence: a holder that was
+// frozen until its lease expired must not send further orders.
 func (t *leaseTable) recordIntent(limits Limits, known int, in laburnumlever.OrderIntent) laburnumlever.Result {
 	i := t.find(in.Lease)
 	if i < 0 {
@@ -159,7 +162,7 @@
 		return laburnumlever.Result{Code: laburnumlever.ResultOK, Fence: l.Fence}
 	}
 	if len(t.intents) >= limits.Intents {
-		return laburnumlever.Result{Code: laburnumlever.ResultFull, Detail: "no room for another intent"}
+		return laburnumlever.Result{Code: laburnumlever.ResultFull, Detail: "the intent table is full"}
 	}
 	t.intents = append(slices.Clone(t.intents), in)
 	return laburnumlever.Result{Code: laburnumlever.ResultOK, Fence: l.Fence}
--- a/laburnumstate/machine.go
+++ b/laburnumstate/machine.go
@@ -9,29 +9,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Limits bound the tables. They must be the same on all replicas.
+// Limits bounds the tables. It must be the same on all replicas.
 type Limits struct {
-	// Changes is how many change ids are remembered, the oldest forgotten.
-	// A forgotten one resent fails on its expected revision.
+	// Changes is the maximum number of change ids; the oldest are dropped first. A
+	// change resent after that fails on its expected revision.
 	Changes int
-	// Claims is how many claims are held at once; a further one is refused.
+	// Claims is the maximum number of claims; further ones are refused.
 	Claims int
-	// OwnerClaims is how many of them one owner may hold, so that one owner
-	// can't use up the table for all.
+	// OwnerClaims is the maximum number of claims per owner, so that one owner can't
+	// fill the table.
 	OwnerClaims int
-	// ClaimMillis is how long a claim is kept after the last command on it.
+	// ClaimMillis is how many milliseconds a claim is kept after it was claimed or
+	// settled, whichever is later.
 	ClaimMillis int64
-	// AnswerBytes bounds one recorded answer, TotalBytes all together. Beyond
-	// them the claim stays, and its answer becomes unknown.
+	// AnswerBytes bounds one recorded answer, TotalBytes all of them. A claim whose
+	// answer exceeds a bound stays, with an unknown outcome.
 	AnswerBytes int
 	TotalBytes  int
-	// Intents and Leases bound the rest.
+	// Intents and Leases are the maximum numbers of unresolved intents and of leases.
 	Intents int
 	Leases  int
 }
 
-// DefaultLimits are those of a deployment: at 200 claims a second for ten
-// minutes the table is just not full.
+// DefaultLimits returns the limits for a deployment: 200 claims per second, each kept for
+// ten minutes, almost fill the table.
 func DefaultLimits() Limits {
 	const (
 		claims      = 1 << 17
@@ -51,19 +52,19 @@
 	limits    Limits
 	clock     int64
 	catalogue laburnumlever.Catalogue
-	routes    *laburnumlever.EncodedRoutes // nil before the first
+	routes    *laburnumlever.EncodedRoutes // nil before the first table
 	changes   changeTable
 	claims    claimTable
 	leases    leaseTable
 }
 
-// Option changes a new machine.
+// Option configures a new machine.
 type Option func(*Machine)
 
-// WithLimits sets the bounds of the tables.
+// WithLimits sets the limits of the tables.
 func WithLimits(limits Limits) Option { return func(m *Machine) { m.limits = limits } }
 
-// New makes an empty machine.
+// New returns an empty machine.
 func New(opts ...Option) *Machine {
 	m := &Machine{limits: DefaultLimits()}
 	for _, opt := range opts {
@@ -74,20 +75,20 @@
 	return m
 }
 
-// Catalogue is the one last accepted; revision 0 when none was.
+// Catalogue returns the last accepted catalogue, with revision 0 if there is none.
 func (m *Machine) Catalogue() laburnumlever.Catalogue { return m.catalogue }
 
-// Clock is the latest time of a command, in the leader's milliseconds.
+// Clock returns the latest time of a command, in milliseconds by the leader's clock.
 func (m *Machine) Clock() int64 { return m.clock }
 
-// Leases are those held or held before, in the order of their first grant.
+// Leases returns all leases that were ever granted, in the order of their first grant.
 func (m *Machine) Leases() []Lease { return m.leases.list }
 
-// ClaimCount is the number of claims held.
+// ClaimCount returns the number of claims.
 func (m *Machine) ClaimCount() int { return len(m.claims.byKey) }
 
-// Apply runs one command. At is the leader's clock in milliseconds; a time before
-// the latest one counts as the latest one.
+// Apply applies one command. The argument at is the leader's clock in milliseconds; a time
+// before the latest one counts as the latest one.
 func (m *Machine) Apply(at int64, cmd laburnumlever.Command) laburnumlever.Result {
 	m.clock = max(m.clock, at)
 	m.claims.expire(m.clock, m.limits.ClaimMillis)
@@ -95,19 +96,19 @@
 	if mutates(cmd) {
 		result = m.dispatch(cmd)
 	}
-	if result.Revision == 0 { // a recorded answer keeps the revision that it gave
+	if result.Revision == 0 { // the result of a change has its own revision
 		result.Revision = m.catalogue.Revision
 	}
 	return result
 }
 
-// mutates tells commands that change the state from those that only take a place
-// in the log.
+// mutates reports whether the command can change the state; the others only need a
+// position in the log.
 func mutates(cmd laburnumlever.Command) bool {
 	return cmd.Kind != laburnumlever.CommandNoop && cmd.Kind != laburnumlever.CommandReadRoutes
 }
 
-// readResult answers a command that changes nothing.
+// readResult returns the result of a command that does not change the state.
 func (m *Machine) readResult(cmd laburnumlever.Command) laburnumlever.Result {
 	if cmd.Kind == laburnumlever.CommandReadRoutes {
 		return laburnumlever.Result{Routes: m.routes}
@@ -130,20 +131,20 @@
 	case cmd.Intent != nil:
 		return m.leases.applyIntent(m.limits, cmd.Kind, *cmd.Intent)
 	default:
-		return laburnumlever.Result{Code: laburnumlever.ResultInvalid, Detail: "the command's kind and content do not agree"}
+		return laburnumlever.Result{Code: laburnumlever.ResultInvalid, Detail: "the command lacks the content for its kind"}
 	}
 }
 
 func (m *Machine) applyCatalogue(a laburnumlever.ApplyCatalogue) laburnumlever.Result {
 	digest, err := contentDigest(a.WithAskOnly(false))
 	if err != nil || a.ChangeID == "" {
-		return laburnumlever.Result{Code: laburnumlever.ResultInvalid, Detail: "a change needs an id"}
+		return laburnumlever.Result{Code: laburnumlever.ResultInvalid, Detail: "the change has no id or can't be encoded"}
 	}
 	if known, ok := m.changes.find(a.ChangeID); ok {
 		return known.repeatResult(digest)
 	}
 	if a.AskOnly {
-		return laburnumlever.Result{Code: laburnumlever.ResultUnknown, Detail: "the change id is not known"}
+		return laburnumlever.Result{Code: laburnumlever.ResultUnknown, Detail: "the change id is unknown"}
 	}
 	result := laburnumlever.Result{Code: laburnumlever.ResultConflict, Revision: m.catalogue.Revision}
 	if a.ExpectedRevision == m.catalogue.Revision {
@@ -162,13 +163,12 @@
 	return xxhash.Sum64(data), nil
 }
 
-// Routes is the route table with the highest version accepted; nil before the
-// first.
+// Routes returns the route table with the highest accepted version, nil before the first.
 func (m *Machine) Routes() *laburnumlever.EncodedRoutes { return m.routes }
 
-// applyRoutes takes a table with a higher version than the one held. A lower or
-// equal one is accepted and changes nothing: its sender has lost an answer, or
-// another operator was faster.
+// applyRoutes stores a table with a higher version than the current one. A lower or equal
+// version is acknowledged without effect: its sender lost an answer, or another operator's
+// change came first.
 func (m *Machine) applyRoutes(t laburnumlever.EncodedRoutes) laburnumlever.Result {
 	if m.routes == nil || t.Version() > m.routes.Version() {
 		m.routes = &t
--- a/laburnumstate/machine_test.go
+++ b/laburnumstate/machine_test.go
@@ -46,7 +46,7 @@
 	}}
 }
 
-// step is a command, when it comes, and the verdict wanted.
+// step is a command, its time in milliseconds and the expected result code.
 type step struct {
 	at   int64
 	cmd  laburnumlever.Command
@@ -69,7 +69,7 @@
 			{0, apply("x", 0, "one"), ok}, {0, apply("y", 1, "two"), ok}, {0, apply("x", 0, "one"), repeated},
 		},
 		"a change id with other content": {{0, apply("x", 0, "one"), ok}, {0, apply("x", 0, "two"), mismatch}},
-		"a refused change stays refused when its number comes": {
+		"a refused change stays refused at its expected revision": {
 			{0, apply("early", 1, "early"), conflict}, {0, apply("x", 0, "one"), ok}, {0, apply("early", 1, "early"), conflict},
 		},
 		"a change without an id": {{0, apply("", 0, "one"), invalid}},
@@ -83,10 +83,10 @@
 		},
 		"the same claim twice is one": {{0, claim("k", 1, "1"), ok}, {0, claim("k", 1, "1"), ok}},
 		"a key with other content":    {{0, claim("k", 1, "1"), ok}, {0, claim("k", 2, "2"), mismatch}},
-		"what did not run is free": {
+		"a request that did not run can be claimed again": {
 			{0, claim("k", 1, "1"), ok}, {0, answer("k", laburnumlever.OutcomeNotRun, ""), ok}, {0, claim("k", 1, "2"), ok},
 		},
-		"an owner's share is full, until time passes": {
+		"an owner's share is full until claims expire": {
 			{0, claim("k", 1, "1"), ok},
 			{50, claim("l", 1, "2"), ok},
 			{60, claim("m", 1, "3"), full},
@@ -107,7 +107,7 @@
 			{0, lease(release, "b", 2, 0), ok},
 			{0, lease(renew, "b", 2, 0), notHolder},
 		},
-		"a frozen holder's intent is refused": {
+		"the intent of a former holder is refused": {
 			{0, intent(record, "o1", 1), unknown},
 			{0, lease(acquire, "a", 0, 0), ok},
 			{0, intent(record, "o1", 1), ok},
@@ -126,7 +126,7 @@
 			m := laburnumstate.New(laburnumstate.WithLimits(limits))
 			for i, s := range steps {
 				require.Equal(t, s.want, m.Apply(s.at, s.cmd).Code, "step %d", i)
-				// A snapshot in between must change nothing.
+				// Restoring from a snapshot after each step must not change the results.
 				data, err := m.Image().Encode()
 				require.NoError(t, err)
 				m, err = laburnumstate.Decode(data, laburnumstate.WithLimits(limits))
@@ -146,7 +146,7 @@
 	require.Len(t, granted.Intents, 1)
 }
 
-// Guards against a time of the last owner but one, or of one that released its lease.
+// Guards against an idle time of a holder before the last one, or of one that released its lease.
 func TestLeaseIdleTimeIsOfLastHolder(t *testing.T) {
 	m := laburnumstate.New()
 	expire := lease(laburnumlever.CommandExpireLease, "a", 1, 0)
@@ -159,8 +159,8 @@
 	require.Zero(t, m.Apply(0, lease(laburnumlever.CommandAcquireLease, "c", 0, 0)).Idle)
 }
 
-// An answer too large to keep, or pushed out by newer ones, must never come back
-// as an empty answer, and its request must never run again.
+// Guards against an answer that is too large or was evicted being returned as an empty answer,
+// and against its request being run again.
 func TestAnswersBeyondTheBoundsBecomeUnknown(t *testing.T) {
 	limits := laburnumstate.DefaultLimits()
 	limits.AnswerBytes, limits.TotalBytes = 8, 10
@@ -182,7 +182,7 @@
 	}
 }
 
-// Replicas that start from a snapshot at any place must end where the others do.
+// Guards against replicas that diverge after they were restored from a snapshot.
 func TestSnapshotAtAnyPointGivesSameState(t *testing.T) {
 	limits := laburnumstate.DefaultLimits()
 	limits.OwnerClaims, limits.ClaimMillis, limits.TotalBytes = 6, 30, 20
@@ -217,14 +217,14 @@
 	})
 }
 
-// BenchmarkClaimMemory is the heap that claims without answers take, and the cost
-// of applying and of copying them for a snapshot.
+// BenchmarkClaimMemory measures the heap size of claims without answers, and the time to
+// apply them, copy them for a snapshot and encode them.
 func BenchmarkClaimMemory(b *testing.B) {
 	const claims = 100_000
 	heap := func() uint64 {
 		var stats runtime.MemStats
 		runtime.GC()
-		runtime.GC() // what the first one swept late
+		runtime.GC() // frees what the first run swept late
 		runtime.ReadMemStats(&stats)
 		return stats.HeapAlloc
 	}
--- a/laburnumstate/replay_test.go
+++ b/laburnumstate/replay_test.go
@@ -11,7 +11,7 @@
 	"laburnumlever/laburnumstate"
 )
 
-// BenchmarkReplay is a restart after 50 changes of a route table with 353 models.
+// BenchmarkReplay measures a restart after 50 changes of a route table with 353 models.
 func BenchmarkReplay(b *testing.B) {
 	const changes, models = 50, 353
 	class := laburnumlever.EngineClass{Slots: 12}
--- a/laburnumstate/snapshot.go
+++ b/laburnumstate/snapshot.go
@@ -6,9 +6,9 @@
 	"laburnumlever"
 )
 
-// Image is the machine as it goes into a snapshot; its lists are in the order of the
-// tables, so that equal machines have equal images. It does not change when the
-// machine does, so a worker can encode it.
+// Image is a copy of the machine's state for a snapshot. Its lists have the order of the
+// tables, so that equal machines have equal images. It does not change when the machine
+// does, so another goroutine can encode it.
 type Image struct {
 	Clock     int64                        `json:"clock"`
 	Catalogue laburnumlever.Catalogue      `json:"catalogue"`
@@ -20,7 +20,7 @@
 	Intents   []laburnumlever.OrderIntent  `json:"intents,omitempty"`
 }
 
-// Image copies what a snapshot needs.
+// Image returns a copy of the state.
 func (m *Machine) Image() Image {
 	img := Image{
 		Clock: m.clock, Catalogue: m.catalogue, Routes: m.routes, Changes: m.changes.list,
@@ -33,7 +33,7 @@
 	return img
 }
 
-// Encode writes the image.
+// Encode encodes the image as JSON. An error is an *ImageError.
 func (img Image) Encode() ([]byte, error) {
 	data, err := json.Marshal(img)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return data, nil
 }
 
-// Decode makes a machine from what Encode wrote; no data makes an empty one. An
-// error is an *ImageError.
+// Decode returns a machine with the state that Encode has encoded, or an empty machine
+// if there is no data. An error is an *ImageError.
 func Decode(data []byte, opts ...Option) (*Machine, error) {
 	m := New(opts...)
 	if len(data) == 0 {
