--- a/laburnumdisk/crash_test.go
+++ b/laburnumdisk/crash_test.go
@@ -17,10 +17,10 @@
 // memoryFiles is a folder in memory that forgets, on a crash, what was not synced:
 // bytes written, and names made, renamed or removed.
 type memoryFiles struct {
-	now     map[string]*memoryFile
+	current map[string]*memoryFile
 	durable map[string]*memoryFile
-	// left counts down to the operation that fails, after half of its effect.
-	left int
+	// untilFailure counts down to the operation that fails, after half of its effect.
+	untilFailure int
 	// torn keeps half of the unsynced bytes at the crash, and makes removals
 	// durable at once, which they may be.
 	torn bool
@@ -33,23 +33,23 @@
 }
 
 func newMemoryFiles() *memoryFiles {
-	return &memoryFiles{now: map[string]*memoryFile{}, durable: map[string]*memoryFile{}, left: -1}
+	return &memoryFiles{current: map[string]*memoryFile{}, durable: map[string]*memoryFile{}, untilFailure: -1}
 }
 
-func (m *memoryFiles) crash(after int, torn bool) { m.left, m.torn = after, torn }
+func (m *memoryFiles) crash(after int, torn bool) { m.untilFailure, m.torn = after, torn }
 
 // fails tells whether this is the operation at which the machine goes down.
 func (m *memoryFiles) fails() bool {
-	if m.left == 0 {
+	if m.untilFailure == 0 {
 		return true
 	}
-	m.left--
+	m.untilFailure--
 	return false
 }
 
 // restart is the folder as the next start finds it.
 func (m *memoryFiles) restart() {
-	m.now = map[string]*memoryFile{}
+	m.current = map[string]*memoryFile{}
 	for name, f := range m.durable {
 		keep := f.synced
 		if m.torn {
@@ -57,20 +57,20 @@
 		}
 		g := &memoryFile{files: m, data: slices.Clone(f.data[:min(keep, len(f.data))])}
 		g.synced = len(g.data)
-		m.now[name] = g
+		m.current[name] = g
 	}
 	m.durable = map[string]*memoryFile{}
-	for name, f := range m.now {
+	for name, f := range m.current {
 		m.durable[name] = f
 	}
-	m.left = -1
+	m.untilFailure = -1
 }
 
 func (m *memoryFiles) MakeFolder(string) error { return nil }
 
 func (m *memoryFiles) List(string) ([]string, error) {
 	var names []string
-	for name := range m.now {
+	for name := range m.current {
 		names = append(names, filepath.Base(name))
 	}
 	slices.Sort(names)
@@ -78,7 +78,7 @@
 }
 
 func (m *memoryFiles) Read(path string) ([]byte, error) {
-	f, ok := m.now[path]
+	f, ok := m.current[path]
 	if !ok {
 		return nil, fs.ErrNotExist
 	}
@@ -86,7 +86,7 @@
 }
 
 func (m *memoryFiles) OpenAppend(path string) (laburnumdisk.File, error) {
-	if f, ok := m.now[path]; ok {
+	if f, ok := m.current[path]; ok {
 		return f, nil
 	}
 	return m.Create(path)
@@ -97,7 +97,7 @@
 		return nil, syscall.EIO
 	}
 	f := &memoryFile{files: m}
-	m.now[path] = f
+	m.current[path] = f
 	return f, nil
 }
 
@@ -105,8 +105,8 @@
 	if m.fails() {
 		return syscall.EIO
 	}
-	m.now[to] = m.now[from]
-	delete(m.now, from)
+	m.current[to] = m.current[from]
+	delete(m.current, from)
 	return nil
 }
 
@@ -114,7 +114,7 @@
 	if m.fails() {
 		return syscall.EIO
 	}
-	delete(m.now, path)
+	delete(m.current, path)
 	if m.torn {
 		delete(m.durable, path)
 	}
@@ -125,7 +125,7 @@
 	if m.fails() {
 		return syscall.EIO
 	}
-	m.now[path].data = m.now[path].data[:size]
+	m.current[path].data = m.current[path].data[:size]
 	return nil
 }
 
@@ -134,7 +134,7 @@
 		return syscall.EIO
 	}
 	m.durable = map[string]*memoryFile{}
-	for name, f := range m.now {
+	for name, f := range m.current {
 		m.durable[name] = f
 	}
 	return nil
@@ -160,7 +160,7 @@
 func (f *memoryFile) Close() error { return nil }
 
 // The machine goes down at every single file operation in turn, with what was not
-// synced gone or torn. Whatever Write had promised must be there at the next
+// synced gone or torn. Whatever Write had acknowledged must be there at the next
 // start, and what comes after must join on; a second crash soon after included.
 func TestCrashAtEveryOperation(t *testing.T) {
 	writes := []laburnumlog.Write{
@@ -171,7 +171,7 @@
 		for at := 0; ; at++ {
 			files := newMemoryFiles()
 			files.crash(at, torn)
-			done := drive(t, files, writes)
+			done := writeWithCrashes(t, files, writes)
 			if done {
 				require.Greater(t, at, 30)
 				break
@@ -194,15 +194,15 @@
 			files := newMemoryFiles()
 			s, _ := open(t, "data", opts(files)...)
 			files.crash(at, torn)
-			promised := 0
-			for promised < len(writes) && s.Write(writes[promised:promised+1]) == nil {
-				promised++
+			acknowledged := 0
+			for acknowledged < len(writes) && s.Write(writes[acknowledged:acknowledged+1]) == nil {
+				acknowledged++
 			}
-			failed = promised < len(writes)
-			files.left = -1
+			failed = acknowledged < len(writes)
+			files.untilFailure = -1
 			require.NoError(t, s.Rewind())
 			_, found := open(t, "data", opts(files)...)
-			requirePromised(t, found, writes, promised)
+			requireAcknowledged(t, found, writes, acknowledged)
 			files.restart()
 			_, r := open(t, "data", opts(files)...)
 			require.Equal(t, summary(found), summary(r), "operation %d refused", at)
@@ -210,19 +210,19 @@
 	}
 }
 
-// drive writes all, starting again after each crash, and checks each start; it
+// writeWithCrashes writes all, starting again after each crash, and checks each start; it
 // tells whether no crash happened.
-func drive(t *testing.T, files *memoryFiles, writes []laburnumlog.Write) bool {
+func writeWithCrashes(t *testing.T, files *memoryFiles, writes []laburnumlog.Write) bool {
 	t.Helper()
-	promised, crashes := 0, 0
+	acknowledged, crashes := 0, 0
 	for {
 		s, r, err := laburnumdisk.Open("data", laburnumdisk.WithFiles(files), laburnumdisk.WithSegmentBytes(300))
 		if err == nil {
-			requirePromised(t, r, writes, promised)
+			requireAcknowledged(t, r, writes, acknowledged)
 		}
-		for err == nil && promised < len(writes) {
-			if err = s.Write(writes[promised : promised+1]); err == nil {
-				promised++
+		for err == nil && acknowledged < len(writes) {
+			if err = s.Write(writes[acknowledged : acknowledged+1]); err == nil {
+				acknowledged++
 			}
 		}
 		if err == nil {
@@ -238,17 +238,17 @@
 	}
 }
 
-// requirePromised holds what a start found against the writes promised. The write
+// requireAcknowledged holds what a start found against the writes acknowledged. The write
 // after them may be there too, or of it only the snapshot.
-func requirePromised(t *testing.T, r laburnumlog.Recovered, writes []laburnumlog.Write, promised int) {
+func requireAcknowledged(t *testing.T, r laburnumlog.Recovered, writes []laburnumlog.Write, acknowledged int) {
 	t.Helper()
-	want := []string{summary(model(writes[:promised]))}
-	if promised < len(writes) {
-		next := writes[promised]
-		want = append(want, summary(model(writes[:promised+1])))
+	want := []string{summary(model(writes[:acknowledged]))}
+	if acknowledged < len(writes) {
+		next := writes[acknowledged]
+		want = append(want, summary(model(writes[:acknowledged+1])))
 		if next.Snapshot != nil {
-			half := model(writes[:promised+1])
-			half.Hard = model(writes[:promised]).Hard
+			half := model(writes[:acknowledged+1])
+			half.Hard = model(writes[:acknowledged]).Hard
 			want = append(want, summary(half))
 		}
 	}
--- a/laburnumdisk/identity.go
+++ b/laburnumdisk/identity.go
@@ -44,5 +44,5 @@
 	if err != nil {
 		return &IOError{Operation: "encode", File: identityName, Cause: err}
 	}
-	return s.writeBeside(identityName, encodeFrame(s.identity.Boot, data))
+	return s.writeAtomically(identityName, encodeFrame(s.identity.Boot, data))
 }
--- a/laburnumdisk/setaside.go
+++ b/laburnumdisk/quarantine.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-const asidePrefix = "damaged-"
+const quarantinePrefix = "damaged-"
 
 // SetAside renames all that a damaged folder holds, so that Open finds it empty and
 // gives it a new identity. What was set aside before is removed: one damaged
@@ -20,7 +20,7 @@
 		return &IOError{Operation: "list", File: folder, Cause: err}
 	}
 	for _, name := range names {
-		if strings.HasPrefix(name, asidePrefix) {
+		if strings.HasPrefix(name, quarantinePrefix) {
 			if err := s.remove(name); err != nil {
 				return err
 			}
@@ -29,20 +29,20 @@
 	// The identity goes first: a crash half way leaves a log without an identity,
 	// which is known as damaged; an identity without its log would start as the
 	// old instance, with its votes forgotten.
-	for _, name := range asideOrder(names) {
+	for _, name := range quarantineOrder(names) {
 		from := filepath.Join(folder, name)
-		if err := s.files.Rename(from, filepath.Join(folder, asidePrefix+name)); err != nil {
+		if err := s.files.Rename(from, filepath.Join(folder, quarantinePrefix+name)); err != nil {
 			return &IOError{Operation: "rename", File: name, Cause: err}
 		}
 	}
 	return s.syncFolder()
 }
 
-func asideOrder(names []string) []string {
+func quarantineOrder(names []string) []string {
 	var order []string
 	for _, name := range names {
 		switch {
-		case strings.HasPrefix(name, asidePrefix):
+		case strings.HasPrefix(name, quarantinePrefix):
 		case name == identityName:
 			order = append([]string{name}, order...)
 		default:
--- a/laburnumdisk/record.go
+++ b/laburnumdisk/record.go
@@ -21,8 +21,8 @@
 	entries []laburnumlog.Entry
 }
 
-// take adds one frame.
-func (r *replay) take(file string, offset int64, number uint64, payload []byte) error {
+// applyFrame adds one frame.
+func (r *replay) applyFrame(file string, offset int64, number uint64, payload []byte) error {
 	if r.number != 0 && number != r.number+1 {
 		return &DamagedError{File: file, Offset: offset, Detail: "a frame is missing before this one"}
 	}
@@ -36,14 +36,14 @@
 		r.entries = nil
 	}
 	for _, e := range rec.Entries {
-		if !r.add(e) {
+		if !r.appendEntry(e) {
 			return &DamagedError{File: file, Offset: offset, Detail: "entries do not follow each other"}
 		}
 	}
 	return nil
 }
 
-func (r *replay) add(e laburnumlog.Entry) bool {
+func (r *replay) appendEntry(e laburnumlog.Entry) bool {
 	if len(r.entries) == 0 {
 		r.entries = append(r.entries, e)
 		return true
@@ -62,9 +62,9 @@
 	return true
 }
 
-// after returns the entries that go on from the snapshot. Entries that contradict
+// entriesAfter returns the entries that go on from the snapshot. Entries that contradict
 // it are from before a snapshot that the leader sent.
-func (r *replay) after(s laburnumlog.Snapshot) ([]laburnumlog.Entry, bool) {
+func (r *replay) entriesAfter(s laburnumlog.Snapshot) ([]laburnumlog.Entry, bool) {
 	if len(r.entries) == 0 {
 		return nil, true
 	}
--- a/laburnumdisk/segment.go
+++ b/laburnumdisk/segment.go
@@ -48,14 +48,14 @@
 			return log, err
 		}
 		if end < len(data) {
-			if i < len(segments)-1 || wholeFrameIn(data[end:]) {
+			if i < len(segments)-1 || containsFrame(data[end:]) {
 				return log, &DamagedError{File: name, Offset: int64(end), Detail: "a frame that was synced is not whole"}
 			}
-			if err := s.cut(name, int64(end)); err != nil {
+			if err := s.truncateSegment(name, int64(end)); err != nil {
 				return log, err
 			}
 		}
-		s.segments = append(s.segments, segment{name: name, size: int64(end), last: log.last()})
+		s.segments = append(s.segments, segment{name: name, size: int64(end), last: log.lastIndex()})
 	}
 	return log, nil
 }
@@ -69,21 +69,21 @@
 		if !ok {
 			return end, nil
 		}
-		if err := log.take(name, int64(end), number, payload); err != nil {
+		if err := log.applyFrame(name, int64(end), number, payload); err != nil {
 			return end, err
 		}
-		end += frameHeader + len(payload)
+		end += frameHeaderSize + len(payload)
 	}
 }
 
-func (r *replay) last() uint64 {
+func (r *replay) lastIndex() uint64 {
 	if len(r.entries) == 0 {
 		return 0
 	}
 	return r.entries[len(r.entries)-1].Index
 }
 
-func (s *Store) cut(name string, size int64) error {
+func (s *Store) truncateSegment(name string, size int64) error {
 	path := filepath.Join(s.folder, name)
 	if err := s.files.Truncate(path, size); err != nil {
 		return &IOError{Operation: "truncate", File: name, Cause: err}
@@ -110,7 +110,7 @@
 		}
 		s.file = nil
 	}
-	name := segmentName(s.number + 1)
+	name := segmentName(s.lastFrame + 1)
 	f, err := s.files.Create(filepath.Join(s.folder, name))
 	if err != nil {
 		return &IOError{Operation: "create", File: name, Cause: err}
@@ -127,10 +127,10 @@
 	return s.segments[len(s.segments)-1].last
 }
 
-// dropCovered removes the segments whose entries a durable snapshot covers. Each
+// removeCoveredSegments removes the segments whose entries a durable snapshot covers. Each
 // frame carries the hard state, so nothing else is lost with them; a last segment
 // that a crash left empty carries none, and then the one before it stays.
-func (s *Store) dropCovered(index uint64) error {
+func (s *Store) removeCoveredSegments(index uint64) error {
 	for len(s.segments) > 1 && s.segments[0].last <= index && s.segments[len(s.segments)-1].size > 0 {
 		if err := s.remove(s.segments[0].name); err != nil {
 			return err
--- a/laburnumdisk/snapshot.go
+++ b/laburnumdisk/snapshot.go
@@ -12,7 +12,7 @@
 const (
 	snapshotPrefix = "snapshot-"
 	snapshotSuffix = ".snap"
-	halfWritten    = ".tmp"
+	tempSuffix     = ".tmp"
 )
 
 func snapshotName(index uint64) string {
@@ -23,11 +23,11 @@
 	return strings.HasPrefix(name, snapshotPrefix) && strings.HasSuffix(name, snapshotSuffix)
 }
 
-// writeBeside makes a file durable under its name in one step: after a crash it is
+// writeAtomically makes a file durable under its name in one step: after a crash it is
 // there whole, or not at all.
-func (s *Store) writeBeside(name string, data []byte) error {
+func (s *Store) writeAtomically(name string, data []byte) error {
 	path := filepath.Join(s.folder, name)
-	f, err := s.files.Create(path + halfWritten)
+	f, err := s.files.Create(path + tempSuffix)
 	if err != nil {
 		return &IOError{Operation: "create", File: name, Cause: err}
 	}
@@ -42,7 +42,7 @@
 	if err := f.Close(); err != nil {
 		return &IOError{Operation: "close", File: name, Cause: err}
 	}
-	if err := s.files.Rename(path+halfWritten, path); err != nil {
+	if err := s.files.Rename(path+tempSuffix, path); err != nil {
 		return &IOError{Operation: "rename", File: name, Cause: err}
 	}
 	return s.syncFolder()
@@ -60,7 +60,7 @@
 	if err != nil {
 		return &IOError{Operation: "encode", File: snapshotName(snapshot.Index), Cause: err}
 	}
-	if err := s.writeBeside(snapshotName(snapshot.Index), encodeFrame(snapshot.Index, data)); err != nil {
+	if err := s.writeAtomically(snapshotName(snapshot.Index), encodeFrame(snapshot.Index, data)); err != nil {
 		return err
 	}
 	old := s.snapshot
@@ -101,7 +101,7 @@
 		return snapshot, &IOError{Operation: "read", File: s.snapshot, Cause: err}
 	}
 	_, payload, ok := decodeFrame(data)
-	if !ok || len(payload)+frameHeader != len(data) {
+	if !ok || len(payload)+frameHeaderSize != len(data) {
 		return snapshot, &DamagedError{File: s.snapshot, Detail: "the snapshot's length or CRC is wrong"}
 	}
 	if err := json.Unmarshal(payload, &snapshot); err != nil {
--- a/laburnumdisk/store.go
+++ b/laburnumdisk/store.go
@@ -10,14 +10,14 @@
 
 // Store is an open data folder. Its methods are called from one goroutine.
 type Store struct {
-	files    Files
-	folder   string
-	identity Identity
-	snapshot string // its file's name
-	segments []segment
-	file     File
-	number   uint64
-	rollAt   int64
+	files        Files
+	folder       string
+	identity     Identity
+	snapshot     string // its file's name
+	segments     []segment
+	file         File
+	lastFrame    uint64
+	segmentLimit int64
 	// reset, when set, is written with the next frame: a crash between a
 	// snapshot from the leader and its frame left entries that must not be
 	// joined with those that come now.
@@ -32,12 +32,12 @@
 func WithFiles(files Files) Option { return func(s *Store) { s.files = files } }
 
 // WithSegmentBytes sets when a segment is closed and the next begun.
-func WithSegmentBytes(n int64) Option { return func(s *Store) { s.rollAt = n } }
+func WithSegmentBytes(n int64) Option { return func(s *Store) { s.segmentLimit = n } }
 
 // Open reads the folder, making it if needed, and raises the count of its starts.
 // Errors are *DamagedError and *IOError.
 func Open(folder string, opts ...Option) (*Store, laburnumlog.Recovered, error) {
-	s := &Store{files: OSFiles(), folder: folder, rollAt: segmentBytes}
+	s := &Store{files: OSFiles(), folder: folder, segmentLimit: segmentBytes}
 	for _, opt := range opts {
 		opt(s)
 	}
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, recovered, &IOError{Operation: "list", File: folder, Cause: err}
 	}
-	if names, err = s.dropHalfWritten(names); err != nil {
+	if names, err = s.removeTempFiles(names); err != nil {
 		return nil, recovered, err
 	}
 	if err := s.readIdentity(names); err != nil {
@@ -58,13 +58,13 @@
 	if recovered, err = s.recover(names); err != nil {
 		return nil, recovered, err
 	}
-	return s, recovered, s.start()
+	return s, recovered, s.openLastSegment()
 }
 
-func (s *Store) dropHalfWritten(names []string) ([]string, error) {
+func (s *Store) removeTempFiles(names []string) ([]string, error) {
 	var kept []string
 	for _, name := range names {
-		if !strings.HasSuffix(name, halfWritten) {
+		if !strings.HasSuffix(name, tempSuffix) {
 			kept = append(kept, name)
 			continue
 		}
@@ -85,19 +85,19 @@
 	if err != nil {
 		return recovered, err
 	}
-	entries, ok := log.after(snapshot)
+	entries, ok := log.entriesAfter(snapshot)
 	if !ok {
 		return recovered, &DamagedError{File: s.folder, Detail: "entries between the snapshot and the log are missing"}
 	}
-	s.number = log.number
+	s.lastFrame = log.number
 	if len(log.entries) > 0 && len(entries) == 0 {
 		s.reset = snapshot.Index
 	}
 	return laburnumlog.Recovered{Hard: log.hard, Snapshot: snapshot, Entries: entries}, nil
 }
 
-// start opens the last segment for appending.
-func (s *Store) start() error {
+// openLastSegment opens the last segment for appending.
+func (s *Store) openLastSegment() error {
 	if len(s.segments) == 0 {
 		return s.roll()
 	}
@@ -128,17 +128,17 @@
 
 func (s *Store) write(writes []laburnumlog.Write) error {
 	var rec record
-	begun := false
+	hasWrites := false
 	for _, w := range writes {
 		if w.Empty {
 			continue
 		}
 		if w.Snapshot != nil {
-			if err := s.flush(rec, begun); err != nil {
+			if err := s.flush(rec, hasWrites); err != nil {
 				return err
 			}
 			rec = record{}
-			if err := s.takeSnapshot(w); err != nil {
+			if err := s.saveSnapshot(w); err != nil {
 				return err
 			}
 			if w.Reset {
@@ -147,23 +147,23 @@
 		}
 		rec.Hard = w.Hard
 		rec.Entries = append(rec.Entries, w.Entries...)
-		begun = true
+		hasWrites = true
 	}
-	return s.flush(rec, begun)
+	return s.flush(rec, hasWrites)
 }
 
-func (s *Store) takeSnapshot(w laburnumlog.Write) error {
+func (s *Store) saveSnapshot(w laburnumlog.Write) error {
 	if err := s.writeSnapshot(*w.Snapshot); err != nil {
 		return err
 	}
-	return s.dropCovered(w.Snapshot.Index)
+	return s.removeCoveredSegments(w.Snapshot.Index)
 }
 
-func (s *Store) flush(rec record, begun bool) error {
-	if !begun {
+func (s *Store) flush(rec record, hasWrites bool) error {
+	if !hasWrites {
 		return nil
 	}
-	if s.segments[len(s.segments)-1].size >= s.rollAt {
+	if s.segments[len(s.segments)-1].size >= s.segmentLimit {
 		if err := s.roll(); err != nil {
 			return err
 		}
@@ -176,14 +176,14 @@
 	if err != nil {
 		return &IOError{Operation: "encode", File: current.name, Cause: err}
 	}
-	frame := encodeFrame(s.number+1, payload)
+	frame := encodeFrame(s.lastFrame+1, payload)
 	if _, err := s.file.Write(frame); err != nil {
 		return &IOError{Operation: "write", File: current.name, Cause: err}
 	}
 	if err := s.file.Sync(); err != nil {
 		return &IOError{Operation: "sync", File: current.name, Cause: err}
 	}
-	s.number++
+	s.lastFrame++
 	s.reset = 0
 	current.size += int64(len(frame))
 	if n := len(rec.Entries); n > 0 {
@@ -201,7 +201,7 @@
 // would take them away after they were acknowledged.
 func (s *Store) Rewind() error {
 	current := s.segments[len(s.segments)-1]
-	return s.cut(current.name, current.size)
+	return s.truncateSegment(current.name, current.size)
 }
 
 // Close closes the folder; what was written is durable already.
