--- a/laburnumdisk/crash_test.go
+++ b/laburnumdisk/crash_test.go
@@ -14,15 +14,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// memoryFiles is a folder in memory that forgets, on a crash, what was not synced:
-// bytes written, and names made, renamed or removed.
+// memoryFiles is an in-memory folder that on a crash loses what was not synced: written bytes
+// and created, renamed or removed names.
 type memoryFiles struct {
 	current map[string]*memoryFile
 	durable map[string]*memoryFile
-	// untilFailure counts down to the operation that fails, after half of its effect.
+	// untilFailure is the number of operations before the first one that fails; a negative
+	// number means none. A failing write writes half of its data.
 	untilFailure int
-	// torn keeps half of the unsynced bytes at the crash, and makes removals
-	// durable at once, which they may be.
+	// torn keeps half of the unsynced bytes at the crash, and makes removals durable
+	// at once, as a file system may do.
 	torn bool
 }
 
@@ -38,7 +39,7 @@
 
 func (m *memoryFiles) crash(after int, torn bool) { m.untilFailure, m.torn = after, torn }
 
-// fails tells whether this is the operation at which the machine goes down.
+// fails counts one operation and reports whether it fails.
 func (m *memoryFiles) fails() bool {
 	if m.untilFailure == 0 {
 		return true
@@ -47,7 +48,7 @@
 	return false
 }
 
-// restart is the folder as the next start finds it.
+// restart replaces the folder with what is left of it after the crash.
 func (m *memoryFiles) restart() {
 	m.current = map[string]*memoryFile{}
 	for name, f := range m.durable {
@@ -159,9 +160,9 @@
 
 func (f *memoryFile) Close() error { return nil }
 
-// The machine goes down at every single file operation in turn, with what was not
-// synced gone or torn. Whatever Write had acknowledged must be there at the next
-// start, and what comes after must join on; a second crash soon after included.
+// Guards against acknowledged writes that are lost in a crash. It crashes at each file operation
+// in turn, and once more soon after, with unsynced data lost or torn; the next start must find all
+// acknowledged writes and accept further ones.
 func TestCrashAtEveryOperation(t *testing.T) {
 	writes := []laburnumlog.Write{
 		write(1, 1, 4), write(1, 5, 9), snapshotWrite(4, 1, false), write(2, 8, 12), snapshotWrite(12, 2, false),
@@ -180,7 +181,7 @@
 	}
 }
 
-// Guards against data that a folder opened again after an error counts as durable and loses.
+// Guards against a folder that is reopened after a write error and returns data that is not durable.
 func TestReopenAfterWriteError(t *testing.T) {
 	writes := []laburnumlog.Write{
 		write(1, 1, 4), write(1, 5, 9), snapshotWrite(4, 1, false), write(2, 8, 12), snapshotWrite(12, 2, false),
@@ -205,13 +206,13 @@
 			requireAcknowledged(t, found, writes, acknowledged)
 			files.restart()
 			_, r := open(t, "data", opts(files)...)
-			require.Equal(t, summary(found), summary(r), "operation %d refused", at)
+			require.Equal(t, summary(found), summary(r), "operation %d failed", at)
 		}
 	}
 }
 
-// writeWithCrashes writes all, starting again after each crash, and checks each start; it
-// tells whether no crash happened.
+// writeWithCrashes writes all writes, restarting after each crash and checking what each start
+// recovers. It reports whether no crash happened.
 func writeWithCrashes(t *testing.T, files *memoryFiles, writes []laburnumlog.Write) bool {
 	t.Helper()
 	acknowledged, crashes := 0, 0
@@ -238,8 +239,8 @@
 	}
 }
 
-// requireAcknowledged holds what a start found against the writes acknowledged. The write
-// after them may be there too, or of it only the snapshot.
+// requireAcknowledged checks that a start has recovered the acknowledged writes. The next write may
+// have been recovered too, or only its snapshot.
 func requireAcknowledged(t *testing.T, r laburnumlog.Recovered, writes []laburnumlog.Write, acknowledged int) {
 	t.Helper()
 	want := []string{summary(model(writes[:acknowledged]))}
@@ -255,7 +256,7 @@
 	require.Contains(t, want, summary(r))
 }
 
-// model is what a disk holds after the writes, by the rules of the log.
+// model returns what a disk should hold after the writes.
 func model(writes []laburnumlog.Write) laburnumlog.Recovered {
 	var r laburnumlog.Recovered
 	for _, w := range writes {
@@ -279,9 +280,8 @@
 	return text
 }
 
-// A crash leaves a new last segment empty, and the next write brings a snapshot
-// that covers all older segments. If they went, term and vote would go with them,
-// and the replica could vote twice.
+// Guards against a replica that loses its term and vote and so could vote twice: a crash leaves
+// the last segment empty, and the next snapshot covers all older segments, which hold the vote.
 func TestEmptyLastSegmentKeepsTheVote(t *testing.T) {
 	for at := 0; ; at++ {
 		files := newMemoryFiles()
@@ -303,10 +303,10 @@
 	}
 }
 
-// A crash comes after the leader's snapshot is durable and before its frame. The
-// entries that follow must not be joined to the old ones on the disk.
+// Guards against new entries being appended to old ones on the disk after a crash between the
+// leader's snapshot and its frame.
 func TestEntriesAfterSnapshotWithoutItsFrame(t *testing.T) {
-	for name, tail := range map[string]uint64{"the old log ends before it": 5, "the old log goes on beyond it": 30} {
+	for name, tail := range map[string]uint64{"the old log ends before it": 5, "the old log continues beyond it": 30} {
 		t.Run(name, func(t *testing.T) {
 			for at := 0; ; at++ {
 				files := newMemoryFiles()
--- a/laburnumdisk/errors.go
+++ b/laburnumdisk/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// DamagedError is a data folder whose content is not what was synced to it.
+// DamagedError is a data folder whose content differs from what was synced to it. Offset is in bytes.
 type DamagedError struct {
 	File   string
 	Offset int64
@@ -13,7 +13,7 @@
 	return fmt.Sprintf("data folder damaged: %s at byte %d: %s", e.File, e.Offset, e.Detail)
 }
 
-// IOError is a file operation that failed.
+// IOError is a failed file operation.
 type IOError struct {
 	Operation string
 	File      string
@@ -25,11 +25,11 @@
 // Unwrap returns the cause.
 func (e *IOError) Unwrap() error { return e.Cause }
 
-// FailedError is a write after one that has failed.
+// FailedError is a write that was rejected because an earlier one had failed.
 type FailedError struct{ Cause error }
 
 func (e *FailedError) Error() string {
-	return fmt.Sprintf("the data folder takes no more writes: %v", e.Cause)
+	return fmt.Sprintf("write rejected, since an earlier write to the data folder failed: %v", e.Cause)
 }
 
 // Unwrap returns the first failure.
--- a/laburnumdisk/files.go
+++ b/laburnumdisk/files.go
@@ -2,25 +2,25 @@
 
 import "os"
 
-// Files are the file operations that the store needs, by whole paths. Tests wrap
-// them to fail at any one of them.
+// Files is the set of file operations that the store needs. All paths are full paths. Tests
+// wrap it to make single operations fail.
 type Files interface {
 	MakeFolder(path string) error
-	// List returns the names in the folder, sorted.
+	// List returns the names of the files in the folder, sorted.
 	List(folder string) ([]string, error)
 	Read(path string) ([]byte, error)
-	// OpenAppend opens the file for writing at its end, and makes it if needed.
+	// OpenAppend opens the file for appending, and creates it if it doesn't exist.
 	OpenAppend(path string) (File, error)
-	// Create makes the file anew, empty.
+	// Create creates the file, or truncates it if it exists.
 	Create(path string) (File, error)
 	Rename(from, to string) error
 	Remove(path string) error
 	Truncate(path string, size int64) error
-	// SyncFolder makes what was made, renamed and removed in it durable.
+	// SyncFolder makes creations, renames and removals in the folder durable.
 	SyncFolder(folder string) error
 }
 
-// File is one open for writing.
+// File is a file that is open for writing.
 type File interface {
 	Write(data []byte) (int, error)
 	Sync() error
@@ -32,10 +32,10 @@
 	fileMode   = 0o640
 )
 
-// osFiles are those of the operating system.
+// osFiles implements Files with package os.
 type osFiles struct{}
 
-// OSFiles returns the operating system's files.
+// OSFiles returns the file operations of the operating system.
 func OSFiles() Files { return osFiles{} }
 
 func (osFiles) MakeFolder(path string) error { return os.MkdirAll(path, folderMode) }
--- a/laburnumdisk/frame.go
+++ b/laburnumdisk/frame.go
@@ -6,15 +6,16 @@
 	"hash/crc32"
 )
 
-// A frame is magic (4 bytes), length of the payload (4), running number (8), CRC
-// of the number and the payload (4), payload; all little-endian.
+// A frame is a magic number (4 bytes), the length of the payload (4), the frame's sequence
+// number (8), the CRC-32C of the sequence number and the payload (4), and the payload.
+// Integers are little-endian.
 const (
 	frameMagic      = 0x4c4c4631
 	lengthOffset    = 4
 	numberOffset    = 8
 	checksumOffset  = 16
 	frameHeaderSize = 20
-	// maxPayload bounds what a damaged length can make the reader believe.
+	// maxPayload bounds the payload's length in bytes, so that a damaged length is detected.
 	maxPayload = 1 << 30
 )
 
@@ -35,7 +36,7 @@
 	return append(frame, payload...)
 }
 
-// decodeFrame reads the frame at the start of data; false if it is not whole.
+// decodeFrame decodes the frame at the start of data. ok is false if the frame is not valid.
 func decodeFrame(data []byte) (number uint64, payload []byte, ok bool) {
 	if len(data) < frameHeaderSize || binary.LittleEndian.Uint32(data) != frameMagic {
 		return 0, nil, false
@@ -52,7 +53,7 @@
 	return number, payload, true
 }
 
-// containsFrame tells whether a whole frame starts anywhere in data.
+// containsFrame reports whether a valid frame starts anywhere in data.
 func containsFrame(data []byte) bool {
 	var magic [lengthOffset]byte
 	binary.LittleEndian.PutUint32(magic[:], frameMagic)
--- a/laburnumdisk/identity.go
+++ b/laburnumdisk/identity.go
@@ -10,16 +10,16 @@
 
 const identityName = "identity"
 
-// Identity tells one data folder from another, and one start on it from the next.
+// Identity identifies a data folder and one start of a replica on it.
 type Identity struct {
 	Instance string `json:"instance"`
-	// Boot counts the starts, this one included.
+	// Boot is the number of starts, including this one.
 	Boot uint64 `json:"boot"`
 }
 
-// readIdentity reads the folder's identity and raises its boot, or makes one for
-// an empty folder. A folder with a log but without an identity is damaged: under
-// a new one its votes and acknowledgements would be forgotten.
+// readIdentity reads the folder's identity, or creates one for an empty folder, and
+// increments its boot. A folder with a log but without an identity is damaged: under a new
+// identity the replica's votes and acknowledgements would be lost.
 func (s *Store) readIdentity(names []string) error {
 	if slices.Contains(names, identityName) {
 		data, err := s.files.Read(filepath.Join(s.folder, identityName))
--- a/laburnumdisk/quarantine.go
+++ b/laburnumdisk/quarantine.go
@@ -7,9 +7,9 @@
 
 const quarantinePrefix = "damaged-"
 
-// SetAside renames all that a damaged folder holds, so that Open finds it empty and
-// gives it a new identity. What was set aside before is removed: one damaged
-// state is kept for whoever wants to look at it, not more.
+// SetAside renames all files of a damaged folder, so that Open treats it as empty and
+// creates a new identity. Only the latest damaged state is kept for inspection: files that
+// were quarantined earlier are removed. An error is an *IOError.
 func SetAside(folder string, opts ...Option) error {
 	s := &Store{files: OSFiles(), folder: folder}
 	for _, opt := range opts {
@@ -26,9 +26,9 @@
 			}
 		}
 	}
-	// The identity goes first: a crash half way leaves a log without an identity,
-	// which is known as damaged; an identity without its log would start as the
-	// old instance, with its votes forgotten.
+	// The identity is renamed first: a crash in between then leaves a log without an
+	// identity, which Open reports as damaged. An identity without its log would start as
+	// the old instance, which has lost its votes.
 	for _, name := range quarantineOrder(names) {
 		from := filepath.Join(folder, name)
 		if err := s.files.Rename(from, filepath.Join(folder, quarantinePrefix+name)); err != nil {
@@ -38,6 +38,7 @@
 	return s.syncFolder()
 }
 
+// quarantineOrder returns the names to rename, the identity first.
 func quarantineOrder(names []string) []string {
 	var order []string
 	for _, name := range names {
--- a/laburnumdisk/record.go
+++ b/laburnumdisk/record.go
@@ -6,25 +6,26 @@
 	"laburnumlever/laburnumlog"
 )
 
-// record is the payload of a frame: one or more writes taken together.
+// record is the payload of a frame: one or more writes combined.
 type record struct {
 	Hard laburnumlog.HardState `json:"hard"`
-	// Reset drops all entries before it; the log goes on after this index.
+	// Reset, if not 0, discards all entries of earlier frames; the log continues after
+	// this index.
 	Reset   uint64              `json:"reset,omitempty"`
 	Entries []laburnumlog.Entry `json:"entries,omitempty"`
 }
 
-// replay is the log as the frames read so far give it.
+// replay is the state of the log after the frames read so far.
 type replay struct {
-	number  uint64 // of the last frame, 0 before the first
+	number  uint64 // sequence number of the last frame, 0 before the first
 	hard    laburnumlog.HardState
 	entries []laburnumlog.Entry
 }
 
-// applyFrame adds one frame.
+// applyFrame applies one frame to the log.
 func (r *replay) applyFrame(file string, offset int64, number uint64, payload []byte) error {
 	if r.number != 0 && number != r.number+1 {
-		return &DamagedError{File: file, Offset: offset, Detail: "a frame is missing before this one"}
+		return &DamagedError{File: file, Offset: offset, Detail: "the frame before this one is missing"}
 	}
 	var rec record
 	if err := json.Unmarshal(payload, &rec); err != nil {
@@ -37,12 +38,14 @@
 	}
 	for _, e := range rec.Entries {
 		if !r.appendEntry(e) {
-			return &DamagedError{File: file, Offset: offset, Detail: "entries do not follow each other"}
+			return &DamagedError{File: file, Offset: offset, Detail: "the log has a gap before an entry of this frame"}
 		}
 	}
 	return nil
 }
 
+// appendEntry appends an entry, discarding those from its index on. It returns false if the entry
+// would leave a gap.
 func (r *replay) appendEntry(e laburnumlog.Entry) bool {
 	if len(r.entries) == 0 {
 		r.entries = append(r.entries, e)
@@ -62,8 +65,9 @@
 	return true
 }
 
-// entriesAfter returns the entries that go on from the snapshot. Entries that contradict
-// it are from before a snapshot that the leader sent.
+// entriesAfter returns the entries that follow the snapshot, or false if there is a gap. If the
+// terms differ at the snapshot's index, the log predates a snapshot sent by the leader, and
+// no entries follow.
 func (r *replay) entriesAfter(s laburnumlog.Snapshot) ([]laburnumlog.Entry, bool) {
 	if len(r.entries) == 0 {
 		return nil, true
--- a/laburnumdisk/segment.go
+++ b/laburnumdisk/segment.go
@@ -9,7 +9,7 @@
 const (
 	segmentPrefix = "log-"
 	segmentSuffix = ".seg"
-	// segmentBytes is when a segment is closed and the next is begun.
+	// segmentBytes is the size in bytes from which on a new segment is started.
 	segmentBytes = 4 << 20
 )
 
@@ -17,7 +17,7 @@
 type segment struct {
 	name string
 	size int64
-	// last is the highest entry index in it or in an earlier one.
+	// last is the index of the last entry in this segment or an earlier one.
 	last uint64
 }
 
@@ -29,7 +29,7 @@
 	return strings.HasPrefix(name, segmentPrefix) && strings.HasSuffix(name, segmentSuffix)
 }
 
-// readSegments replays all segments, and cuts a torn tail off the last one.
+// readSegments replays all segments, and truncates a torn tail of the last one.
 func (s *Store) readSegments(names []string) (replay, error) {
 	var log replay
 	var segments []string
@@ -49,7 +49,7 @@
 		}
 		if end < len(data) {
 			if i < len(segments)-1 || containsFrame(data[end:]) {
-				return log, &DamagedError{File: name, Offset: int64(end), Detail: "a frame that was synced is not whole"}
+				return log, &DamagedError{File: name, Offset: int64(end), Detail: "a synced frame is damaged"}
 			}
 			if err := s.truncateSegment(name, int64(end)); err != nil {
 				return log, err
@@ -60,7 +60,7 @@
 	return log, nil
 }
 
-// readFrames replays the whole frames at the start of data and returns where they
+// readFrames replays the valid frames at the start of data and returns the offset of their
 // end.
 func readFrames(name string, data []byte, log *replay) (int, error) {
 	end := 0
@@ -83,6 +83,7 @@
 	return r.entries[len(r.entries)-1].Index
 }
 
+// truncateSegment truncates a segment to size bytes and syncs it.
 func (s *Store) truncateSegment(name string, size int64) error {
 	path := filepath.Join(s.folder, name)
 	if err := s.files.Truncate(path, size); err != nil {
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// roll begins a new segment.
+// roll closes the current segment and starts a new one.
 func (s *Store) roll() error {
 	if s.file != nil {
 		if err := s.file.Close(); err != nil {
@@ -127,9 +128,9 @@
 	return s.segments[len(s.segments)-1].last
 }
 
-// removeCoveredSegments removes the segments whose entries a durable snapshot covers. Each
-// frame carries the hard state, so nothing else is lost with them; a last segment
-// that a crash left empty carries none, and then the one before it stays.
+// removeCoveredSegments removes the segments whose entries are covered by a durable snapshot.
+// Each frame has the hard state, so it is not lost with them. If a crash left the last segment
+// empty, it has no hard state, and the segments before it are kept.
 func (s *Store) removeCoveredSegments(index uint64) error {
 	for len(s.segments) > 1 && s.segments[0].last <= index && s.segments[len(s.segments)-1].size > 0 {
 		if err := s.remove(s.segments[0].name); err != nil {
--- a/laburnumdisk/snapshot.go
+++ b/laburnumdisk/snapshot.go
@@ -23,8 +23,8 @@
 	return strings.HasPrefix(name, snapshotPrefix) && strings.HasSuffix(name, snapshotSuffix)
 }
 
-// writeAtomically makes a file durable under its name in one step: after a crash it is
-// there whole, or not at all.
+// writeAtomically writes a file so that after a crash it either has all its data or was not
+// replaced. It is durable when writeAtomically returns.
 func (s *Store) writeAtomically(name string, data []byte) error {
 	path := filepath.Join(s.folder, name)
 	f, err := s.files.Create(path + tempSuffix)
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// readSnapshot reads the newest; an older one beside it is what a crash left
-// between the rename and the removal.
+// readSnapshot reads the newest snapshot and removes older ones, which a crash between the
+// rename of a new snapshot and the removal of the old one leaves behind.
 func (s *Store) readSnapshot(names []string) (laburnumlog.Snapshot, error) {
 	var snapshot laburnumlog.Snapshot
 	for _, name := range names {
--- a/laburnumdisk/store.go
+++ b/laburnumdisk/store.go
@@ -8,34 +8,34 @@
 	"laburnumlever/laburnumlog"
 )
 
-// Store is an open data folder. Its methods are called from one goroutine.
+// Store is an open data folder. It is not safe for concurrent use.
 type Store struct {
 	files        Files
 	folder       string
 	identity     Identity
-	snapshot     string // its file's name
+	snapshot     string // file name
 	segments     []segment
 	file         File
 	lastFrame    uint64
 	segmentLimit int64
-	// reset, when set, is written with the next frame: a crash between a
-	// snapshot from the leader and its frame left entries that must not be
-	// joined with those that come now.
+	// reset, if not 0, is written with the next frame: a crash between a snapshot from
+	// the leader and its frame has left old entries, which the next entries must not
+	// be appended to.
 	reset  uint64
 	failed error
 }
 
-// Option changes a store that is being opened.
+// Option configures a store that is being opened.
 type Option func(*Store)
 
 // WithFiles sets the file operations.
 func WithFiles(files Files) Option { return func(s *Store) { s.files = files } }
 
-// WithSegmentBytes sets when a segment is closed and the next begun.
+// WithSegmentBytes sets the size in bytes from which on a new segment is started.
 func WithSegmentBytes(n int64) Option { return func(s *Store) { s.segmentLimit = n } }
 
-// Open reads the folder, making it if needed, and raises the count of its starts.
-// Errors are *DamagedError and *IOError.
+// Open opens the folder, creating it if needed, and increments its boot. Errors are
+// *DamagedError and *IOError.
 func Open(folder string, opts ...Option) (*Store, laburnumlog.Recovered, error) {
 	s := &Store{files: OSFiles(), folder: folder, segmentLimit: segmentBytes}
 	for _, opt := range opts {
@@ -110,11 +110,11 @@
 	return nil
 }
 
-// Identity is the folder's.
+// Identity returns the folder's identity.
 func (s *Store) Identity() Identity { return s.identity }
 
-// Write makes the writes durable together, in their order. After an error the
-// store takes no more: every later call returns a *FailedError.
+// Write writes and syncs the writes in order; they are durable when it returns nil. After an
+// error every later call returns a *FailedError.
 func (s *Store) Write(writes []laburnumlog.Write) error {
 	if s.failed != nil {
 		return &FailedError{Cause: s.failed}
@@ -152,6 +152,7 @@
 	return s.flush(rec, hasWrites)
 }
 
+// saveSnapshot writes a snapshot and removes the segments that it covers.
 func (s *Store) saveSnapshot(w laburnumlog.Write) error {
 	if err := s.writeSnapshot(*w.Snapshot); err != nil {
 		return err
@@ -159,6 +160,7 @@
 	return s.removeCoveredSegments(w.Snapshot.Index)
 }
 
+// flush writes and syncs the record as one frame, if it holds any writes.
 func (s *Store) flush(rec record, hasWrites bool) error {
 	if !hasWrites {
 		return nil
@@ -195,16 +197,16 @@
 	return nil
 }
 
-// Rewind takes the folder of a store that failed back to what was durable before, so that it
-// can be opened again. A write or a sync that failed may have left bytes that can be read and
-// are not on the disk: who opens the folder would count them as held, and a loss of power
-// would take them away after they were acknowledged.
+// Rewind truncates the log of a store whose Write has failed to the data that is known to be
+// durable, so that the folder can be opened again. A failed write or fsync may leave bytes that
+// can be read but are not on the disk: Open would count them as durable, and a power loss could
+// remove them after they were acknowledged.
 func (s *Store) Rewind() error {
 	current := s.segments[len(s.segments)-1]
 	return s.truncateSegment(current.name, current.size)
 }
 
-// Close closes the folder; what was written is durable already.
+// Close closes the current segment. Completed writes are already durable.
 func (s *Store) Close() error {
 	if s.file == nil {
 		return nil
--- a/laburnumdisk/store_test.go
+++ b/laburnumdisk/store_test.go
@@ -52,13 +52,13 @@
 		first, last uint64 // entries expected
 		snapshot    uint64
 	}{
-		"entries":                {writes: []laburnumlog.Write{write(1, 1, 3), write(1, 4, 9)}, first: 1, last: 9},
-		"a later term replaces":  {writes: []laburnumlog.Write{write(1, 1, 9), write(2, 5, 6)}, first: 1, last: 6},
-		"a snapshot covers":      {writes: []laburnumlog.Write{write(1, 1, 9), snapshotWrite(6, 1, false)}, first: 7, last: 9, snapshot: 6},
-		"a snapshot covers all":  {writes: []laburnumlog.Write{write(1, 1, 9), snapshotWrite(9, 1, false)}, snapshot: 9},
-		"a leader's snapshot":    {writes: []laburnumlog.Write{write(1, 1, 9), snapshotWrite(6, 2, true), write(2, 7, 8)}, first: 7, last: 8, snapshot: 6},
-		"a gap behind its reset": {writes: []laburnumlog.Write{write(1, 1, 3), snapshotWrite(20, 2, true), write(2, 21, 22)}, first: 21, last: 22, snapshot: 20},
-		"the vote alone":         {writes: []laburnumlog.Write{{Hard: laburnumlog.HardState{Term: 7, Vote: "a/1"}}}},
+		"entries":                   {writes: []laburnumlog.Write{write(1, 1, 3), write(1, 4, 9)}, first: 1, last: 9},
+		"a later term replaces":     {writes: []laburnumlog.Write{write(1, 1, 9), write(2, 5, 6)}, first: 1, last: 6},
+		"a snapshot covers":         {writes: []laburnumlog.Write{write(1, 1, 9), snapshotWrite(6, 1, false)}, first: 7, last: 9, snapshot: 6},
+		"a snapshot covers all":     {writes: []laburnumlog.Write{write(1, 1, 9), snapshotWrite(9, 1, false)}, snapshot: 9},
+		"a leader's snapshot":       {writes: []laburnumlog.Write{write(1, 1, 9), snapshotWrite(6, 2, true), write(2, 7, 8)}, first: 7, last: 8, snapshot: 6},
+		"a gap before the snapshot": {writes: []laburnumlog.Write{write(1, 1, 3), snapshotWrite(20, 2, true), write(2, 21, 22)}, first: 21, last: 22, snapshot: 20},
+		"the vote alone":            {writes: []laburnumlog.Write{{Hard: laburnumlog.HardState{Term: 7, Vote: "a/1"}}}},
 	}
 	for name, c := range cases {
 		for _, rollAt := range []int64{1, 1 << 20} {
@@ -113,8 +113,8 @@
 	}
 }
 
-// A byte of a synced frame goes bad. If the reader cut the log there, all that was
-// acknowledged after it would be lost without a word.
+// Guards against the silent loss of acknowledged entries: if the log were truncated at a damaged
+// synced frame, all entries after it would be lost.
 func TestDamageElsewhereIsAnError(t *testing.T) {
 	folder := t.TempDir()
 	s, _ := open(t, folder, laburnumdisk.WithSegmentBytes(300))
@@ -133,7 +133,7 @@
 		require.NoError(t, err)
 		end := len(good)
 		if name == last {
-			end = strings.LastIndex(string(good), "1FLL") // the last frame can't be told from a torn one
+			end = strings.LastIndex(string(good), "1FLL") // a damaged last frame looks like a torn one
 		}
 		for i := 0; i < end; i += 7 {
 			bad := append([]byte{}, good...)
@@ -197,7 +197,7 @@
 		if err != nil {
 			return
 		}
-		// What was read once is read again, and can be written on.
+		// A folder that was opened once accepts writes and can be opened again.
 		next := r.Snapshot.Index + uint64(len(r.Entries)) + 1
 		require.NoError(t, s.Write([]laburnumlog.Write{write(9, next, next)}))
 		require.NoError(t, s.Close())
