--- a/laburnumstate/claims.go
+++ b/laburnumstate/claims.go
@@ -30,7 +30,7 @@
 type claimTable struct {
 	byKey   map[claimKey]*list.Element
 	order   *list.List
-	answers *list.List // elements of order that hold an answer, oldest first
+	answers *list.List // claims with a recorded answer, oldest first
 	byOwner map[laburnumlever.OwnerName]int
 	bytes   int
 }
--- a/laburnumstate/machine.go
+++ b/laburnumstate/machine.go
@@ -131,7 +131,7 @@
 	case cmd.Intent != nil:
 		return m.leases.applyIntent(m.limits, cmd.Kind, *cmd.Intent)
 	default:
-		return laburnumlever.Result{Code: laburnumlever.ResultInvalid, Detail: "the command lacks the content for its kind"}
+		return laburnumlever.Result{Code: laburnumlever.ResultInvalid, Detail: "the command's kind and content do not match"}
 	}
 }
 
--- a/laburnumvoter/fault_test.go
+++ b/laburnumvoter/fault_test.go
@@ -69,7 +69,7 @@
 	old := f.leader()
 	files[old].fail.Store(true)
 	require.EqualValues(t, 2, f.vms[old].apply(t, "second", 1).Revision)
-	f.wait("the failed disk is told", func() bool { return f.vms[old].Status().Role == "disk-failed" })
+	f.wait("the disk failure is reported", func() bool { return f.vms[old].Status().Role == "disk-failed" })
 	require.EqualValues(t, 3, f.vms[old].apply(t, "third", 2).Revision)
 	files[old].fail.Store(false)
 	f.stop(old)
@@ -84,7 +84,7 @@
 	for i, name := range []string{f.leader(), "a", "b", "c"} {
 		files[name].fail.Store(true)
 		revision = f.vms[name].apply(t, "change-"+strconv.Itoa(i), revision).Revision
-		f.wait("the failed disk is told", func() bool { return f.vms[name].Status().Role == "disk-failed" })
+		f.wait("the disk failure is reported", func() bool { return f.vms[name].Status().Role == "disk-failed" })
 		files[name].fail.Store(false)
 		f.wait("it is a voter again", func() bool { r := f.vms[name].Status().Role; return r == "follower" || r == "leader" })
 		f.vms[name].waitRevision(t, revision)
@@ -187,7 +187,7 @@
 			f.start("c", f.folder("c")).waitRevision(t, revision)
 			// Until the leader has noticed, c is a follower according to its older folder.
 			f.wait("c is another instance", func() bool { return logs.has(laburnumlever.EventVoterReplaced, "replica c/") })
-			f.wait("c counts again", func() bool { s := f.vms["c"].Status(); return s.Role != "learner" && len(s.Voters) == 3 })
+			f.wait("c is a voter again", func() bool { s := f.vms["c"].Status(); return s.Role != "learner" && len(s.Voters) == 3 })
 			f.stop("b")
 			require.Equal(t, revision+1, f.vms["c"].apply(t, "last", revision).Revision)
 		})
