--- a/laburnumdisk/crash_test.go
+++ b/laburnumdisk/crash_test.go
@@ -14,15 +14,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// memoryFiles is a folder in memory that forgets, on a crash, what was not synced:
-// bytes written, and names made, renamed or removed.
+// memoryFiles is an in-memory folder that on a crash loses what was not synced: written bytes
+// and created, renamed or removed names.
 type memoryFiles struct {
-	now     map[string]*memoryFile
+	current map[string]*memoryFile
 	durable map[string]*memoryFile
-	// left counts down to the operation that fails, after half of its effect.
-	left int
-	// torn keeps half of the unsynced bytes at the crash, and makes removals
-	// durable at once, which they may be.
+	// untilFailure is the number of operations before the first one that fails; a negative
+	// number means none. A failing write writes half of its data.
+	untilFailure int
+	// torn keeps half of the unsynced bytes at the crash, and makes removals durable
+	// at once, as a file system may do.
 	torn bool
 }
 
@@ -33,23 +34,23 @@
 }
 
 func newMemoryFiles() *memoryFiles {
-	return &memoryFiles{now: map[string]*memoryFile{}, durable: map[string]*memoryFile{}, left: -1}
+	return &memoryFiles{current: map[string]*memoryFile{}, durable: map[string]*memoryFile{}, untilFailure: -1}
 }
 
-func (m *memoryFiles) crash(after int, torn bool) { m.left, m.torn = after, torn }
+func (m *memoryFiles) crash(after int, torn bool) { m.untilFailure, m.torn = after, torn }
 
-// fails tells whether this is the operation at which the machine goes down.
+// fails counts one operation and reports whether it fails.
 func (m *memoryFiles) fails() bool {
-	if m.left == 0 {
+	if m.untilFailure == 0 {
 		return true
 	}
-	m.left--
+	m.untilFailure--
 	return false
 }
 
-// restart is the folder as the next start finds it.
+// restart replaces the folder with what is left of it after the crash.
 func (m *memoryFiles) restart() {
-	m.now = map[string]*memoryFile{}
+	m.current = map[string]*memoryFile{}
 	for name, f := range m.durable {
 		keep := f.synced
 		if m.torn {
@@ -57,20 +58,20 @@
 		}
 		g := &memoryFile{files: m, data: slices.Clone(f.data[:min(keep, len(f.data))])}
 		g.synced = len(g.data)
-		m.now[name] = g
+		m.current[name] = g
 	}
 	m.durable = map[string]*memoryFile{}
-	for name, f := range m.now {
+	for name, f := range m.current {
 		m.durable[name] = f
 	}
-	m.left = -1
+	m.untilFailure = -1
 }
 
 func (m *memoryFiles) MakeFolder(string) error { return nil }
 
 func (m *memoryFiles) List(string) ([]string, error) {
 	var names []string
-	for name := range m.now {
+	for name := range m.current {
 		names = append(names, filepath.Base(name))
 	}
 	slices.Sort(names)
@@ -78,7 +79,7 @@
 }
 
 func (m *memoryFiles) Read(path string) ([]byte, error) {
-	f, ok := m.now[path]
+	f, ok := m.current[path]
 	if !ok {
 		return nil, fs.ErrNotExist
 	}
@@ -86,7 +87,7 @@
 }
 
 func (m *memoryFiles) OpenAppend(path string) (laburnumdisk.File, error) {
-	if f, ok := m.now[path]; ok {
+	if f, ok := m.current[path]; ok {
 		return f, nil
 	}
 	return m.Create(path)
@@ -97,7 +98,7 @@
 		return nil, syscall.EIO
 	}
 	f := &memoryFile{files: m}
-	m.now[path] = f
+	m.current[path] = f
 	return f, nil
 }
 
@@ -105,8 +106,8 @@
 	if m.fails() {
 		return syscall.EIO
 	}
-	m.now[to] = m.now[from]
-	delete(m.now, from)
+	m.current[to] = m.current[from]
+	delete(m.current, from)
 	return nil
 }
 
@@ -114,7 +115,7 @@
 	if m.fails() {
 		return syscall.EIO
 	}
-	delete(m.now, path)
+	delete(m.current, path)
 	if m.torn {
 		delete(m.durable, path)
 	}
@@ -125,7 +126,7 @@
 	if m.fails() {
 		return syscall.EIO
 	}
-	m.now[path].data = m.now[path].data[:size]
+	m.current[path].data = m.current[path].data[:size]
 	return nil
 }
 
@@ -134,7 +135,7 @@
 		return syscall.EIO
 	}
 	m.durable = map[string]*memoryFile{}
-	for name, f := range m.now {
+	for name, f := range m.current {
 		m.durable[name] = f
 	}
 	return nil
@@ -159,9 +160,9 @@
 
 func (f *memoryFile) Close() error { return nil }
 
-// The machine goes down at every single file operation in turn, with what was not
-// synced gone or torn. Whatever Write had promised must be there at the next
-// start, and what comes after must join on; a second crash soon after included.
+// Guards against acknowledged writes that are lost in a crash. It crashes at each file operation
+// in turn, and once more soon after, with unsynced data lost or torn; the next start must find all
+// acknowledged writes and accept further ones.
 func TestCrashAtEveryOperation(t *testing.T) {
 	writes := []laburnumlog.Write{
 		write(1, 1, 4), write(1, 5, 9), snapshotWrite(4, 1, false), write(2, 8, 12), snapshotWrite(12, 2, false),
@@ -171,7 +172,7 @@
 		for at := 0; ; at++ {
 			files := newMemoryFiles()
 			files.crash(at, torn)
-			done := drive(t, files, writes)
+			done := writeWithCrashes(t, files, writes)
 			if done {
 				require.Greater(t, at, 30)
 				break
@@ -180,8 +181,8 @@
 	}
 }
 
-// Guards against data that a folder opened again after an error counts as durable and loses.
-func TestOpenedAgainWithoutARestart(t *testing.T) {
+// Guards against a folder that is reopened after a write error and returns data that is not durable.
+func TestReopenAfterWriteError(t *testing.T) {
 	writes := []laburnumlog.Write{
 		write(1, 1, 4), write(1, 5, 9), snapshotWrite(4, 1, false), write(2, 8, 12), snapshotWrite(12, 2, false),
 		write(2, 13, 14), snapshotWrite(30, 3, true), write(3, 31, 33), write(4, 33, 35),
@@ -194,35 +195,35 @@
 			files := newMemoryFiles()
 			s, _ := open(t, "data", opts(files)...)
 			files.crash(at, torn)
-			promised := 0
-			for promised < len(writes) && s.Write(writes[promised:promised+1]) == nil {
-				promised++
+			acknowledged := 0
+			for acknowledged < len(writes) && s.Write(writes[acknowledged:acknowledged+1]) == nil {
+				acknowledged++
 			}
-			failed = promised < len(writes)
-			files.left = -1
+			failed = acknowledged < len(writes)
+			files.untilFailure = -1
 			require.NoError(t, s.Rewind())
 			_, found := open(t, "data", opts(files)...)
-			requirePromised(t, found, writes, promised)
+			requireAcknowledged(t, found, writes, acknowledged)
 			files.restart()
 			_, r := open(t, "data", opts(files)...)
-			require.Equal(t, summary(found), summary(r), "operation %d refused", at)
+			require.Equal(t, summary(found), summary(r), "operation %d failed", at)
 		}
 	}
 }
 
-// drive writes all, starting again after each crash, and checks each start; it
-// tells whether no crash happened.
-func drive(t *testing.T, files *memoryFiles, writes []laburnumlog.Write) bool {
+// writeWithCrashes writes all writes, restarting after each crash and checking what each start
+// recovers. It reports whether no crash happened.
+func writeWithCrashes(t *testing.T, files *memoryFiles, writes []laburnumlog.Write) bool {
 	t.Helper()
-	promised, crashes := 0, 0
+	acknowledged, crashes := 0, 0
 	for {
 		s, r, err := laburnumdisk.Open("data", laburnumdisk.WithFiles(files), laburnumdisk.WithSegmentBytes(300))
 		if err == nil {
-			requirePromised(t, r, writes, promised)
+			requireAcknowledged(t, r, writes, acknowledged)
 		}
-		for err == nil && promised < len(writes) {
-			if err = s.Write(writes[promised : promised+1]); err == nil {
-				promised++
+		for err == nil && acknowledged < len(writes) {
+			if err = s.Write(writes[acknowledged : acknowledged+1]); err == nil {
+				acknowledged++
 			}
 		}
 		if err == nil {
@@ -238,24 +239,24 @@
 	}
 }
 
-// requirePromised holds what a start found against the writes promised. The write
-// after them may be there too, or of it only the snapshot.
-func requirePromised(t *testing.T, r laburnumlog.Recovered, writes []laburnumlog.Write, promised int) {
+// requireAcknowledged checks that a start has recovered the acknowledged writes. The next write may
+// have been recovered too, or only its snapshot.
+func requireAcknowledged(t *testing.T, r laburnumlog.Recovered, writes []laburnumlog.Write, acknowledged int) {
 	t.Helper()
-	want := []string{summary(model(writes[:promised]))}
-	if promised < len(writes) {
-		next := writes[promised]
-		want = append(want, summary(model(writes[:promised+1])))
+	want := []string{summary(model(writes[:acknowledged]))}
+	if acknowledged < len(writes) {
+		next := writes[acknowledged]
+		want = append(want, summary(model(writes[:acknowledged+1])))
 		if next.Snapshot != nil {
-			half := model(writes[:promised+1])
-			half.Hard = model(writes[:promised]).Hard
+			half := model(writes[:acknowledged+1])
+			half.Hard = model(writes[:acknowledged]).Hard
 			want = append(want, summary(half))
 		}
 	}
 	require.Contains(t, want, summary(r))
 }
 
-// model is what a disk holds after the writes, by the rules of the log.
+// model returns what a disk should hold after the writes.
 func model(writes []laburnumlog.Write) laburnumlog.Recovered {
 	var r laburnumlog.Recovered
 	for _, w := range writes {
@@ -279,9 +280,8 @@
 	return text
 }
 
-// A crash leaves a new last segment empty, and the next write brings a snapshot
-// that covers all older segments. If they went, term and vote would go with them,
-// and the replica could vote twice.
+// Guards against a replica that loses its term and vote and so could vote twice: a crash leaves
+// the last segment empty, and the next snapshot covers all older segments, which hold the vote.
 func TestEmptyLastSegmentKeepsTheVote(t *testing.T) {
 	for at := 0; ; at++ {
 		files := newMemoryFiles()
@@ -303,10 +303,10 @@
 	}
 }
 
-// A crash comes after the leader's snapshot is durable and before its frame. The
-// entries that follow must not be joined to the old ones on the disk.
-func TestSnapshotWithoutItsFrameIsGoneOnFrom(t *testing.T) {
-	for name, tail := range map[string]uint64{"the old log ends before it": 5, "the old log goes on beyond it": 30} {
+// Guards against new entries being appended to old ones on the disk after a crash between the
+// leader's snapshot and its frame.
+func TestEntriesAfterSnapshotWithoutItsFrame(t *testing.T) {
+	for name, tail := range map[string]uint64{"the old log ends before it": 5, "the old log continues beyond it": 30} {
 		t.Run(name, func(t *testing.T) {
 			for at := 0; ; at++ {
 				files := newMemoryFiles()
--- a/laburnumdisk/segment.go
+++ b/laburnumdisk/segment.go
@@ -9,7 +9,7 @@
 const (
 	segmentPrefix = "log-"
 	segmentSuffix = ".seg"
-	// segmentBytes is when a segment is closed and the next is begun.
+	// segmentBytes is the size in bytes from which on a new segment is started.
 	segmentBytes = 4 << 20
 )
 
@@ -17,7 +17,7 @@
 type segment struct {
 	name string
 	size int64
-	// last is the highest entry index in it or in an earlier one.
+	// last is the index of the last entry in this segment or an earlier one.
 	last uint64
 }
 
@@ -29,7 +29,7 @@
 	return strings.HasPrefix(name, segmentPrefix) && strings.HasSuffix(name, segmentSuffix)
 }
 
-// readSegments replays all segments, and cuts a torn tail off the last one.
+// readSegments replays all segments, and truncates a torn tail of the last one.
 func (s *Store) readSegments(names []string) (replay, error) {
 	var log replay
 	var segments []string
@@ -48,19 +48,19 @@
 			return log, err
 		}
 		if end < len(data) {
-			if i < len(segments)-1 || wholeFrameIn(data[end:]) {
-				return log, &DamagedError{File: name, Offset: int64(end), Detail: "a frame that was synced is not whole"}
+			if i < len(segments)-1 || containsFrame(data[end:]) {
+				return log, &DamagedError{File: name, Offset: int64(end), Detail: "a synced frame is damaged"}
 			}
-			if err := s.cut(name, int64(end)); err != nil {
+			if err := s.truncateSegment(name, int64(end)); err != nil {
 				return log, err
 			}
 		}
-		s.segments = append(s.segments, segment{name: name, size: int64(end), last: log.last()})
+		s.segments = append(s.segments, segment{name: name, size: int64(end), last: log.lastIndex()})
 	}
 	return log, nil
 }
 
-// readFrames replays the whole frames at the start of data and returns where they
+// readFrames replays the valid frames at the start of data and returns the offset of their
 // end.
 func readFrames(name string, data []byte, log *replay) (int, error) {
 	end := 0
@@ -69,21 +69,22 @@
 		if !ok {
 			return end, nil
 		}
-		if err := log.take(name, int64(end), number, payload); err != nil {
+		if err := log.applyFrame(name, int64(end), number, payload); err != nil {
 			return end, err
 		}
-		end += frameHeader + len(payload)
+		end += frameHeaderSize + len(payload)
 	}
 }
 
-func (r *replay) last() uint64 {
+func (r *replay) lastIndex() uint64 {
 	if len(r.entries) == 0 {
 		return 0
 	}
 	return r.entries[len(r.entries)-1].Index
 }
 
-func (s *Store) cut(name string, size int64) error {
+// truncateSegment truncates a segment to size bytes and syncs it.
+func (s *Store) truncateSegment(name string, size int64) error {
 	path := filepath.Join(s.folder, name)
 	if err := s.files.Truncate(path, size); err != nil {
 		return &IOError{Operation: "truncate", File: name, Cause: err}
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// roll begins a new segment.
+// roll closes the current segment and starts a new one.
 func (s *Store) roll() error {
 	if s.file != nil {
 		if err := s.file.Close(); err != nil {
@@ -110,7 +111,7 @@
 		}
 		s.file = nil
 	}
-	name := segmentName(s.number + 1)
+	name := segmentName(s.lastFrame + 1)
 	f, err := s.files.Create(filepath.Join(s.folder, name))
 	if err != nil {
 		return &IOError{Operation: "create", File: name, Cause: err}
@@ -127,10 +128,10 @@
 	return s.segments[len(s.segments)-1].last
 }
 
-// dropCovered removes the segments whose entries a durable snapshot covers. Each
-// frame carries the hard state, so nothing else is lost with them; a last segment
-// that a crash left empty carries none, and then the one before it stays.
-func (s *Store) dropCovered(index uint64) error {
+// removeCoveredSegments removes the segments whose entries are covered by a durable snapshot.
+// Each frame has the hard state, so it is not lost with them. If a crash left the last segment
+// empty, it has no hard state, and the segments before it are kept.
+func (s *Store) removeCoveredSegments(index uint64) error {
 	for len(s.segments) > 1 && s.segments[0].last <= index && s.segments[len(s.segments)-1].size > 0 {
 		if err := s.remove(s.segments[0].name); err != nil {
 			return err
--- a/laburnumvoter/propose.go
+++ b/laburnumvoter/propose.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// maxWaiting bounds the proposals in flight on one leader.
-	maxWaiting = 1 << 14
-	// maxCommandBytes bounds a command: a larger entry would not fit into a frame, and
-	// the log would resend it for ever.
+	// maxWaiters bounds the proposals in flight on one leader.
+	maxWaiters = 1 << 14
+	// maxCommandBytes bounds an encoded command: a larger entry would not fit into a frame
+	// of a peer connection, and the log would resend it forever.
 	maxCommandBytes = 4 << 20
 )
 
-// waiter is a proposal whose entry is in the log but not yet committed.
+// waiter is a proposal whose entry was appended to the log but is not committed yet.
 type waiter struct {
 	term  uint64
 	reply chan proposeAnswer
@@ -31,25 +31,25 @@
 	command laburnumlever.Command
 	reply   chan proposeAnswer
 	// decided is set once, by the control thread when it appends the command or by the
-	// proposer when it gives up. So a command given up first is never appended.
+	// proposer when it stops waiting, after which the command is never appended.
 	decided *atomic.Bool
 }
 
-// intake batches proposals from other goroutines.
-type intake struct {
+// proposalQueue passes proposals from other goroutines to the control thread in batches.
+type proposalQueue struct {
 	mu   sync.Mutex
 	list []proposal
 }
 
-// add tells whether the control thread must be notified.
-func (i *intake) add(p proposal) bool {
+// add reports whether the queue was empty, in which case the control thread must be notified.
+func (i *proposalQueue) add(p proposal) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.list = append(i.list, p)
 	return len(i.list) == 1
 }
 
-func (i *intake) take() []proposal {
+func (i *proposalQueue) take() []proposal {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	list := i.list
@@ -57,12 +57,13 @@
 	return list
 }
 
-// Propose returns once the command is committed and applied. It finds the leader and retries
-// through elections until ctx or the proposal timeout ends. A *NoQuorumError means that the
-// command was not and will not be committed, an *OutcomeUnknownError that it may be.
+// Propose finds the leader and returns the result once the command is committed and applied. It
+// retries during elections until ctx is done or the proposal timeout has passed. A *NoQuorumError
+// means that the command was not and will not be committed, an *OutcomeUnknownError that it may
+// have been or may still be.
 func (v *Voter) Propose(ctx context.Context, cmd laburnumlever.Command) (laburnumlever.Result, error) {
-	cmd = v.identified(cmd)
-	ctx, cancel := v.bounded(ctx)
+	cmd = v.withClaimID(cmd)
+	ctx, cancel := v.withProposalTimeout(ctx)
 	defer cancel()
 	s := search{voter: v, known: slices.Concat(v.known.list(), v.contacts())}
 	for {
@@ -81,8 +82,9 @@
 	}
 }
 
-// identified gives a claim an id, so that a retry after a lost answer is recognised.
-func (v *Voter) identified(cmd laburnumlever.Command) laburnumlever.Command {
+// withClaimID sets a unique id on a claim without one, so that the state machine recognises a
+// retry after a lost answer.
+func (v *Voter) withClaimID(cmd laburnumlever.Command) laburnumlever.Command {
 	if cmd.Claim == nil || cmd.Claim.Claim != "" {
 		return cmd
 	}
@@ -93,17 +95,17 @@
 	return cmd
 }
 
-// bounded returns a context that ends with ctx, the proposal timeout or Close.
-func (v *Voter) bounded(ctx context.Context) (context.Context, context.CancelFunc) {
+// withProposalTimeout returns a context that is canceled with ctx or after the proposal timeout.
+func (v *Voter) withProposalTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := v.timers.After(v.cfg.proposalTimeout, func(time.Time) { cancel() })
 	return ctx, func() { stop(); cancel() }
 }
 
-// proposeHere proposes to this VM's own replica.
-func (v *Voter) proposeHere(ctx context.Context, cmd laburnumlever.Command) proposeAnswer {
+// proposeLocally proposes to this VM's own replica.
+func (v *Voter) proposeLocally(ctx context.Context, cmd laburnumlever.Command) proposeAnswer {
 	p := proposal{command: cmd, reply: make(chan proposeAnswer, 1), decided: &atomic.Bool{}}
-	if v.intake.add(p) {
+	if v.proposals.add(p) {
 		v.loop.Post(v, proposed{})
 	}
 	select {
@@ -113,9 +115,9 @@
 	case <-v.done:
 	}
 	if p.decided.CompareAndSwap(false, true) {
-		return proposeAnswer{Verdict: verdictNotTaken, Detail: "given up before it was taken"}
+		return proposeAnswer{Verdict: verdictNotTaken, Detail: "stopped waiting before the command was appended"}
 	}
-	return proposeAnswer{Verdict: verdictUnknown, Detail: "no answer in time"}
+	return proposeAnswer{Verdict: verdictUnknown, Detail: "stopped waiting before the outcome was known"}
 }
 
 func (v *Voter) handlePropose(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
@@ -123,13 +125,13 @@
 	if err := json.Unmarshal(params, &p); err != nil {
 		return nil, err
 	}
-	ctx, cancel := v.bounded(ctx)
+	ctx, cancel := v.withProposalTimeout(ctx)
 	defer cancel()
-	return v.proposeHere(ctx, p.Command), nil
+	return v.proposeLocally(ctx, p.Command), nil
 }
 
 func (v *Voter) onProposed() {
-	list := v.intake.take()
+	list := v.proposals.take()
 	for len(list) > 0 {
 		n := min(len(list), v.cfg.batch)
 		v.append(list[:n])
@@ -137,10 +139,11 @@
 	}
 }
 
-// append appends proposals to the log as one batch, or rejects them.
+// append appends proposals to the log as one batch, or rejects all of them if this VM isn't the
+// leader or has too many proposals in flight.
 func (v *Voter) append(list []proposal) {
-	if !v.leads() || len(v.waiters)+len(list) > maxWaiting {
-		v.turnAway(list)
+	if !v.isLeader() || len(v.waiters)+len(list) > maxWaiters {
+		v.reject(list)
 		return
 	}
 	at := v.clock(v.timers.Now())
@@ -151,13 +154,13 @@
 			continue
 		}
 		if p.command.ChangesCatalogue() && v.tooFewVoters() {
-			p.reply <- proposeAnswer{Verdict: verdictNotTaken, Detail: "the log has too few voters yet", Voters: v.voterList()}
+			p.reply <- proposeAnswer{Verdict: verdictNotTaken, Detail: "too few committed voters for the first change; more must join", Voters: v.voterList()}
 			continue
 		}
 		d, err := json.Marshal(entryData{At: at, Command: p.command})
 		if err != nil || len(d) > maxCommandBytes {
 			p.reply <- proposeAnswer{Verdict: verdictDone, Result: laburnumlever.Result{
-				Code: laburnumlever.ResultInvalid, Detail: "the command can't be encoded or is too large",
+				Code: laburnumlever.ResultInvalid, Detail: "the command can't be encoded or is larger than 4 MiB",
 			}}
 			continue
 		}
@@ -166,7 +169,7 @@
 	}
 	out := v.step(laburnumlog.Propose{Data: data})
 	if !out.Accepted {
-		v.turnAway(taken)
+		v.reject(taken)
 		return
 	}
 	v.cfg.scope.Counter("voter-proposals").Inc(int64(len(taken)))
@@ -175,19 +178,20 @@
 	}
 }
 
-// tooFewVoters tells whether the first change has to wait. Only committed voters count, since
-// another leader may undo an uncommitted configuration.
+// tooFewVoters reports whether the first change must still be rejected, see
+// WithFirstChangeTolerance. Only committed voters count, since another leader may overwrite an
+// uncommitted configuration.
 func (v *Voter) tooFewVoters() bool {
 	if v.machine.Routes() != nil || v.machine.Catalogue().Revision > 0 {
 		return false
 	}
 	committed := v.log.ConfigurationAt(v.log.Commit())
 	bears := committed.Spare(func(laburnumlog.Member) bool { return true })
-	return bears < v.cfg.firstChangeBears && v.timers.Now().Sub(v.startedAt) < v.cfg.firstChangeWithin
+	return bears < v.cfg.firstChangeTolerance && v.timers.Now().Sub(v.startedAt) < v.cfg.firstChangeTimeout
 }
 
-func (v *Voter) turnAway(list []proposal) {
-	answer := proposeAnswer{Verdict: verdictNotTaken, Detail: v.notLeading(), Voters: v.voterList()}
+func (v *Voter) reject(list []proposal) {
+	answer := proposeAnswer{Verdict: verdictNotTaken, Detail: v.notLeaderReason(), Voters: v.voterList()}
 	if v.log != nil {
 		if m, ok := v.log.Configuration().Find(v.log.Leader()); ok && m.ID != v.log.ID() {
 			answer.Leader = laburnumlever.Voter{VM: m.VM, PeerAddress: m.Address}
@@ -198,9 +202,9 @@
 	}
 }
 
-// releaseWaiters answers all proposals in flight when this VM loses leadership: the next
-// leader may or may not commit them.
-func (v *Voter) releaseWaiters(detail string) {
+// failWaiters answers all proposals in flight with an unknown outcome: the next leader may or may
+// not commit them.
+func (v *Voter) failWaiters(detail string) {
 	for index, w := range v.waiters {
 		w.reply <- proposeAnswer{Verdict: verdictUnknown, Detail: detail}
 		delete(v.waiters, index)
--- a/laburnumvoter/drive.go
+++ b/laburnumvoter/step.go
@@ -12,95 +12,97 @@
 
 // entryData is the payload of a log entry.
 type entryData struct {
-	// At is the leader's clock in milliseconds; see laburnumstate.
+	// At is the leader's clock in milliseconds; see laburnumstate.Machine.Apply.
 	At      int64                 `json:"at"`
 	Command laburnumlever.Command `json:"command"`
 }
 
-// step feeds one event to the log and carries out its output.
+// step passes one event to the log and executes its output: messages, writes, a snapshot to
+// install and committed entries to apply.
 func (v *Voter) step(ev laburnumlog.Event) laburnumlog.Output {
 	if v.log == nil {
 		return laburnumlog.Output{}
 	}
 	out := v.log.Step(ev)
 	if out.Fault != nil {
-		v.fail(out.Fault)
+		v.failReplica(out.Fault)
 		return laburnumlog.Output{}
 	}
 	for _, m := range out.Messages {
 		v.transmit(m)
 	}
 	if out.Write != nil {
-		v.after = append(v.after, laburnumlog.Write{Seq: out.Write.Seq, After: out.Write.After})
+		v.pendingAfter = append(v.pendingAfter, laburnumlog.Write{Seq: out.Write.Seq, After: out.Write.After})
 		write := *out.Write
 		write.After = nil
 		v.writer.add(write)
 	}
 	if out.Install != nil {
-		v.install(*out.Install)
+		v.installSnapshot(*out.Install)
 	}
 	for _, e := range out.Committed {
 		v.apply(e)
 	}
 	if len(out.Committed) > 0 {
-		v.tellCatalogue()
+		v.notifyCatalogue()
 		v.maybeSnapshot()
 	}
-	if v.log == nil { // an entry could not be applied
+	if v.log == nil { // applying an entry failed and stopped the replica
 		return laburnumlog.Output{}
 	}
 	return out
 }
 
-func (v *Voter) onWrote(ev wrote) {
+func (v *Voter) onWriteDone(ev writeDone) {
 	if ev.generation != v.generation || v.log == nil {
 		return
 	}
 	if ev.err != nil {
 		old := v.writer
-		v.fail(ev.err)
+		v.failReplica(ev.err)
 		v.openLater(func() (*replica, error) { return reopenReplica(v.cfg, v.self, old) })
 		return
 	}
 	v.step(laburnumlog.Written{Seq: ev.seq})
-	for len(v.after) > 0 && v.after[0].Seq <= ev.seq {
-		for _, m := range v.after[0].After {
+	for len(v.pendingAfter) > 0 && v.pendingAfter[0].Seq <= ev.seq {
+		for _, m := range v.pendingAfter[0].After {
 			v.transmit(m)
 		}
-		v.after = v.after[1:]
+		v.pendingAfter = v.pendingAfter[1:]
 	}
 }
 
-// fail stops the replica: after a failed fsync the disk's contents are unknown, so it must
-// neither acknowledge nor lead. The VM goes on without a replica. After a disk failure
-// openLater opens the folder again; a log that contradicts the others stays closed.
-func (v *Voter) fail(err error) {
+// failReplica stops the replica after an error: after a failed fsync the disk's contents are
+// unknown, so the replica must neither acknowledge nor lead. The VM keeps running without a
+// replica. After a disk failure openLater reopens the data folder; after any other error, such
+// as a log that contradicts the other replicas, the replica stays stopped.
+func (v *Voter) failReplica(err error) {
 	_ = level.Error(v.cfg.logger).Log("event", laburnumlever.EventReplicaFailed, "err", err)
 	v.cfg.scope.Counter("voter-failures").Inc(1)
 	v.failure = err
-	v.drop()
+	v.stopReplica()
 }
 
-// drop stops the open replica.
-func (v *Voter) drop() {
+// stopReplica stops the open replica and invalidates the events of its goroutines.
+func (v *Voter) stopReplica() {
 	v.log = nil
 	v.leaderlessTicks.Store(0)
 	v.generation++
-	v.after, v.inbox = nil, nil
+	v.pendingAfter, v.inbox = nil, nil
 	v.writer.stop()
-	v.releaseWaiters("the replica on this VM stopped")
+	v.failWaiters("the replica on this VM was stopped")
 }
 
-func (v *Voter) install(s laburnumlog.Snapshot) {
+func (v *Voter) installSnapshot(s laburnumlog.Snapshot) {
 	machine, err := laburnumstate.Decode(s.Data, v.cfg.stateOptions...)
 	if err != nil {
-		v.fail(err)
+		v.failReplica(err)
 		return
 	}
 	v.machine = machine
 	v.applied = s.Index
 	v.logBytes = 0
-	v.tellCatalogue()
+	v.notifyCatalogue()
 }
 
 func (v *Voter) apply(e laburnumlog.Entry) {
@@ -109,7 +111,7 @@
 	w, waiting := v.waiters[e.Index]
 	delete(v.waiters, e.Index)
 	if waiting && w.term != e.Term {
-		w.reply <- proposeAnswer{Verdict: verdictNotTaken, Detail: "another leader's entry took its place"}
+		w.reply <- proposeAnswer{Verdict: verdictNotTaken, Detail: "the entry was overwritten by another leader"}
 		waiting = false
 	}
 	if e.Kind != laburnumlog.EntryCommand || v.log == nil {
@@ -117,7 +119,7 @@
 	}
 	var data entryData
 	if err := json.Unmarshal(e.Data, &data); err != nil {
-		v.fail(&BadEntryError{Index: e.Index, Cause: err})
+		v.failReplica(&BadEntryError{Index: e.Index, Cause: err})
 		return
 	}
 	result := v.machine.Apply(data.At, data.Command)
@@ -126,32 +128,32 @@
 	}
 }
 
-func (v *Voter) tellCatalogue() {
+func (v *Voter) notifyCatalogue() {
 	if v.machine == nil {
 		return
 	}
 	catalogue := v.machine.Catalogue()
-	if catalogue.Revision > v.told {
-		v.told = catalogue.Revision
+	if catalogue.Revision > v.notifiedRevision {
+		v.notifiedRevision = catalogue.Revision
 		v.onCatalogue(catalogue)
 	}
-	if routes := v.machine.Routes(); routes != nil && routes.Version() > v.toldRoutes {
-		v.toldRoutes = routes.Version()
-		v.tellRoutes(*routes)
+	if routes := v.machine.Routes(); routes != nil && routes.Version() > v.notifiedRoutes {
+		v.notifiedRoutes = routes.Version()
+		v.notifyRoutes(*routes)
 	}
 }
 
-func (v *Voter) tellRoutes(routes laburnumlever.EncodedRoutes) {
+func (v *Voter) notifyRoutes(routes laburnumlever.EncodedRoutes) {
 	table, err := routes.Table()
 	if err != nil {
-		v.fail(&BadEntryError{Index: v.applied, Cause: err})
+		v.failReplica(&BadEntryError{Index: v.applied, Cause: err})
 		return
 	}
 	v.onRoutes(table)
 }
 
-// maybeSnapshot encodes a snapshot once the entries since the last one are as large as it,
-// which keeps the cost of snapshots proportional to the changes.
+// maybeSnapshot encodes a snapshot once the entries applied since the last snapshot are as large
+// as that snapshot, which keeps the cost of snapshots proportional to the changes.
 func (v *Voter) maybeSnapshot() {
 	if v.log == nil || v.encoding || v.logBytes < max(v.cfg.snapshotBytes, v.lastSnapshot) {
 		return
@@ -161,17 +163,17 @@
 	image, index, generation := v.machine.Image(), v.applied, v.generation
 	go func() {
 		data, err := image.Encode()
-		v.loop.Post(v, encoded{generation: generation, snapshot: laburnumlog.Snapshot{Index: index, Data: data}, err: err})
+		v.loop.Post(v, snapshotEncoded{generation: generation, snapshot: laburnumlog.Snapshot{Index: index, Data: data}, err: err})
 	}()
 }
 
-func (v *Voter) onEncoded(ev encoded) {
+func (v *Voter) onSnapshotEncoded(ev snapshotEncoded) {
 	if ev.generation != v.generation || v.log == nil {
 		return
 	}
 	v.encoding = false
 	if ev.err != nil {
-		v.fail(ev.err)
+		v.failReplica(ev.err)
 		return
 	}
 	v.lastSnapshot = len(ev.snapshot.Data)
--- a/laburnumvoter/voter_test.go
+++ b/laburnumvoter/voter_test.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	tick     = 5 * time.Millisecond
-	patience = 20 * time.Second
+	tick        = 5 * time.Millisecond
+	waitTimeout = 20 * time.Second
 )
 
-// fleet is some VMs with replicas in folders of their own.
+// fleet is a set of VMs on one network, each replica with its own data folder.
 type fleet struct {
 	t      testing.TB
 	net    *network
@@ -31,61 +31,61 @@
 	voters []laburnumlever.Voter
 	opts   []laburnumvoter.Option
 	vms    map[string]*vm
-	// stopped holds back all ticks of all VMs.
-	stopped atomic.Bool
-	// passed is by how much the clocks of all VMs go ahead.
-	passed atomic.Int64
+	// ticksPaused suppresses the ticks of all VMs.
+	ticksPaused atomic.Bool
+	// clockOffset is added to the clocks of all VMs, in nanoseconds.
+	clockOffset atomic.Int64
 }
 
-// pass puts the clocks of all VMs forward at once; their ticks come as before.
-func (f *fleet) pass(d time.Duration) { f.passed.Add(int64(d)) }
+// advanceClocks moves the clocks of all VMs forward; the tick rate stays the same.
+func (f *fleet) advanceClocks(d time.Duration) { f.clockOffset.Add(int64(d)) }
 
-// fleetTimers are timers whose periods the fleet can hold back, and whose clock it can put
-// forward.
+// fleetTimers are timers whose periodic calls the fleet can suppress and whose clock it can
+// advance.
 type fleetTimers struct {
 	laburnumlever.Timers
 	fleet *fleet
 	ticks *atomic.Int64
 }
 
-func (t fleetTimers) Now() time.Time { return t.ahead(t.Timers.Now()) }
+func (t fleetTimers) Now() time.Time { return t.shifted(t.Timers.Now()) }
 
-func (t fleetTimers) ahead(now time.Time) time.Time {
-	return now.Add(time.Duration(t.fleet.passed.Load()))
+func (t fleetTimers) shifted(now time.Time) time.Time {
+	return now.Add(time.Duration(t.fleet.clockOffset.Load()))
 }
 
 func (t fleetTimers) Every(period time.Duration, fn func(now time.Time)) func() {
 	return t.Timers.Every(period, func(now time.Time) {
-		if !t.fleet.stopped.Load() {
-			fn(t.ahead(now))
+		if !t.fleet.ticksPaused.Load() {
+			fn(t.shifted(now))
 			t.ticks.Add(1)
 		}
 	})
 }
 
-// barrier is a part whose event is handled after all that came to the control thread before.
-type barrier struct{ passed chan struct{} }
+// barrier is an event that signals when the control thread has handled all events before it.
+type barrier struct{ handled chan struct{} }
 
-func (b barrier) Handle(laburnumlever.Event) { close(b.passed) }
+func (b barrier) Handle(laburnumlever.Event) { close(b.handled) }
 
 func (barrier) EventName() string { return "barrier" }
 
-// waitTick waits until the VM has handled a tick that came after this call.
+// waitTick waits until the VM has handled a tick that was posted after the call.
 func (f *fleet) waitTick(m *vm) {
 	before := m.ticks.Load()
 	f.wait("a tick", func() bool { return m.ticks.Load() > before+1 })
-	b := barrier{passed: make(chan struct{})}
+	b := barrier{handled: make(chan struct{})}
 	m.loop.Post(b, b)
-	<-b.passed
+	<-b.handled
 }
 
 type vm struct {
 	*laburnumvoter.Voter
-	port   *port
-	loop   *laburnumcontrol.Loop
-	timers *laburnumtimer.Timers
-	seen   chan uint64
-	ticks  atomic.Int64
+	port      *port
+	loop      *laburnumcontrol.Loop
+	timers    *laburnumtimer.Timers
+	revisions chan uint64
+	ticks     atomic.Int64
 }
 
 func newFleet(t testing.TB, names []string, opts ...laburnumvoter.Option) *fleet {
@@ -103,18 +103,18 @@
 
 func (f *fleet) folder(name string) string { return filepath.Join(f.root, name) }
 
-// start starts a VM; a folder of "" makes it one without a replica.
+// start starts a VM. With an empty folder the VM has no replica.
 func (f *fleet) start(name, folder string, opts ...laburnumvoter.Option) *vm {
-	m := &vm{port: f.net.open(name), loop: laburnumcontrol.New(), timers: laburnumtimer.New(), seen: make(chan uint64, 1<<12)}
+	m := &vm{port: f.net.open(name), loop: laburnumcontrol.New(), timers: laburnumtimer.New(), revisions: make(chan uint64, 1<<12)}
 	all := append([]laburnumvoter.Option{
 		laburnumvoter.WithDataFolder(folder), laburnumvoter.WithVoters(f.voters), laburnumvoter.WithTick(tick),
-		laburnumvoter.WithProposalTimeout(patience),
+		laburnumvoter.WithProposalTimeout(waitTimeout),
 	}, f.opts...)
 	self := laburnumlever.VM{ID: laburnumlever.VMID(name), PeerAddress: name, HasDisk: folder != ""}
 	v, err := laburnumvoter.New(m.loop, fleetTimers{m.timers, f, &m.ticks}, m.port, self, append(all, opts...)...)
 	require.NoError(f.t, err)
 	m.Voter = v
-	v.OnCatalogue(func(c laburnumlever.Catalogue) { m.seen <- c.Revision })
+	v.OnCatalogue(func(c laburnumlever.Catalogue) { m.revisions <- c.Revision })
 	go m.loop.Run()
 	v.Start()
 	f.vms[name] = m
@@ -127,7 +127,7 @@
 	}
 }
 
-// stop ends a VM as a kill does for all others: it says nothing more.
+// stop stops a VM. It is cut off first, so to the others it looks like a kill.
 func (f *fleet) stop(name string) {
 	m := f.vms[name]
 	delete(f.vms, name)
@@ -140,7 +140,7 @@
 
 func (f *fleet) wait(what string, cond func() bool) {
 	f.t.Helper()
-	require.Eventually(f.t, cond, patience, time.Millisecond, what)
+	require.Eventually(f.t, cond, waitTimeout, time.Millisecond, what)
 }
 
 func (f *fleet) leader() string {
@@ -174,15 +174,15 @@
 
 func (m *vm) waitRevision(t testing.TB, want uint64) {
 	t.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	for {
 		select {
-		case got := <-m.seen:
+		case got := <-m.revisions:
 			if got == want {
 				return
 			}
 		case <-deadline:
-			t.Fatalf("revision %d was not seen", want)
+			t.Fatalf("revision %d was not reported", want)
 		}
 	}
 }
@@ -200,9 +200,9 @@
 	require.Equal(t, laburnumlever.ResultInvalid, a.apply(t, strings.Repeat("large", 1<<20), 20).Code)
 }
 
-// Guards against a control VM that starts again and keeps gateways without routes until the first
-// tick of its clock, though its disk says what is confirmed.
-func TestRestartTellsWhatIsConfirmedAtOnce(t *testing.T) {
+// Guards against a restarted control VM that leaves gateways without routes until its first tick,
+// although the confirmed state is on its disk.
+func TestRestartDeliversConfirmedCatalogueAtOnce(t *testing.T) {
 	f := newFleet(t, []string{"a"})
 	m := f.start("a", f.folder("a"))
 	f.leader()
@@ -211,17 +211,16 @@
 	f.stop("a")
 	m = f.start("a", f.folder("a"), laburnumvoter.WithTick(time.Hour))
 	select {
-	case got := <-m.seen:
+	case got := <-m.revisions:
 		require.GreaterOrEqual(t, got, uint64(1))
-	case <-time.After(patience):
-		t.Fatal("nothing was told")
+	case <-time.After(waitTimeout):
+		t.Fatal("no revision was reported")
 	}
 }
 
-// An operator's change goes to a VM without a disk while the leader is killed.
-// The change must be there afterwards, once, on every VM; the client's try that
-// was lost with the leader is made again by Propose.
-func TestChangesSurviveTheLeadersDeath(t *testing.T) {
+// Guards against a change that is lost or applied twice when the leader is killed. The change is
+// proposed on a VM without a disk; Propose must retry an attempt that was lost with the leader.
+func TestChangesSurviveLeaderCrash(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	f.startAll()
 	client := f.start("d", "")
@@ -240,9 +239,9 @@
 	require.EqualValues(t, 33, revision)
 }
 
-// A VM's data folder is lost. It comes back as a new instance, catches up and only
-// then takes the old one's place; right after, a second VM is lost. Nothing that
-// was acknowledged may be gone.
+// Guards against the loss of acknowledged changes when a VM loses its data folder and a second VM is
+// lost right after: the first comes back as a new instance and must catch up before it replaces the
+// old one.
 func TestLostFolderThenASecondLoss(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"}, laburnumvoter.WithSnapshotBytes(2000))
 	f.startAll()
@@ -268,7 +267,8 @@
 	b.waitRevision(t, 45)
 }
 
-// Guards against a voter with a lost folder that counts again only at the leader's next check.
+// Guards against a voter that lost its folder and becomes a voter again only at the leader's next
+// tick.
 func TestLostFolderIsRepairedWithoutWaiting(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	f.startAll()
@@ -279,15 +279,16 @@
 	}
 	f.stop(lost)
 	require.NoError(t, os.RemoveAll(f.folder(lost)))
-	f.stopped.Store(true)
+	f.ticksPaused.Store(true)
 	back := f.start(lost, f.folder(lost))
-	f.wait("it counts again", func() bool {
+	f.wait("it is a voter again", func() bool {
 		s := back.Status()
 		return s.Role == "follower" && len(s.Voters) == 3
 	})
 }
 
-// Guards against a first change confirmed by fewer voters than bear the losses of the settings.
+// Guards against a first change that is committed by too few voters to tolerate the configured
+// losses.
 func TestFirstChangeWaitsForTheVoters(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"}, laburnumvoter.WithVoterTarget(5), laburnumvoter.WithFirstChange(2, time.Hour))
 	f.startAll()
@@ -303,8 +304,8 @@
 	require.Len(t, f.vms[f.leader()].Status().Voters, 5)
 }
 
-// Two operators hold revision 0 and apply at the same time through different VMs.
-// One must win; the other must be told so, with the revision that won.
+// Guards against both or neither of two concurrent changes at the same revision being applied. One
+// must win; the other must get a conflict with the winning revision.
 func TestRacingOperators(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	f.startAll()
@@ -321,8 +322,8 @@
 	}
 }
 
-// The leader can send but not receive, then is cut off whole. It must stop taking
-// commands rather than hold them, and the others must go on without it.
+// Guards against a cut-off leader that keeps accepting commands. First it can send but not receive,
+// then neither; it must step down, and the others must elect another leader.
 func TestCutOffLeaderStepsDown(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	f.startAll()
@@ -337,7 +338,7 @@
 	cut(true, false)
 	f.wait("the old leader steps down", func() bool { return f.vms[old].Status().Role != "leader" })
 	cut(true, true)
-	f.wait("another leads", func() bool { n := f.leader(); return n != old })
+	f.wait("another VM is the leader", func() bool { n := f.leader(); return n != old })
 	short, cancel := context.WithTimeout(context.Background(), 20*tick)
 	defer cancel()
 	_, err := f.vms[old].Propose(short, change("refused", 1))
