--- a/laburnumfeed/director_test.go
+++ b/laburnumfeed/director_test.go
@@ -11,21 +11,21 @@
 )
 
 // Guards against gateways that go on asking a control VM which gives no orders any more.
-func TestVMThatStepsDownIsNotAskedForAdapters(t *testing.T) {
+func TestFormerDirectorIsForgotten(t *testing.T) {
 	const first, second = "10.0.0.9:7000", "10.0.0.8:7000"
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
-	f := NewFollower(&darkPeers{asked: make(chan struct{})}, timers, laburnumlever.VM{ID: "10.0.0.1"}, nil, routesHeld(1))
+	f := NewFollower(&unreachablePeers{polled: make(chan struct{})}, timers, laburnumlever.VM{ID: "10.0.0.1"}, nil, versionSink(1))
 	defer f.Close()
-	says := func(director laburnumlever.VMID) Answer {
+	answer := func(director laburnumlever.VMID) Answer {
 		return Answer{meta: meta{Director: director, Controls: []laburnumlever.VM{{ID: "a", PeerAddress: first}, {ID: "b", PeerAddress: second}}}}
 	}
-	f.noteDirector(first, says("a"))
+	f.noteDirector(first, answer("a"))
 	require.Equal(t, first, f.Director())
-	f.noteDirector(second, says(""))
+	f.noteDirector(second, answer(""))
 	require.Equal(t, first, f.Director(), "others do not know")
-	f.noteDirector(first, says(""))
+	f.noteDirector(first, answer(""))
 	require.Empty(t, f.Director())
-	f.noteDirector(second, says("b"))
+	f.noteDirector(second, answer("b"))
 	f.Refused(first)
 	require.Equal(t, second, f.Director(), "a late refusal of another")
 	f.Refused(second)
--- a/laburnumfeed/follower.go
+++ b/laburnumfeed/follower.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// askTimeout is holdTime with a margin for a slow VM.
-	askTimeout = 3 * time.Second
-	// retryPause is between two polls after a failure: short beside the two seconds in which a
+	// pollTimeout is holdTime with a margin for a slow VM.
+	pollTimeout = 3 * time.Second
+	// retryInterval is between two polls after a failure: short beside the two seconds in which a
 	// leaving backend server must be known.
-	retryPause = 200 * time.Millisecond
-	// startPause is the same for a VM that can't serve yet, for lack of routes.
-	startPause = 50 * time.Millisecond
+	retryInterval = 200 * time.Millisecond
+	// startRetryInterval is the same for a VM that can't serve yet, for lack of routes.
+	startRetryInterval = 50 * time.Millisecond
 	// routesTimeout bounds one fetch of the routes.
 	routesTimeout = 2 * time.Second
 )
@@ -50,20 +50,20 @@
 	once   sync.Once
 
 	mu        sync.Mutex
-	following map[string]*followed
+	controls  map[string]*polledControl
 	addresses map[laburnumlever.VMID]string
 	director  laburnumlever.VMID
 	fetching  bool
 }
 
-// followed is one control VM that is polled.
-type followed struct {
-	standing
-	// chosen is set if it is polled for endpoint state too.
-	chosen bool
-	// boot and cursor are those of its last answer; recordsTo is the cursor up to which it has sent
+// polledControl is one control VM that is polled.
+type polledControl struct {
+	controlState
+	// recordSource is set if it is polled for endpoint state too.
+	recordSource bool
+	// boot and cursor are those of its last answer; recordsCursor is the cursor up to which it has sent
 	// endpoint state.
-	boot, cursor, recordsTo uint64
+	boot, cursor, recordsCursor uint64
 }
 
 // Option changes a new follower.
@@ -77,7 +77,7 @@
 func NewFollower(peers laburnumlever.Peers, timers laburnumlever.Timers, self laburnumlever.VM, seeds []string, sink Sink, opts ...Option) *Follower {
 	f := &Follower{
 		peers: peers, timers: timers, self: self, sink: sink, logger: log.NewNopLogger(),
-		done: make(chan struct{}), following: map[string]*followed{}, addresses: map[laburnumlever.VMID]string{},
+		done: make(chan struct{}), controls: map[string]*polledControl{}, addresses: map[laburnumlever.VMID]string{},
 	}
 	for _, opt := range opts {
 		opt(f)
@@ -101,40 +101,40 @@
 	if address == "" || address == f.self.PeerAddress {
 		return
 	}
-	c := f.following[address]
+	c := f.controls[address]
 	if c != nil && (zone == "" || c.zone == zone) {
 		return
 	}
 	if c == nil {
-		c = &followed{standing: standing{address: address}}
-		f.following[address] = c
-		go f.run(c)
+		c = &polledControl{controlState: controlState{address: address}}
+		f.controls[address] = c
+		go f.pollLoop(c)
 	}
 	c.zone = zone
-	f.choose()
+	f.chooseSources()
 }
 
-// choose selects the control VMs to get endpoint state from; mu is held. A control VM polls all
+// chooseSources selects the control VMs to get endpoint state from; mu is held. A control VM polls all
 // others, of which there are few, since it replicates what they send.
-func (f *Follower) choose() {
-	var known []standing
-	for _, c := range f.following {
-		known = append(known, c.standing)
+func (f *Follower) chooseSources() {
+	var known []controlState
+	for _, c := range f.controls {
+		known = append(known, c.controlState)
 	}
 	sources := chooseRecordSources(f.self, known)
-	for _, c := range f.following {
-		c.chosen = f.self.HasDisk || slices.Contains(sources, c.address)
+	for _, c := range f.controls {
+		c.recordSource = f.self.HasDisk || slices.Contains(sources, c.address)
 	}
 }
 
-// run polls one control VM until Close.
-func (f *Follower) run(c *followed) {
+// pollLoop polls one control VM until Close.
+func (f *Follower) pollLoop(c *polledControl) {
 	for {
-		a, err := f.ask(c)
-		f.note(c, a, err)
+		a, err := f.poll(c)
+		f.noteResult(c, a, err)
 		if err == nil {
-			f.learn(c.address, a)
-		} else if !laburnumtimer.Wait(f.done, f.timers, f.pause()) {
+			f.handleAnswer(c.address, a)
+		} else if !laburnumtimer.Wait(f.done, f.timers, f.retryDelay()) {
 			return
 		}
 		select {
@@ -145,20 +145,20 @@
 	}
 }
 
-// note records the result of a poll and reports when a control VM is lost or regained.
-func (f *Follower) note(c *followed, a Answer, err error) {
+// noteResult records the result of a poll and reports when a control VM is lost or regained.
+func (f *Follower) noteResult(c *polledControl, a Answer, err error) {
 	f.mu.Lock()
-	was := c.standing
+	before := c.controlState
 	c.lost = err != nil
 	if err == nil {
 		c.isolated = a.Isolated
 	}
-	if c.standing != was {
-		f.choose()
+	if c.controlState != before {
+		f.chooseSources()
 	}
 	f.mu.Unlock()
 	switch {
-	case was.lost == (err != nil):
+	case before.lost == (err != nil):
 	case err != nil:
 		_ = level.Warn(f.logger).Log("event", laburnumlever.EventControlLost, "address", c.address, "cause", err)
 		f.sink.Lost(c.address)
@@ -167,48 +167,48 @@
 	}
 }
 
-// pause is the time between a failed poll and the next.
-func (f *Follower) pause() time.Duration {
+// retryDelay is the time between a failed poll and the next.
+func (f *Follower) retryDelay() time.Duration {
 	if f.sink.RoutesVersion() == 0 {
-		return startPause
+		return startRetryInterval
 	}
-	return retryPause
+	return retryInterval
 }
 
-func (f *Follower) ask(c *followed) (Answer, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+func (f *Follower) poll(c *polledControl) (Answer, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
-	q := f.question(c)
-	if f.directs(c.address) {
+	q := f.nextRequest(c)
+	if f.isDirector(c.address) {
 		q.News = f.sink.News()
 	}
 	var a Answer
-	if err := f.peers.Call(ctx, c.address, methodNext, q, &a); err != nil {
+	if err := f.peers.Call(ctx, c.address, methodPoll, q, &a); err != nil {
 		return Answer{}, err
 	}
 	if a.Boot != c.boot {
-		c.recordsTo = 0
+		c.recordsCursor = 0
 	}
 	c.boot, c.cursor = a.Boot, a.Cursor
 	if q.Records {
-		c.recordsTo = a.Cursor
+		c.recordsCursor = a.Cursor
 	}
 	return a, nil
 }
 
-// question is a poll for what follows the last answer. Endpoint state resumes from where the
+// nextRequest is a poll for what follows the last answer. Endpoint state resumes from where the
 // control VM last sent it.
-func (f *Follower) question(c *followed) request {
+func (f *Follower) nextRequest(c *polledControl) pollRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	q := request{From: f.self, Boot: c.boot, Since: c.cursor, Records: c.chosen}
+	q := pollRequest{From: f.self, Boot: c.boot, Since: c.cursor, Records: c.recordSource}
 	if q.Records {
-		q.Since = c.recordsTo
+		q.Since = c.recordsCursor
 	}
 	return q
 }
 
-func (f *Follower) directs(address string) bool {
+func (f *Follower) isDirector(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return address == f.addresses[f.director]
@@ -230,7 +230,7 @@
 	}
 }
 
-func (f *Follower) learn(address string, a Answer) {
+func (f *Follower) handleAnswer(address string, a Answer) {
 	for _, vm := range a.Controls {
 		f.follow(vm.PeerAddress, vm.Zone)
 	}
--- /dev/null
+++ b/laburnumfeed/itemlog.go
@@ -0,0 +1,100 @@
+package laburnumfeed
+
+import (
+	"encoding/json"
+	"slices"
+
+	"laburnumlever"
+)
+
+// pageItems bounds the items of one answer. At the start every VM polls for everything at once, and
+// whole answers to hundreds of VMs would exhaust a control VM's memory; smaller pages cost more
+// round trips.
+const pageItems = 512
+
+// compactAbove is how many outdated items a log keeps beyond the number of valid ones.
+const compactAbove = 64
+
+// itemLog holds the newest encoded item of each backend server, ordered by cursor. Reading after a
+// cursor takes time linear in what follows. It is not safe for concurrent use.
+type itemLog struct {
+	items []logItem
+	// cursors is the cursor of each backend server's valid item.
+	cursors map[laburnumlever.BackendID]uint64
+}
+
+type logItem struct {
+	backend laburnumlever.BackendID
+	cursor  uint64
+	encoded json.RawMessage
+}
+
+func newItemLog() *itemLog { return &itemLog{cursors: map[laburnumlever.BackendID]uint64{}} }
+
+// put appends an item at a cursor above all others.
+func (l *itemLog) put(id laburnumlever.BackendID, at uint64, encoded json.RawMessage) {
+	l.cursors[id] = at
+	l.items = append(l.items, logItem{backend: id, cursor: at, encoded: encoded})
+	if len(l.items) > 2*len(l.cursors)+compactAbove {
+		l.items = slices.DeleteFunc(l.items, l.outdated)
+	}
+}
+
+func (l *itemLog) remove(id laburnumlever.BackendID) { delete(l.cursors, id) }
+
+func (l *itemLog) clear() { l.items, l.cursors = nil, map[laburnumlever.BackendID]uint64{} }
+
+func (l *itemLog) outdated(item logItem) bool { return l.cursors[item.backend] != item.cursor }
+
+// after returns the items newer than a cursor up to another.
+func (l *itemLog) after(since, until uint64) []json.RawMessage {
+	var out []json.RawMessage
+	l.each(since, until, func(item logItem) bool {
+		out = append(out, item.encoded)
+		return true
+	})
+	return out
+}
+
+// hasNewer reports whether there is an item hasNewer than a cursor up to another.
+func (l *itemLog) hasNewer(since, until uint64) bool {
+	found := false
+	l.each(since, until, func(logItem) bool {
+		found = true
+		return false
+	})
+	return found
+}
+
+// pageEnd returns the last cursor of an answer that begins after since: until, or less if there are
+// more than pageItems.
+func (l *itemLog) pageEnd(since, until uint64) uint64 {
+	n := 0
+	end := until
+	l.each(since, until, func(item logItem) bool {
+		n++
+		if n == pageItems {
+			end = item.cursor
+		}
+		return n < pageItems
+	})
+	return end
+}
+
+// each calls fn for the valid items newer than since up to until, while it returns true.
+func (l *itemLog) each(since, until uint64, fn func(logItem) bool) {
+	from, _ := slices.BinarySearchFunc(l.items, since+1, func(item logItem, at uint64) int {
+		if item.cursor < at {
+			return -1
+		}
+		return 1
+	})
+	for _, item := range l.items[from:] {
+		if item.cursor > until {
+			return
+		}
+		if !l.outdated(item) && !fn(item) {
+			return
+		}
+	}
+}
--- a/laburnumfeed/messages.go
+++ b/laburnumfeed/messages.go
@@ -9,12 +9,12 @@
 
 // Methods between VMs.
 const (
-	methodNext   = "feed-next"
+	methodPoll   = "feed-next"
 	methodRoutes = "feed-routes"
 )
 
-// request polls for changes after a cursor.
-type request struct {
+// pollRequest polls for changes after a cursor.
+type pollRequest struct {
 	From laburnumlever.VM `json:"from"`
 	// Boot and Since are those of the last answer; 0 before the first.
 	Boot  uint64 `json:"boot,omitempty"`
@@ -32,16 +32,16 @@
 	Overlays []laburnumregistry.Overlay `json:"overlays,omitempty"`
 }
 
-// answerEncoded is an Answer with items that were encoded before.
-type answerEncoded struct {
+// encodedAnswer is an Answer with items that were encoded before.
+type encodedAnswer struct {
 	meta
 	Backends []json.RawMessage `json:"backends,omitempty"`
 	Overlays []json.RawMessage `json:"overlays,omitempty"`
 }
 
-// packAbove is the size in bytes from which an answer is compressed. Changes are below it; the
+// compressThreshold is the size in bytes from which an answer is compressed. Changes are below it; the
 // pages that a starting VM gets are above it, and come to megabytes.
-const packAbove = 8 << 10
+const compressThreshold = 8 << 10
 
 // plainAnswer is an answer without its own encoding.
 type plainAnswer Answer
@@ -51,9 +51,9 @@
 	Packed []byte `json:"packed,omitempty"`
 }
 
-func (a answerEncoded) encode() (json.RawMessage, error) {
+func (a encodedAnswer) encode() (json.RawMessage, error) {
 	data, err := json.Marshal(a)
-	if err != nil || len(data) <= packAbove {
+	if err != nil || len(data) <= compressThreshold {
 		return data, err
 	}
 	packed, err := laburnumlever.Pack(data)
--- /dev/null
+++ b/laburnumfeed/pollers.go
@@ -0,0 +1,109 @@
+package laburnumfeed
+
+import (
+	"time"
+
+	"laburnumlever"
+)
+
+const (
+	// gatewayRetention is how long a gateway counts after its last poll.
+	gatewayRetention = 30 * time.Second
+	// controlRetention is the same for a control VM: longer than a restart.
+	controlRetention = 20 * time.Second
+	// reachableTime is how long another control VM counts as reachable after its last poll: each
+	// polls at least once in holdTime, and one poll may be lost.
+	reachableTime = 2*longPollTimeout + 500*time.Millisecond
+	// countTTL bounds the age of a count of the pollers. A count for each poll would be
+	// quadratic in the gateways.
+	countTTL = 200 * time.Millisecond
+)
+
+// pollers are the VMs that poll a source. It is not safe for concurrent use.
+type pollers struct {
+	controls          map[laburnumlever.VMID]knownControl
+	gatewayPolledAt   map[laburnumlever.VMID]time.Time
+	gatewayCount      int
+	gatewaysCountedAt time.Time
+}
+
+// knownControl is a control VM that polled, or was named by one that did.
+type knownControl struct {
+	vm laburnumlever.VM
+	// namedAt is when it was last named, polledAt when it last polled itself.
+	namedAt, polledAt time.Time
+}
+
+func newPollers() pollers {
+	return pollers{controls: map[laburnumlever.VMID]knownControl{}, gatewayPolledAt: map[laburnumlever.VMID]time.Time{}}
+}
+
+// noteControl records a control VM and reports whether it is new or has another address.
+func (p *pollers) noteControl(vm laburnumlever.VM, now time.Time) bool {
+	known, ok := p.controls[vm.ID]
+	if ok && known.vm.Incarnation > vm.Incarnation {
+		return false
+	}
+	moved := !ok || known.vm.PeerAddress != vm.PeerAddress
+	p.controls[vm.ID] = knownControl{vm: vm, namedAt: now, polledAt: known.polledAt}
+	return moved
+}
+
+// notePoll records a poll.
+func (p *pollers) notePoll(vm laburnumlever.VM, now time.Time) {
+	if !vm.HasDisk {
+		if _, ok := p.gatewayPolledAt[vm.ID]; !ok {
+			p.gatewaysCountedAt = time.Time{}
+		}
+		p.gatewayPolledAt[vm.ID] = now
+		return
+	}
+	if known, ok := p.controls[vm.ID]; ok {
+		known.polledAt = now
+		p.controls[vm.ID] = known
+	}
+}
+
+// others returns the control VMs named within controlMemory.
+func (p *pollers) others(now time.Time) []laburnumlever.VM {
+	return p.filterControls(func(known knownControl) bool { return now.Sub(known.namedAt) < controlRetention })
+}
+
+// reachable returns the control VMs that polled within hearTime.
+func (p *pollers) reachable(now time.Time) []laburnumlever.VM {
+	return p.filterControls(func(known knownControl) bool { return now.Sub(known.polledAt) < reachableTime })
+}
+
+func (p *pollers) filterControls(test func(knownControl) bool) []laburnumlever.VM {
+	var out []laburnumlever.VM
+	for _, known := range p.controls {
+		if test(known) {
+			out = append(out, known.vm)
+		}
+	}
+	return out
+}
+
+// isolated reports whether fewer than a majority of the control VMs, this one included, have
+// polled lately. A control VM that is cut off still answers, with outdated endpoint state.
+func (p *pollers) isolated(now time.Time) bool {
+	all, reachable := len(p.others(now))+1, len(p.reachable(now))+1
+	return 2*reachable <= all
+}
+
+// gateways counts the gateways that polled within gatewayMemory.
+func (p *pollers) gateways(now time.Time) int {
+	if now.Sub(p.gatewaysCountedAt) < countTTL {
+		return p.gatewayCount
+	}
+	for id, at := range p.gatewayPolledAt {
+		if now.Sub(at) > gatewayRetention {
+			delete(p.gatewayPolledAt, id)
+		}
+	}
+	p.gatewayCount, p.gatewaysCountedAt = len(p.gatewayPolledAt), now
+	return p.gatewayCount
+}
+
+// count is how many VMs poll, with those that stopped up to their memory ago.
+func (p *pollers) count() int { return len(p.gatewayPolledAt) + len(p.controls) }
--- a/laburnumfeed/choice.go
+++ b/laburnumfeed/recordsources.go
@@ -14,8 +14,8 @@
 // be detected. Polling all of them would multiply the traffic by their number.
 const recordSources = 3
 
-// standing is a follower's view of one control VM.
-type standing struct {
+// controlState is a follower's view of one control VM.
+type controlState struct {
 	address string
 	zone    laburnumlever.ZoneName
 	// lost is set while polls fail, isolated while it is cut off from a majority of the control VMs.
@@ -25,14 +25,14 @@
 // chooseRecordSources picks the control VMs that a VM gets endpoint state from: reachable ones
 // first, then one of the VM's own availability zone, which stays reachable when the zone is cut
 // off, then by rendezvous hashing, which balances them and keeps choices stable.
-func chooseRecordSources(self laburnumlever.VM, known []standing) []string {
+func chooseRecordSources(self laburnumlever.VM, known []controlState) []string {
 	ranked := slices.Clone(known)
-	slices.SortFunc(ranked, func(a, b standing) int {
+	slices.SortFunc(ranked, func(a, b controlState) int {
 		return cmp.Or(
 			compareFlags(a.lost, b.lost),
 			compareFlags(a.isolated, b.isolated),
 			compareFlags(a.zone != self.Zone, b.zone != self.Zone),
-			cmp.Compare(spread(string(self.ID), a.address), spread(string(self.ID), b.address)),
+			cmp.Compare(rendezvousHash(string(self.ID), a.address), rendezvousHash(string(self.ID), b.address)),
 			cmp.Compare(a.address, b.address),
 		)
 	})
@@ -55,15 +55,15 @@
 	}
 }
 
-// spread is the rendezvous hash of an address for a key.
-func spread(key, address string) uint64 { return xxhash.Sum64String(key + "/" + address) }
+// rendezvousHash is the rendezvous hash of an address for a key.
+func rendezvousHash(key, address string) uint64 { return xxhash.Sum64String(key + "/" + address) }
 
-// nearest returns the peer address of one VM in an availability zone, stable for a key; empty if
+// pickInZone returns the peer address of one VM in an availability zone, stable for a key; empty if
 // there is none.
-func nearest(vms []laburnumlever.VM, zone laburnumlever.ZoneName, key string) string {
+func pickInZone(vms []laburnumlever.VM, zone laburnumlever.ZoneName, key string) string {
 	best := ""
 	for _, vm := range vms {
-		if vm.Zone == zone && (best == "" || spread(key, vm.PeerAddress) < spread(key, best)) {
+		if vm.Zone == zone && (best == "" || rendezvousHash(key, vm.PeerAddress) < rendezvousHash(key, best)) {
 			best = vm.PeerAddress
 		}
 	}
--- a/laburnumfeed/choice_test.go
+++ b/laburnumfeed/recordsources_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func eightControls() []standing {
-	var known []standing
+func eightControls() []controlState {
+	var known []controlState
 	for i := range 8 {
-		known = append(known, standing{
+		known = append(known, controlState{
 			address: fmt.Sprintf("10.0.0.%d:7000", i),
 			zone:    laburnumlever.ZoneName(fmt.Sprintf("zone-%d", i%4)),
 		})
@@ -22,7 +22,7 @@
 
 // A zone that is cut off goes on serving what it can: its gateways hear of its backend
 // servers from its own control VM.
-func TestOwnZonesControlVMsAreAskedFirst(t *testing.T) {
+func TestControlVMsOfOwnZoneAreChosenFirst(t *testing.T) {
 	self := laburnumlever.VM{ID: "10.0.1.1", Zone: "zone-2"}
 	chosen := chooseRecordSources(self, eightControls())
 	require.Len(t, chosen, recordSources)
@@ -32,7 +32,7 @@
 
 // Control VMs that do not answer, or hear no majority of the others, are asked only where
 // there are too few others: what they know may be old.
-func TestLostAndIsolatedControlVMsAreLeftOut(t *testing.T) {
+func TestLostAndIsolatedControlVMsAreAvoided(t *testing.T) {
 	known := eightControls()
 	for i := range known {
 		known[i].isolated = i < 4
@@ -45,8 +45,8 @@
 
 // Three hundred gateways ask eight control VMs: each control VM has its part of them, and
 // the loss of one moves only those that asked it.
-func TestQuestionsAreSpreadOverControlVMs(t *testing.T) {
-	count := func(known []standing) map[string]int {
+func TestPollsAreBalancedOverControlVMs(t *testing.T) {
+	count := func(known []controlState) map[string]int {
 		n := map[string]int{}
 		for i := range 300 {
 			self := laburnumlever.VM{ID: laburnumlever.VMID(fmt.Sprintf("10.0.1.%d", i)), Zone: laburnumlever.ZoneName(fmt.Sprintf("zone-%d", i%4))}
@@ -68,7 +68,7 @@
 
 // Three thousand backend servers that all speak to one control VM take up its descriptors.
 // Each is told one of its own zone, by a hash, and keeps it.
-func TestBackendServersAreSpreadOverTheirZonesControlVMs(t *testing.T) {
+func TestBackendServersAreBalancedOverControlVMsOfTheirZone(t *testing.T) {
 	var vms []laburnumlever.VM
 	for i := range 8 {
 		vms = append(vms, laburnumlever.VM{PeerAddress: fmt.Sprintf("10.0.0.%d:7000", i), Zone: laburnumlever.ZoneName(fmt.Sprintf("zone-%d", i%4))})
@@ -76,11 +76,11 @@
 	n := map[string]int{}
 	for i := range 1000 {
 		key := fmt.Sprintf("i-%d", i)
-		address := nearest(vms, "zone-1", key)
+		address := pickInZone(vms, "zone-1", key)
 		n[address]++
-		require.Equal(t, address, nearest(vms[1:], "zone-1", key))
+		require.Equal(t, address, pickInZone(vms[1:], "zone-1", key))
 	}
 	require.InDelta(t, 500, n["10.0.0.1:7000"], 60)
 	require.InDelta(t, 500, n["10.0.0.5:7000"], 60)
-	require.Empty(t, nearest(vms, "zone-9", "i-1"))
+	require.Empty(t, pickInZone(vms, "zone-9", "i-1"))
 }
--- a/laburnumfeed/source.go
+++ b/laburnumfeed/source.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// holdTime is how long a poll is held without changes. Polls carry gateways' reports, and one
+	// longPollTimeout is how long a poll is held without changes. Polls carry gateways' reports, and one
 	// that isn't answered reveals a dead link.
-	holdTime = time.Second
-	// gatherTime for each VM that polls is the least time between two publications, so that the
+	longPollTimeout = time.Second
+	// batchTimePerPoller for each VM that polls is the least time between two publications, so that the
 	// processor time for answers is bounded: a change takes 10 ms to reach nine gateways and
 	// 300 ms to reach three hundred, of the two seconds that a leaving backend server has.
-	gatherTime = time.Millisecond
+	batchTimePerPoller = time.Millisecond
 )
 
 // NewsFunc receives a gateway's report.
@@ -29,29 +29,29 @@
 
 // Source answers polls on a control VM. It is safe for concurrent use.
 type Source struct {
-	timers laburnumlever.Timers
-	logger log.Logger
-	self   laburnumlever.VM
-	boot   uint64
-	onNews NewsFunc
-	gather *laburnumtimer.Gatherer
+	timers          laburnumlever.Timers
+	logger          log.Logger
+	self            laburnumlever.VM
+	boot            uint64
+	onGatewayReport NewsFunc
+	batcher         *laburnumtimer.Gatherer
 
 	mu     sync.Mutex
 	cursor uint64 // of the newest news
 	// published is the cursor up to which polls are answered.
 	published uint64
 	changed   chan struct{} // closed at the next publication
-	records   *newsLog
-	overlays  *newsLog
+	records   *itemLog
+	overlays  *itemLog
 	routes    *laburnumlever.RouteTable
-	// encoded is the table for gateways; nil until the first fetch.
-	encoded  laburnumlever.RawMessage
-	director laburnumlever.VMID
-	askers   askers
-	// controlsAt is the cursor of the last change of the control VMs, metaAt that of
+	// encodedRoutes is the table for gateways; nil until the first fetch.
+	encodedRoutes laburnumlever.RawMessage
+	director      laburnumlever.VMID
+	pollers       pollers
+	// controlsCursor is the cursor of the last change of the control VMs, metaAt that of
 	// the routes or the director.
-	controlsAt uint64
-	metaAt     uint64
+	controlsCursor uint64
+	metaCursor     uint64
 	// answers are those encoded since the last publication: VMs that are up to date share one.
 	answers   map[answerKey]laburnumlever.RawMessage
 	answersAt time.Time
@@ -74,21 +74,21 @@
 func NewSource(peers laburnumlever.Peers, timers laburnumlever.Timers, self laburnumlever.VM, opts ...SourceOption) *Source {
 	s := &Source{
 		timers: timers, logger: log.NewNopLogger(), self: self, boot: self.Incarnation, changed: make(chan struct{}),
-		records: newNewsLog(), overlays: newNewsLog(), askers: newAskers(),
-		onNews: func(laburnumlever.VMID, laburnumlever.GatewayNews) {},
-		cursor: 1, published: 1, controlsAt: 1, metaAt: 1, answers: map[answerKey]laburnumlever.RawMessage{},
+		records: newItemLog(), overlays: newItemLog(), pollers: newPollers(),
+		onGatewayReport: func(laburnumlever.VMID, laburnumlever.GatewayNews) {},
+		cursor:          1, published: 1, controlsCursor: 1, metaCursor: 1, answers: map[answerKey]laburnumlever.RawMessage{},
 	}
 	for _, opt := range opts {
 		opt(s)
 	}
-	s.gather = laburnumtimer.NewGatherer(timers, s.gatherPeriod, s.publish)
-	peers.Handle(methodNext, s.handleNext)
+	s.batcher = laburnumtimer.NewGatherer(timers, s.batchInterval, s.publish)
+	peers.Handle(methodPoll, s.handlePoll)
 	peers.Handle(methodRoutes, s.handleRoutes)
 	return s
 }
 
 // OnNews sets the function for the gateways' reports; set it before serving.
-func (s *Source) OnNews(fn NewsFunc) { s.onNews = fn }
+func (s *Source) OnNews(fn NewsFunc) { s.onGatewayReport = fn }
 
 // SetRecord publishes a backend server's record.
 func (s *Source) SetRecord(r laburnumregistry.Record) {
@@ -100,16 +100,16 @@
 	s.put(s.overlays, o.Backend, o)
 }
 
-func (s *Source) put(l *newsLog, id laburnumlever.BackendID, item any) {
+func (s *Source) put(l *itemLog, id laburnumlever.BackendID, item any) {
 	encoded, err := json.Marshal(item)
 	if err != nil {
 		_ = level.Error(s.logger).Log("event", laburnumlever.EventNewsNotEncoded, "backend", id, "cause", err)
 		return
 	}
 	s.mu.Lock()
-	l.put(id, s.bump(), encoded)
+	l.put(id, s.nextCursor(), encoded)
 	s.mu.Unlock()
-	s.gather.Poke()
+	s.batcher.Poke()
 }
 
 // ClearOverlays drops all overlays, when another VM becomes the director.
@@ -132,26 +132,26 @@
 	s.mu.Lock()
 	newer := s.routes == nil || t.Version > s.routes.Version
 	if newer {
-		s.metaAt = s.bump()
-		s.routes, s.encoded = &t, nil
+		s.metaCursor = s.nextCursor()
+		s.routes, s.encodedRoutes = &t, nil
 	}
 	s.mu.Unlock()
 	if newer {
-		s.gather.Poke()
+		s.batcher.Poke()
 	}
 }
 
 // SetDirector publishes the director.
 func (s *Source) SetDirector(vm laburnumlever.VMID) {
 	s.mu.Lock()
-	other := s.director != vm
-	if other {
-		s.metaAt = s.bump()
+	changed := s.director != vm
+	if changed {
+		s.metaCursor = s.nextCursor()
 		s.director = vm
 	}
 	s.mu.Unlock()
-	if other {
-		s.gather.Poke()
+	if changed {
+		s.batcher.Poke()
 	}
 }
 
@@ -166,19 +166,19 @@
 func (s *Source) Gateways() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.askers.gateways(s.timers.Now())
+	return s.pollers.gateways(s.timers.Now())
 }
 
 // NoteControl records a control VM.
 func (s *Source) NoteControl(vm laburnumlever.VM) {
 	s.mu.Lock()
-	other := vm.ID != s.self.ID && s.askers.heardOf(vm, s.timers.Now())
-	if other {
-		s.controlsAt = s.bump()
+	changed := vm.ID != s.self.ID && s.pollers.noteControl(vm, s.timers.Now())
+	if changed {
+		s.controlsCursor = s.nextCursor()
 	}
 	s.mu.Unlock()
-	if other {
-		s.gather.Poke()
+	if changed {
+		s.batcher.Poke()
 	}
 }
 
@@ -186,7 +186,7 @@
 func (s *Source) Controls() []laburnumlever.VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.askers.others(s.timers.Now())
+	return s.pollers.others(s.timers.Now())
 }
 
 // Nearest returns the peer address of a control VM in an availability zone, one of several by a
@@ -195,23 +195,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.timers.Now()
-	if s.askers.isolated(now) {
+	if s.pollers.isolated(now) {
 		return ""
 	}
-	return nearest(append(s.askers.near(now), s.self), zone, key)
+	return pickInZone(append(s.pollers.reachable(now), s.self), zone, key)
 }
 
-// bump returns the cursor of the next change; mu is held.
-func (s *Source) bump() uint64 {
+// nextCursor returns the cursor of the next change; mu is held.
+func (s *Source) nextCursor() uint64 {
 	s.cursor++
 	return s.cursor
 }
 
-// gatherPeriod is the least time between two publications.
-func (s *Source) gatherPeriod() time.Duration {
+// batchInterval is the least time between two publications.
+func (s *Source) batchInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Duration(s.askers.count()) * gatherTime
+	return time.Duration(s.pollers.count()) * batchTimePerPoller
 }
 
 // publish answers the polls that are held.
@@ -224,25 +224,25 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *Source) handleNext(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
-	var q request
+func (s *Source) handlePoll(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
+	var q pollRequest
 	if err := json.Unmarshal(params, &q); err != nil {
-		return nil, &MessageError{Method: methodNext, Cause: err}
+		return nil, &MessageError{Method: methodPoll, Cause: err}
 	}
 	if !q.News.IsZero() {
-		s.onNews(q.From.ID, q.News)
+		s.onGatewayReport(q.From.ID, q.News)
 	}
-	s.noteAsker(q.From)
-	held, cancel := laburnumtimer.Passed(s.timers, holdTime)
+	s.notePoller(q.From)
+	expired, cancel := laburnumtimer.Passed(s.timers, longPollTimeout)
 	defer cancel()
 	for {
-		news, changed := s.newsFor(q)
-		if news {
+		found, changed := s.hasChanges(q)
+		if found {
 			return s.answer(q)
 		}
 		select {
 		case <-changed:
-		case <-held:
+		case <-expired:
 			return s.answer(q)
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -250,51 +250,51 @@
 	}
 }
 
-// noteAsker records the VM that polls; a gateway is only counted.
-func (s *Source) noteAsker(vm laburnumlever.VM) {
+// notePoller records the VM that polls; a gateway is only counted.
+func (s *Source) notePoller(vm laburnumlever.VM) {
 	if vm.HasDisk {
 		s.NoteControl(vm)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.askers.asked(vm, s.timers.Now())
+	s.pollers.notePoll(vm, s.timers.Now())
 }
 
-// newsFor reports whether anything published follows the request's cursor, with the channel that
+// hasChanges reports whether anything published follows the request's cursor, with the channel that
 // is closed at the next publication.
-func (s *Source) newsFor(q request) (bool, <-chan struct{}) {
+func (s *Source) hasChanges(q pollRequest) (bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	since := s.since(q)
-	told := max(s.controlsAt, s.metaAt)
-	news := (told > since && told <= s.published) || s.overlays.newer(since, s.published) ||
-		(q.Records && s.records.newer(since, s.published))
-	return news, s.changed
+	latest := max(s.controlsCursor, s.metaCursor)
+	found := (latest > since && latest <= s.published) || s.overlays.hasNewer(since, s.published) ||
+		(q.Records && s.records.hasNewer(since, s.published))
+	return found, s.changed
 }
 
 // since is the cursor to answer from: 0 if the request's is from another start.
-func (s *Source) since(q request) uint64 {
+func (s *Source) since(q pollRequest) uint64 {
 	if q.Boot != s.boot {
 		return 0
 	}
 	return q.Since
 }
 
-// page is the last cursor of an answer.
-func (s *Source) page(since uint64, records bool) uint64 {
-	end := s.overlays.page(since, s.published)
+// pageEnd is the last cursor of an answer.
+func (s *Source) pageEnd(since uint64, records bool) uint64 {
+	end := s.overlays.pageEnd(since, s.published)
 	if records {
-		end = min(end, s.records.page(since, s.published))
+		end = min(end, s.records.pageEnd(since, s.published))
 	}
 	return end
 }
 
 // answer returns the encoded answer, which VMs with the same request share.
-func (s *Source) answer(q request) (laburnumlever.RawMessage, error) {
+func (s *Source) answer(q pollRequest) (laburnumlever.RawMessage, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.timers.Now()
-	if now.Sub(s.answersAt) >= recountTime {
+	if now.Sub(s.answersAt) >= countTTL {
 		s.answersAt = now
 		clear(s.answers)
 	}
@@ -304,18 +304,18 @@
 	}
 	encoded, err := s.collect(key, now).encode()
 	if err != nil {
-		return nil, &MessageError{Method: methodNext, Cause: err}
+		return nil, &MessageError{Method: methodPoll, Cause: err}
 	}
 	s.answers[key] = encoded
 	return encoded, nil
 }
 
 // collect returns the changes after a cursor, at most a page; mu is held.
-func (s *Source) collect(key answerKey, now time.Time) answerEncoded {
-	end := s.page(key.since, key.records)
-	a := answerEncoded{
+func (s *Source) collect(key answerKey, now time.Time) encodedAnswer {
+	end := s.pageEnd(key.since, key.records)
+	a := encodedAnswer{
 		meta: meta{
-			Boot: s.boot, Cursor: end, Director: s.director, Gateways: s.askers.gateways(now), Isolated: s.askers.isolated(now),
+			Boot: s.boot, Cursor: end, Director: s.director, Gateways: s.pollers.gateways(now), Isolated: s.pollers.isolated(now),
 		},
 		Overlays: s.overlays.after(key.since, end),
 	}
@@ -325,8 +325,8 @@
 	if key.records {
 		a.Backends = s.records.after(key.since, end)
 	}
-	if s.controlsAt > key.since {
-		a.Controls = append(s.askers.others(now), s.self)
+	if s.controlsCursor > key.since {
+		a.Controls = append(s.pollers.others(now), s.self)
 	}
 	return a
 }
@@ -338,8 +338,8 @@
 	if s.routes == nil {
 		return nil, &laburnumlever.NotFoundError{Kind: "route table", Name: "any"}
 	}
-	if s.encoded != nil {
-		return s.encoded, nil
+	if s.encodedRoutes != nil {
+		return s.encodedRoutes, nil
 	}
 	table := *s.routes
 	table.Document = nil
@@ -347,6 +347,6 @@
 	if err != nil {
 		return nil, &MessageError{Method: methodRoutes, Cause: err}
 	}
-	s.encoded = encoded
-	return s.encoded, nil
+	s.encodedRoutes = encoded
+	return s.encodedRoutes, nil
 }
--- a/laburnumfeed/source_test.go
+++ b/laburnumfeed/source_test.go
@@ -14,16 +14,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loopPeers hand a call to the handler of a source in the same process.
-type loopPeers struct {
+// loopbackPeers hand a call to the handler of a source in the same process.
+type loopbackPeers struct {
 	handlers map[string]laburnumlever.PeerHandler
 }
 
-func (p *loopPeers) Handle(method string, handler laburnumlever.PeerHandler) {
+func (p *loopbackPeers) Handle(method string, handler laburnumlever.PeerHandler) {
 	p.handlers[method] = handler
 }
-func (p *loopPeers) Notify(string, string, any) {}
-func (p *loopPeers) Call(ctx context.Context, _, method string, params, result any) error {
+func (p *loopbackPeers) Notify(string, string, any) {}
+func (p *loopbackPeers) Call(ctx context.Context, _, method string, params, result any) error {
 	encoded, err := json.Marshal(params)
 	if err != nil {
 		return err
@@ -38,8 +38,8 @@
 	return json.Unmarshal(encoded, result)
 }
 
-func newTestSource() (*Source, *loopPeers, *laburnumtimer.Manual) {
-	peers := &loopPeers{handlers: map[string]laburnumlever.PeerHandler{}}
+func newTestSource() (*Source, *loopbackPeers, *laburnumtimer.Manual) {
+	peers := &loopbackPeers{handlers: map[string]laburnumlever.PeerHandler{}}
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
 	self := laburnumlever.VM{ID: "10.0.0.1", PeerAddress: "10.0.0.1:7000", HasDisk: true, Incarnation: 7}
 	return NewSource(peers, timers, self), peers, timers
@@ -55,35 +55,35 @@
 	return laburnumlever.VM{ID: laburnumlever.VMID(fmt.Sprintf("10.0.1.%d", i))}
 }
 
-func ask(t *testing.T, peers *loopPeers, q request) Answer {
+func poll(t *testing.T, peers *loopbackPeers, q pollRequest) Answer {
 	t.Helper()
 	var a Answer
-	require.NoError(t, peers.Call(t.Context(), "", methodNext, q, &a))
+	require.NoError(t, peers.Call(t.Context(), "", methodPoll, q, &a))
 	return a
 }
 
 // Three thousand backend servers announce themselves while hundreds of gateways start. An
 // answer with all of them to each at once is more memory than the control VM has; in pages
 // the same news arrives, every item once.
-func TestStartIsAnsweredInPages(t *testing.T) {
+func TestInitialStateIsSentInPages(t *testing.T) {
 	s, peers, timers := newTestSource()
 	const backends = 3*pageItems + 10
 	for i := range backends {
 		s.SetRecord(record(i))
 	}
 	timers.Advance(time.Second)
-	heard := map[laburnumlever.BackendID]int{}
-	q := request{From: gateway(1), Records: true}
-	for pages := 1; len(heard) < backends; pages++ {
-		a := ask(t, peers, q)
+	received := map[laburnumlever.BackendID]int{}
+	q := pollRequest{From: gateway(1), Records: true}
+	for pages := 1; len(received) < backends; pages++ {
+		a := poll(t, peers, q)
 		require.LessOrEqual(t, len(a.Backends), pageItems)
 		require.LessOrEqual(t, pages, 4)
 		for _, r := range a.Backends {
-			heard[r.Heartbeat.Backend]++
+			received[r.Heartbeat.Backend]++
 		}
 		q.Boot, q.Since = a.Boot, a.Cursor
 	}
-	for id, n := range heard {
+	for id, n := range received {
 		require.Equal(t, 1, n, id)
 	}
 }
@@ -96,91 +96,91 @@
 		s.SetRecord(record(i))
 	}
 	timers.Advance(time.Second)
-	first := ask(t, peers, request{From: gateway(1), Records: true})
+	first := poll(t, peers, pollRequest{From: gateway(1), Records: true})
 	leaving := record(0)
 	leaving.Heartbeat.Sequence, leaving.Heartbeat.Leaving = 2, true
 	s.SetRecord(leaving)
 	timers.Advance(time.Second)
-	q := request{From: gateway(1), Records: true, Boot: first.Boot, Since: first.Cursor}
-	second := ask(t, peers, q)
+	q := pollRequest{From: gateway(1), Records: true, Boot: first.Boot, Since: first.Cursor}
+	second := poll(t, peers, q)
 	q.Since = second.Cursor
-	third := ask(t, peers, q)
-	told := append(second.Backends, third.Backends...)
-	require.Contains(t, told, leaving)
-	require.Len(t, told, pageItems+1)
+	third := poll(t, peers, q)
+	received := append(second.Backends, third.Backends...)
+	require.Contains(t, received, leaving)
+	require.Len(t, received, pageItems+1)
 }
 
 // A VM that does not ask for backend servers is not woken by them: at 300 gateways most
 // questions at a control VM are of that kind.
-func TestRecordsWakeOnlyThoseWhoAskForThem(t *testing.T) {
+func TestRecordsWakeOnlyPollsForRecords(t *testing.T) {
 	s, peers, timers := newTestSource()
 	s.NoteControl(laburnumlever.VM{ID: "10.0.0.2", PeerAddress: "10.0.0.2:7000", HasDisk: true})
 	timers.Advance(time.Second)
-	a := ask(t, peers, request{From: gateway(1)})
+	a := poll(t, peers, pollRequest{From: gateway(1)})
 	require.Len(t, a.Controls, 2)
 	s.SetRecord(record(1))
 	timers.Advance(time.Second)
-	q := request{From: gateway(1), Boot: a.Boot, Since: a.Cursor}
-	news, _ := s.newsFor(q)
-	require.False(t, news)
+	q := pollRequest{From: gateway(1), Boot: a.Boot, Since: a.Cursor}
+	found, _ := s.hasChanges(q)
+	require.False(t, found)
 	q.Records = true
-	news, _ = s.newsFor(q)
-	require.True(t, news)
+	found, _ = s.hasChanges(q)
+	require.True(t, found)
 }
 
 // Hundreds of gateways hold a question each while backend servers change all the time.
 // Changes that follow each other closely are told together, later the more who ask, so
 // that what a control VM spends on answers stays the same.
-func TestNewsIsGatheredForAsLongAsManyAsk(t *testing.T) {
+func TestBatchIntervalGrowsWithPollers(t *testing.T) {
 	s, peers, timers := newTestSource()
 	for i := range 300 {
-		s.noteAsker(gateway(i))
+		s.notePoller(gateway(i))
 	}
 	s.SetRecord(record(0))
 	timers.Advance(0)
-	q := request{From: gateway(1), Records: true}
-	a := ask(t, peers, q)
+	q := pollRequest{From: gateway(1), Records: true}
+	a := poll(t, peers, q)
 	require.Len(t, a.Backends, 1, "the first change after a pause is told at once")
 	q.Boot, q.Since = a.Boot, a.Cursor
 	for i := range 50 {
 		s.SetRecord(record(i))
 	}
-	timers.Advance(300*gatherTime - time.Millisecond)
-	news, _ := s.newsFor(q)
-	require.False(t, news)
+	timers.Advance(300*batchTimePerPoller - time.Millisecond)
+	found, _ := s.hasChanges(q)
+	require.False(t, found)
 	timers.Advance(time.Millisecond)
-	require.Len(t, ask(t, peers, q).Backends, 50)
+	require.Len(t, poll(t, peers, q).Backends, 50)
 }
 
 // All gateways that follow along ask from the same cursor, and the answer is encoded once
 // for all of them.
-func TestAnswerIsEncodedOnceForAll(t *testing.T) {
+func TestAnswerIsEncodedOnce(t *testing.T) {
 	s, _, timers := newTestSource()
 	s.SetRecord(record(1))
 	timers.Advance(time.Second)
-	one, err := s.answer(request{From: gateway(1), Records: true})
+	one, err := s.answer(pollRequest{From: gateway(1), Records: true})
 	require.NoError(t, err)
-	two, err := s.answer(request{From: gateway(2), Records: true})
+	two, err := s.answer(pollRequest{From: gateway(2), Records: true})
 	require.NoError(t, err)
 	require.Same(t, &one[0], &two[0])
 }
 
 // A control VM that is cut off from the others goes on answering gateways, and never hears
 // of a backend server that leaves. It says so, and gateways turn to the others.
-func TestControlVMThatHearsNoMajoritySaysSo(t *testing.T) {
+func TestControlVMWithoutMajorityReportsIsolation(t *testing.T) {
 	s, peers, timers := newTestSource()
 	controls := []laburnumlever.VM{
 		{ID: "10.0.0.2", PeerAddress: "10.0.0.2:7000", HasDisk: true},
 		{ID: "10.0.0.3", PeerAddress: "10.0.0.3:7000", HasDisk: true},
 	}
 	for _, vm := range controls {
-		s.noteAsker(vm)
+		s.notePoller(vm)
 	}
 	timers.Advance(time.Second)
-	require.False(t, ask(t, peers, request{From: gateway(1)}).Isolated)
-	timers.Advance(hearTime)
-	require.True(t, ask(t, peers, request{From: gateway(1)}).Isolated)
-	s.noteAsker(controls[0])
-	timers.Advance(recountTime)
-	require.False(t, ask(t, peers, request{From: gateway(1)}).Isolated)
+	require.False(t, poll(t, peers, pollRequest{From: gateway(1)}).Isolated)
+	timers.Advance(reachableTime)
+	require.True(t, poll(t, peers, pollRequest{From: gateway(1)}).Isolated)
+	s.notePoller(controls[0])
+	timers.Advance(countTTL)
+	require.False(t, poll(t, peers, pollRequest{From: gateway(1)}).Isolated)
 }
