--- a/laburnumfeed/answer_fuzz_test.go
+++ b/laburnumfeed/answer_fuzz_test.go
@@ -8,7 +8,7 @@
 	"laburnumlever/laburnumregistry"
 )
 
-// FuzzAnswer guards against answers of a control VM that panic, packed or not.
+// FuzzAnswer guards against a control VM's answer, compressed or not, that panics the receiver.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte(`{"boot":1,"cursor":2,"backends":[{"heartbeat":{"backend":"i-1"}}],"overlays":[{"backend":"i-1"}]}`))
 	f.Add([]byte(`{"packed":"AAAA"}`))
--- a/laburnumfeed/director_test.go
+++ b/laburnumfeed/director_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against gateways that go on asking a control VM which gives no orders any more.
+// Guards against gateways that keep sending adapter requests to a VM that is no longer director.
 func TestFormerDirectorIsForgotten(t *testing.T) {
 	const first, second = "10.0.0.9:7000", "10.0.0.8:7000"
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
@@ -22,12 +22,12 @@
 	f.noteDirector(first, answer("a"))
 	require.Equal(t, first, f.Director())
 	f.noteDirector(second, answer(""))
-	require.Equal(t, first, f.Director(), "others do not know")
+	require.Equal(t, first, f.Director(), "an answer of another VM without a director changes nothing")
 	f.noteDirector(first, answer(""))
 	require.Empty(t, f.Director())
 	f.noteDirector(second, answer("b"))
 	f.Refused(first)
-	require.Equal(t, second, f.Director(), "a late refusal of another")
+	require.Equal(t, second, f.Director(), "a late refusal by the former director changes nothing")
 	f.Refused(second)
 	require.Empty(t, f.Director())
 }
--- a/laburnumfeed/errors.go
+++ b/laburnumfeed/errors.go
@@ -2,13 +2,15 @@
 
 import "fmt"
 
-// MessageError is a message between VMs that can't be decoded.
+// MessageError is returned for a message between VMs that can't be encoded or decoded.
 type MessageError struct {
 	Method string
 	Cause  error
 }
 
-func (e *MessageError) Error() string { return fmt.Sprintf("message %s: %v", e.Method, e.Cause) }
+func (e *MessageError) Error() string {
+	return fmt.Sprintf("invalid message for method %s: %v", e.Method, e.Cause)
+}
 
 // Unwrap returns the cause.
 func (e *MessageError) Unwrap() error { return e.Cause }
--- a/laburnumfeed/follower.go
+++ b/laburnumfeed/follower.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// pollTimeout is holdTime with a margin for a slow VM.
+	// pollTimeout is longPollTimeout with a margin for a slow VM.
 	pollTimeout = 3 * time.Second
-	// retryInterval is between two polls after a failure: short beside the two seconds in which a
-	// leaving backend server must be known.
+	// retryInterval is the delay between polls after a failure. It is short compared with the two
+	// seconds within which every VM must know that a backend server is leaving.
 	retryInterval = 200 * time.Millisecond
-	// startRetryInterval is the same for a VM that can't serve yet, for lack of routes.
+	// startRetryInterval replaces retryInterval on a VM that can't serve yet because it has no routes.
 	startRetryInterval = 50 * time.Millisecond
-	// routesTimeout bounds one fetch of the routes.
+	// routesTimeout bounds one fetch of the route table.
 	routesTimeout = 2 * time.Second
 )
 
-// Sink receives what a follower learns, on any goroutine.
+// Sink receives a follower's updates. Methods may be called from any goroutine.
 type Sink interface {
-	// Learn receives an answer of the control VM at the address.
+	// HandleAnswer receives an answer of the control VM at the address.
 	Learn(address string, a Answer)
-	// Lost is called when the control VM at the address stops answering.
+	// ControlLost is called when the control VM at the address stops answering.
 	Lost(address string)
-	// LearnRoutes receives a route table.
+	// HandleRoutes receives a route table.
 	LearnRoutes(t laburnumlever.RouteTable)
-	// RoutesVersion is the current version; 0 for none.
+	// RoutesVersion returns the version of the current route table; 0 for none.
 	RoutesVersion() uint64
-	// News is the gateway's report to the director.
+	// GatewayReport returns the gateway's report to the director.
 	News() laburnumlever.GatewayNews
 }
 
-// Follower polls all control VMs that it knows of.
+// Follower polls all known control VMs. It is safe for concurrent use.
 type Follower struct {
 	peers  laburnumlever.Peers
 	timers laburnumlever.Timers
@@ -56,24 +56,24 @@
 	fetching  bool
 }
 
-// polledControl is one control VM that is polled.
+// polledControl is a polled control VM.
 type polledControl struct {
 	controlState
-	// recordSource is set if it is polled for endpoint state too.
+	// recordSource is set if it is polled for endpoint state as well.
 	recordSource bool
-	// boot and cursor are those of its last answer; recordsCursor is the cursor up to which it has sent
-	// endpoint state.
+	// boot and cursor are those of its last answer; recordsCursor is the cursor up to which it has
+	// sent endpoint state.
 	boot, cursor, recordsCursor uint64
 }
 
-// Option changes a new follower.
+// Option configures a new follower.
 type Option func(*Follower)
 
-// WithLogger sets the log; without it nothing is logged.
+// WithLogger sets the logger; the default discards all lines.
 func WithLogger(logger log.Logger) Option { return func(f *Follower) { f.logger = logger } }
 
-// NewFollower makes a follower of the control VMs at the seeds' peer addresses and
-// of all that these name.
+// NewFollower starts polling the control VMs at the peer addresses in seeds, and all control VMs that
+// their answers name.
 func NewFollower(peers laburnumlever.Peers, timers laburnumlever.Timers, self laburnumlever.VM, seeds []string, sink Sink, opts ...Option) *Follower {
 	f := &Follower{
 		peers: peers, timers: timers, self: self, sink: sink, logger: log.NewNopLogger(),
@@ -88,10 +88,10 @@
 	return f
 }
 
-// Close ends the polls.
+// Close stops polling. It does not wait for polls in progress.
 func (f *Follower) Close() { f.once.Do(func() { close(f.done) }) }
 
-// Follow adds a control VM to poll.
+// Follow adds the control VM at a peer address; a known one is left as it is.
 func (f *Follower) Follow(address string) { f.follow(address, "") }
 
 // follow is Follow with the control VM's availability zone; empty if it is unknown.
@@ -114,8 +114,8 @@
 	f.chooseSources()
 }
 
-// chooseSources selects the control VMs to get endpoint state from; mu is held. A control VM polls all
-// others, of which there are few, since it replicates what they send.
+// chooseSources selects the control VMs to poll for endpoint state. A control VM polls all others
+// for it: there are few, and it replicates their state. The caller holds mu.
 func (f *Follower) chooseSources() {
 	var known []controlState
 	for _, c := range f.controls {
@@ -145,7 +145,7 @@
 	}
 }
 
-// noteResult records the result of a poll and reports when a control VM is lost or regained.
+// noteResult records the result of a poll and logs when a control VM is lost or regained.
 func (f *Follower) noteResult(c *polledControl, a Answer, err error) {
 	f.mu.Lock()
 	before := c.controlState
@@ -167,7 +167,7 @@
 	}
 }
 
-// retryDelay is the time between a failed poll and the next.
+// retryDelay returns the time between a failed poll and the next.
 func (f *Follower) retryDelay() time.Duration {
 	if f.sink.RoutesVersion() == 0 {
 		return startRetryInterval
@@ -196,8 +196,8 @@
 	return a, nil
 }
 
-// nextRequest is a poll for what follows the last answer. Endpoint state resumes from where the
-// control VM last sent it.
+// nextRequest returns the request for changes after the last answer. A record source resumes at
+// recordsCursor, as answers to polls without records advance cursor past skipped records.
 func (f *Follower) nextRequest(c *polledControl) pollRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -214,14 +214,15 @@
 	return address == f.addresses[f.director]
 }
 
-// Director is the peer address of the director; empty while it is unknown.
+// Director returns the peer address of the director; empty while it is unknown.
 func (f *Follower) Director() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.addresses[f.director]
 }
 
-// Refused forgets the director if it is the control VM at the address.
+// ForgetDirector clears the director if it is the control VM at the address. A late refusal by a
+// former director leaves the current one.
 func (f *Follower) Refused(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -241,8 +242,8 @@
 	}
 }
 
-// noteDirector records the director. Only the director names itself, so of the other control VMs
-// only the previous one can take it back.
+// noteDirector records the director. Only the director names itself: an answer that names none
+// clears the director only if it comes from the VM that is recorded as such.
 func (f *Follower) noteDirector(address string, a Answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -254,8 +255,8 @@
 	}
 }
 
-// fetchRoutes fetches the table from the first control VM that announces it. A failed fetch is
-// repeated at the next answer, within a second.
+// fetchRoutes fetches the route table from the first control VM that announces a newer version. A
+// failed fetch is retried at the next answer, within a second.
 func (f *Follower) fetchRoutes(address string) {
 	f.mu.Lock()
 	busy := f.fetching
--- a/laburnumfeed/follower_test.go
+++ b/laburnumfeed/follower_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unreachablePeers are control VMs of which none answers; each question is told to polled.
+// unreachablePeers fail every call, and send on polled for each.
 type unreachablePeers struct{ polled chan struct{} }
 
 func (p *unreachablePeers) Call(ctx context.Context, address, _ string, _, _ any) error {
@@ -25,7 +25,7 @@
 func (p *unreachablePeers) Notify(string, string, any)               {}
 func (p *unreachablePeers) Handle(string, laburnumlever.PeerHandler) {}
 
-// versionSink is a VM that has routes of a version.
+// versionSink is a sink with a route table of the given version.
 type versionSink uint64
 
 func (versionSink) Learn(string, Answer)                 {}
@@ -34,7 +34,8 @@
 func (v versionSink) RoutesVersion() uint64              { return uint64(v) }
 func (versionSink) News() laburnumlever.GatewayNews      { return laburnumlever.GatewayNews{} }
 
-// countPolls counts what a VM with routes of a version asks a dark control VM in a second.
+// countPolls returns how often a VM with the given route version polls an unreachable control VM in
+// one second.
 func countPolls(t *testing.T, version versionSink) int {
 	t.Helper()
 	peers := &unreachablePeers{polled: make(chan struct{})}
@@ -44,8 +45,8 @@
 	<-peers.polled
 	n := 0
 	for passed := time.Duration(0); passed < time.Second; passed += startRetryInterval {
-		// The follower's wait begins on its own goroutine: until it has, there is nothing
-		// on the clock that could pass.
+		// The follower sets its timer on its own goroutine: advancing the clock before that would
+		// have no effect.
 		require.Eventually(t, func() bool { return timers.Pending() > 0 }, 5*time.Second, time.Millisecond)
 		timers.Advance(startRetryInterval)
 		if timers.Pending() == 0 {
@@ -56,9 +57,9 @@
 	return n
 }
 
-// All VMs lose power, and a gateway is up before the control VMs. Until it has routes it
-// serves nobody, so it asks again soon; one that has routes goes on with them and spares
-// control VMs that have enough to do.
+// Guards against a slow restart after a power loss: a gateway that starts before the control VMs
+// can't serve without routes and retries fast. One with routes retries slowly, to spare busy control
+// VMs.
 func TestVMWithoutRoutesRetriesSooner(t *testing.T) {
 	require.Equal(t, 20, countPolls(t, 0))
 	require.Equal(t, 5, countPolls(t, 7))
--- a/laburnumfeed/itemlog.go
+++ b/laburnumfeed/itemlog.go
@@ -7,19 +7,20 @@
 	"laburnumlever"
 )
 
-// pageItems bounds the items of one answer. At the start every VM polls for everything at once, and
-// whole answers to hundreds of VMs would exhaust a control VM's memory; smaller pages cost more
-// round trips.
+// pageItems is the maximum number of items in one answer. After a restart every VM polls for the
+// whole state at once, and unpaged answers to hundreds of VMs would exhaust a control VM's memory;
+// smaller pages cost more round trips.
 const pageItems = 512
 
-// compactAbove is how many outdated items a log keeps beyond the number of valid ones.
+// compactAbove is the number of superseded items that a log keeps beyond the number of current ones
+// before it is compacted.
 const compactAbove = 64
 
 // itemLog holds the newest encoded item of each backend server, ordered by cursor. Reading after a
-// cursor takes time linear in what follows. It is not safe for concurrent use.
+// cursor takes time linear in the items after it. It is not safe for concurrent use.
 type itemLog struct {
 	items []logItem
-	// cursors is the cursor of each backend server's valid item.
+	// cursors is the cursor of each backend server's current item; other items are superseded.
 	cursors map[laburnumlever.BackendID]uint64
 }
 
@@ -31,7 +32,7 @@
 
 func newItemLog() *itemLog { return &itemLog{cursors: map[laburnumlever.BackendID]uint64{}} }
 
-// put appends an item at a cursor above all others.
+// put appends an item. Its cursor must be greater than all previous ones.
 func (l *itemLog) put(id laburnumlever.BackendID, at uint64, encoded json.RawMessage) {
 	l.cursors[id] = at
 	l.items = append(l.items, logItem{backend: id, cursor: at, encoded: encoded})
@@ -46,7 +47,7 @@
 
 func (l *itemLog) outdated(item logItem) bool { return l.cursors[item.backend] != item.cursor }
 
-// after returns the items newer than a cursor up to another.
+// after returns the current items with cursors in (since, until].
 func (l *itemLog) after(since, until uint64) []json.RawMessage {
 	var out []json.RawMessage
 	l.each(since, until, func(item logItem) bool {
@@ -56,7 +57,7 @@
 	return out
 }
 
-// hasNewer reports whether there is an item hasNewer than a cursor up to another.
+// hasNewer reports whether there is a current item with a cursor in (since, until].
 func (l *itemLog) hasNewer(since, until uint64) bool {
 	found := false
 	l.each(since, until, func(logItem) bool {
@@ -66,8 +67,8 @@
 	return found
 }
 
-// pageEnd returns the last cursor of an answer that begins after since: until, or less if there are
-// more than pageItems.
+// pageEnd returns the last cursor of an answer that begins after since. It is until, or less if that
+// would take more than pageItems items.
 func (l *itemLog) pageEnd(since, until uint64) uint64 {
 	n := 0
 	end := until
@@ -81,7 +82,7 @@
 	return end
 }
 
-// each calls fn for the valid items newer than since up to until, while it returns true.
+// each calls fn for the current items with cursors in (since, until] until it returns false.
 func (l *itemLog) each(since, until uint64, fn func(logItem) bool) {
 	from, _ := slices.BinarySearchFunc(l.items, since+1, func(item logItem, at uint64) int {
 		if item.cursor < at {
--- a/laburnumfeed/messages.go
+++ b/laburnumfeed/messages.go
@@ -7,13 +7,13 @@
 	"laburnumlever/laburnumregistry"
 )
 
-// Methods between VMs.
+// JSON-RPC methods between VMs.
 const (
 	methodPoll   = "feed-next"
 	methodRoutes = "feed-routes"
 )
 
-// pollRequest polls for changes after a cursor.
+// pollRequest is the body of a poll for changes after a cursor.
 type pollRequest struct {
 	From laburnumlever.VM `json:"from"`
 	// Boot and Since are those of the last answer; 0 before the first.
@@ -21,32 +21,32 @@
 	Since uint64 `json:"since,omitempty"`
 	// Records asks for endpoint state as well.
 	Records bool `json:"records,omitempty"`
-	// News is for the director.
+	// GatewayReport is set in polls to the director.
 	News laburnumlever.GatewayNews `json:"news,omitzero"`
 }
 
-// Answer holds the changes after a request's cursor.
+// Answer contains the changes after a request's cursor, at most a page.
 type Answer struct {
 	meta
 	Backends []laburnumregistry.Record  `json:"backends,omitempty"`
 	Overlays []laburnumregistry.Overlay `json:"overlays,omitempty"`
 }
 
-// encodedAnswer is an Answer with items that were encoded before.
+// encodedAnswer is an Answer whose items are already encoded.
 type encodedAnswer struct {
 	meta
 	Backends []json.RawMessage `json:"backends,omitempty"`
 	Overlays []json.RawMessage `json:"overlays,omitempty"`
 }
 
-// compressThreshold is the size in bytes from which an answer is compressed. Changes are below it; the
-// pages that a starting VM gets are above it, and come to megabytes.
+// compressThreshold is the size in bytes above which an answer is compressed. Batches of changes are
+// below it; the pages sent to a starting VM are above it and amount to megabytes.
 const compressThreshold = 8 << 10
 
-// plainAnswer is an answer without its own encoding.
+// plainAnswer is an Answer without UnmarshalJSON.
 type plainAnswer Answer
 
-// packedAnswer is a compressed answer.
+// packedAnswer contains a compressed encoded answer.
 type packedAnswer struct {
 	Packed []byte `json:"packed,omitempty"`
 }
@@ -63,7 +63,7 @@
 	return json.Marshal(packedAnswer{Packed: packed})
 }
 
-// UnmarshalJSON decodes an answer in either form.
+// UnmarshalJSON decodes a plain or compressed answer.
 func (a *Answer) UnmarshalJSON(data []byte) error {
 	var either struct {
 		plainAnswer
@@ -76,27 +76,27 @@
 		*a = Answer(either.plainAnswer)
 		return nil
 	}
-	whole, err := laburnumlever.Unpack(either.Packed)
+	unpacked, err := laburnumlever.Unpack(either.Packed)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(whole, (*plainAnswer)(a))
+	return json.Unmarshal(unpacked, (*plainAnswer)(a))
 }
 
-// meta is an answer without endpoint state.
+// meta is the part of an answer other than endpoint state.
 type meta struct {
-	// Boot changes at each start of the control VM; Cursor is asked from next.
+	// Boot changes at each start of the control VM; Cursor is where the next poll resumes.
 	Boot   uint64 `json:"boot"`
 	Cursor uint64 `json:"cursor"`
-	// RoutesVersion is the current version; 0 for none.
+	// RoutesVersion is the version of the current route table; 0 for none.
 	RoutesVersion uint64 `json:"routes-version,omitempty"`
-	// Controls are the known control VMs, the answering one included.
+	// Controls are the known control VMs, including the answering one; empty if unchanged.
 	Controls []laburnumlever.VM `json:"controls,omitempty"`
-	// Gateways is how many gateways poll the control VM.
+	// Gateways is the number of gateways that poll the control VM.
 	Gateways int `json:"gateways,omitempty"`
 	// Director is the control VM that holds the placement lease, if known.
 	Director laburnumlever.VMID `json:"director,omitempty"`
-	// Isolated is set if the control VM is cut off from a majority of the control VMs: its endpoint
-	// state may be outdated.
+	// Isolated is set if the control VM can't reach a majority of the control VMs: its endpoint state
+	// may be stale.
 	Isolated bool `json:"isolated,omitempty"`
 }
--- a/laburnumfeed/pollers.go
+++ b/laburnumfeed/pollers.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// gatewayRetention is how long a gateway counts after its last poll.
+	// gatewayRetention is how long a gateway is counted after its last poll.
 	gatewayRetention = 30 * time.Second
-	// controlRetention is the same for a control VM: longer than a restart.
+	// controlRetention is how long a control VM is listed after it was last named: longer than a
+	// restart takes.
 	controlRetention = 20 * time.Second
 	// reachableTime is how long another control VM counts as reachable after its last poll: each
-	// polls at least once in holdTime, and one poll may be lost.
+	// polls at least once per longPollTimeout, and one poll may be lost.
 	reachableTime = 2*longPollTimeout + 500*time.Millisecond
-	// countTTL bounds the age of a count of the pollers. A count for each poll would be
-	// quadratic in the gateways.
+	// countTTL is the maximum age of cached poller counts and of the answers that carry them.
+	// Counting at each poll would be quadratic in the number of gateways.
 	countTTL = 200 * time.Millisecond
 )
 
@@ -27,10 +28,10 @@
 	gatewaysCountedAt time.Time
 }
 
-// knownControl is a control VM that polled, or was named by one that did.
+// knownControl is another control VM, known from its own polls or named by another.
 type knownControl struct {
 	vm laburnumlever.VM
-	// namedAt is when it was last named, polledAt when it last polled itself.
+	// namedAt is when it was last named by itself or another, polledAt when it last polled.
 	namedAt, polledAt time.Time
 }
 
@@ -38,7 +39,8 @@
 	return pollers{controls: map[laburnumlever.VMID]knownControl{}, gatewayPolledAt: map[laburnumlever.VMID]time.Time{}}
 }
 
-// noteControl records a control VM and reports whether it is new or has another address.
+// noteControl records a control VM and reports whether it is new or its address changed. An earlier
+// incarnation than the known one is ignored.
 func (p *pollers) noteControl(vm laburnumlever.VM, now time.Time) bool {
 	known, ok := p.controls[vm.ID]
 	if ok && known.vm.Incarnation > vm.Incarnation {
@@ -49,7 +51,7 @@
 	return moved
 }
 
-// notePoll records a poll.
+// notePoll records a poll by a gateway or a known control VM.
 func (p *pollers) notePoll(vm laburnumlever.VM, now time.Time) {
 	if !vm.HasDisk {
 		if _, ok := p.gatewayPolledAt[vm.ID]; !ok {
@@ -64,12 +66,12 @@
 	}
 }
 
-// others returns the control VMs named within controlMemory.
+// others returns the other control VMs named within controlRetention.
 func (p *pollers) others(now time.Time) []laburnumlever.VM {
 	return p.filterControls(func(known knownControl) bool { return now.Sub(known.namedAt) < controlRetention })
 }
 
-// reachable returns the control VMs that polled within hearTime.
+// reachable returns the other control VMs that polled within reachableTime.
 func (p *pollers) reachable(now time.Time) []laburnumlever.VM {
 	return p.filterControls(func(known knownControl) bool { return now.Sub(known.polledAt) < reachableTime })
 }
@@ -85,7 +87,7 @@
 }
 
 // isolated reports whether fewer than a majority of the control VMs, this one included, have
-// polled lately. A control VM that is cut off still answers, with outdated endpoint state.
+// polled within reachableTime. A partitioned control VM still answers, with stale endpoint state.
 func (p *pollers) isolated(now time.Time) bool {
 	all, reachable := len(p.others(now))+1, len(p.reachable(now))+1
 	return 2*reachable <= all
@@ -105,5 +107,5 @@
 	return p.gatewayCount
 }
 
-// count is how many VMs poll, with those that stopped up to their memory ago.
+// count returns the number of known pollers; it includes stopped ones that are not yet dropped.
 func (p *pollers) count() int { return len(p.gatewayPolledAt) + len(p.controls) }
--- a/laburnumfeed/recordsources.go
+++ b/laburnumfeed/recordsources.go
@@ -9,22 +9,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// recordSources is how many control VMs a VM gets endpoint state from. Control VMs replicate it to
-// each other, so one would do; with three, two may fail before updates wait for the failure to
-// be detected. Polling all of them would multiply the traffic by their number.
+// recordSources is the number of control VMs that a VM polls for endpoint state. Control VMs
+// replicate it to each other, so one would suffice; with three, two may fail before updates are
+// delayed until the failure is detected. Polling all would multiply the traffic by their number.
 const recordSources = 3
 
 // controlState is a follower's view of one control VM.
 type controlState struct {
 	address string
 	zone    laburnumlever.ZoneName
-	// lost is set while polls fail, isolated while it is cut off from a majority of the control VMs.
+	// lost is set while polls to it fail, isolated while it reports that it can't reach a majority of
+	// the control VMs.
 	lost, isolated bool
 }
 
-// chooseRecordSources picks the control VMs that a VM gets endpoint state from: reachable ones
-// first, then one of the VM's own availability zone, which stays reachable when the zone is cut
-// off, then by rendezvous hashing, which balances them and keeps choices stable.
+// chooseRecordSources picks the control VMs that a VM polls for endpoint state. It prefers reachable
+// ones, then those of the VM's own availability zone, which stay reachable when the zone is
+// partitioned, and ranks the rest by rendezvous hashing, which balances load and keeps the choice
+// stable.
 func chooseRecordSources(self laburnumlever.VM, known []controlState) []string {
 	ranked := slices.Clone(known)
 	slices.SortFunc(ranked, func(a, b controlState) int {
@@ -58,8 +60,8 @@
 // rendezvousHash is the rendezvous hash of an address for a key.
 func rendezvousHash(key, address string) uint64 { return xxhash.Sum64String(key + "/" + address) }
 
-// pickInZone returns the peer address of one VM in an availability zone, stable for a key; empty if
-// there is none.
+// pickInZone returns the peer address of the VM in an availability zone with the lowest rendezvous
+// hash for the key; empty if the zone has none.
 func pickInZone(vms []laburnumlever.VM, zone laburnumlever.ZoneName, key string) string {
 	best := ""
 	for _, vm := range vms {
--- a/laburnumfeed/recordsources_test.go
+++ b/laburnumfeed/recordsources_test.go
@@ -20,8 +20,8 @@
 	return known
 }
 
-// A zone that is cut off goes on serving what it can: its gateways hear of its backend
-// servers from its own control VM.
+// Guards against gateways in a partitioned zone that lose the state of the zone's own backend
+// servers, which only control VMs in the zone still receive.
 func TestControlVMsOfOwnZoneAreChosenFirst(t *testing.T) {
 	self := laburnumlever.VM{ID: "10.0.1.1", Zone: "zone-2"}
 	chosen := chooseRecordSources(self, eightControls())
@@ -30,8 +30,8 @@
 	require.Contains(t, chosen, "10.0.0.6:7000")
 }
 
-// Control VMs that do not answer, or hear no majority of the others, are asked only where
-// there are too few others: what they know may be old.
+// Guards against stale endpoint state from control VMs that fail to answer or are isolated from the
+// majority. They are used only if too few others are left.
 func TestLostAndIsolatedControlVMsAreAvoided(t *testing.T) {
 	known := eightControls()
 	for i := range known {
@@ -43,8 +43,7 @@
 	require.Len(t, chooseRecordSources(laburnumlever.VM{}, known[:2]), 2)
 }
 
-// Three hundred gateways ask eight control VMs: each control VM has its part of them, and
-// the loss of one moves only those that asked it.
+// Guards against an uneven load of polls on control VMs, before and after one of them fails.
 func TestPollsAreBalancedOverControlVMs(t *testing.T) {
 	count := func(known []controlState) map[string]int {
 		n := map[string]int{}
@@ -66,8 +65,8 @@
 	}
 }
 
-// Three thousand backend servers that all speak to one control VM take up its descriptors.
-// Each is told one of its own zone, by a hash, and keeps it.
+// Guards against thousands of backend servers connecting to one control VM and exhausting its file
+// descriptors. Each gets a stable choice in its own zone.
 func TestBackendServersAreBalancedOverControlVMsOfTheirZone(t *testing.T) {
 	var vms []laburnumlever.VM
 	for i := range 8 {
--- a/laburnumfeed/source.go
+++ b/laburnumfeed/source.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// longPollTimeout is how long a poll is held without changes. Polls carry gateways' reports, and one
-	// that isn't answered reveals a dead link.
+	// longPollTimeout is how long a poll without changes waits for its answer. It is short because
+	// polls carry gateways' reports, and an unanswered poll reveals a dead link.
 	longPollTimeout = time.Second
-	// batchTimePerPoller for each VM that polls is the least time between two publications, so that the
-	// processor time for answers is bounded: a change takes 10 ms to reach nine gateways and
-	// 300 ms to reach three hundred, of the two seconds that a leaving backend server has.
+	// batchTimePerPoller times the number of polling VMs is the minimum interval between two
+	// publications. This bounds the CPU time spent on answers: a change takes 10 ms to reach nine
+	// gateways and 300 ms to reach three hundred, of the two seconds within which every VM must know
+	// that a backend server is leaving.
 	batchTimePerPoller = time.Millisecond
 )
 
-// NewsFunc receives a gateway's report.
-type NewsFunc func(vm laburnumlever.VMID, news laburnumlever.GatewayNews)
+// GatewayReportFunc receives a gateway's report.
+type NewsFunc func(vm laburnumlever.VMID, report laburnumlever.GatewayNews)
 
 // Source answers polls on a control VM. It is safe for concurrent use.
 type Source struct {
@@ -37,40 +38,40 @@
 	batcher         *laburnumtimer.Gatherer
 
 	mu     sync.Mutex
-	cursor uint64 // of the newest news
+	cursor uint64 // of the newest change
 	// published is the cursor up to which polls are answered.
 	published uint64
 	changed   chan struct{} // closed at the next publication
 	records   *itemLog
 	overlays  *itemLog
 	routes    *laburnumlever.RouteTable
-	// encodedRoutes is the table for gateways; nil until the first fetch.
+	// encodedRoutes is the route table as sent to other VMs; nil until it is first fetched.
 	encodedRoutes laburnumlever.RawMessage
 	director      laburnumlever.VMID
 	pollers       pollers
-	// controlsCursor is the cursor of the last change of the control VMs, metaAt that of
+	// controlsCursor is the cursor of the last change of the control VMs, metaCursor that of
 	// the routes or the director.
 	controlsCursor uint64
 	metaCursor     uint64
-	// answers are those encoded since the last publication: VMs that are up to date share one.
+	// answers caches the answers encoded since the last publication: VMs at the same cursor share one.
 	answers   map[answerKey]laburnumlever.RawMessage
 	answersAt time.Time
 }
 
-// answerKey identifies an answer within one publication.
+// answerKey identifies a cached answer between two publications.
 type answerKey struct {
 	since   uint64
 	records bool
 }
 
-// SourceOption changes a new source.
+// SourceOption configures a new source.
 type SourceOption func(*Source)
 
-// WithSourceLogger sets the log; without it nothing is logged.
+// WithSourceLogger sets the logger; the default discards all lines.
 func WithSourceLogger(logger log.Logger) SourceOption { return func(s *Source) { s.logger = logger } }
 
-// NewSource makes a source and registers its handlers with peers. The incarnation of
-// self must differ from that of the last start.
+// NewSource returns a source whose handlers are registered with peers. The incarnation of self must
+// differ from that of earlier starts, so that followers discard cursors from those.
 func NewSource(peers laburnumlever.Peers, timers laburnumlever.Timers, self laburnumlever.VM, opts ...SourceOption) *Source {
 	s := &Source{
 		timers: timers, logger: log.NewNopLogger(), self: self, boot: self.Incarnation, changed: make(chan struct{}),
@@ -87,7 +88,7 @@
 	return s
 }
 
-// OnNews sets the function for the gateways' reports; set it before serving.
+// OnGatewayReport sets the function that receives gateways' reports; call it before serving.
 func (s *Source) OnNews(fn NewsFunc) { s.onGatewayReport = fn }
 
 // SetRecord publishes a backend server's record.
@@ -95,7 +96,7 @@
 	s.put(s.records, r.Heartbeat.Backend, r)
 }
 
-// SetOverlay publishes an engine's overlay, on the director.
+// SetOverlay publishes an engine's overlay. Only the director does so.
 func (s *Source) SetOverlay(o laburnumregistry.Overlay) {
 	s.put(s.overlays, o.Backend, o)
 }
@@ -112,14 +113,14 @@
 	s.batcher.Poke()
 }
 
-// ClearOverlays drops all overlays, when another VM becomes the director.
+// ClearOverlays drops all overlays, for use when another VM becomes the director.
 func (s *Source) ClearOverlays() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.overlays.clear()
 }
 
-// Forget drops a backend server.
+// Forget drops a backend server's record and overlay without publishing a change.
 func (s *Source) Forget(id laburnumlever.BackendID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +128,7 @@
 	s.overlays.remove(id)
 }
 
-// SetRoutes publishes a route table.
+// SetRoutes publishes a route table if it is newer than the published one.
 func (s *Source) SetRoutes(t laburnumlever.RouteTable) {
 	s.mu.Lock()
 	newer := s.routes == nil || t.Version > s.routes.Version
@@ -141,7 +142,7 @@
 	}
 }
 
-// SetDirector publishes the director.
+// SetDirector publishes the director; empty for none.
 func (s *Source) SetDirector(vm laburnumlever.VMID) {
 	s.mu.Lock()
 	changed := s.director != vm
@@ -155,21 +156,21 @@
 	}
 }
 
-// Director returns the director published; empty for none.
+// Director returns the published director; empty for none.
 func (s *Source) Director() laburnumlever.VMID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.director
 }
 
-// Gateways returns the number of gateways that polled lately.
+// Gateways returns the number of gateways that polled within the last 30 seconds.
 func (s *Source) Gateways() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pollers.gateways(s.timers.Now())
 }
 
-// NoteControl records a control VM.
+// NoteControl records another control VM and publishes it if it is new or its address changed.
 func (s *Source) NoteControl(vm laburnumlever.VM) {
 	s.mu.Lock()
 	changed := vm.ID != s.self.ID && s.pollers.noteControl(vm, s.timers.Now())
@@ -182,15 +183,16 @@
 	}
 }
 
-// Controls returns the other known control VMs.
+// Controls returns the other control VMs named within the last 20 seconds.
 func (s *Source) Controls() []laburnumlever.VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.pollers.others(s.timers.Now())
 }
 
-// Nearest returns the peer address of a control VM in an availability zone, one of several by a
-// hash of the key, this VM included; empty if none polled lately, or if this VM is isolated.
+// ControlInZone returns the peer address of a reachable control VM in an availability zone, possibly
+// this one, chosen by a rendezvous hash of the key. It is empty if the zone has none or this VM is
+// isolated.
 func (s *Source) Nearest(zone laburnumlever.ZoneName, key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,20 +203,20 @@
 	return pickInZone(append(s.pollers.reachable(now), s.self), zone, key)
 }
 
-// nextCursor returns the cursor of the next change; mu is held.
+// nextCursor returns the cursor of the next change. The caller holds mu.
 func (s *Source) nextCursor() uint64 {
 	s.cursor++
 	return s.cursor
 }
 
-// batchInterval is the least time between two publications.
+// batchInterval returns the minimum time between two publications.
 func (s *Source) batchInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Duration(s.pollers.count()) * batchTimePerPoller
 }
 
-// publish answers the polls that are held.
+// publish makes all changes visible and wakes the waiting polls.
 func (s *Source) publish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -250,7 +252,7 @@
 	}
 }
 
-// notePoller records the VM that polls; a gateway is only counted.
+// notePoller records the polling VM: a control VM is published, a gateway only counted.
 func (s *Source) notePoller(vm laburnumlever.VM) {
 	if vm.HasDisk {
 		s.NoteControl(vm)
@@ -260,8 +262,8 @@
 	s.pollers.notePoll(vm, s.timers.Now())
 }
 
-// hasChanges reports whether anything published follows the request's cursor, with the channel that
-// is closed at the next publication.
+// hasChanges reports whether a published change follows the request's cursor. The channel is closed
+// at the next publication.
 func (s *Source) hasChanges(q pollRequest) (bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -272,7 +274,8 @@
 	return found, s.changed
 }
 
-// since is the cursor to answer from: 0 if the request's is from another start.
+// since returns the cursor to answer from: 0 if the request's cursor is from another start of this
+// VM.
 func (s *Source) since(q pollRequest) uint64 {
 	if q.Boot != s.boot {
 		return 0
@@ -280,7 +283,7 @@
 	return q.Since
 }
 
-// pageEnd is the last cursor of an answer.
+// pageEnd returns the last cursor of an answer.
 func (s *Source) pageEnd(since uint64, records bool) uint64 {
 	end := s.overlays.pageEnd(since, s.published)
 	if records {
@@ -289,7 +292,7 @@
 	return end
 }
 
-// answer returns the encoded answer, which VMs with the same request share.
+// answer returns the encoded answer. VMs that poll from the same cursor share one.
 func (s *Source) answer(q pollRequest) (laburnumlever.RawMessage, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -310,7 +313,7 @@
 	return encoded, nil
 }
 
-// collect returns the changes after a cursor, at most a page; mu is held.
+// collect returns the changes after a cursor, at most a page. The caller holds mu.
 func (s *Source) collect(key answerKey, now time.Time) encodedAnswer {
 	end := s.pageEnd(key.since, key.records)
 	a := encodedAnswer{
@@ -331,7 +334,7 @@
 	return a
 }
 
-// handleRoutes returns the table without the operators' document, which only control VMs need.
+// handleRoutes returns the route table without the operators' original text, which only control VMs need.
 func (s *Source) handleRoutes(context.Context, laburnumlever.RawMessage) (any, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/laburnumfeed/source_test.go
+++ b/laburnumfeed/source_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loopbackPeers hand a call to the handler of a source in the same process.
+// loopbackPeers pass a call to the handler of a source in the same process.
 type loopbackPeers struct {
 	handlers map[string]laburnumlever.PeerHandler
 }
@@ -62,9 +62,8 @@
 	return a
 }
 
-// Three thousand backend servers announce themselves while hundreds of gateways start. An
-// answer with all of them to each at once is more memory than the control VM has; in pages
-// the same news arrives, every item once.
+// Guards against a control VM that runs out of memory when hundreds of gateways start and each gets
+// all backend servers in one answer. Pages must deliver every item exactly once.
 func TestInitialStateIsSentInPages(t *testing.T) {
 	s, peers, timers := newTestSource()
 	const backends = 3*pageItems + 10
@@ -88,8 +87,8 @@
 	}
 }
 
-// A gateway that was told a page when a backend server changed again hears of the change
-// as well, behind its place in the pages.
+// Guards against missing a change to a backend server whose earlier record was already sent in a
+// previous page.
 func TestChangeBetweenPagesIsNotMissed(t *testing.T) {
 	s, peers, timers := newTestSource()
 	for i := range 2 * pageItems {
@@ -110,8 +109,8 @@
 	require.Len(t, received, pageItems+1)
 }
 
-// A VM that does not ask for backend servers is not woken by them: at 300 gateways most
-// questions at a control VM are of that kind.
+// Guards against changed records waking polls that did not ask for records. With 300 gateways, most
+// polls at a control VM are of that kind.
 func TestRecordsWakeOnlyPollsForRecords(t *testing.T) {
 	s, peers, timers := newTestSource()
 	s.NoteControl(laburnumlever.VM{ID: "10.0.0.2", PeerAddress: "10.0.0.2:7000", HasDisk: true})
@@ -128,9 +127,8 @@
 	require.True(t, found)
 }
 
-// Hundreds of gateways hold a question each while backend servers change all the time.
-// Changes that follow each other closely are told together, later the more who ask, so
-// that what a control VM spends on answers stays the same.
+// Guards against the cost of answers growing with the number of pollers while backend servers change
+// constantly: changes are batched for longer, the more VMs poll.
 func TestBatchIntervalGrowsWithPollers(t *testing.T) {
 	s, peers, timers := newTestSource()
 	for i := range 300 {
@@ -140,7 +138,7 @@
 	timers.Advance(0)
 	q := pollRequest{From: gateway(1), Records: true}
 	a := poll(t, peers, q)
-	require.Len(t, a.Backends, 1, "the first change after a pause is told at once")
+	require.Len(t, a.Backends, 1, "the first change after a pause is sent at once")
 	q.Boot, q.Since = a.Boot, a.Cursor
 	for i := range 50 {
 		s.SetRecord(record(i))
@@ -152,8 +150,7 @@
 	require.Len(t, poll(t, peers, q).Backends, 50)
 }
 
-// All gateways that follow along ask from the same cursor, and the answer is encoded once
-// for all of them.
+// Guards against encoding the same answer for each of the gateways that poll from one cursor.
 func TestAnswerIsEncodedOnce(t *testing.T) {
 	s, _, timers := newTestSource()
 	s.SetRecord(record(1))
@@ -165,8 +162,8 @@
 	require.Same(t, &one[0], &two[0])
 }
 
-// A control VM that is cut off from the others goes on answering gateways, and never hears
-// of a backend server that leaves. It says so, and gateways turn to the others.
+// Guards against gateways that trust a partitioned control VM, which still answers polls but misses
+// changes such as a backend server that is leaving.
 func TestControlVMWithoutMajorityReportsIsolation(t *testing.T) {
 	s, peers, timers := newTestSource()
 	controls := []laburnumlever.VM{
