--- a/laburnumregistry/registry.go
+++ b/laburnumregistry/registry.go
@@ -13,9 +13,9 @@
 	// silentPeriods is how many consecutive heartbeats are missed before a backend server counts as
 	// silent: one may be lost and one late.
 	silentPeriods = 3
-	// forgetAfter is how long the record of a silent backend server, or a tombstone, is kept: far
+	// pruneAfter is how long the record of a silent backend server, or a tombstone, is kept: far
 	// longer than a heartbeat can be late.
-	forgetAfter = 2 * time.Minute
+	pruneAfter = 2 * time.Minute
 )
 
 // Record is the endpoint state of one backend server.
@@ -32,10 +32,10 @@
 func (r Record) TakesWork() bool { return !r.Gone && !r.Heartbeat.Leaving }
 
 type entry struct {
-	record Record
-	heard  time.Time
-	// alive is the sequence of the last heartbeat that was relayed without its content.
-	alive uint64
+	record  Record
+	heardAt time.Time
+	// relayedSequence is the sequence of the last heartbeat that was relayed without its content.
+	relayedSequence uint64
 }
 
 // Table holds the records by identity. It is not safe for concurrent use.
@@ -55,17 +55,17 @@
 	if e == nil || h.Born > e.record.Heartbeat.Born {
 		// A restart under the same identity is a new backend server: the tombstone of the last
 		// start doesn't apply.
-		t.entries[h.Backend] = &entry{record: Record{Heartbeat: h}, heard: now}
+		t.entries[h.Backend] = &entry{record: Record{Heartbeat: h}, heardAt: now}
 		return true
 	}
 	if !h.NewerThan(e.record.Heartbeat) || e.record.Gone {
 		return false
 	}
-	e.heard = now
+	e.heardAt = now
 	before := e.record
 	h.Leaving = h.Leaving || before.Heartbeat.Leaving
 	e.record = Record{Heartbeat: h}
-	return before.Silent || !sameNews(before.Heartbeat, h)
+	return before.Silent || !equalExceptSequence(before.Heartbeat, h)
 }
 
 // Alive records a heartbeat that another VM received and that changed nothing there, and reports
@@ -73,10 +73,10 @@
 // heartbeat, is left as it is: its content comes from the VM that received it.
 func (t *Table) Alive(id laburnumlever.BackendID, born, sequence uint64, now time.Time) bool {
 	e := t.entries[id]
-	if e == nil || e.record.Gone || e.record.Heartbeat.Born != born || sequence <= max(e.alive, e.record.Heartbeat.Sequence) {
+	if e == nil || e.record.Gone || e.record.Heartbeat.Born != born || sequence <= max(e.relayedSequence, e.record.Heartbeat.Sequence) {
 		return false
 	}
-	e.heard, e.alive = now, sequence
+	e.heardAt, e.relayedSequence = now, sequence
 	changed := e.record.Silent
 	e.record.Silent = false
 	return changed
@@ -87,9 +87,9 @@
 	id := r.Heartbeat.Backend
 	e := t.entries[id]
 	if r.Gone {
-		return t.mergeGone(r, now)
+		return t.mergeTombstone(r, now)
 	}
-	if e != nil && sameWord(r.Heartbeat, e.record.Heartbeat) && r.Silent != e.record.Silent {
+	if e != nil && sameHeartbeat(r.Heartbeat, e.record.Heartbeat) && r.Silent != e.record.Silent {
 		e.record.Silent = r.Silent
 		return true
 	}
@@ -100,19 +100,19 @@
 	return changed
 }
 
-// mergeGone takes a tombstone; one of an earlier start than the known one is outdated.
-func (t *Table) mergeGone(r Record, now time.Time) bool {
+// mergeTombstone takes a tombstone; one of an earlier start than the known one is outdated.
+func (t *Table) mergeTombstone(r Record, now time.Time) bool {
 	id := r.Heartbeat.Backend
 	e := t.entries[id]
 	if e == nil || r.Heartbeat.Born > e.record.Heartbeat.Born {
-		t.entries[id] = &entry{record: r, heard: now}
+		t.entries[id] = &entry{record: r, heardAt: now}
 		return true
 	}
 	return r.Heartbeat.Born == e.record.Heartbeat.Born && t.Remove(id, now)
 }
 
-// sameWord reports whether two heartbeats under one identity are the same.
-func sameWord(a, b laburnumlever.Heartbeat) bool {
+// sameHeartbeat reports whether two heartbeats under one identity are the same.
+func sameHeartbeat(a, b laburnumlever.Heartbeat) bool {
 	return a.Born == b.Born && a.Sequence == b.Sequence
 }
 
@@ -127,8 +127,8 @@
 	return t.Merge(r, now)
 }
 
-// sameNews compares two heartbeats without their sequence.
-func sameNews(a, b laburnumlever.Heartbeat) bool {
+// equalExceptSequence compares two heartbeats without their sequence.
+func equalExceptSequence(a, b laburnumlever.Heartbeat) bool {
 	a.Sequence, b.Sequence = 0, 0
 	return reflect.DeepEqual(a, b)
 }
@@ -143,7 +143,7 @@
 	if e.record.Gone {
 		return false
 	}
-	e.heard = now
+	e.heardAt = now
 	e.record.Gone = true
 	return true
 }
@@ -152,7 +152,7 @@
 func (t *Table) Expire(now time.Time) []laburnumlever.BackendID {
 	var changed []laburnumlever.BackendID
 	for id, e := range t.entries {
-		if !e.record.Silent && !e.record.Gone && now.Sub(e.heard) > silentPeriods*t.period {
+		if !e.record.Silent && !e.record.Gone && now.Sub(e.heardAt) > silentPeriods*t.period {
 			e.record.Silent = true
 			changed = append(changed, id)
 		}
@@ -161,29 +161,29 @@
 	return changed
 }
 
-// Forget drops tombstones and records of silent backend servers after forgetAfter and returns them.
+// Forget drops tombstones and records of silent backend servers after pruneAfter and returns them.
 // Each start of a backend server has its own identity, so the table would grow with every
 // release. It is for a VM that receives the heartbeats itself.
 func (t *Table) Forget(now time.Time) []laburnumlever.BackendID {
-	return t.forget(now, func(r Record) bool { return r.Gone || r.Silent })
+	return t.prune(now, func(r Record) bool { return r.Gone || r.Silent })
 }
 
 // ForgetGone is Forget for a VM that gets records from others: it gets none while nothing changes,
 // so only tombstones are dropped.
 func (t *Table) ForgetGone(now time.Time) {
-	t.forget(now, func(r Record) bool { return r.Gone })
+	t.prune(now, func(r Record) bool { return r.Gone })
 }
 
-func (t *Table) forget(now time.Time, over func(Record) bool) []laburnumlever.BackendID {
-	var forgotten []laburnumlever.BackendID
+func (t *Table) prune(now time.Time, droppable func(Record) bool) []laburnumlever.BackendID {
+	var pruned []laburnumlever.BackendID
 	for id, e := range t.entries {
-		if over(e.record) && now.Sub(e.heard) > forgetAfter {
+		if droppable(e.record) && now.Sub(e.heardAt) > pruneAfter {
 			delete(t.entries, id)
-			forgotten = append(forgotten, id)
+			pruned = append(pruned, id)
 		}
 	}
-	slices.Sort(forgotten)
-	return forgotten
+	slices.Sort(pruned)
+	return pruned
 }
 
 // Record returns the record of a backend server.
--- a/laburnumregistry/registry_test.go
+++ b/laburnumregistry/registry_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func beat(sequence uint64, change ...func(*laburnumlever.Heartbeat)) laburnumlever.Heartbeat {
+func heartbeat(sequence uint64, change ...func(*laburnumlever.Heartbeat)) laburnumlever.Heartbeat {
 	h := laburnumlever.Heartbeat{Backend: "i-1", Service: "quotes", Address: "10.0.0.9:80", Zone: "brest", Sequence: sequence, Slots: 24}
 	for _, fn := range change {
 		fn(&h)
@@ -27,59 +27,59 @@
 // Guards against a late heartbeat that revives a backend server which is leaving.
 func TestLateHeartbeatDoesNotUndoLeaving(t *testing.T) {
 	table := laburnumregistry.New(period)
-	require.True(t, table.Take(beat(1), start))
-	require.True(t, table.Take(beat(5, leaving), start.Add(time.Second)))
-	require.False(t, table.Take(beat(4), start.Add(2*time.Second)))
-	table.Take(beat(6), start.Add(3*time.Second)) // a newer one doesn't repeat it
+	require.True(t, table.Take(heartbeat(1), start))
+	require.True(t, table.Take(heartbeat(5, leaving), start.Add(time.Second)))
+	require.False(t, table.Take(heartbeat(4), start.Add(2*time.Second)))
+	table.Take(heartbeat(6), start.Add(3*time.Second)) // a newer one doesn't repeat it
 	r, ok := table.Record("i-1")
 	require.True(t, ok)
 	require.False(t, r.TakesWork())
 }
 
 // Guards against a late heartbeat that revives a backend server which is gone.
-func TestLateHeartbeatDoesNotRaiseTheDead(t *testing.T) {
+func TestLateHeartbeatDoesNotReviveTombstone(t *testing.T) {
 	table := laburnumregistry.New(period)
 	require.True(t, table.Remove("i-1", start))
-	require.False(t, table.Take(beat(9), start.Add(time.Second)))
+	require.False(t, table.Take(heartbeat(9), start.Add(time.Second)))
 	r, _ := table.Record("i-1")
 	require.True(t, r.Gone)
 }
 
 // Guards against backend servers that are taken out because control VMs can't reach them.
-func TestSilenceIsNewsAndEnds(t *testing.T) {
+func TestSilentServerStillAcceptsRequests(t *testing.T) {
 	table := laburnumregistry.New(period)
-	table.Take(beat(1), start)
+	table.Take(heartbeat(1), start)
 	require.Empty(t, table.Expire(start.Add(3*period)))
 	require.Equal(t, []laburnumlever.BackendID{"i-1"}, table.Expire(start.Add(3*period+time.Millisecond)))
 	r, _ := table.Record("i-1")
 	require.True(t, r.Silent)
 	require.True(t, r.TakesWork())
-	require.True(t, table.Take(beat(2), start.Add(4*period)))
+	require.True(t, table.Take(heartbeat(2), start.Add(4*period)))
 	r, _ = table.Record("i-1")
 	require.False(t, r.Silent)
 }
 
 // Guards against heartbeats without changes that are sent on to gateways.
-func TestUnchangedHeartbeatIsNoNews(t *testing.T) {
+func TestUnchangedHeartbeatIsNoChange(t *testing.T) {
 	table := laburnumregistry.New(period)
-	table.Take(beat(1), start)
+	table.Take(heartbeat(1), start)
 	for i := uint64(2); i < 50; i++ {
-		require.False(t, table.Take(beat(i), start.Add(time.Duration(i)*period/2)))
+		require.False(t, table.Take(heartbeat(i), start.Add(time.Duration(i)*period/2)))
 	}
 }
 
 // Guards against an outdated record that revives a backend server which is leaving.
 func TestMergeKeepsTheNewest(t *testing.T) {
 	table := laburnumregistry.New(period)
-	require.True(t, table.Merge(laburnumregistry.Record{Heartbeat: beat(7, leaving)}, start))
-	require.False(t, table.Merge(laburnumregistry.Record{Heartbeat: beat(3)}, start))
-	require.True(t, table.Merge(laburnumregistry.Record{Heartbeat: beat(3), Gone: true}, start))
+	require.True(t, table.Merge(laburnumregistry.Record{Heartbeat: heartbeat(7, leaving)}, start))
+	require.False(t, table.Merge(laburnumregistry.Record{Heartbeat: heartbeat(3)}, start))
+	require.True(t, table.Merge(laburnumregistry.Record{Heartbeat: heartbeat(3), Gone: true}, start))
 	r, _ := table.Record("i-1")
 	require.True(t, r.Gone)
 }
 
-func TestOverlayGoesBeforeTheHeartbeatUntilANewerOneComes(t *testing.T) {
-	h := beat(4, func(h *laburnumlever.Heartbeat) {
+func TestOverlayOverridesOlderHeartbeats(t *testing.T) {
+	h := heartbeat(4, func(h *laburnumlever.Heartbeat) {
 		h.Models = []laburnumlever.HeldModel{{Name: "m0", Adapters: []laburnumlever.AdapterName{"a1"}}, {Name: "m1"}}
 	})
 	o := laburnumregistry.Overlay{
@@ -94,10 +94,10 @@
 }
 
 // Guards against a dead backend server that control VMs mark silent and alive in turns.
-func TestControlVMsAgreeThatADeadServerIsSilent(t *testing.T) {
+func TestControlVMsAgreeOnSilence(t *testing.T) {
 	one, two := laburnumregistry.New(period), laburnumregistry.New(period)
-	one.Take(beat(1), start)
-	two.Take(beat(1), start.Add(period))
+	one.Take(heartbeat(1), start)
+	two.Take(heartbeat(1), start.Add(period))
 	changes := 0
 	for now := start; now.Before(start.Add(20 * period)); now = now.Add(period / 2) {
 		for _, pair := range [][2]*laburnumregistry.Table{{one, two}, {two, one}} {
@@ -111,29 +111,29 @@
 	require.Equal(t, 2, changes, "each notices the silence once")
 	r, _ := one.Record("i-1")
 	require.True(t, r.Silent)
-	require.True(t, one.Adopt(laburnumregistry.Record{Heartbeat: beat(2)}, start.Add(20*period)), "a newer heartbeat counts")
+	require.True(t, one.Adopt(laburnumregistry.Record{Heartbeat: heartbeat(2)}, start.Add(20*period)), "a newer heartbeat counts")
 	r, _ = one.Record("i-1")
 	require.False(t, r.Silent)
 }
 
 // Guards against an outdated record that undoes a control VM's detection of silence.
-func TestAnothersWordOnAnOldHeartbeatIsNoNews(t *testing.T) {
+func TestOutdatedRecordDoesNotClearSilence(t *testing.T) {
 	one, two := laburnumregistry.New(period), laburnumregistry.New(period)
-	one.Take(beat(1), start)
-	two.Take(beat(1), start)
-	onItsWay, _ := two.Record("i-1")
+	one.Take(heartbeat(1), start)
+	two.Take(heartbeat(1), start)
+	outdated, _ := two.Record("i-1")
 	require.Len(t, one.Expire(start.Add(4*period)), 1)
-	require.False(t, one.Adopt(onItsWay, start.Add(4*period)))
+	require.False(t, one.Adopt(outdated, start.Add(4*period)))
 	r, _ := one.Record("i-1")
 	require.True(t, r.Silent)
 }
 
 // Guards against tables that grow with every release, and against live servers being dropped.
-func TestGoneBackendServersAreForgotten(t *testing.T) {
+func TestTombstonesAndSilentRecordsArePruned(t *testing.T) {
 	table := laburnumregistry.New(period)
 	other := func(h *laburnumlever.Heartbeat) { h.Backend = "i-2" }
-	table.Take(beat(1), start)
-	table.Take(beat(1, other), start)
+	table.Take(heartbeat(1), start)
+	table.Take(heartbeat(1, other), start)
 	table.Remove("i-1", start.Add(time.Second))
 	require.Empty(t, table.Forget(start.Add(time.Minute)), "a late heartbeat must still find it gone")
 	require.Equal(t, []laburnumlever.BackendID{"i-1"}, table.Forget(start.Add(3*time.Minute)))
@@ -144,7 +144,7 @@
 }
 
 // Guards against silence where only another control VM gets heartbeats, and against late ones.
-func TestWordThatABackendServerIsAliveKeepsItHeard(t *testing.T) {
+func TestRelayedHeartbeatsPreventSilence(t *testing.T) {
 	const period = time.Second
 	now := time.Unix(1_000_000, 0)
 	table := laburnumregistry.New(period)
@@ -167,22 +167,22 @@
 }
 
 // Guards against heartbeats of a restarted engine that are taken for late ones.
-func TestStartUnderTheSameIdentityIsAnother(t *testing.T) {
+func TestRestartReplacesEarlierIncarnation(t *testing.T) {
 	born := func(at uint64) func(*laburnumlever.Heartbeat) {
 		return func(h *laburnumlever.Heartbeat) { h.Born = at }
 	}
 	table := laburnumregistry.New(period)
-	require.True(t, table.Take(beat(40, born(100)), start))
-	require.True(t, table.Take(beat(1, born(200)), start))
-	require.False(t, table.Take(beat(41, born(100)), start), "a late word of the earlier start")
+	require.True(t, table.Take(heartbeat(40, born(100)), start))
+	require.True(t, table.Take(heartbeat(1, born(200)), start))
+	require.False(t, table.Take(heartbeat(41, born(100)), start), "a late word of the earlier start")
 	require.False(t, table.Alive("i-1", 100, 50, start))
-	gone := laburnumregistry.Record{Heartbeat: beat(41, born(100)), Gone: true}
+	gone := laburnumregistry.Record{Heartbeat: heartbeat(41, born(100)), Gone: true}
 	require.False(t, table.Merge(gone, start), "the earlier start's end")
 	r, _ := table.Record("i-1")
-	require.Equal(t, laburnumregistry.Record{Heartbeat: beat(1, born(200))}, r)
+	require.Equal(t, laburnumregistry.Record{Heartbeat: heartbeat(1, born(200))}, r)
 	require.True(t, table.Remove("i-1", start))
-	require.False(t, table.Take(beat(2, born(200)), start), "its own end is final")
-	require.True(t, table.Take(beat(1, born(300)), start))
-	require.True(t, table.Merge(laburnumregistry.Record{Heartbeat: beat(9, born(400)), Gone: true}, start))
-	require.False(t, table.Take(beat(8, born(400)), start))
+	require.False(t, table.Take(heartbeat(2, born(200)), start), "its own end is final")
+	require.True(t, table.Take(heartbeat(1, born(300)), start))
+	require.True(t, table.Merge(laburnumregistry.Record{Heartbeat: heartbeat(9, born(400)), Gone: true}, start))
+	require.False(t, table.Take(heartbeat(8, born(400)), start))
 }
--- a/laburnumregistry/summary_test.go
+++ b/laburnumregistry/summary_test.go
@@ -12,7 +12,7 @@
 )
 
 // Guards against a status that counts tombstones, or copies on engines that are leaving.
-func TestSummaryCountsWhatServes(t *testing.T) {
+func TestSummaryExcludesTombstonesAndLeavingEngines(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	table := laburnumregistry.New(time.Second)
 	take := func(id laburnumlever.BackendID, leaving bool, models ...laburnumlever.ModelName) {
@@ -37,7 +37,7 @@
 }
 
 // Guards against a status that grows with the number of models.
-func TestSummaryNamesFewModels(t *testing.T) {
+func TestSummaryLimitsExamples(t *testing.T) {
 	class := &laburnumlever.EngineClass{}
 	for i := range 400 {
 		class.Models = append(class.Models, laburnumlever.ResidentClass{Name: laburnumlever.ModelName(fmt.Sprint("m", i))})
