--- a/laburnumregistry/overlay.go
+++ b/laburnumregistry/overlay.go
@@ -6,26 +6,27 @@
 	"laburnumlever"
 )
 
-// Overlay is what the director knows of an engine beyond its heartbeats. The higher fencing number
-// wins, then the later one.
+// Overlay is engine state that the director knows beyond the engine's heartbeats. The overlay with the
+// higher fencing number wins, then the later one.
 type Overlay struct {
 	Backend laburnumlever.BackendID `json:"backend"`
 	Fence   uint64                  `json:"fence"`
-	// Born identifies the start of the engine that it describes.
+	// Born identifies the incarnation of the engine that the overlay describes.
 	Born uint64 `json:"born,omitempty"`
-	// Sequence is that of the engine's last heartbeat before it.
+	// Sequence is that of the engine's last heartbeat before the overlay.
 	Sequence uint64 `json:"sequence"`
-	// Withdrawn are models that no request may be sent for any more.
+	// Withdrawn are models for which the engine must get no new requests.
 	Withdrawn []laburnumlever.ModelName `json:"withdrawn,omitempty"`
-	// Adapters are the loaded adapters by model.
+	// Adapters lists the loaded adapters of each model.
 	Adapters []laburnumlever.HeldModel `json:"adapters,omitempty"`
-	// Outliers counts how often the backend server was detected as an outlier under the fencing
-	// number.
+	// Outliers is the number of times that the backend server was detected as an outlier under the
+	// fencing number.
 	Outliers uint64 `json:"outliers,omitempty"`
 }
 
-// Holds reports whether requests for the model, and the adapter unless it is empty, may be sent to
-// an engine with the heartbeat.
+// Holds reports whether requests for the model, and for the adapter unless it is empty, may be sent
+// to an engine whose last heartbeat is h. An overlay of another incarnation is ignored. For adapters,
+// a heartbeat newer than the overlay counts as well.
 func (o Overlay) Holds(h laburnumlever.Heartbeat, model laburnumlever.ModelName, adapter laburnumlever.AdapterName) bool {
 	if o.Born != h.Born {
 		o = Overlay{}
--- a/laburnumregistry/registry.go
+++ b/laburnumregistry/registry.go
@@ -10,51 +10,52 @@
 )
 
 const (
-	// silentPeriods is how many consecutive heartbeats are missed before a backend server counts as
-	// silent: one may be lost and one late.
+	// silentPeriods is the number of heartbeat periods without a heartbeat after which a backend
+	// server counts as silent: one heartbeat may be lost and one late.
 	silentPeriods = 3
-	// pruneAfter is how long the record of a silent backend server, or a tombstone, is kept: far
-	// longer than a heartbeat can be late.
+	// pruneAfter is how long a tombstone or the record of a silent backend server is kept: far
+	// longer than a heartbeat can be delayed.
 	pruneAfter = 2 * time.Minute
 )
 
 // Record is the endpoint state of one backend server.
 type Record struct {
 	Heartbeat laburnumlever.Heartbeat `json:"heartbeat"`
-	// Gone marks a tombstone: it has ended, or will within moments.
+	// Gone marks a tombstone: the backend server has stopped or is about to.
 	Gone bool `json:"gone,omitempty"`
-	// Silent is set when its heartbeats have stopped.
+	// Silent is set while heartbeats are missing.
 	Silent bool `json:"silent,omitempty"`
 }
 
-// TakesWork reports whether new requests may be sent to the backend server. A silent one may be cut
-// off from the control VMs only.
+// AcceptsRequests reports whether new requests may be sent to the backend server. A silent one is
+// included: it may be partitioned from the control VMs only.
 func (r Record) TakesWork() bool { return !r.Gone && !r.Heartbeat.Leaving }
 
 type entry struct {
 	record  Record
 	heardAt time.Time
-	// relayedSequence is the sequence of the last heartbeat that was relayed without its content.
+	// relayedSequence is the sequence of the last heartbeat that another VM relayed without content.
 	relayedSequence uint64
 }
 
-// Table holds the records by identity. It is not safe for concurrent use.
+// Table contains the records by identity. It is not safe for concurrent use.
 type Table struct {
 	period  time.Duration
 	entries map[laburnumlever.BackendID]*entry
 }
 
-// New returns an empty table for backend servers with the given heartbeat period.
+// New returns an empty table for backend servers that send a heartbeat every period.
 func New(period time.Duration) *Table {
 	return &Table{period: period, entries: map[laburnumlever.BackendID]*entry{}}
 }
 
-// Take records a heartbeat and reports whether the record changed for others.
+// ApplyHeartbeat applies a heartbeat and reports whether the record changed in more than the sequence,
+// so that other VMs must get it.
 func (t *Table) Take(h laburnumlever.Heartbeat, now time.Time) bool {
 	e := t.entries[h.Backend]
 	if e == nil || h.Born > e.record.Heartbeat.Born {
-		// A restart under the same identity is a new backend server: the tombstone of the last
-		// start doesn't apply.
+		// A restart under the same identity is a new backend server: a tombstone of an earlier
+		// incarnation does not apply to it.
 		t.entries[h.Backend] = &entry{record: Record{Heartbeat: h}, heardAt: now}
 		return true
 	}
@@ -68,9 +69,10 @@
 	return before.Silent || !equalExceptSequence(before.Heartbeat, h)
 }
 
-// Alive records a heartbeat that another VM received and that changed nothing there, and reports
-// whether the record changed for others. One that is unknown here, or known by an older
-// heartbeat, is left as it is: its content comes from the VM that received it.
+// KeepAlive applies the sequence of a heartbeat that another VM received and that changed nothing
+// there. It reports whether the record was silent before, so that other VMs must get it. An unknown
+// backend server or another incarnation is ignored, and the content of an older heartbeat is kept:
+// the VM that received the newer one sends its content.
 func (t *Table) Alive(id laburnumlever.BackendID, born, sequence uint64, now time.Time) bool {
 	e := t.entries[id]
 	if e == nil || e.record.Gone || e.record.Heartbeat.Born != born || sequence <= max(e.relayedSequence, e.record.Heartbeat.Sequence) {
@@ -82,7 +84,8 @@
 	return changed
 }
 
-// Merge takes a record from another VM and reports whether it changed.
+// Merge applies a record from another VM, including its silence, and reports whether the record
+// changed.
 func (t *Table) Merge(r Record, now time.Time) bool {
 	id := r.Heartbeat.Backend
 	e := t.entries[id]
@@ -100,7 +103,7 @@
 	return changed
 }
 
-// mergeTombstone takes a tombstone; one of an earlier start than the known one is outdated.
+// mergeTombstone applies a tombstone, unless it is of an earlier incarnation than the known one.
 func (t *Table) mergeTombstone(r Record, now time.Time) bool {
 	id := r.Heartbeat.Backend
 	e := t.entries[id]
@@ -111,14 +114,15 @@
 	return r.Heartbeat.Born == e.record.Heartbeat.Born && t.Remove(id, now)
 }
 
-// sameHeartbeat reports whether two heartbeats under one identity are the same.
+// sameHeartbeat reports whether two heartbeats of one identity are the same, by incarnation and
+// sequence.
 func sameHeartbeat(a, b laburnumlever.Heartbeat) bool {
 	return a.Born == b.Born && a.Sequence == b.Sequence
 }
 
-// Adopt takes a record from another control VM and reports whether it changed. Silence is detected
-// by each control VM from what it receives itself: if they took it from each other, a dead
-// backend server would be marked silent and alive in turns for ever.
+// MergeFromControl applies a record from another control VM and reports whether it changed. Each
+// control VM detects silence from the heartbeats it receives itself: if control VMs took it from each
+// other, the record of a stopped backend server would flap between silent and alive for ever.
 func (t *Table) Adopt(r Record, now time.Time) bool {
 	e := t.entries[r.Heartbeat.Backend]
 	if e != nil && !r.Gone && !r.Heartbeat.NewerThan(e.record.Heartbeat) {
@@ -127,13 +131,14 @@
 	return t.Merge(r, now)
 }
 
-// equalExceptSequence compares two heartbeats without their sequence.
+// equalExceptSequence reports whether two heartbeats differ in their sequence at most.
 func equalExceptSequence(a, b laburnumlever.Heartbeat) bool {
 	a.Sequence, b.Sequence = 0, 0
 	return reflect.DeepEqual(a, b)
 }
 
-// Remove leaves a tombstone for a backend server, known or not.
+// Remove replaces the record of a backend server by a tombstone, also if it is unknown, and reports
+// whether the record changed.
 func (t *Table) Remove(id laburnumlever.BackendID, now time.Time) bool {
 	e := t.entries[id]
 	if e == nil {
@@ -148,7 +153,8 @@
 	return true
 }
 
-// Expire marks backend servers whose heartbeats have stopped as silent and returns them.
+// MarkSilent marks backend servers without a heartbeat for three periods as silent and returns the
+// newly marked ones, ordered by identity.
 func (t *Table) Expire(now time.Time) []laburnumlever.BackendID {
 	var changed []laburnumlever.BackendID
 	for id, e := range t.entries {
@@ -161,15 +167,15 @@
 	return changed
 }
 
-// Forget drops tombstones and records of silent backend servers after pruneAfter and returns them.
-// Each start of a backend server has its own identity, so the table would grow with every
-// release. It is for a VM that receives the heartbeats itself.
+// Prune drops tombstones and records of silent backend servers after two minutes and returns their
+// identities in order. A restarted backend server may have a new identity, so that the table would
+// grow with every release. Prune is for VMs that receive heartbeats themselves.
 func (t *Table) Forget(now time.Time) []laburnumlever.BackendID {
 	return t.prune(now, func(r Record) bool { return r.Gone || r.Silent })
 }
 
-// ForgetGone is Forget for a VM that gets records from others: it gets none while nothing changes,
-// so only tombstones are dropped.
+// PruneTombstones is Prune for VMs that get records from other VMs only. They get none while nothing
+// changes, so the age of a record tells nothing and only tombstones are dropped.
 func (t *Table) ForgetGone(now time.Time) {
 	t.prune(now, func(r Record) bool { return r.Gone })
 }
@@ -195,7 +201,7 @@
 	return e.record, true
 }
 
-// Records returns all records, ordered by identity.
+// Records returns all records, including tombstones, ordered by identity.
 func (t *Table) Records() []Record {
 	out := make([]Record, 0, len(t.entries))
 	for _, e := range t.entries {
--- a/laburnumregistry/registry_test.go
+++ b/laburnumregistry/registry_test.go
@@ -30,13 +30,13 @@
 	require.True(t, table.Take(heartbeat(1), start))
 	require.True(t, table.Take(heartbeat(5, leaving), start.Add(time.Second)))
 	require.False(t, table.Take(heartbeat(4), start.Add(2*time.Second)))
-	table.Take(heartbeat(6), start.Add(3*time.Second)) // a newer one doesn't repeat it
+	table.Take(heartbeat(6), start.Add(3*time.Second)) // a newer heartbeat without the flag
 	r, ok := table.Record("i-1")
 	require.True(t, ok)
 	require.False(t, r.TakesWork())
 }
 
-// Guards against a late heartbeat that revives a backend server which is gone.
+// Guards against a late heartbeat that revives a stopped backend server.
 func TestLateHeartbeatDoesNotReviveTombstone(t *testing.T) {
 	table := laburnumregistry.New(period)
 	require.True(t, table.Remove("i-1", start))
@@ -45,7 +45,7 @@
 	require.True(t, r.Gone)
 }
 
-// Guards against backend servers that are taken out because control VMs can't reach them.
+// Guards against removing backend servers from service because the control VMs can't reach them.
 func TestSilentServerStillAcceptsRequests(t *testing.T) {
 	table := laburnumregistry.New(period)
 	table.Take(heartbeat(1), start)
@@ -59,7 +59,7 @@
 	require.False(t, r.Silent)
 }
 
-// Guards against heartbeats without changes that are sent on to gateways.
+// Guards against sending unchanged heartbeats on to gateways.
 func TestUnchangedHeartbeatIsNoChange(t *testing.T) {
 	table := laburnumregistry.New(period)
 	table.Take(heartbeat(1), start)
@@ -86,14 +86,15 @@
 		Backend: "i-1", Fence: 2, Sequence: 4, Withdrawn: []laburnumlever.ModelName{"m1"},
 		Adapters: []laburnumlever.HeldModel{{Name: "m0", Adapters: []laburnumlever.AdapterName{"a2"}}},
 	}
-	require.False(t, o.Holds(h, "m1", ""), "gateways were told to send nothing more for it")
+	require.False(t, o.Holds(h, "m1", ""), "withdrawn from gateways")
 	require.True(t, o.Holds(h, "m0", "a2"), "loaded since the heartbeat")
-	require.False(t, o.Holds(h, "m0", "a1"), "given up since the heartbeat")
+	require.False(t, o.Holds(h, "m0", "a1"), "unloaded since the heartbeat")
 	h.Sequence = 5
 	require.True(t, o.Holds(h, "m0", "a1"), "a newer heartbeat lists it")
 }
 
-// Guards against a dead backend server that control VMs mark silent and alive in turns.
+// Guards against a stopped backend server whose record flaps between silent and alive because control
+// VMs merge each other's view.
 func TestControlVMsAgreeOnSilence(t *testing.T) {
 	one, two := laburnumregistry.New(period), laburnumregistry.New(period)
 	one.Take(heartbeat(1), start)
@@ -108,7 +109,7 @@
 			}
 		}
 	}
-	require.Equal(t, 2, changes, "each notices the silence once")
+	require.Equal(t, 2, changes, "each control VM detects the silence once")
 	r, _ := one.Record("i-1")
 	require.True(t, r.Silent)
 	require.True(t, one.Adopt(laburnumregistry.Record{Heartbeat: heartbeat(2)}, start.Add(20*period)), "a newer heartbeat counts")
@@ -128,22 +129,23 @@
 	require.True(t, r.Silent)
 }
 
-// Guards against tables that grow with every release, and against live servers being dropped.
+// Guards against a table that grows with every release, and against dropping live servers.
 func TestTombstonesAndSilentRecordsArePruned(t *testing.T) {
 	table := laburnumregistry.New(period)
 	other := func(h *laburnumlever.Heartbeat) { h.Backend = "i-2" }
 	table.Take(heartbeat(1), start)
 	table.Take(heartbeat(1, other), start)
 	table.Remove("i-1", start.Add(time.Second))
-	require.Empty(t, table.Forget(start.Add(time.Minute)), "a late heartbeat must still find it gone")
+	require.Empty(t, table.Forget(start.Add(time.Minute)), "a late heartbeat must still find the tombstone")
 	require.Equal(t, []laburnumlever.BackendID{"i-1"}, table.Forget(start.Add(3*time.Minute)))
 	require.Len(t, table.Records(), 1)
-	require.Empty(t, table.Forget(start.Add(time.Hour)), "one whose silence nobody has noticed is kept")
+	require.Empty(t, table.Forget(start.Add(time.Hour)), "a record not yet marked silent is kept")
 	table.Expire(start.Add(time.Hour))
 	require.Equal(t, []laburnumlever.BackendID{"i-2"}, table.Forget(start.Add(time.Hour)))
 }
 
-// Guards against silence where only another control VM gets heartbeats, and against late ones.
+// Guards against marking a backend server silent whose heartbeats only another control VM receives,
+// and against late relayed heartbeats that keep a stopped one alive.
 func TestRelayedHeartbeatsPreventSilence(t *testing.T) {
 	const period = time.Second
 	now := time.Unix(1_000_000, 0)
@@ -157,16 +159,16 @@
 	}
 	for range 4 {
 		now = now.Add(period)
-		require.False(t, table.Alive("i-1", 0, 7, now), "an old word")
+		require.False(t, table.Alive("i-1", 0, 7, now), "an old sequence")
 	}
 	require.Equal(t, []laburnumlever.BackendID{"i-1"}, table.Expire(now))
-	require.True(t, table.Alive("i-1", 0, 20, now), "heard again, which is news")
+	require.True(t, table.Alive("i-1", 0, 20, now), "no longer silent, which is a change")
 	require.True(t, table.Remove("i-1", now))
 	require.False(t, table.Alive("i-1", 0, 21, now))
-	require.False(t, table.Alive("i-2", 0, 1, now), "not known here yet")
+	require.False(t, table.Alive("i-2", 0, 1, now), "unknown backend server")
 }
 
-// Guards against heartbeats of a restarted engine that are taken for late ones.
+// Guards against discarding heartbeats of a restarted engine as late ones of its earlier incarnation.
 func TestRestartReplacesEarlierIncarnation(t *testing.T) {
 	born := func(at uint64) func(*laburnumlever.Heartbeat) {
 		return func(h *laburnumlever.Heartbeat) { h.Born = at }
@@ -174,14 +176,14 @@
 	table := laburnumregistry.New(period)
 	require.True(t, table.Take(heartbeat(40, born(100)), start))
 	require.True(t, table.Take(heartbeat(1, born(200)), start))
-	require.False(t, table.Take(heartbeat(41, born(100)), start), "a late word of the earlier start")
+	require.False(t, table.Take(heartbeat(41, born(100)), start), "a late one of the earlier incarnation")
 	require.False(t, table.Alive("i-1", 100, 50, start))
 	gone := laburnumregistry.Record{Heartbeat: heartbeat(41, born(100)), Gone: true}
-	require.False(t, table.Merge(gone, start), "the earlier start's end")
+	require.False(t, table.Merge(gone, start), "a tombstone of the earlier incarnation")
 	r, _ := table.Record("i-1")
 	require.Equal(t, laburnumregistry.Record{Heartbeat: heartbeat(1, born(200))}, r)
 	require.True(t, table.Remove("i-1", start))
-	require.False(t, table.Take(heartbeat(2, born(200)), start), "its own end is final")
+	require.False(t, table.Take(heartbeat(2, born(200)), start), "its own tombstone is final")
 	require.True(t, table.Take(heartbeat(1, born(300)), start))
 	require.True(t, table.Merge(laburnumregistry.Record{Heartbeat: heartbeat(9, born(400)), Gone: true}, start))
 	require.False(t, table.Take(heartbeat(8, born(400)), start))
--- a/laburnumregistry/summary.go
+++ b/laburnumregistry/summary.go
@@ -2,10 +2,11 @@
 
 import "laburnumlever"
 
-// maxExamples bounds the absent models named in a summary.
+// maxExamples is the maximum number of absent models named in a service's summary.
 const maxExamples = 5
 
-// Summary counts the backend servers of each service, and the models that none of them holds.
+// Summary returns, for each service, the number of its backend servers by state, the loaded model
+// copies, and the models that no serving backend server holds. Tombstones are not counted.
 func (t *Table) Summary(services []laburnumlever.RoutedService) []laburnumlever.ServiceStatus {
 	counts := make(map[laburnumlever.ServiceName]*laburnumlever.ServiceStatus, len(services))
 	held := map[laburnumlever.ServiceName]map[laburnumlever.ModelName]bool{}
@@ -39,7 +40,7 @@
 	return out
 }
 
-// withAbsent adds the models of the class that are not held.
+// withAbsent adds the number of models of the class, and of those that are not held, with examples.
 func withAbsent(c laburnumlever.ServiceStatus, class *laburnumlever.EngineClass, held map[laburnumlever.ModelName]bool) laburnumlever.ServiceStatus {
 	if class == nil {
 		return c
--- a/laburnumregistry/summary_test.go
+++ b/laburnumregistry/summary_test.go
@@ -11,7 +11,7 @@
 	"laburnumlever/laburnumregistry"
 )
 
-// Guards against a status that counts tombstones, or copies on engines that are leaving.
+// Guards against a status that counts tombstones, or copies on leaving engines.
 func TestSummaryExcludesTombstonesAndLeavingEngines(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	table := laburnumregistry.New(time.Second)
@@ -36,7 +36,7 @@
 	}, table.Summary([]laburnumlever.RoutedService{quotes, {Name: "booking"}}))
 }
 
-// Guards against a status that grows with the number of models.
+// Guards against a status whose size grows with the number of models.
 func TestSummaryLimitsExamples(t *testing.T) {
 	class := &laburnumlever.EngineClass{}
 	for i := range 400 {
