--- a/laburnumpeer/backoff.go
+++ b/laburnumpeer/backoff.go
@@ -9,7 +9,7 @@
 // dial a dead one at every message. The wait doubles up to maxBackoff, which
 // bounds how late a returned VM is noticed; jitter keeps VMs from dialling it at once.
 type backoff struct {
-	wait  time.Duration
+	delay time.Duration
 	until time.Time
 	cause error
 }
@@ -22,7 +22,7 @@
 }
 
 func (b backoff) next(now time.Time, cause error) backoff {
-	b.wait = min(max(2*b.wait, minBackoff), maxBackoff)
-	jittered := b.wait/2 + rand.N(b.wait/2)
-	return backoff{wait: b.wait, until: now.Add(jittered), cause: cause}
+	b.delay = min(max(2*b.delay, minBackoff), maxBackoff)
+	jittered := b.delay/2 + rand.N(b.delay/2)
+	return backoff{delay: b.delay, until: now.Add(jittered), cause: cause}
 }
--- a/laburnumpeer/config.go
+++ b/laburnumpeer/config.go
@@ -25,7 +25,7 @@
 	defaultMaxHandlers      = 512
 	pingAfter               = 600 * time.Millisecond
 	pingTimeout             = 1100 * time.Millisecond
-	watchPeriod             = 200 * time.Millisecond
+	checkPeriod             = 200 * time.Millisecond
 	minBackoff              = 50 * time.Millisecond
 	maxBackoff              = 500 * time.Millisecond
 )
--- a/laburnumpeer/link.go
+++ b/laburnumpeer/link.go
@@ -14,8 +14,8 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// note is a notification waiting for its link.
-type note struct {
+// notification is a notification waiting for its link.
+type notification struct {
 	method string
 	params json.RawMessage
 }
@@ -23,29 +23,29 @@
 // link is the one outgoing connection to an address. Its own goroutine sends
 // notifications and watches for silence.
 type link struct {
-	peers   *Peers
-	address string
-	queue   chan note
-	wake    chan struct{} // a call was sent: the silence watch has work
-	calls   atomic.Int64  // calls and notifications being handed in
-	dialing chan struct{} // held by whoever makes the connection
+	peers    *Peers
+	address  string
+	queue    chan notification
+	wake     chan struct{} // a call was sent: the silence watch has work
+	inFlight atomic.Int64  // calls and notifications being handed in
+	dialLock chan struct{} // held by whoever makes the connection
 
-	mu      sync.Mutex
-	conn    *jsonrpc2.Conn
-	stream  *stream
-	watch   watch
-	lastUse time.Time
-	retry   backoff
+	mu       sync.Mutex
+	conn     *jsonrpc2.Conn
+	stream   *stream
+	detector silenceDetector
+	lastUse  time.Time
+	backoff  backoff
 }
 
 func newLink(p *Peers, address string) *link {
 	return &link{
-		peers:   p,
-		address: address,
-		queue:   make(chan note, p.cfg.queue),
-		wake:    make(chan struct{}, 1),
-		dialing: make(chan struct{}, 1),
-		lastUse: time.Now(),
+		peers:    p,
+		address:  address,
+		queue:    make(chan notification, p.cfg.queue),
+		wake:     make(chan struct{}, 1),
+		dialLock: make(chan struct{}, 1),
+		lastUse:  time.Now(),
 	}
 }
 
@@ -57,20 +57,20 @@
 	waiter, err := conn.DispatchCall(ctx, method, params)
 	if err != nil {
 		// The frame was not wholly written, so the other side can't have run it.
-		l.drop(conn, err)
+		l.closeConn(conn, err)
 		return &laburnumlever.PeerUnreachableError{Address: l.address, Cause: err}
 	}
-	l.used()
-	return l.outcome(waiter.Wait(ctx, result))
+	l.noteSent()
+	return l.typedError(waiter.Wait(ctx, result))
 }
 
-func (l *link) outcome(err error) error {
+func (l *link) typedError(err error) error {
 	var refused *jsonrpc2.Error
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &refused):
-		return &laburnumlever.PeerRefusedError{Address: l.address, Kind: kindOfAnswer(refused), Detail: refused.Message}
+		return &laburnumlever.PeerRefusedError{Address: l.address, Kind: errorKind(refused), Detail: refused.Message}
 	default:
 		return &laburnumlever.PeerLostError{Address: l.address, Cause: err}
 	}
@@ -78,13 +78,13 @@
 
 func (l *link) notify(method string, params any) {
 	raw, err := json.Marshal(params)
-	if err == nil && l.enqueue(note{method: method, params: raw}) {
+	if err == nil && l.enqueue(notification{method: method, params: raw}) {
 		return
 	}
 	l.peers.cfg.scope.Counter("peer-dropped-notifications").Inc(1)
 }
 
-func (l *link) enqueue(n note) bool {
+func (l *link) enqueue(n notification) bool {
 	select {
 	case l.queue <- n:
 		return true
@@ -95,7 +95,7 @@
 
 // run sends what is queued until the peers close or the link has been idle.
 func (l *link) run() {
-	defer l.drop(nil, &ClosedError{})
+	defer l.closeConn(nil, &ClosedError{})
 	timer := time.NewTimer(l.peers.cfg.idleTimeout)
 	defer timer.Stop()
 	for {
@@ -107,39 +107,39 @@
 		case <-l.wake:
 		case <-timer.C:
 		}
-		wait, idle := l.inspect(time.Now())
-		if idle && l.peers.forget(l) {
+		wait, idle := l.checkSilence(time.Now())
+		if idle && l.peers.removeIdle(l) {
 			return
 		}
 		timer.Reset(wait)
 	}
 }
 
-func (l *link) send(n note) {
+func (l *link) send(n notification) {
 	conn, err := l.connect(l.peers.ctx)
 	if err == nil {
 		err = conn.Notify(l.peers.ctx, n.method, n.params)
 	}
 	if err != nil {
-		l.drop(conn, err)
+		l.closeConn(conn, err)
 		l.peers.cfg.scope.Counter("peer-dropped-notifications").Inc(1)
 		return
 	}
-	l.used()
+	l.noteSent()
 }
 
 // connect returns the connection, making it if there is none.
 func (l *link) connect(ctx context.Context) (*jsonrpc2.Conn, error) {
 	select {
-	case l.dialing <- struct{}{}:
-		defer func() { <-l.dialing }()
+	case l.dialLock <- struct{}{}:
+		defer func() { <-l.dialLock }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	if conn := l.current(); conn != nil {
 		return conn, nil
 	}
-	if err := l.retryable(); err != nil {
+	if err := l.checkBackoff(); err != nil {
 		return nil, err
 	}
 	dialer := net.Dialer{Timeout: l.peers.cfg.dialTimeout}
@@ -149,13 +149,13 @@
 	netConn, err := dialer.DialContext(ctx, "tcp", l.address)
 	if err == nil {
 		host, _, _ := net.SplitHostPort(l.address) // DialContext has accepted it
-		netConn, err = l.peers.cfg.secure(ctx, netConn, host)
+		netConn, err = l.peers.cfg.handshake(ctx, netConn, host)
 	}
 	if err != nil {
-		l.failed(ctx, err)
+		l.recordFailure(ctx, err)
 		return nil, err
 	}
-	return l.adopt(netConn), nil
+	return l.attach(netConn), nil
 }
 
 func (l *link) current() *jsonrpc2.Conn {
@@ -173,36 +173,36 @@
 	}
 }
 
-func (l *link) adopt(netConn net.Conn) *jsonrpc2.Conn {
+func (l *link) attach(netConn net.Conn) *jsonrpc2.Conn {
 	s := newStream(netConn, &l.peers.cfg)
 	conn := l.peers.newConn(s, server{peers: l.peers})
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conn, l.stream = conn, s
-	l.watch = watch{}
-	l.retry = backoff{}
+	l.detector = silenceDetector{}
+	l.backoff = backoff{}
 	return conn
 }
 
-func (l *link) retryable() error {
+func (l *link) checkBackoff() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.retry.check(time.Now())
+	return l.backoff.check(time.Now())
 }
 
-// failed notes a failed try; one that only its caller's deadline ended says nothing
+// recordFailure notes a recordFailure try; one that only its caller's deadline ended says nothing
 // of the other VM.
-func (l *link) failed(ctx context.Context, err error) {
+func (l *link) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.retry = l.retry.next(time.Now(), err)
+	l.backoff = l.backoff.next(time.Now(), err)
 }
 
-// drop closes the connection if it is still the given one; nil means any.
-func (l *link) drop(conn *jsonrpc2.Conn, cause error) {
+// closeConn closes the connection if it is still the given one; nil means any.
+func (l *link) closeConn(conn *jsonrpc2.Conn, cause error) {
 	l.mu.Lock()
 	current := l.conn
 	if current == nil || (conn != nil && conn != current) {
@@ -215,13 +215,13 @@
 	_ = current.Close()
 }
 
-// used notes that something was sent and wakes the silence watch.
-func (l *link) used() {
+// noteSent notes that something was sent and wakes the silence watch.
+func (l *link) noteSent() {
 	l.mu.Lock()
 	now := time.Now()
 	l.lastUse = now
 	if l.stream != nil {
-		l.watch = l.watch.sent(now, l.stream.readAt())
+		l.detector = l.detector.sent(now, l.stream.lastReadAt())
 	}
 	l.mu.Unlock()
 	select {
@@ -230,8 +230,8 @@
 	}
 }
 
-// inspect acts on silence and returns when to look again, and whether the link is idle.
-func (l *link) inspect(now time.Time) (time.Duration, bool) {
+// checkSilence acts on silence and returns when to look again, and whether the link is idle.
+func (l *link) checkSilence(now time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	conn, s := l.conn, l.stream
 	idle := now.Sub(l.lastUse) >= l.peers.cfg.idleTimeout
@@ -239,20 +239,20 @@
 		l.mu.Unlock()
 		return l.peers.cfg.idleTimeout, idle
 	}
-	var step watchStep
-	l.watch, step = l.watch.look(now, s.readAt(), l.calls.Load() > 0)
+	var action silenceAction
+	l.detector, action = l.detector.check(now, s.lastReadAt(), l.inFlight.Load() > 0)
 	l.mu.Unlock()
-	switch step {
-	case watchRest:
+	switch action {
+	case actionNone:
 		return l.peers.cfg.idleTimeout, idle
-	case watchPing:
+	case actionPing:
 		if _, err := conn.DispatchCall(l.peers.ctx, pingMethod, struct{}{}); err != nil {
-			l.drop(conn, err)
+			l.closeConn(conn, err)
 		}
-	case watchClose:
+	case actionClose:
 		l.peers.cfg.scope.Counter("peer-silent-links").Inc(1)
-		l.drop(conn, &SilentError{Silence: now.Sub(s.readAt())})
-	case watchWait:
+		l.closeConn(conn, &SilentError{Silence: now.Sub(s.lastReadAt())})
+	case actionWait:
 	}
-	return watchPeriod, false
+	return checkPeriod, false
 }
--- a/laburnumpeer/peers.go
+++ b/laburnumpeer/peers.go
@@ -19,14 +19,14 @@
 	cfg      config
 	counters *counters
 	// ctx ends at Close.
-	ctx      context.Context
-	cancel   context.CancelFunc
-	slots    chan struct{} // of calls from others
-	notices  chan struct{} // of notifications
-	mu       sync.Mutex
-	handlers map[string]laburnumlever.PeerHandler
-	links    map[string]*link
-	wg       sync.WaitGroup
+	ctx               context.Context
+	cancel            context.CancelFunc
+	callSlots         chan struct{} // of calls from others
+	notificationSlots chan struct{} // of notifications
+	mu                sync.Mutex
+	handlers          map[string]laburnumlever.PeerHandler
+	links             map[string]*link
+	wg                sync.WaitGroup
 }
 
 var _ laburnumlever.Peers = (*Peers)(nil)
@@ -36,15 +36,15 @@
 	cfg := newConfig(opts)
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Peers{
-		self:     self,
-		cfg:      cfg,
-		counters: &counters{scope: cfg.scope, byName: map[string]*methodCounters{}},
-		ctx:      ctx,
-		cancel:   cancel,
-		slots:    make(chan struct{}, cfg.maxHandlers),
-		notices:  make(chan struct{}, cfg.maxHandlers),
-		handlers: map[string]laburnumlever.PeerHandler{pingMethod: answerPing},
-		links:    map[string]*link{},
+		self:              self,
+		cfg:               cfg,
+		counters:          &counters{scope: cfg.scope, byName: map[string]*methodCounters{}},
+		ctx:               ctx,
+		cancel:            cancel,
+		callSlots:         make(chan struct{}, cfg.maxHandlers),
+		notificationSlots: make(chan struct{}, cfg.maxHandlers),
+		handlers:          map[string]laburnumlever.PeerHandler{pingMethod: answerPing},
+		links:             map[string]*link{},
 	}
 }
 
@@ -105,7 +105,7 @@
 	if err != nil {
 		return &laburnumlever.PeerUnreachableError{Address: address, Cause: err}
 	}
-	defer l.calls.Add(-1)
+	defer l.inFlight.Add(-1)
 	return l.call(ctx, method, params, result)
 }
 
@@ -115,7 +115,7 @@
 	if err != nil {
 		return
 	}
-	defer l.calls.Add(-1)
+	defer l.inFlight.Add(-1)
 	l.notify(method, params)
 }
 
@@ -129,21 +129,21 @@
 		return nil, &ClosedError{}
 	}
 	if l, ok := p.links[address]; ok {
-		l.calls.Add(1)
+		l.inFlight.Add(1)
 		return l, nil
 	}
 	l := newLink(p, address)
-	l.calls.Add(1)
+	l.inFlight.Add(1)
 	p.links[address] = l
 	p.wg.Go(l.run)
 	return l, nil
 }
 
-// forget drops an idle link, unless something was queued meanwhile.
-func (p *Peers) forget(l *link) bool {
+// removeIdle drops an idle link, unless something was queued meanwhile.
+func (p *Peers) removeIdle(l *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(l.queue) > 0 || l.calls.Load() > 0 {
+	if len(l.queue) > 0 || l.inFlight.Load() > 0 {
 		return false
 	}
 	delete(p.links, l.address)
--- a/laburnumpeer/peers_test.go
+++ b/laburnumpeer/peers_test.go
@@ -68,7 +68,7 @@
 // A VM is dead: its port refuses connections. A caller that took this for "no
 // answer" would report "unknown" for work that surely never left; and a call too
 // long for a frame must not cost the link, nor be taken as sent.
-func TestCallThatWasNeverSentIsUnreachable(t *testing.T) {
+func TestUnsentCallIsUnreachable(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := ln.Addr().String()
@@ -90,7 +90,7 @@
 // The other VM is frozen (SIGSTOP) or silently cut off: its kernel may still take
 // our bytes, but no answer comes and no RST. Without a watch the call, and the control
 // work that waits on it, would hang until TCP gives up many minutes later.
-func TestSilentPeerIsNoticedWithinTwoSeconds(t *testing.T) {
+func TestSilentPeerIsDetectedWithinTwoSeconds(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -110,7 +110,7 @@
 // A handler takes far longer than the silence bound, on a healthy link. A watch that
 // looked at the call alone would close the link, and the caller would be told
 // "unknown" for work that goes well.
-func TestSlowAnswerOnALivingLinkIsNotSilence(t *testing.T) {
+func TestSlowAnswerDoesNotCloseLink(t *testing.T) {
 	b := laburnumpeer.New("b")
 	b.Handle("slow", func(ctx context.Context, _ laburnumlever.RawMessage) (any, error) {
 		select {
@@ -126,7 +126,7 @@
 }
 
 // Guards against long polls starving the log's messages of worker slots.
-func TestHeldCallsLeaveRoomForNotifications(t *testing.T) {
+func TestLongPollsDoNotStarveNotifications(t *testing.T) {
 	const most = 4
 	b := laburnumpeer.New("b", laburnumpeer.WithMaxHandlers(most))
 	held, release := make(chan struct{}, most), make(chan struct{})
--- a/laburnumpeer/serve.go
+++ b/laburnumpeer/serve.go
@@ -14,15 +14,15 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// refusal is the data of an error answer.
-type refusal struct {
+// errorData is the data of an error answer.
+type errorData struct {
 	Kind string `json:"kind"`
 }
 
 // serveConn answers the requests of one incoming connection.
 func (p *Peers) serveConn(netConn net.Conn) {
 	started := p.spawn(func() {
-		secured, err := p.cfg.secure(p.ctx, netConn, "")
+		secured, err := p.cfg.handshake(p.ctx, netConn, "")
 		if err != nil {
 			p.cfg.scope.Counter("peer-failed-handshakes").Inc(1)
 			return
@@ -46,9 +46,9 @@
 	})
 	s.onWrite = func(n int) { p.counters.method(sending).sent(n) }
 	onRecv := jsonrpc2.OnRecv(func(req *jsonrpc2.Request, resp *jsonrpc2.Response) {
-		p.countReceived(req, resp, s.received)
+		p.countReceived(req, resp, s.lastFrameBytes)
 	})
-	return jsonrpc2.NewConn(p.ctx, s, handler, onSend, onRecv, jsonrpc2.SetLogger(discard{}))
+	return jsonrpc2.NewConn(p.ctx, s, handler, onSend, onRecv, jsonrpc2.SetLogger(discardLogger{}))
 }
 
 func (p *Peers) countReceived(req *jsonrpc2.Request, resp *jsonrpc2.Response, n int) {
@@ -62,11 +62,11 @@
 	p.counters.method(method).received(n)
 }
 
-// discard drops jsonrpc2's own log lines: the link reports the same as errors.
-type discard struct{}
+// discardLogger drops jsonrpc2's own log lines: the link reports the same as errors.
+type discardLogger struct{}
 
 // Printf drops the line.
-func (discard) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // server hands the requests of incoming connections to the handlers.
 type server struct{ peers *Peers }
@@ -77,7 +77,7 @@
 	p := s.peers
 	handler, ok := p.handler(req.Method)
 	if !ok {
-		refuse(ctx, conn, req, &UnknownMethodError{Method: req.Method})
+		replyError(ctx, conn, req, &UnknownMethodError{Method: req.Method})
 		return
 	}
 	slots := p.slotsFor(req)
@@ -85,12 +85,12 @@
 	case slots <- struct{}{}:
 	default:
 		p.cfg.scope.Counter("peer-overloaded").Inc(1)
-		refuse(ctx, conn, req, &OverloadedError{Limit: p.cfg.maxHandlers})
+		replyError(ctx, conn, req, &OverloadedError{Limit: p.cfg.maxHandlers})
 		return
 	}
 	started := p.spawn(func() {
 		defer func() { <-slots }()
-		p.answer(ctx, conn, req, handler)
+		p.runHandler(ctx, conn, req, handler)
 	})
 	if !started {
 		<-slots
@@ -102,12 +102,12 @@
 // over in a moment, were then dropped, and the leader lost its voters again and again.
 func (p *Peers) slotsFor(req *jsonrpc2.Request) chan struct{} {
 	if req.Notif {
-		return p.notices
+		return p.notificationSlots
 	}
-	return p.slots
+	return p.callSlots
 }
 
-func (p *Peers) answer(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request, handler laburnumlever.PeerHandler) {
+func (p *Peers) runHandler(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request, handler laburnumlever.PeerHandler) {
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.callTimeout)
 	defer cancel()
 	var params laburnumlever.RawMessage
@@ -116,7 +116,7 @@
 	}
 	result, err := handler(ctx, params)
 	if err != nil {
-		refuse(ctx, conn, req, err)
+		replyError(ctx, conn, req, err)
 		return
 	}
 	if req.Notif {
@@ -126,12 +126,12 @@
 	_ = conn.Reply(ctx, req.ID, result)
 }
 
-func refuse(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request, err error) {
+func replyError(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request, err error) {
 	if req.Notif {
 		return
 	}
 	answer := &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: err.Error()}
-	answer.SetError(refusal{Kind: KindOf(err)})
+	answer.SetError(errorData{Kind: KindOf(err)})
 	_ = conn.ReplyWithError(ctx, req.ID, answer)
 }
 
@@ -153,8 +153,8 @@
 	return b.String()
 }
 
-func kindOfAnswer(answer *jsonrpc2.Error) string {
-	var r refusal
+func errorKind(answer *jsonrpc2.Error) string {
+	var r errorData
 	if answer.Data == nil || json.Unmarshal(*answer.Data, &r) != nil {
 		return ""
 	}
--- a/laburnumpeer/stream.go
+++ b/laburnumpeer/stream.go
@@ -17,13 +17,13 @@
 // Unlike the library's own codec it bounds frames in both directions and the
 // time of a write, and writes a frame in one piece.
 type stream struct {
-	conn         net.Conn
-	r            *bufio.Reader
-	maxFrame     int
-	writeTimeout time.Duration
-	lastRead     atomic.Int64 // Unix nanoseconds
-	received     int          // bytes of the last frame read; its reader's only
-	onWrite      func(n int)
+	conn           net.Conn
+	r              *bufio.Reader
+	maxFrame       int
+	writeTimeout   time.Duration
+	lastRead       atomic.Int64 // Unix nanoseconds
+	lastFrameBytes int          // bytes of the last frame read; its reader's only
+	onWrite        func(n int)
 }
 
 func newStream(conn net.Conn, cfg *config) *stream {
@@ -75,11 +75,11 @@
 		return err
 	}
 	s.lastRead.Store(time.Now().UnixNano())
-	s.received = len(body) + 1
+	s.lastFrameBytes = len(body) + 1
 	return json.Unmarshal(body, v)
 }
 
 // Close closes the connection.
 func (s *stream) Close() error { return s.conn.Close() }
 
-func (s *stream) readAt() time.Time { return time.Unix(0, s.lastRead.Load()) }
+func (s *stream) lastReadAt() time.Time { return time.Unix(0, s.lastRead.Load()) }
--- a/laburnumpeer/tls.go
+++ b/laburnumpeer/tls.go
@@ -16,9 +16,9 @@
 type tlsFiles struct {
 	certificate, key, authorities string
 
-	mu     sync.Mutex
-	stamp  [3]time.Time
-	config *tls.Config
+	mu       sync.Mutex
+	modTimes [3]time.Time
+	config   *tls.Config
 }
 
 // WithTLS secures all links by mutual TLS 1.3 with the PEM files given. Certificates
@@ -44,8 +44,8 @@
 func (f *tlsFiles) current() (*tls.Config, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	stamp, err := f.stamps()
-	if err == nil && f.config != nil && stamp == f.stamp {
+	modTimes, err := f.statModTimes()
+	if err == nil && f.config != nil && modTimes == f.modTimes {
 		return f.config, nil
 	}
 	var cfg *tls.Config
@@ -58,19 +58,19 @@
 		}
 		return nil, &TLSFilesError{Cause: err}
 	}
-	f.config, f.stamp = cfg, stamp
+	f.config, f.modTimes = cfg, modTimes
 	return cfg, nil
 }
 
-func (f *tlsFiles) stamps() (stamp [3]time.Time, err error) {
+func (f *tlsFiles) statModTimes() (modTimes [3]time.Time, err error) {
 	for i, path := range []string{f.certificate, f.key, f.authorities} {
 		info, err := os.Stat(path)
 		if err != nil {
-			return stamp, err
+			return modTimes, err
 		}
-		stamp[i] = info.ModTime()
+		modTimes[i] = info.ModTime()
 	}
-	return stamp, nil
+	return modTimes, nil
 }
 
 func (f *tlsFiles) read() (*tls.Config, error) {
@@ -95,9 +95,9 @@
 	}, nil
 }
 
-// secure does the handshake of one side; without TLS it returns the connection as
+// handshake does the handshake of one side; without TLS it returns the connection as
 // it is. On an error the connection is closed.
-func (c *config) secure(ctx context.Context, conn net.Conn, serverName string) (net.Conn, error) {
+func (c *config) handshake(ctx context.Context, conn net.Conn, serverName string) (net.Conn, error) {
 	if c.tls == nil {
 		return conn, nil
 	}
--- a/laburnumpeer/tls_test.go
+++ b/laburnumpeer/tls_test.go
@@ -41,7 +41,7 @@
 // Somebody in the network without a certificate of ours calls a VM, and later the
 // operators renew all certificates under running VMs. The stranger must get no answer;
 // new links must use the new files without a restart.
-func TestMutualTLSRefusesStrangersAndRereadsItsFiles(t *testing.T) {
+func TestMutualTLSRejectsUnknownCertificatesAndReloadsFiles(t *testing.T) {
 	dir := t.TempDir()
 	files := identity(t, dir)
 	b := laburnumpeer.New("b", files)
