--- a/laburnumpeer/config.go
+++ b/laburnumpeer/config.go
@@ -8,16 +8,16 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// The defaults. Times follow from the two seconds within which a silent cut is to
-// be noticed: pingAfter + pingTimeout < 2 s.
+// Defaults and fixed times. A partition that sends no RST must be detected within two seconds, hence
+// pingAfter + pingTimeout < 2 s.
 const (
 	defaultMaxFrame = 16 << 20
 	defaultQueue    = 256
-	// defaultDialTimeout is twice the longest way there and back between regions. The first
-	// packet to a VM that is still dark is lost and sent again a second later: with a longer
-	// timeout a VM that comes back is found a second late by all who were dialling it then.
+	// defaultDialTimeout is twice the longest round trip between regions. A SYN to a VM that is
+	// still down is lost and retransmitted after a second: with a longer timeout, every VM that
+	// was dialling a recovering VM would connect to it a second late.
 	defaultDialTimeout = 300 * time.Millisecond
-	// defaultHandshakeTimeout leaves a VM that starts the time for its keys.
+	// defaultHandshakeTimeout allows for the key operations of a VM that is just starting.
 	defaultHandshakeTimeout = time.Second
 	defaultWriteTimeout     = 1500 * time.Millisecond
 	defaultCallTimeout      = 10 * time.Second
@@ -45,34 +45,33 @@
 	tls              *tlsFiles
 }
 
-// Option changes new peers.
+// Option configures new peers.
 type Option func(*config)
 
-// WithLogger sets the log; without it nothing is logged.
+// WithLogger sets the logger; the default discards all lines.
 func WithLogger(logger log.Logger) Option { return func(c *config) { c.logger = logger } }
 
-// WithScope sets where counters go; without it they go nowhere.
+// WithScope sets the metrics scope of the counters; the default discards them.
 func WithScope(scope tally.Scope) Option { return func(c *config) { c.scope = scope } }
 
-// WithMaxFrame bounds a message's length in bytes, both sent and received.
+// WithMaxFrame sets the maximum size of a message in bytes, sent or received.
 func WithMaxFrame(n int) Option { return func(c *config) { c.maxFrame = n } }
 
-// WithQueue bounds the notifications that wait for one link.
+// WithQueue sets the maximum number of queued notifications per link.
 func WithQueue(n int) Option { return func(c *config) { c.queue = n } }
 
-// WithCallTimeout bounds a call whose context has no deadline, and the time
-// that a handler gets.
+// WithCallTimeout sets the timeout of calls whose context has no deadline, and of handlers.
 func WithCallTimeout(d time.Duration) Option { return func(c *config) { c.callTimeout = d } }
 
-// WithIdleTimeout sets after how long without use a connection is closed.
+// WithIdleTimeout sets how long an outgoing connection may be unused before it is closed.
 func WithIdleTimeout(d time.Duration) Option { return func(c *config) { c.idleTimeout = d } }
 
-// WithMaxHandlers bounds the calls from others that are worked on or held at once, and as many
-// notifications beside them.
+// WithMaxHandlers sets the maximum number of calls from other VMs that are handled at once, long polls
+// included. The same limit applies separately to notifications.
 func WithMaxHandlers(n int) Option { return func(c *config) { c.maxHandlers = n } }
 
-// WithLocalIP sets the IP number that connections to others are made from, so that
-// a VM with several talks to its peers from the one it listens on.
+// WithLocalIP sets the source address of outgoing connections, so that a VM with several addresses
+// talks to its peers from the one that it listens on.
 func WithLocalIP(ip net.IP) Option { return func(c *config) { c.localIP = ip } }
 
 func newConfig(opts []Option) config {
--- a/laburnumpeer/config_internal_test.go
+++ b/laburnumpeer/config_internal_test.go
@@ -7,12 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// synRetransmit is after how long the system sends the first packet of a connection again.
+// synRetransmit is the delay after which the kernel retransmits an unanswered SYN.
 const synRetransmit = time.Second
 
-// All VMs lose power; one dials another that is dark for a moment longer, and the first
-// packet is lost. A dial that waits for the second packet finds the other a second late, and
-// so do the pauses between two dials if they are as long.
+// Guards against connecting a second late after a power loss: the SYN to a VM that is still down is
+// lost, and a dial or a backoff that lasts until the retransmission delays the connection.
 func TestDialTimeoutIsBelowSYNRetransmission(t *testing.T) {
 	cfg := newConfig(nil)
 	require.LessOrEqual(t, cfg.dialTimeout, synRetransmit/3)
--- a/laburnumpeer/counters.go
+++ b/laburnumpeer/counters.go
@@ -6,18 +6,18 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// answerMethod is the method that answers are counted under.
+// answerMethod is the method name that answers are counted under.
 const answerMethod = "answer"
 
-// methodCounters count one method's messages and bytes, both directions.
+// methodCounters count the messages and bytes of one method in both directions.
 type methodCounters struct {
 	sentMessages, sentBytes         tally.Counter
 	receivedMessages, receivedBytes tally.Counter
 }
 
-// counters makes a method's counters once: tagging a scope at each message costs
-// more than sending it. Methods from outside are counted only if known, else
-// a faulty peer could fill the memory with names.
+// counters caches the counters of each method: tagging a scope for each message costs more than
+// sending it. The caller must map unknown methods of received messages to one name, otherwise a
+// faulty peer could exhaust memory with method names.
 type counters struct {
 	scope  tally.Scope
 	mu     sync.Mutex
--- a/laburnumpeer/doc.go
+++ b/laburnumpeer/doc.go
@@ -1,4 +1,5 @@
-// Package laburnumpeer keeps the jsonrpc2 links over TCP between entry VMs.
+// Package laburnumpeer carries JSON-RPC calls and notifications between entry VMs over TCP, with
+// optional mutual TLS.
 //
 // # Usage
 //
@@ -8,27 +9,26 @@
 //	err := peers.Call(ctx, "10.0.0.2:7201", "gossip", params, &answer)
 //	defer peers.Close()
 //
-// Handlers are set before Serve is called. There is one outgoing connection to
-// an address, made when it is first needed and closed when it has been idle for a
-// while; incoming connections only bring requests. So a cut of one direction
-// shows as what it is: calls from the one side fail and those from the other do not.
+// Handlers are set before Serve is called. There is one outgoing connection per address. It is opened
+// at first use and closed after an idle timeout. Requests are sent on outgoing connections only and
+// received on incoming ones, so a partition of one direction fails the calls of one side and leaves
+// those of the other.
 //
 // # Failures
 //
-// A cut that sends no RST leaves a TCP connection open for many minutes. Whenever
-// something was sent and nothing has come back for a short time, the link sends a ping;
-// without an answer the connection is closed within two seconds, and all that waits on
-// it fails with *laburnumlever.PeerLostError. Idle links cost nothing.
+// A partition that sends no RST leaves a TCP connection open for many minutes. When something was sent
+// and nothing has been received since for 600 ms, the link sends a ping. Without an answer it closes
+// the connection within two seconds of the send, and pending calls fail with
+// *laburnumlever.PeerLostError. Idle links send no pings.
 //
-// A call fails with *laburnumlever.PeerUnreachableError only if its frame was
-// never wholly written: the other side drops an incomplete frame, so the call
-// surely did not run.
+// A call fails with *laburnumlever.PeerUnreachableError only if its frame was not completely written.
+// The other side drops an incomplete frame, so the call certainly did not run.
 //
 // # Load
 //
-// The pattern answered is a peer that is slow, frozen or flooding. Without bounds, one
-// frozen VM would collect every sender's messages in memory, and one broken
-// frame length would make a VM allocate gigabytes. So a link's queue, the frames, the
-// writes, the calls under way and the connections are all bounded; what does not
-// fit is refused or dropped and counted, never queued without end.
+// A slow, frozen or flooding peer must not exhaust a VM's memory. Without limits, messages to a frozen
+// VM would pile up in every sender, and a corrupt frame length would make a VM allocate gigabytes.
+// So the queue of a link, the size of frames, the time of writes, the number of calls being handled
+// and the number of outgoing connections are bounded. Excess calls are refused, excess notifications
+// dropped, and both are counted.
 package laburnumpeer
--- a/laburnumpeer/errors.go
+++ b/laburnumpeer/errors.go
@@ -5,61 +5,61 @@
 	"time"
 )
 
-// FrameTooLargeError is a message longer than the bound on frames.
+// FrameTooLargeError is returned for a message larger than the maximum frame size, in bytes.
 type FrameTooLargeError struct{ Size, Limit int }
 
 func (e *FrameTooLargeError) Error() string {
-	return fmt.Sprintf("frame of %d bytes is larger than %d", e.Size, e.Limit)
+	return fmt.Sprintf("frame of %d bytes exceeds the limit of %d bytes", e.Size, e.Limit)
 }
 
-// BackoffError says that no connection was tried since the last try failed
-// shortly before.
+// BackoffError is returned instead of connecting during the backoff after a failed attempt.
 type BackoffError struct {
-	// Wait is the time until the next try.
+	// Wait is the time until the next attempt.
 	Wait time.Duration
-	// Cause is the error of the last try.
+	// Cause is the error of the last attempt.
 	Cause error
 }
 
 func (e *BackoffError) Error() string {
-	return fmt.Sprintf("next try in %v, the last failed: %v", e.Wait, e.Cause)
+	return fmt.Sprintf("backing off for %v after a failed connection attempt: %v", e.Wait, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *BackoffError) Unwrap() error { return e.Cause }
 
-// SilentError says that a connection was closed since the other side did not
-// answer a ping.
+// SilentError is the cause of closing a connection whose other side did not answer a ping.
 type SilentError struct{ Silence time.Duration }
 
 func (e *SilentError) Error() string { return fmt.Sprintf("nothing received for %v", e.Silence) }
 
-// ClosedError says that the peers or the connection have been closed.
+// ClosedError is returned after the peers or the connection have been closed.
 type ClosedError struct{}
 
 func (e *ClosedError) Error() string { return "closed" }
 
-// TLSFilesError says that the TLS files could not be read.
+// TLSFilesError is returned if the TLS files can't be read or don't fit together.
 type TLSFilesError struct{ Cause error }
 
-func (e *TLSFilesError) Error() string { return fmt.Sprintf("TLS files: %v", e.Cause) }
+func (e *TLSFilesError) Error() string { return fmt.Sprintf("load TLS files: %v", e.Cause) }
 
 // Unwrap returns the cause.
 func (e *TLSFilesError) Unwrap() error { return e.Cause }
 
-// NoAuthorityError is a file of authorities without any certificate.
+// NoAuthorityError is returned for an authorities file that contains no certificate.
 type NoAuthorityError struct{ File string }
 
-func (e *NoAuthorityError) Error() string { return fmt.Sprintf("no certificate in %s", e.File) }
+func (e *NoAuthorityError) Error() string {
+	return fmt.Sprintf("authorities file %s contains no PEM certificate", e.File)
+}
 
-// UnknownMethodError is a call to a method without a handler.
+// UnknownMethodError is returned for a call to a method without a handler.
 type UnknownMethodError struct{ Method string }
 
-func (e *UnknownMethodError) Error() string { return fmt.Sprintf("no method %q", e.Method) }
+func (e *UnknownMethodError) Error() string { return fmt.Sprintf("unknown method %q", e.Method) }
 
-// OverloadedError says that a VM already works on as many calls as it may.
+// OverloadedError is returned for a call to a VM that already handles the maximum number of calls.
 type OverloadedError struct{ Limit int }
 
 func (e *OverloadedError) Error() string {
-	return fmt.Sprintf("already working on %d calls", e.Limit)
+	return fmt.Sprintf("all %d handler slots are in use", e.Limit)
 }
--- a/laburnumpeer/link.go
+++ b/laburnumpeer/link.go
@@ -14,21 +14,21 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// notification is a notification waiting for its link.
+// notification is a queued notification.
 type notification struct {
 	method string
 	params json.RawMessage
 }
 
-// link is the one outgoing connection to an address. Its own goroutine sends
-// notifications and watches for silence.
+// link manages the outgoing connection to an address. Its goroutine sends queued notifications and
+// runs the silence detector.
 type link struct {
 	peers    *Peers
 	address  string
 	queue    chan notification
-	wake     chan struct{} // a call was sent: the silence watch has work
-	inFlight atomic.Int64  // calls and notifications being handed in
-	dialLock chan struct{} // held by whoever makes the connection
+	wake     chan struct{} // signals that something was sent, for the silence detector
+	inFlight atomic.Int64  // calls in progress and notifications being queued
+	dialLock chan struct{} // a channel rather than a mutex, so that waiting ends with the context
 
 	mu       sync.Mutex
 	conn     *jsonrpc2.Conn
@@ -56,7 +56,7 @@
 	}
 	waiter, err := conn.DispatchCall(ctx, method, params)
 	if err != nil {
-		// The frame was not wholly written, so the other side can't have run it.
+		// The frame was not completely written, so the other side can't have run the call.
 		l.closeConn(conn, err)
 		return &laburnumlever.PeerUnreachableError{Address: l.address, Cause: err}
 	}
@@ -64,6 +64,8 @@
 	return l.typedError(waiter.Wait(ctx, result))
 }
 
+// typedError maps jsonrpc2's error to a *laburnumlever.PeerRefusedError for an error answer, and to a
+// *laburnumlever.PeerLostError otherwise.
 func (l *link) typedError(err error) error {
 	var refused *jsonrpc2.Error
 	switch {
@@ -93,7 +95,7 @@
 	}
 }
 
-// run sends what is queued until the peers close or the link has been idle.
+// run sends queued notifications and checks for silence until the peers close or the link is idle.
 func (l *link) run() {
 	defer l.closeConn(nil, &ClosedError{})
 	timer := time.NewTimer(l.peers.cfg.idleTimeout)
@@ -128,7 +130,7 @@
 	l.noteSent()
 }
 
-// connect returns the connection, making it if there is none.
+// connect returns the connection and opens it if there is none.
 func (l *link) connect(ctx context.Context) (*jsonrpc2.Conn, error) {
 	select {
 	case l.dialLock <- struct{}{}:
@@ -148,7 +150,7 @@
 	}
 	netConn, err := dialer.DialContext(ctx, "tcp", l.address)
 	if err == nil {
-		host, _, _ := net.SplitHostPort(l.address) // DialContext has accepted it
+		host, _, _ := net.SplitHostPort(l.address) // DialContext accepted the address
 		netConn, err = l.peers.cfg.handshake(ctx, netConn, host)
 	}
 	if err != nil {
@@ -158,6 +160,7 @@
 	return l.attach(netConn), nil
 }
 
+// current returns the open connection; nil if there is none.
 func (l *link) current() *jsonrpc2.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,6 +176,7 @@
 	}
 }
 
+// attach makes netConn the link's connection and resets the silence detector and the backoff.
 func (l *link) attach(netConn net.Conn) *jsonrpc2.Conn {
 	s := newStream(netConn, &l.peers.cfg)
 	conn := l.peers.newConn(s, server{peers: l.peers})
@@ -190,8 +194,8 @@
 	return l.backoff.check(time.Now())
 }
 
-// recordFailure notes a recordFailure try; one that only its caller's deadline ended says nothing
-// of the other VM.
+// recordFailure starts the backoff after a failed attempt to connect. An attempt that was ended by the
+// caller's context is ignored: it says nothing about the other VM.
 func (l *link) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -201,7 +205,7 @@
 	l.backoff = l.backoff.next(time.Now(), err)
 }
 
-// closeConn closes the connection if it is still the given one; nil means any.
+// closeConn closes the connection if conn is still the current one; nil means any.
 func (l *link) closeConn(conn *jsonrpc2.Conn, cause error) {
 	l.mu.Lock()
 	current := l.conn
@@ -215,7 +219,7 @@
 	_ = current.Close()
 }
 
-// noteSent notes that something was sent and wakes the silence watch.
+// noteSent records that something was sent and wakes the silence detector.
 func (l *link) noteSent() {
 	l.mu.Lock()
 	now := time.Now()
@@ -230,7 +234,8 @@
 	}
 }
 
-// checkSilence acts on silence and returns when to look again, and whether the link is idle.
+// checkSilence pings a silent peer or closes the connection to it. It returns the time until the next
+// check and whether the link is idle.
 func (l *link) checkSilence(now time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	conn, s := l.conn, l.stream
--- a/laburnumpeer/peers.go
+++ b/laburnumpeer/peers.go
@@ -10,19 +10,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// pingMethod keeps a link under watch; every VM answers it.
+// pingMethod tests whether the other side of a silent link is alive; every VM answers it.
 const pingMethod = "ping"
 
-// Peers are one VM's links to the others. It implements laburnumlever.Peers.
+// Peers contains one VM's links to other VMs. It implements laburnumlever.Peers.
 type Peers struct {
 	self     laburnumlever.VMID
 	cfg      config
 	counters *counters
-	// ctx ends at Close.
+	// ctx is cancelled by Close.
 	ctx               context.Context
 	cancel            context.CancelFunc
-	callSlots         chan struct{} // of calls from others
-	notificationSlots chan struct{} // of notifications
+	callSlots         chan struct{} // for calls being handled
+	notificationSlots chan struct{} // for notifications being handled
 	mu                sync.Mutex
 	handlers          map[string]laburnumlever.PeerHandler
 	links             map[string]*link
@@ -31,7 +31,7 @@
 
 var _ laburnumlever.Peers = (*Peers)(nil)
 
-// New makes the peers of a VM; Serve takes incoming connections.
+// New returns the peers of a VM. Links are opened at first use; Serve accepts incoming connections.
 func New(self laburnumlever.VMID, opts ...Option) *Peers {
 	cfg := newConfig(opts)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -57,7 +57,7 @@
 	p.handlers[method] = handler
 }
 
-// Serve takes connections until Close, and then returns nil.
+// Serve accepts connections until Close and then returns nil. Another error of the listener ends it.
 func (p *Peers) Serve(ln net.Listener) error {
 	stop := context.AfterFunc(p.ctx, func() { _ = ln.Close() })
 	defer stop()
@@ -73,7 +73,7 @@
 	}
 }
 
-// Close ends all links and waits for their goroutines. Calls under way fail.
+// Close closes all links and waits for their goroutines. Calls in progress fail.
 func (p *Peers) Close() error {
 	p.mu.Lock()
 	p.cancel()
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// spawn starts a goroutine that Close waits for. Once closing it does nothing: a
+// spawn starts a goroutine that Close waits for. After Close it starts none and returns false: a
 // goroutine added while Close waits would outlive it.
 func (p *Peers) spawn(fn func()) bool {
 	p.mu.Lock()
@@ -94,7 +94,7 @@
 	return true
 }
 
-// Call sends a request and waits for the answer; see laburnumlever.Peers.
+// Call sends a request and waits for the answer; see laburnumlever.Peers for its errors.
 func (p *Peers) Call(ctx context.Context, address, method string, params, result any) error {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -109,7 +109,7 @@
 	return l.call(ctx, method, params, result)
 }
 
-// Notify queues a message without an answer; when the queue is full it is dropped.
+// Notify queues a message without an answer. It is dropped and counted if the queue is full.
 func (p *Peers) Notify(address, method string, params any) {
 	l, err := p.link(address)
 	if err != nil {
@@ -119,9 +119,8 @@
 	l.notify(method, params)
 }
 
-// link returns the link to an address with its use count raised, so that it is not
-// dropped as idle in the moment before it is used: that would leave a connection
-// that nobody watches.
+// link returns the link to an address with inFlight incremented, so that it is not removed as idle
+// before it is used: that would leave a connection without a silence detector.
 func (p *Peers) link(address string) (*link, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +138,7 @@
 	return l, nil
 }
 
-// removeIdle drops an idle link, unless something was queued meanwhile.
+// removeIdle removes an idle link. It returns false if the link has come into use meanwhile.
 func (p *Peers) removeIdle(l *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/laburnumpeer/peers_test.go
+++ b/laburnumpeer/peers_test.go
@@ -23,7 +23,7 @@
 	return t, err
 }
 
-// serve starts peers on a free port.
+// serve serves peers on a free port and returns the address.
 func serve(t *testing.T, p *laburnumpeer.Peers) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,9 +65,8 @@
 	require.Equal(t, "unknown-method", refused.Kind)
 }
 
-// A VM is dead: its port refuses connections. A caller that took this for "no
-// answer" would report "unknown" for work that surely never left; and a call too
-// long for a frame must not cost the link, nor be taken as sent.
+// Guards against reporting an unknown outcome for a call that was never sent, because the peer refuses
+// connections or the call exceeds the maximum frame size.
 func TestUnsentCallIsUnreachable(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -87,9 +86,8 @@
 	require.ErrorAs(t, err, &large)
 }
 
-// The other VM is frozen (SIGSTOP) or silently cut off: its kernel may still take
-// our bytes, but no answer comes and no RST. Without a watch the call, and the control
-// work that waits on it, would hang until TCP gives up many minutes later.
+// Guards against calls that hang for minutes until TCP gives up, when the peer is frozen (SIGSTOP) or
+// partitioned and sends neither an answer nor a RST.
 func TestSilentPeerIsDetectedWithinTwoSeconds(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -102,14 +100,13 @@
 	err = a.Call(ctx, ln.Addr().String(), "echo", text{Text: "x"}, nil)
 	var lost *laburnumlever.PeerLostError
 	require.ErrorAs(t, err, &lost)
-	// Twice the two seconds: the bound must hold on a busy machine too, and a link
-	// without its watch would take the whole minute.
+	// Twice the two seconds, to pass on a busy machine too. Without the silence detector the call
+	// would take the whole minute.
 	require.Less(t, time.Since(began), 4*time.Second)
 }
 
-// A handler takes far longer than the silence bound, on a healthy link. A watch that
-// looked at the call alone would close the link, and the caller would be told
-// "unknown" for work that goes well.
+// Guards against closing a healthy link, and reporting an unknown outcome, because a handler takes
+// longer than the silence limit. The peer still answers pings.
 func TestSlowAnswerDoesNotCloseLink(t *testing.T) {
 	b := laburnumpeer.New("b")
 	b.Handle("slow", func(ctx context.Context, _ laburnumlever.RawMessage) (any, error) {
--- a/laburnumpeer/serve.go
+++ b/laburnumpeer/serve.go
@@ -14,12 +14,12 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// errorData is the data of an error answer.
+// errorData is the data field of a JSON-RPC error answer.
 type errorData struct {
 	Kind string `json:"kind"`
 }
 
-// serveConn answers the requests of one incoming connection.
+// serveConn handles the requests of one incoming connection until it is closed.
 func (p *Peers) serveConn(netConn net.Conn) {
 	started := p.spawn(func() {
 		secured, err := p.cfg.handshake(p.ctx, netConn, "")
@@ -36,7 +36,7 @@
 }
 
 func (p *Peers) newConn(s *stream, handler jsonrpc2.Handler) *jsonrpc2.Conn {
-	// Both are set and read under jsonrpc2's sending lock.
+	// sending is written by onSend and read by onWrite, both under jsonrpc2's sending lock.
 	sending := answerMethod
 	onSend := jsonrpc2.OnSend(func(req *jsonrpc2.Request, _ *jsonrpc2.Response) {
 		sending = answerMethod
@@ -62,17 +62,17 @@
 	p.counters.method(method).received(n)
 }
 
-// discardLogger drops jsonrpc2's own log lines: the link reports the same as errors.
+// discardLogger discards jsonrpc2's log lines: links return the same failures as errors.
 type discardLogger struct{}
 
-// Printf drops the line.
+// Printf discards the line.
 func (discardLogger) Printf(string, ...any) {}
 
-// server hands the requests of incoming connections to the handlers.
+// server is the jsonrpc2 handler that dispatches requests to the handlers by method.
 type server struct{ peers *Peers }
 
-// Handle takes one request from jsonrpc2 and answers it on a goroutine of its own,
-// so that a slow one does not hold up the others.
+// Handle runs a request's handler in its own goroutine, so that a slow one does not delay other
+// requests of the connection. Requests of unknown methods or without a free slot are refused.
 func (s server) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	p := s.peers
 	handler, ok := p.handler(req.Method)
@@ -97,9 +97,9 @@
 	}
 }
 
-// slotsFor keeps notifications apart from calls. A call may be held until there is news, and
-// hundreds of VMs that wait so take all places; the log's messages, which are notifications and
-// over in a moment, were then dropped, and the leader lost its voters again and again.
+// slotsFor returns separate slots for calls and notifications. Long polls of hundreds of VMs can
+// occupy all slots for calls. When notifications shared them, the replicated log's messages, which
+// are notifications and quick to handle, were dropped, and the leader repeatedly lost its voters.
 func (p *Peers) slotsFor(req *jsonrpc2.Request) chan struct{} {
 	if req.Notif {
 		return p.notificationSlots
@@ -122,7 +122,7 @@
 	if req.Notif {
 		return
 	}
-	// An error means that the connection is gone: the caller sees that itself.
+	// An error means that the connection is closed, which the caller detects itself.
 	_ = conn.Reply(ctx, req.ID, result)
 }
 
@@ -135,9 +135,9 @@
 	_ = conn.ReplyWithError(ctx, req.ID, answer)
 }
 
-// KindOf names an error's type in kebab case without its ending: "no-quorum" for
-// *laburnumlever.NoQuorumError. The kind of a *laburnumlever.PeerRefusedError is
-// made by it on the answering VM.
+// KindOf returns the name of an error's type in kebab case without the suffix "Error": "no-quorum" for
+// *laburnumlever.NoQuorumError. The answering VM sets the Kind of a *laburnumlever.PeerRefusedError
+// with it.
 func KindOf(err error) string {
 	t := reflect.TypeOf(errors.UnwrapAll(err))
 	if t.Kind() == reflect.Pointer {
@@ -153,6 +153,7 @@
 	return b.String()
 }
 
+// errorKind returns the kind of an error answer; empty if it has none.
 func errorKind(answer *jsonrpc2.Error) string {
 	var r errorData
 	if answer.Data == nil || json.Unmarshal(*answer.Data, &r) != nil {
--- a/laburnumpeer/silence.go
+++ b/laburnumpeer/silence.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// silenceAction is what a look at a link asks for.
+// silenceAction is the result of a check of a link for silence.
 type silenceAction int
 
 const (
-	actionNone  silenceAction = iota // nothing is awaited
-	actionWait                       // something is awaited, not for long
-	actionPing                       // ask whether the other side is there
-	actionClose                      // it is not
+	actionNone  silenceAction = iota // no answer is awaited
+	actionWait                       // an answer is awaited; check again later
+	actionPing                       // send a ping
+	actionClose                      // the ping was not answered: close the connection
 )
 
-// pauseThreshold is how late a look shows that this process itself was paused.
+// pauseThreshold is the delay of a check above which this process itself is taken to have been paused.
 const pauseThreshold = 500 * time.Millisecond
 
-// silenceDetector decides when a silent link is dead. It guards against a cut that sends no
-// RST and against a frozen VM, which show as calls that never end: only what came
-// back after something was sent proves the link, so a send starts the clock and a
-// frame received stops it.
+// silenceDetector decides when a silent link is dead. It guards against calls that hang because of a
+// partition that sends no RST or a frozen VM. Only a frame received after a send proves that the link
+// works, so a send starts the timer and a received frame stops it.
 type silenceDetector struct {
-	unansweredSince time.Time // the oldest send that nothing was received after
+	unansweredSince time.Time // time of the oldest send after which nothing was received
 	pinged          bool
 	checkedAt       time.Time
 }
 
+// sent records a send.
 func (d silenceDetector) sent(now, readAt time.Time) silenceDetector {
 	if d.unansweredSince.IsZero() || !readAt.Before(d.unansweredSince) {
 		d.unansweredSince, d.pinged = now, false
@@ -33,6 +33,8 @@
 	return d
 }
 
+// check returns the action to take at time now. readAt is when the last frame was received; calling is
+// set while calls are in progress.
 func (d silenceDetector) check(now, readAt time.Time, calling bool) (silenceDetector, silenceAction) {
 	late := now.Sub(d.checkedAt) > checkPeriod+pauseThreshold
 	d.checkedAt = now
@@ -41,8 +43,8 @@
 	case d.unansweredSince.IsZero() && !calling, answered && !calling:
 		return silenceDetector{checkedAt: now}, actionNone
 	case d.unansweredSince.IsZero(), answered, late:
-		// After a pause of this process (SIGSTOP, a starved VM) the silence is its
-		// own: answers may be waiting unread, so the clock starts anew.
+		// After a pause of this process (SIGSTOP, CPU starvation) the silence is its own: answers
+		// may be waiting unread, so the timer restarts.
 		d.unansweredSince, d.pinged = now, false
 		return d, actionWait
 	case now.Sub(d.unansweredSince) >= pingAfter+pingTimeout:
--- a/laburnumpeer/stream.go
+++ b/laburnumpeer/stream.go
@@ -10,19 +10,20 @@
 	"time"
 )
 
-// readBuffer is small since a VM of a large fleet holds hundreds of links.
+// readBuffer is the size in bytes of a connection's read buffer. It is small because a VM of a large
+// fleet has hundreds of connections.
 const readBuffer = 2048
 
-// stream is a jsonrpc2 object stream of frames: a length as a varint, then JSON.
-// Unlike the library's own codec it bounds frames in both directions and the
-// time of a write, and writes a frame in one piece.
+// stream is a jsonrpc2 object stream of frames: a varint length, then JSON. Unlike the library's own
+// codec it limits the frame size in both directions and the time of a write, and writes each frame in
+// one call.
 type stream struct {
 	conn           net.Conn
 	r              *bufio.Reader
 	maxFrame       int
 	writeTimeout   time.Duration
 	lastRead       atomic.Int64 // Unix nanoseconds
-	lastFrameBytes int          // bytes of the last frame read; its reader's only
+	lastFrameBytes int          // of the last frame read; accessed by the reading goroutine only
 	onWrite        func(n int)
 }
 
@@ -38,8 +39,8 @@
 	return s
 }
 
-// WriteObject writes one frame. jsonrpc2 calls it under a lock of its own. After
-// an error the connection is closed: the frame may be half written.
+// WriteObject writes one frame. jsonrpc2 serializes the calls. A failed write closes the connection,
+// since the frame may be partly written. Errors: *FrameTooLargeError, before anything is written.
 func (s *stream) WriteObject(obj any) error {
 	body, err := json.Marshal(obj)
 	if err != nil {
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// ReadObject reads one frame.
+// ReadObject reads one frame. Errors: *FrameTooLargeError.
 func (s *stream) ReadObject(v any) error {
 	size, err := binary.ReadUvarint(s.r)
 	if err != nil {
--- a/laburnumpeer/stream_fuzz_test.go
+++ b/laburnumpeer/stream_fuzz_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzFrame guards against frames of a peer that panic, or take more memory than a frame may.
+// FuzzFrame guards against received frames that cause a panic or exceed the maximum frame size.
 func FuzzFrame(f *testing.F) {
 	const maxFrame = 1 << 12
 	f.Add([]byte("\x22{\"id\":1,\"method\":\"m\",\"params\":{}}"))
--- a/laburnumpeer/tls.go
+++ b/laburnumpeer/tls.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// tlsFiles makes configurations for mutual TLS 1.3 from files, and reads these again
-// when they have changed: certificates are renewed under a running VM, and one read
-// only at the start would cut it off at its expiry.
+// tlsFiles builds the configuration for mutual TLS 1.3 from files and reloads them when they change.
+// Certificates are renewed while a VM runs: with those loaded at the start it would lose its links
+// when they expire.
 type tlsFiles struct {
 	certificate, key, authorities string
 
@@ -21,26 +21,24 @@
 	config   *tls.Config
 }
 
-// WithTLS secures all links by mutual TLS 1.3 with the PEM files given. Certificates
-// must name the IP address or host under which a VM is reached, and be signed by one of
-// the authorities. Files are read again after they change; while that fails the last
-// good ones stay.
+// WithTLS secures all links by mutual TLS 1.3 with the given PEM files. A certificate must name the IP
+// address or host name at which its VM is reached and be signed by one of the authorities. Files are
+// reloaded after they change; if that fails, the last valid ones are used.
 func WithTLS(certificateFile, keyFile, authoritiesFile string) Option {
 	return func(c *config) {
 		c.tls = &tlsFiles{certificate: certificateFile, key: keyFile, authorities: authoritiesFile}
 	}
 }
 
-// CheckTLS reads the files once, so that a wrong path or a key that does not belong to
-// its certificate shows at the start and not as links that never come up. Errors:
-// *TLSFilesError.
+// CheckTLS loads the files once, so that a wrong path or a key that does not match its certificate is
+// reported at the start rather than as links that fail later. Errors: *TLSFilesError.
 func CheckTLS(certificateFile, keyFile, authoritiesFile string) error {
 	files := &tlsFiles{certificate: certificateFile, key: keyFile, authorities: authoritiesFile}
 	_, err := files.current()
 	return err
 }
 
-// current returns the configuration of the files as they are now.
+// current returns the configuration of the present files, reloaded if one was modified.
 func (f *tlsFiles) current() (*tls.Config, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,7 +52,7 @@
 	}
 	if err != nil {
 		if f.config != nil {
-			return f.config, nil // half-written files: the next link tries again
+			return f.config, nil // the files may be partly written; the next handshake retries
 		}
 		return nil, &TLSFilesError{Cause: err}
 	}
@@ -95,8 +93,8 @@
 	}, nil
 }
 
-// handshake does the handshake of one side; without TLS it returns the connection as
-// it is. On an error the connection is closed.
+// handshake runs the TLS handshake, as a client if serverName is set and else as a server. Without TLS
+// it returns conn unchanged. On an error conn is closed.
 func (c *config) handshake(ctx context.Context, conn net.Conn, serverName string) (net.Conn, error) {
 	if c.tls == nil {
 		return conn, nil
--- a/laburnumpeer/tls_test.go
+++ b/laburnumpeer/tls_test.go
@@ -19,7 +19,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// identity is a self-signed certificate for 127.0.0.1, its own authority.
+// identity writes a key and a self-signed certificate for 127.0.0.1, its own authority, to dir. It
+// returns the option that uses them.
 func identity(t *testing.T, dir string) laburnumpeer.Option {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -38,9 +39,8 @@
 	return laburnumpeer.WithTLS(cert, private, cert)
 }
 
-// Somebody in the network without a certificate of ours calls a VM, and later the
-// operators renew all certificates under running VMs. The stranger must get no answer;
-// new links must use the new files without a restart.
+// Guards against answering callers without a certificate of a known authority, and against renewed
+// certificates that take effect only after a restart.
 func TestMutualTLSRejectsUnknownCertificatesAndReloadsFiles(t *testing.T) {
 	dir := t.TempDir()
 	files := identity(t, dir)
