--- a/laburnumfeed/itemlog.go
+++ b/laburnumfeed/itemlog.go
@@ -33,9 +33,9 @@
 func newItemLog() *itemLog { return &itemLog{cursors: map[laburnumlever.BackendID]uint64{}} }
 
 // put appends an item. Its cursor must be greater than all previous ones.
-func (l *itemLog) put(id laburnumlever.BackendID, at uint64, encoded json.RawMessage) {
-	l.cursors[id] = at
-	l.items = append(l.items, logItem{backend: id, cursor: at, encoded: encoded})
+func (l *itemLog) put(id laburnumlever.BackendID, cursor uint64, encoded json.RawMessage) {
+	l.cursors[id] = cursor
+	l.items = append(l.items, logItem{backend: id, cursor: cursor, encoded: encoded})
 	if len(l.items) > 2*len(l.cursors)+compactAbove {
 		l.items = slices.DeleteFunc(l.items, l.outdated)
 	}
@@ -84,8 +84,8 @@
 
 // each calls fn for the current items with cursors in (since, until] until it returns false.
 func (l *itemLog) each(since, until uint64, fn func(logItem) bool) {
-	from, _ := slices.BinarySearchFunc(l.items, since+1, func(item logItem, at uint64) int {
-		if item.cursor < at {
+	from, _ := slices.BinarySearchFunc(l.items, since+1, func(item logItem, first uint64) int {
+		if item.cursor < first {
 			return -1
 		}
 		return 1
