--- a/laburnumfeed/director_test.go
+++ b/laburnumfeed/director_test.go
@@ -14,7 +14,7 @@
 func TestFormerDirectorIsForgotten(t *testing.T) {
 	const first, second = "10.0.0.9:7000", "10.0.0.8:7000"
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
-	f := NewFollower(&unreachablePeers{polled: make(chan struct{})}, timers, laburnumlever.VM{ID: "10.0.0.1"}, nil, versionSink(1))
+	f := NewFollower(&unreachablePeers{polled: make(chan struct{})}, timers, laburnumlever.VM{ID: "10.0.0.1"}, nil, sinkAtVersion(1))
 	defer f.Close()
 	answer := func(director laburnumlever.VMID) Answer {
 		return Answer{meta: meta{Director: director, Controls: []laburnumlever.VM{{ID: "a", PeerAddress: first}, {ID: "b", PeerAddress: second}}}}
--- a/laburnumfeed/follower_test.go
+++ b/laburnumfeed/follower_test.go
@@ -25,18 +25,18 @@
 func (p *unreachablePeers) Notify(string, string, any)               {}
 func (p *unreachablePeers) Handle(string, laburnumlever.PeerHandler) {}
 
-// versionSink is a sink with a route table of the given version.
-type versionSink uint64
+// sinkAtVersion is a sink with a route table of the given version.
+type sinkAtVersion uint64
 
-func (versionSink) Learn(string, Answer)                 {}
-func (versionSink) Lost(string)                          {}
-func (versionSink) LearnRoutes(laburnumlever.RouteTable) {}
-func (v versionSink) RoutesVersion() uint64              { return uint64(v) }
-func (versionSink) News() laburnumlever.GatewayNews      { return laburnumlever.GatewayNews{} }
+func (sinkAtVersion) Learn(string, Answer)                 {}
+func (sinkAtVersion) Lost(string)                          {}
+func (sinkAtVersion) LearnRoutes(laburnumlever.RouteTable) {}
+func (v sinkAtVersion) RoutesVersion() uint64              { return uint64(v) }
+func (sinkAtVersion) News() laburnumlever.GatewayNews      { return laburnumlever.GatewayNews{} }
 
 // countPolls returns how often a VM with the given route version polls an unreachable control VM in
 // one second.
-func countPolls(t *testing.T, version versionSink) int {
+func countPolls(t *testing.T, version sinkAtVersion) int {
 	t.Helper()
 	peers := &unreachablePeers{polled: make(chan struct{})}
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
