--- a/laburnumfeed/pollers.go
+++ b/laburnumfeed/pollers.go
@@ -93,7 +93,7 @@
 	return 2*reachable <= all
 }
 
-// gateways counts the gateways that polled within gatewayMemory.
+// gateways counts the gateways that polled within gatewayRetention. The count may be countTTL old.
 func (p *pollers) gateways(now time.Time) int {
 	if now.Sub(p.gatewaysCountedAt) < countTTL {
 		return p.gatewayCount
--- a/laburnumfeed/recordsources_test.go
+++ b/laburnumfeed/recordsources_test.go
@@ -43,7 +43,8 @@
 	require.Len(t, chooseRecordSources(laburnumlever.VM{}, known[:2]), 2)
 }
 
-// Guards against an uneven load of polls on control VMs, before and after one of them fails.
+// Guards against an uneven load of the polls of 300 gateways on 8 control VMs, before and after one of
+// them fails.
 func TestPollsAreBalancedOverControlVMs(t *testing.T) {
 	count := func(known []controlState) map[string]int {
 		n := map[string]int{}
@@ -65,8 +66,8 @@
 	}
 }
 
-// Guards against thousands of backend servers connecting to one control VM and exhausting its file
-// descriptors. Each gets a stable choice in its own zone.
+// Guards against three thousand backend servers connecting to one control VM and exhausting its file
+// descriptors. Each gets a control VM of its own zone by a hash, and keeps it.
 func TestBackendServersAreBalancedOverControlVMsOfTheirZone(t *testing.T) {
 	var vms []laburnumlever.VM
 	for i := range 8 {
--- a/laburnumfeed/source.go
+++ b/laburnumfeed/source.go
@@ -53,7 +53,8 @@
 	// the routes or the director.
 	controlsCursor uint64
 	metaCursor     uint64
-	// answers caches the answers encoded since the last publication: VMs at the same cursor share one.
+	// answers caches encoded answers until the next publication, at most for countTTL: VMs at the same
+	// cursor share one.
 	answers   map[answerKey]laburnumlever.RawMessage
 	answersAt time.Time
 }
--- a/laburnumfeed/source_test.go
+++ b/laburnumfeed/source_test.go
@@ -63,7 +63,7 @@
 }
 
 // Guards against a control VM that runs out of memory when hundreds of gateways start and each gets
-// all backend servers in one answer. Pages must deliver every item exactly once.
+// three thousand backend servers in one answer. Pages must deliver every item exactly once.
 func TestInitialStateIsSentInPages(t *testing.T) {
 	s, peers, timers := newTestSource()
 	const backends = 3*pageItems + 10
--- a/laburnumregistry/registry.go
+++ b/laburnumregistry/registry.go
@@ -49,8 +49,8 @@
 	return &Table{period: period, entries: map[laburnumlever.BackendID]*entry{}}
 }
 
-// ApplyHeartbeat applies a heartbeat and reports whether the record changed in more than the sequence,
-// so that other VMs must get it.
+// ApplyHeartbeat applies a heartbeat and reports whether the record changed in more than the sequence
+// or was silent before, so that other VMs must get it.
 func (t *Table) Take(h laburnumlever.Heartbeat, now time.Time) bool {
 	e := t.entries[h.Backend]
 	if e == nil || h.Born > e.record.Heartbeat.Born {
@@ -70,9 +70,9 @@
 }
 
 // KeepAlive applies the sequence of a heartbeat that another VM received and that changed nothing
-// there. It reports whether the record was silent before, so that other VMs must get it. An unknown
-// backend server or another incarnation is ignored, and the content of an older heartbeat is kept:
-// the VM that received the newer one sends its content.
+// there. It reports whether the record was silent before, so that other VMs must get it. Unknown
+// backend servers, tombstones and other incarnations are ignored, and the content of an older
+// heartbeat is kept: the VM that received the newer one sends its content.
 func (t *Table) Alive(id laburnumlever.BackendID, born, sequence uint64, now time.Time) bool {
 	e := t.entries[id]
 	if e == nil || e.record.Gone || e.record.Heartbeat.Born != born || sequence <= max(e.relayedSequence, e.record.Heartbeat.Sequence) {
@@ -137,8 +137,8 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// Remove replaces the record of a backend server by a tombstone, also if it is unknown, and reports
-// whether the record changed.
+// Remove turns the record of a backend server into a tombstone, creates one if the backend server is
+// unknown, and reports whether the record changed.
 func (t *Table) Remove(id laburnumlever.BackendID, now time.Time) bool {
 	e := t.entries[id]
 	if e == nil {
@@ -168,14 +168,14 @@
 }
 
 // Prune drops tombstones and records of silent backend servers after two minutes and returns their
-// identities in order. A restarted backend server may have a new identity, so that the table would
-// grow with every release. Prune is for VMs that receive heartbeats themselves.
+// identities in order. Each start of a backend server has its own identity, so the table would
+// otherwise grow with every release. Prune is for VMs that receive heartbeats themselves.
 func (t *Table) Forget(now time.Time) []laburnumlever.BackendID {
 	return t.prune(now, func(r Record) bool { return r.Gone || r.Silent })
 }
 
 // PruneTombstones is Prune for VMs that get records from other VMs only. They get none while nothing
-// changes, so the age of a record tells nothing and only tombstones are dropped.
+// changes, so the age of a silent record means nothing and only tombstones are dropped.
 func (t *Table) ForgetGone(now time.Time) {
 	t.prune(now, func(r Record) bool { return r.Gone })
 }
