--- a/laburnumpeer/serve.go
+++ b/laburnumpeer/serve.go
@@ -14,15 +14,15 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// refusal is the data of an error answer.
-type refusal struct {
+// errorData is the data field of a JSON-RPC error answer.
+type errorData struct {
 	Kind string `json:"kind"`
 }
 
-// serveConn answers the requests of one incoming connection.
+// serveConn handles the requests of one incoming connection until it is closed.
 func (p *Peers) serveConn(netConn net.Conn) {
 	started := p.spawn(func() {
-		secured, err := p.cfg.secure(p.ctx, netConn, "")
+		secured, err := p.cfg.handshake(p.ctx, netConn, "")
 		if err != nil {
 			p.cfg.scope.Counter("peer-failed-handshakes").Inc(1)
 			return
@@ -36,7 +36,7 @@
 }
 
 func (p *Peers) newConn(s *stream, handler jsonrpc2.Handler) *jsonrpc2.Conn {
-	// Both are set and read under jsonrpc2's sending lock.
+	// sending is written by onSend and read by onWrite, both under jsonrpc2's sending lock.
 	sending := answerMethod
 	onSend := jsonrpc2.OnSend(func(req *jsonrpc2.Request, _ *jsonrpc2.Response) {
 		sending = answerMethod
@@ -46,9 +46,9 @@
 	})
 	s.onWrite = func(n int) { p.counters.method(sending).sent(n) }
 	onRecv := jsonrpc2.OnRecv(func(req *jsonrpc2.Request, resp *jsonrpc2.Response) {
-		p.countReceived(req, resp, s.received)
+		p.countReceived(req, resp, s.lastFrameBytes)
 	})
-	return jsonrpc2.NewConn(p.ctx, s, handler, onSend, onRecv, jsonrpc2.SetLogger(discard{}))
+	return jsonrpc2.NewConn(p.ctx, s, handler, onSend, onRecv, jsonrpc2.SetLogger(discardLogger{}))
 }
 
 func (p *Peers) countReceived(req *jsonrpc2.Request, resp *jsonrpc2.Response, n int) {
@@ -62,22 +62,22 @@
 	p.counters.method(method).received(n)
 }
 
-// discard drops jsonrpc2's own log lines: the link reports the same as errors.
-type discard struct{}
+// discardLogger discards jsonrpc2's log lines: links return the same failures as errors.
+type discardLogger struct{}
 
-// Printf drops the line.
-func (discard) Printf(string, ...any) {}
+// Printf discards the line.
+func (discardLogger) Printf(string, ...any) {}
 
-// server hands the requests of incoming connections to the handlers.
+// server is the jsonrpc2 handler that dispatches requests to the handlers by method.
 type server struct{ peers *Peers }
 
-// Handle takes one request from jsonrpc2 and answers it on a goroutine of its own,
-// so that a slow one does not hold up the others.
+// Handle runs a request's handler in its own goroutine, so that a slow one does not delay other
+// requests of the connection. Requests of unknown methods or without a free slot are refused.
 func (s server) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	p := s.peers
 	handler, ok := p.handler(req.Method)
 	if !ok {
-		refuse(ctx, conn, req, &UnknownMethodError{Method: req.Method})
+		replyError(ctx, conn, req, &UnknownMethodError{Method: req.Method})
 		return
 	}
 	slots := p.slotsFor(req)
@@ -85,29 +85,29 @@
 	case slots <- struct{}{}:
 	default:
 		p.cfg.scope.Counter("peer-overloaded").Inc(1)
-		refuse(ctx, conn, req, &OverloadedError{Limit: p.cfg.maxHandlers})
+		replyError(ctx, conn, req, &OverloadedError{Limit: p.cfg.maxHandlers})
 		return
 	}
 	started := p.spawn(func() {
 		defer func() { <-slots }()
-		p.answer(ctx, conn, req, handler)
+		p.runHandler(ctx, conn, req, handler)
 	})
 	if !started {
 		<-slots
 	}
 }
 
-// slotsFor keeps notifications apart from calls. A call may be held until there is news, and
-// hundreds of VMs that wait so take all places; the log's messages, which are notifications and
-// over in a moment, were then dropped, and the leader lost its voters again and again.
+// slotsFor returns separate slots for calls and notifications. Long polls of hundreds of VMs can
+// occupy all slots for calls. When notifications shared them, the replicated log's messages, which
+// are notifications and quick to handle, were dropped, and the leader repeatedly lost its voters.
 func (p *Peers) slotsFor(req *jsonrpc2.Request) chan struct{} {
 	if req.Notif {
-		return p.notices
+		return p.notificationSlots
 	}
-	return p.slots
+	return p.callSlots
 }
 
-func (p *Peers) answer(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request, handler laburnumlever.PeerHandler) {
+func (p *Peers) runHandler(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request, handler laburnumlever.PeerHandler) {
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.callTimeout)
 	defer cancel()
 	var params laburnumlever.RawMessage
@@ -116,28 +116,28 @@
 	}
 	result, err := handler(ctx, params)
 	if err != nil {
-		refuse(ctx, conn, req, err)
+		replyError(ctx, conn, req, err)
 		return
 	}
 	if req.Notif {
 		return
 	}
-	// An error means that the connection is gone: the caller sees that itself.
+	// An error means that the connection is closed, which the caller detects itself.
 	_ = conn.Reply(ctx, req.ID, result)
 }
 
-func refuse(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request, err error) {
+func replyError(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request, err error) {
 	if req.Notif {
 		return
 	}
 	answer := &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: err.Error()}
-	answer.SetError(refusal{Kind: KindOf(err)})
+	answer.SetError(errorData{Kind: KindOf(err)})
 	_ = conn.ReplyWithError(ctx, req.ID, answer)
 }
 
-// KindOf names an error's type in kebab case without its ending: "no-quorum" for
-// *laburnumlever.NoQuorumError. The kind of a *laburnumlever.PeerRefusedError is
-// made by it on the answering VM.
+// KindOf returns the name of an error's type in kebab case without the suffix "Error": "no-quorum" for
+// *laburnumlever.NoQuorumError. The answering VM sets the Kind of a *laburnumlever.PeerRefusedError
+// with it.
 func KindOf(err error) string {
 	t := reflect.TypeOf(errors.UnwrapAll(err))
 	if t.Kind() == reflect.Pointer {
@@ -153,8 +153,9 @@
 	return b.String()
 }
 
-func kindOfAnswer(answer *jsonrpc2.Error) string {
-	var r refusal
+// errorKind returns the kind of an error answer; empty if it has none.
+func errorKind(answer *jsonrpc2.Error) string {
+	var r errorData
 	if answer.Data == nil || json.Unmarshal(*answer.Data, &r) != nil {
 		return ""
 	}
--- a/laburnumregistry/summary_test.go
+++ b/laburnumregistry/summary_test.go
@@ -11,8 +11,8 @@
 	"laburnumlever/laburnumregistry"
 )
 
-// Guards against a status that counts tombstones, or copies on engines that are leaving.
-func TestSummaryCountsWhatServes(t *testing.T) {
+// Guards against a status that counts tombstones, or copies on leaving engines.
+func TestSummaryExcludesTombstonesAndLeavingEngines(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	table := laburnumregistry.New(time.Second)
 	take := func(id laburnumlever.BackendID, leaving bool, models ...laburnumlever.ModelName) {
@@ -36,8 +36,8 @@
 	}, table.Summary([]laburnumlever.RoutedService{quotes, {Name: "booking"}}))
 }
 
-// Guards against a status that grows with the number of models.
-func TestSummaryNamesFewModels(t *testing.T) {
+// Guards against a status whose size grows with the number of models.
+func TestSummaryLimitsExamples(t *testing.T) {
 	class := &laburnumlever.EngineClass{}
 	for i := range 400 {
 		class.Models = append(class.Models, laburnumlever.ResidentClass{Name: laburnumlever.ModelName(fmt.Sprint("m", i))})
