--- a/laburnummembership/backendtable.go
+++ b/laburnummembership/backendtable.go
@@ -10,25 +10,25 @@
 
 // backendRecord is one backend server.
 type backendRecord struct {
-	news   backendNews
+	state  backendState
 	report laburnumlever.LoadReport
 	// reportedAt is when the report was learnt.
 	reportedAt time.Time
 	// inventorySequence is that of the last inventory made news.
 	inventorySequence uint64
 	// delta is that news as a change, for passing on; without a Base there is none.
-	delta inventoryNews
-	// basis is what the VM that speaks for it makes changes against.
-	basis inventoryBasis
-	// heardAt is when it was last heard directly, directSequence its report then.
-	heardAt        time.Time
+	delta inventoryUpdate
+	// baseline is what the VM that speaks for it makes changes against.
+	baseline inventoryBaseline
+	// contactAt is when it was last heard directly, directSequence its report then.
+	contactAt      time.Time
 	directSequence uint64
-	// newsAt is when anything new was learnt of it.
-	newsAt    time.Time
+	// updatedAt is when anything new was learnt of it.
+	updatedAt time.Time
 	changedAt time.Time
-	// nearAt and farAt are when its load was last queued for the own zone and
+	// nearQueuedAt and farQueuedAt are when its load was last queued for the own zone and
 	// for others.
-	nearAt, farAt time.Time
+	nearQueuedAt, farQueuedAt time.Time
 }
 
 // backendTable holds the backend servers.
@@ -54,46 +54,46 @@
 
 // supersedes tells whether a changes what b says. Leaving is not compared here:
 // it is sticky within an incarnation.
-func (a backendNews) supersedes(b backendNews) bool {
+func (a backendState) supersedes(b backendState) bool {
 	switch {
 	case a.Incarnation != b.Incarnation:
 		return a.Incarnation > b.Incarnation
-	case a.Beat != b.Beat:
-		return a.Beat > b.Beat
+	case a.StateVersion != b.StateVersion:
+		return a.StateVersion > b.StateVersion
 	case a.Health != b.Health:
 		return a.Health > b.Health
 	default:
-		return a.Speaker < b.Speaker
+		return a.Publisher < b.Publisher
 	}
 }
 
 // merge takes in news and tells whether it changed anything.
-func (t *backendTable) merge(n backendNews, now time.Time) bool {
+func (t *backendTable) merge(n backendState, now time.Time) bool {
 	r, ok := t.records[n.Backend]
-	if !ok || n.Incarnation > r.news.Incarnation {
-		return t.begin(n, now)
+	if !ok || n.Incarnation > r.state.Incarnation {
+		return t.startIncarnation(n, now)
 	}
-	if n.Incarnation < r.news.Incarnation {
+	if n.Incarnation < r.state.Incarnation {
 		return false
 	}
-	next := r.news
-	if n.supersedes(r.news) {
+	next := r.state
+	if n.supersedes(r.state) {
 		next = n
 	}
-	next.Leaving = n.Leaving || r.news.Leaving
-	if n.Announcement == nil || !n.supersedes(r.news) {
-		next.Announcement = r.news.Announcement
+	next.Leaving = n.Leaving || r.state.Leaving
+	if n.Announcement == nil || !n.supersedes(r.state) {
+		next.Announcement = r.state.Announcement
 	}
-	if next == r.news {
+	if next == r.state {
 		return false
 	}
 	t.change(r, next, now)
 	return true
 }
 
-// begin starts the record of an incarnation. What an earlier one reported is
+// startIncarnation starts the record of an incarnation. What an earlier one reported is
 // dropped: the restarted engine holds nothing of it.
-func (t *backendTable) begin(n backendNews, now time.Time) bool {
+func (t *backendTable) startIncarnation(n backendState, now time.Time) bool {
 	old, known := t.records[n.Backend]
 	if n.Announcement == nil || (!known && (n.Leaving || n.Health == healthDown)) {
 		return false
@@ -101,7 +101,7 @@
 	if known {
 		t.remove(old)
 	}
-	r := &backendRecord{news: n, newsAt: now, changedAt: now}
+	r := &backendRecord{state: n, updatedAt: now, changedAt: now}
 	r.report = laburnumlever.LoadReport{Backend: n.Backend, Incarnation: n.Incarnation}
 	t.records[n.Backend] = r
 	t.byKey[loadKey(n.Backend, n.Incarnation)] = r
@@ -110,10 +110,10 @@
 	return true
 }
 
-func (t *backendTable) change(r *backendRecord, next backendNews, now time.Time) {
+func (t *backendTable) change(r *backendRecord, next backendState, now time.Time) {
 	t.toggle(r)
-	r.news = next
-	r.newsAt = now
+	r.state = next
+	r.updatedAt = now
 	r.changedAt = now
 	t.toggle(r)
 }
@@ -127,39 +127,39 @@
 	r.report.InFlight = int(row.inFlight)
 	r.report.Queued = int(row.queued)
 	r.reportedAt = now
-	r.newsAt = now
+	r.updatedAt = now
 	return true
 }
 
 func (t *backendTable) remove(r *backendRecord) {
 	t.toggle(r)
 	t.zones[r.zone()]--
-	delete(t.records, r.news.Backend)
-	delete(t.direct, r.news.Backend)
-	delete(t.byKey, loadKey(r.news.Backend, r.news.Incarnation))
+	delete(t.records, r.state.Backend)
+	delete(t.direct, r.state.Backend)
+	delete(t.byKey, loadKey(r.state.Backend, r.state.Incarnation))
 }
 
 // toggle leaves a doubt out of the digest: it passes within a second.
 func (t *backendTable) toggle(r *backendRecord) {
-	key := backendKey(r.news.Backend)
+	key := backendKey(r.state.Backend)
 	status := uint64(0)
-	if r.news.Leaving {
+	if r.state.Leaving {
 		status |= 1
 	}
-	if r.news.Health == healthDown {
+	if r.state.Health == healthDown {
 		status |= 2
 	}
-	t.digest.toggle(key, hashFields(key, r.news.Incarnation, r.news.Beat, status, r.inventorySequence))
+	t.digest.toggle(key, hashFields(key, r.state.Incarnation, r.state.StateVersion, status, r.inventorySequence))
 }
 
 func (t *backendTable) sorted() []*backendRecord {
 	return selected(t.records, func(*backendRecord) bool { return true })
 }
 
-// hear notes that a backend server was heard directly.
-func (t *backendTable) hear(r *backendRecord, now time.Time) {
-	r.heardAt = now
-	t.direct[r.news.Backend] = r
+// recordContact notes that a backend server was heard directly.
+func (t *backendTable) recordContact(r *backendRecord, now time.Time) {
+	r.contactAt = now
+	t.direct[r.state.Backend] = r
 }
 
 // selected lists some of the records by id, so that the same seed gives the same
@@ -172,12 +172,12 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b *backendRecord) int {
-		return strings.Compare(string(a.news.Backend), string(b.news.Backend))
+		return strings.Compare(string(a.state.Backend), string(b.state.Backend))
 	})
 	return out
 }
 
-func (r *backendRecord) zone() laburnumlever.ZoneName { return r.news.Announcement.Zone }
+func (r *backendRecord) zone() laburnumlever.ZoneName { return r.state.Announcement.Zone }
 
 func backendKey(id laburnumlever.BackendID) string { return "b" + string(id) }
 
--- a/laburnummembership/bench_test.go
+++ b/laburnummembership/bench_test.go
@@ -106,9 +106,9 @@
 		t.Logf("  %s: %d B/s a node", m, b/vms/seconds)
 	}
 	t.Logf("heap a node %d KiB", (heapBytes()-before)/uint64(vms)/1024)
-	near, far := f.LoadAges()
+	farAges, far := f.LoadAges()
 	t.Logf("age of load, own zone: median %v 95th %v max %v; other zones: median %v 95th %v max %v",
-		pick(near, 50), pick(near, 95), pick(near, 100), pick(far, 50), pick(far, 95), pick(far, 100))
+		percentile(farAges, 50), percentile(farAges, 95), percentile(farAges, 100), percentile(far, 50), percentile(far, 95), percentile(far, 100))
 	measureTimes(t, f, engines)
 }
 
@@ -136,7 +136,7 @@
 	t.Logf("dead VM down for the first after %v (%v), for all after %v (%v)", first, ok1, first+took, ok)
 }
 
-func pick(sorted []time.Duration, percent int) time.Duration {
+func percentile(sorted []time.Duration, percent int) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
@@ -158,7 +158,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		for i, n := range nodes {
 			for e := range 2 {
-				go feed(ctx, n, laburnumlever.BackendID(fmt.Sprintf("engine-%d-%d", i, e)), laburnumlever.ZoneName(fmt.Sprintf("zone-%d", i%2)))
+				go announceAndReport(ctx, n, laburnumlever.BackendID(fmt.Sprintf("engine-%d-%d", i, e)), laburnumlever.ZoneName(fmt.Sprintf("zone-%d", i%2)))
 			}
 		}
 		time.Sleep(8 * time.Second)
@@ -171,7 +171,7 @@
 	}
 }
 
-func feed(ctx context.Context, n *node, id laburnumlever.BackendID, zone laburnumlever.ZoneName) {
+func announceAndReport(ctx context.Context, n *node, id laburnumlever.BackendID, zone laburnumlever.ZoneName) {
 	a := laburnumlever.Announcement{Backend: id, Zone: zone, Incarnation: 1, Slots: 32}
 	ticker := time.NewTicker(500 * time.Millisecond)
 	defer ticker.Stop()
--- a/laburnummembership/config.go
+++ b/laburnummembership/config.go
@@ -13,35 +13,35 @@
 	// probeTimeout is many times a round trip between zones, and short enough
 	// that a probe, its indirect ones and a suspicion end within seconds.
 	probeTimeout = 500 * time.Millisecond
-	// askTimeout leaves the helper a probeTimeout of its own.
-	askTimeout  = 900 * time.Millisecond
-	syncTimeout = 3 * time.Second
-	askHelpers  = 3
-	// lateTick is how late a tick shows that this process was paused.
-	lateTick = time.Second
+	// indirectProbeTimeout leaves the helper a probeTimeout of its own.
+	indirectProbeTimeout = 900 * time.Millisecond
+	syncTimeout          = 3 * time.Second
+	indirectProbes       = 3
+	// pauseThreshold is how late a tick shows that this process was paused.
+	pauseThreshold = time.Second
 	// suspicionBase and suspicionStep (for each doubling of the fleet) give a
 	// suspected VM the time to hear of it and to refute.
 	suspicionBase = 1500 * time.Millisecond
 	suspicionStep = 500 * time.Millisecond
-	// hearsayPatience stretches the suspicion on VMs that only heard of it.
-	hearsayPatience = 1.5
-	// maxConfirms bounds the accused VMs asked again at one tick.
-	maxConfirms = 4
-	// contactRecent is how recent a message from others must be to show that this
+	// remoteSuspicionFactor stretches the suspicion on VMs that only heard of it.
+	remoteSuspicionFactor = 1.5
+	// maxReprobes bounds the accused VMs asked again at one tick.
+	maxReprobes = 4
+	// recentContact is how recent a message from others must be to show that this
 	// VM is not cut off.
-	contactRecent = 1500 * time.Millisecond
-	healPeriod    = 2 * time.Second
-	joinPeriod    = time.Second
-	vmForget      = 6 * time.Hour
-	vmForgetLeft  = 10 * time.Minute
-	backendForget = 10 * time.Minute
-	// backendSilence is two announcements and four reports missed, and some.
-	backendSilence = 2200 * time.Millisecond
-	// backendDoubt is how long others have to say that they still hear it.
-	backendDoubt = 800 * time.Millisecond
-	// backendOrphan is how long a backend server whose speaker is down may be
+	recentContact    = 1500 * time.Millisecond
+	reconnectPeriod  = 2 * time.Second
+	joinPeriod       = time.Second
+	vmRetention      = 6 * time.Hour
+	leftVMRetention  = 10 * time.Minute
+	backendRetention = 10 * time.Minute
+	// backendTimeout is two announcements and four reports missed, and some.
+	backendTimeout = 2200 * time.Millisecond
+	// backendSuspicion is how long others have to say that they still hear it.
+	backendSuspicion = 800 * time.Millisecond
+	// orphanTimeout is how long a backend server whose speaker is down may be
 	// without any news before it counts as down here.
-	backendOrphan = 5 * time.Second
+	orphanTimeout = 5 * time.Second
 	// The budgets bound the bytes of each kind of news in one message.
 	factBudget = 500
 	bulkBudget = 4 << 10 // before compression, which makes a seventh of it
@@ -62,8 +62,8 @@
 	loadInterval = 400 * time.Millisecond
 	nearLoadStep = 5 * time.Millisecond
 	farLoadStep  = 14 * time.Millisecond
-	// loadRepeat is how long a load stays unreported before it is sent again.
-	loadRepeat = 2 * time.Second
+	// loadRepeatDelay is how long a load stays unreported before it is sent again.
+	loadRepeatDelay = 2 * time.Second
 	// syncMismatches is how many exchanges must show another digest before a pull:
 	// fewer, and news still on its way would be pulled as missed.
 	syncMismatches = 5
--- a/laburnummembership/core.go
+++ b/laburnummembership/core.go
@@ -29,26 +29,26 @@
 	backends *backendTable
 	demand   *demandTable
 
-	facts     *newsQueue // VMs and the states of backend servers: small and urgent
-	bulk      *newsQueue // announcements and inventories
-	nearLoads *newsQueue
-	farLoads  *newsQueue
-
-	out      []send
-	token    uint64
-	pending  map[uint64]pending
-	round    []laburnumlever.VMID // the far partners still to come in this round
-	ticks    uint64
-	tickedAt time.Time
-	started  time.Time
+	factQueue     *updateQueue // VMs and the states of backend servers: small and urgent
+	bulkQueue     *updateQueue // announcements and inventories
+	nearLoadQueue *updateQueue
+	farLoadQueue  *updateQueue
+
+	outbox      []send
+	token       uint64
+	pending     map[uint64]pending
+	farPartners []laburnumlever.VMID // the far partners still to come in this round
+	ticks       uint64
+	lastTickAt  time.Time
+	started     time.Time
 	// contactAt is when any VM last sent this one a message.
-	contactAt  time.Time
-	healAt     time.Time
-	joinAt     time.Time
-	joined     bool
-	syncAt     time.Time
-	mismatches int
-	forgetAt   time.Time
+	contactAt   time.Time
+	reconnectAt time.Time
+	joinAt      time.Time
+	joined      bool
+	syncAt      time.Time
+	mismatches  int
+	forgottenAt time.Time
 
 	factsChanged bool
 	loadsChanged bool
@@ -68,18 +68,18 @@
 	}
 	self.State = laburnumlever.VMAlive
 	c := &core{
-		self:      self,
-		seeds:     seeds,
-		random:    random,
-		facts:     newNewsQueue(),
-		bulk:      newNewsQueue(),
-		nearLoads: newNewsQueue(),
-		farLoads:  newNewsQueue(),
-		pending:   map[uint64]pending{},
-		tickedAt:  now,
-		started:   now,
-		contactAt: now,
-		forgetAt:  now,
+		self:          self,
+		seeds:         seeds,
+		random:        random,
+		factQueue:     newUpdateQueue(),
+		bulkQueue:     newUpdateQueue(),
+		nearLoadQueue: newUpdateQueue(),
+		farLoadQueue:  newUpdateQueue(),
+		pending:       map[uint64]pending{},
+		lastTickAt:    now,
+		started:       now,
+		contactAt:     now,
+		forgottenAt:   now,
 	}
 	c.vms = newVMTable(&c.digest)
 	c.backends = newBackendTable(&c.digest)
@@ -101,26 +101,26 @@
 	c.toggleSelf()
 	c.self = next
 	c.toggleSelf()
-	c.facts.push(vmKey(c.self.ID))
+	c.factQueue.push(vmKey(c.self.ID))
 	c.factsChanged = true
 }
 
 // refute raises the own incarnation above what others say of this VM. What they
 // say may come from an earlier start, so the number may be higher than the own.
-func (c *core) refute(said laburnumlever.VM) {
-	if said.Incarnation < c.self.Incarnation {
+func (c *core) refute(claimed laburnumlever.VM) {
+	if claimed.Incarnation < c.self.Incarnation {
 		// The refutation was lost on its way to whoever says this, and by now may
 		// have been sent as often as news is.
-		c.facts.push(vmKey(c.self.ID))
+		c.factQueue.push(vmKey(c.self.ID))
 		return
 	}
-	if said.Incarnation == c.self.Incarnation && said.State <= c.self.State {
+	if claimed.Incarnation == c.self.Incarnation && claimed.State <= c.self.State {
 		return
 	}
 	c.toggleSelf()
-	c.self.Incarnation = said.Incarnation + 1
+	c.self.Incarnation = claimed.Incarnation + 1
 	c.toggleSelf()
-	c.facts.push(vmKey(c.self.ID))
+	c.factQueue.push(vmKey(c.self.ID))
 	c.factsChanged = true
 }
 
@@ -142,27 +142,27 @@
 
 // tick does the periodic work.
 func (c *core) tick(now time.Time) {
-	if pause := now.Sub(c.tickedAt); pause > lateTick {
-		c.resume(now, pause)
+	if pause := now.Sub(c.lastTickAt); pause > pauseThreshold {
+		c.resumeAfterPause(now, pause)
 	}
-	c.tickedAt = now
+	c.lastTickAt = now
 	c.ticks++
 	c.expireSuspicions(now)
-	c.confirm()
-	c.judgeBackends(now)
+	c.reprobeSuspects()
+	c.checkBackendHealth(now)
 	c.repeatLoads(now)
 	c.forget(now)
 	c.join(now)
-	c.heal(now)
+	c.reconnectDown(now)
 	c.gossipOnce()
 	c.sendDemand(now)
 }
 
-// resume guards against this VM's own pause (SIGSTOP, a starved or moved VM): on
+// resumeAfterPause guards against this VM's own pause (SIGSTOP, a starved or moved VM): on
 // waking, every answer is late and every deadline over, and without it the VM
 // would declare all the others and its backend servers down. So all it waited for is
 // dropped and its deadlines move on by the pause.
-func (c *core) resume(now time.Time, pause time.Duration) {
+func (c *core) resumeAfterPause(now time.Time, pause time.Duration) {
 	c.pending = map[uint64]pending{}
 	c.contactAt = now
 	for _, r := range c.vms.records {
@@ -170,25 +170,25 @@
 		r.contactAt = r.contactAt.Add(pause)
 	}
 	for _, r := range c.backends.records {
-		r.newsAt = r.newsAt.Add(pause)
-		if !r.heardAt.IsZero() {
-			r.heardAt = r.heardAt.Add(pause)
+		r.updatedAt = r.updatedAt.Add(pause)
+		if !r.contactAt.IsZero() {
+			r.contactAt = r.contactAt.Add(pause)
 		}
 		r.changedAt = r.changedAt.Add(pause)
 	}
 }
 
 func (c *core) forget(now time.Time) {
-	if now.Sub(c.forgetAt) < time.Minute {
+	if now.Sub(c.forgottenAt) < time.Minute {
 		return
 	}
-	c.forgetAt = now
+	c.forgottenAt = now
 	if c.vms.forget(now) {
 		c.factsChanged = true
 	}
 	for _, r := range c.backends.records {
-		gone := r.news.Health == healthDown || r.news.Leaving
-		if gone && now.Sub(r.changedAt) > backendForget && now.Sub(r.heardAt) > backendForget {
+		gone := r.state.Health == healthDown || r.state.Leaving
+		if gone && now.Sub(r.changedAt) > backendRetention && now.Sub(r.contactAt) > backendRetention {
 			c.backends.remove(r)
 			c.factsChanged = true
 		}
@@ -201,7 +201,7 @@
 	s.Token = c.token
 	p.address = s.Address
 	c.pending[s.Token] = p
-	c.out = append(c.out, s)
+	c.outbox = append(c.outbox, s)
 }
 
 // vmList is what the view shows, this VM included.
@@ -217,14 +217,14 @@
 	return slices.Insert(out, at, c.self)
 }
 
-// takeOut returns what the steps since the last call want sent.
-func (c *core) takeOut() []send {
-	out := c.out
-	c.out = nil
+// drainOutbox returns what the steps since the last call want sent.
+func (c *core) drainOutbox() []send {
+	out := c.outbox
+	c.outbox = nil
 	return out
 }
 
-func (c *core) settle(token uint64) (pending, bool) {
+func (c *core) takePending(token uint64) (pending, bool) {
 	p, ok := c.pending[token]
 	delete(c.pending, token)
 	return p, ok
--- a/laburnummembership/demand.go
+++ b/laburnummembership/demand.go
@@ -16,27 +16,27 @@
 	demandStep = 50 * time.Millisecond
 	// demandSmallFleet is the number of VMs up to which all owners get all demand.
 	demandSmallFleet = 50
-	// demandAge is after how long without news a VM's demand no longer counts, in
+	// demandMaxPeriods is after how long without news a VM's demand no longer counts, in
 	// periods.
-	demandAge = 15
+	demandMaxPeriods = 15
 )
 
 // demandTable holds the demand of each VM.
 type demandTable struct {
 	self   laburnumlever.VMID
 	own    []laburnumlever.ModelDemand
-	others map[laburnumlever.VMID]demandOf
+	others map[laburnumlever.VMID]vmDemand
 	sentAt time.Time
 	dirty  bool
 }
 
-type demandOf struct {
+type vmDemand struct {
 	rows []laburnumlever.ModelDemand
 	at   time.Time
 }
 
 func newDemandTable(self laburnumlever.VMID) *demandTable {
-	return &demandTable{self: self, others: map[laburnumlever.VMID]demandOf{}}
+	return &demandTable{self: self, others: map[laburnumlever.VMID]vmDemand{}}
 }
 
 func (t *demandTable) setOwn(rows []laburnumlever.ModelDemand) {
@@ -45,23 +45,23 @@
 }
 
 // merge takes in another VM's demand; late ones change nothing.
-func (t *demandTable) merge(n demandNews, now time.Time) {
+func (t *demandTable) merge(n demandReport, now time.Time) {
 	known := t.others[n.From]
-	if len(n.Rows) > 0 && len(known.rows) > 0 && n.Rows[0].Sequence < known.rows[0].Sequence && now.Sub(known.at) < t.age() {
+	if len(n.Rows) > 0 && len(known.rows) > 0 && n.Rows[0].Sequence < known.rows[0].Sequence && now.Sub(known.at) < t.maxAge() {
 		return
 	}
-	t.others[n.From] = demandOf{rows: n.Rows, at: now}
+	t.others[n.From] = vmDemand{rows: n.Rows, at: now}
 }
 
-// age follows the period, which the number of those that send sets.
-func (t *demandTable) age() time.Duration {
-	return demandAge * max(demandPeriod, time.Duration(len(t.others))*demandStep)
+// maxAge follows the period, which the number of those that send sets.
+func (t *demandTable) maxAge() time.Duration {
+	return demandMaxPeriods * max(demandPeriod, time.Duration(len(t.others))*demandStep)
 }
 
 func (t *demandTable) list(now time.Time) []laburnumlever.ModelDemand {
 	out := slices.Clone(t.own)
 	for id, d := range t.others {
-		if now.Sub(d.at) > t.age() {
+		if now.Sub(d.at) > t.maxAge() {
 			delete(t.others, id)
 			continue
 		}
@@ -76,7 +76,7 @@
 	return out
 }
 
-func (c *core) takeDemand(n demandNews, now time.Time) {
+func (c *core) mergeDemand(n demandReport, now time.Time) {
 	c.demand.merge(n, now)
 	c.loadsChanged = true
 }
@@ -92,13 +92,13 @@
 	}
 	c.demand.sentAt = now
 	c.demand.dirty = false
-	message := demandNews{From: c.self.ID, Rows: c.demand.own}
-	for _, r := range c.placers() {
-		c.out = append(c.out, send{Address: r.vm.PeerAddress, Method: methodDemand, Params: message})
+	message := demandReport{From: c.self.ID, Rows: c.demand.own}
+	for _, r := range c.zoneOwners() {
+		c.outbox = append(c.outbox, send{Address: r.vm.PeerAddress, Method: methodDemand, Params: message})
 	}
 }
 
-func (c *core) placers() []*vmRecord {
+func (c *core) zoneOwners() []*vmRecord {
 	all := c.vms.sorted(func(r *vmRecord) bool { return isLiving(r.vm.State) && r.vm.OwnsZone })
 	if len(c.vms.records) <= demandSmallFleet {
 		return all
--- a/laburnummembership/digest.go
+++ b/laburnummembership/digest.go
@@ -17,9 +17,9 @@
 // bucketBytes is enough to tell two states of one bucket apart.
 const bucketBytes = 4
 
-// keyBits is the width of a load key: two of 2,100 backend servers share one with
+// loadKeyBits is the width of a load key: two of 2,100 backend servers share one with
 // a chance of two in a million, and JSON readers keep it exact.
-const keyBits = 40
+const loadKeyBits = 40
 
 // digest is a hash of all facts, kept up to date fact by fact.
 type digest struct {
@@ -63,5 +63,5 @@
 
 // loadKey stands for a backend server's incarnation in load rows.
 func loadKey(id laburnumlever.BackendID, incarnation uint64) uint64 {
-	return hashFields(string(id), incarnation) >> (64 - keyBits)
+	return hashFields(string(id), incarnation) >> (64 - loadKeyBits)
 }
--- a/laburnummembership/events.go
+++ b/laburnummembership/events.go
@@ -7,39 +7,39 @@
 )
 
 type (
-	started struct{}
-	ticked  struct{ now time.Time }
-	left    struct{}
+	started        struct{}
+	ticked         struct{ now time.Time }
+	leaveRequested struct{}
 
 	selfChanged struct {
 		change func(laburnumlever.VM) laburnumlever.VM
 	}
 
-	gossiped struct {
+	gossipReceived struct {
 		message gossip
 		answer  chan<- gossip
 	}
 
-	pullAsked struct {
+	pullRequested struct {
 		request syncRequest
 		answer  chan<- syncAnswer
 	}
 
-	reachAsked struct {
+	reachabilityRequested struct {
 		target laburnumlever.VMID
 		answer chan<- bool
 	}
 
-	demanded struct{ message demandNews }
+	demandReceived struct{ message demandReport }
 
 	// outcome is the end of a message that this VM sent.
 	outcome struct {
-		token  uint64
-		method string
-		gossip gossip
-		ask    askAnswer
-		sync   syncAnswer
-		err    error
+		token         uint64
+		method        string
+		gossip        gossip
+		indirectProbe indirectProbeAnswer
+		sync          syncAnswer
+		err           error
 	}
 
 	announced struct {
@@ -52,22 +52,22 @@
 		answer chan<- error
 	}
 
-	leftBackend struct {
+	backendLeft struct {
 		backend     laburnumlever.BackendID
 		incarnation uint64
 		answer      chan<- error
 	}
 )
 
-func (started) EventName() string     { return "membership-started" }
-func (ticked) EventName() string      { return "membership-ticked" }
-func (left) EventName() string        { return "membership-left" }
-func (selfChanged) EventName() string { return "membership-self-changed" }
-func (gossiped) EventName() string    { return "membership-gossiped" }
-func (pullAsked) EventName() string   { return "membership-pull-asked" }
-func (reachAsked) EventName() string  { return "membership-reach-asked" }
-func (demanded) EventName() string    { return "membership-demanded" }
-func (outcome) EventName() string     { return "membership-outcome" }
-func (announced) EventName() string   { return "backend-announced" }
-func (reported) EventName() string    { return "backend-reported" }
-func (leftBackend) EventName() string { return "backend-left" }
+func (started) EventName() string               { return "membership-started" }
+func (ticked) EventName() string                { return "membership-ticked" }
+func (leaveRequested) EventName() string        { return "membership-left" }
+func (selfChanged) EventName() string           { return "membership-self-changed" }
+func (gossipReceived) EventName() string        { return "membership-gossiped" }
+func (pullRequested) EventName() string         { return "membership-pull-asked" }
+func (reachabilityRequested) EventName() string { return "membership-reach-asked" }
+func (demandReceived) EventName() string        { return "membership-demanded" }
+func (outcome) EventName() string               { return "membership-outcome" }
+func (announced) EventName() string             { return "backend-announced" }
+func (reported) EventName() string              { return "backend-reported" }
+func (backendLeft) EventName() string           { return "backend-left" }
--- a/laburnummembership/exchange.go
+++ b/laburnummembership/exchange.go
@@ -34,17 +34,17 @@
 // each is probed within a bounded time.
 func (c *core) nextFar() (laburnumlever.VMID, bool) {
 	for range 2 {
-		for len(c.round) > 0 {
-			id := c.round[0]
-			c.round = c.round[1:]
+		for len(c.farPartners) > 0 {
+			id := c.farPartners[0]
+			c.farPartners = c.farPartners[1:]
 			if c.vms.lives(id) {
 				return id, true
 			}
 		}
 		for _, r := range c.vms.sorted(func(r *vmRecord) bool { return isLiving(r.vm.State) }) {
-			c.round = append(c.round, r.vm.ID)
+			c.farPartners = append(c.farPartners, r.vm.ID)
 		}
-		c.random.Shuffle(len(c.round), func(i, j int) { c.round[i], c.round[j] = c.round[j], c.round[i] })
+		c.random.Shuffle(len(c.farPartners), func(i, j int) { c.farPartners[i], c.farPartners[j] = c.farPartners[j], c.farPartners[i] })
 	}
 	return "", false
 }
@@ -53,23 +53,23 @@
 func (c *core) exchange(id laburnumlever.VMID) {
 	r := c.vms.records[id]
 	p := &probe{target: id, incarnation: r.vm.Incarnation}
-	g := c.message(r, nil)
+	g := c.buildMessage(r, nil)
 	c.emit(send{Address: r.vm.PeerAddress, Method: methodGossip, Params: g, Timeout: probeTimeout},
 		pending{vm: id, probe: p})
 }
 
-// message builds a message for a VM, or for a stranger if r is nil.
-func (c *core) message(r *vmRecord, skip map[string]bool) gossip {
+// buildMessage builds a buildMessage for a VM, or for a stranger if r is nil.
+func (c *core) buildMessage(r *vmRecord, skip map[string]bool) gossip {
 	g := gossip{From: c.self.ID, Digest: c.digest.sum()}
 	if r == nil {
 		return g
 	}
 	g.To = r.vm.ID
 	if r.vm.State != laburnumlever.VMAlive {
-		about := r.vm
-		g.AboutYou = &about
+		receiver := r.vm
+		g.Receiver = &receiver
 	}
-	g.News = c.collect(r.vm.Zone == c.self.Zone, skip)
+	g.Updates = c.collectUpdates(r.vm.Zone == c.self.Zone, skip)
 	return g
 }
 
@@ -80,37 +80,37 @@
 		return gossip{From: c.self.ID, Digest: c.digest.sum()}
 	}
 	c.contactAt = now
-	skip := c.absorb(g, now)
+	skip := c.mergeMessage(g, now)
 	r, known := c.vms.records[g.From]
 	if !known {
-		return gossip{From: c.self.ID, Digest: c.digest.sum(), Stranger: true}
+		return gossip{From: c.self.ID, Digest: c.digest.sum(), UnknownSender: true}
 	}
 	r.contactAt = now
-	return c.message(r, skip)
+	return c.buildMessage(r, skip)
 }
 
-// absorb takes in a message's content and returns the keys of its news.
-func (c *core) absorb(g gossip, now time.Time) map[string]bool {
-	if g.AboutYou != nil {
-		c.refute(*g.AboutYou)
+// mergeMessage takes in a message's content and returns the keys of its news.
+func (c *core) mergeMessage(g gossip, now time.Time) map[string]bool {
+	if g.Receiver != nil {
+		c.refute(*g.Receiver)
 	}
-	if g.News == nil {
+	if g.Updates == nil {
 		return nil
 	}
-	return c.mergeNews(*g.News, now)
+	return c.mergeUpdates(*g.Updates, now)
 }
 
-// collect fills a message with news.
-func (c *core) collect(near bool, skip map[string]bool) *news {
-	n := &news{}
-	facts, bulk := packedNews{}, packedNews{}
-	c.collectFacts(&facts, c.facts, factBudget, c.sendLimit(factSends), skip)
+// collectUpdates fills a message with news.
+func (c *core) collectUpdates(near bool, skip map[string]bool) *updates {
+	n := &updates{}
+	facts, bulk := packedUpdates{}, packedUpdates{}
+	c.collectFacts(&facts, c.factQueue, factBudget, c.sendLimit(factSends), skip)
 	n.VMs, n.Backends = facts.VMs, facts.Backends
-	c.collectFacts(&bulk, c.bulk, bulkBudget, c.sendLimit(bulkSends), skip)
+	c.collectFacts(&bulk, c.bulkQueue, bulkBudget, c.sendLimit(bulkSends), skip)
 	n.Packed = bulk.pack()
-	queue := c.farLoads
+	queue := c.farLoadQueue
 	if near {
-		queue = c.nearLoads
+		queue = c.nearLoadQueue
 	}
 	n.Loads = c.collectLoads(queue, skip)
 	if facts.size()+bulk.size() == 0 && len(n.Loads) == 0 {
@@ -123,40 +123,40 @@
 	return max(minSends, int(math.Ceil(factor*math.Log2(float64(len(c.vms.records)+2)))))
 }
 
-func (c *core) collectFacts(n *packedNews, queue *newsQueue, budget, limit int, skip map[string]bool) {
-	room := budget
-	queue.take(limit, func(key string) taken {
+func (c *core) collectFacts(n *packedUpdates, queue *updateQueue, budget, limit int, skip map[string]bool) {
+	remaining := budget
+	queue.take(limit, func(key string) addResult {
 		if skip[key] {
-			return takenNot
+			return addSkipped
 		}
-		return c.addFact(n, key, &room, budget)
+		return c.addFact(n, key, &remaining, budget)
 	})
 }
 
 // addFact puts one fact into the message. The first always goes in, so that one
 // larger than the budget is not stuck.
-func (c *core) addFact(n *packedNews, key string, room *int, budget int) taken {
+func (c *core) addFact(n *packedUpdates, key string, remaining *int, budget int) addResult {
 	item, ok := c.fact(key)
 	if !ok {
-		return takenGone
+		return addGone
 	}
 	raw, err := json.Marshal(item)
 	if err != nil {
-		return takenGone
+		return addGone
 	}
-	if len(raw) > *room && *room != budget {
-		return takenFull
+	if len(raw) > *remaining && *remaining != budget {
+		return addFull
 	}
-	*room -= len(raw)
+	*remaining -= len(raw)
 	switch v := item.(type) {
 	case laburnumlever.VM:
 		n.VMs = append(n.VMs, v)
-	case backendNews:
+	case backendState:
 		n.Backends = append(n.Backends, v)
-	case inventoryNews:
+	case inventoryUpdate:
 		n.Inventories = append(n.Inventories, v)
 	}
-	return takenSent
+	return addSent
 }
 
 // fact reads the present state of a queued fact.
@@ -177,7 +177,7 @@
 		if !ok {
 			return nil, false
 		}
-		n := r.news
+		n := r.state
 		if key[0] == 'b' {
 			n.Announcement = nil
 		}
@@ -187,36 +187,36 @@
 		if !ok {
 			return nil, false
 		}
-		return r.newsOfInventory(), true
+		return r.inventoryToSend(), true
 	}
 }
 
-// relaying says what of the news is passed on.
-type relaying int
+// relayScope says what of the news is passed on.
+type relayScope int
 
 const (
-	relayNone relaying = iota
+	relayNone relayScope = iota
 	// relayUrgent leaves out announcements and inventories: whoever else lacks them
 	// pulls them too, and in whole they would crowd out the changes on their way.
 	relayUrgent
 	relayAll
 )
 
-// mergeNews takes in news and passes on what is new. It returns the
+// mergeUpdates takes in news and passes on what is new. It returns the
 // keys of all that was in it.
-func (c *core) mergeNews(n news, now time.Time) map[string]bool {
+func (c *core) mergeUpdates(n updates, now time.Time) map[string]bool {
 	seen := map[string]bool{}
-	c.mergeFacts(packedNews{VMs: n.VMs, Backends: n.Backends}, now, relayAll, seen)
+	c.mergeFacts(packedUpdates{VMs: n.VMs, Backends: n.Backends}, now, relayAll, seen)
 	c.mergeFacts(unpack(n.Packed), now, relayAll, seen)
 	c.mergeLoads(n.Loads, now, seen)
 	return seen
 }
 
-func (c *core) mergeFacts(n packedNews, now time.Time, relay relaying, seen map[string]bool) {
+func (c *core) mergeFacts(n packedUpdates, now time.Time, relay relayScope, seen map[string]bool) {
 	for _, vm := range n.VMs {
 		seen[vmKey(vm.ID)] = true
 		if c.mergeVM(vm, now) && relay != relayNone {
-			c.facts.push(vmKey(vm.ID))
+			c.factQueue.push(vmKey(vm.ID))
 		}
 	}
 	for _, b := range n.Backends {
@@ -241,7 +241,7 @@
 		if !ok {
 			continue
 		}
-		seen["l"+string(known.news.Backend)] = true
+		seen["l"+string(known.state.Backend)] = true
 		if c.backends.mergeLoad(known, row, now) {
 			c.loadsChanged = true
 			c.queueLoad(known, now)
@@ -254,11 +254,11 @@
 		c.refute(vm)
 		return false
 	}
-	patience := time.Duration(hearsayPatience * float64(c.suspicion()))
-	if !c.vms.merge(vm, now, patience) {
+	remoteSuspicion := time.Duration(remoteSuspicionFactor * float64(c.suspicion()))
+	if !c.vms.merge(vm, now, remoteSuspicion) {
 		if r, ok := c.vms.records[vm.ID]; ok && vm.State != laburnumlever.VMAlive && supersedesVM(r.vm, vm) {
 			// Whoever says this has missed the refutation: tell it.
-			c.facts.push(vmKey(vm.ID))
+			c.factQueue.push(vmKey(vm.ID))
 		}
 		return false
 	}
--- a/laburnummembership/failures_test.go
+++ b/laburnummembership/failures_test.go
@@ -17,8 +17,8 @@
 	fleetVM = laburnummembership.FleetVM
 )
 
-// joined is a fleet of six VMs in three zones that all know each other.
-func joined(t *testing.T, seed uint64) *fleet {
+// newJoinedFleet is a fleet of six VMs in three zones that all know each other.
+func newJoinedFleet(t *testing.T, seed uint64) *fleet {
 	t.Helper()
 	f := laburnummembership.NewFleet(6, 3, seed)
 	_, ok := f.Until(10*time.Second, func() bool { return f.All(func(n *fleetVM) bool { return n.Knows() == 6 }) })
@@ -40,7 +40,7 @@
 	require.False(t, ok, what)
 }
 
-func thinksAnyDown(f *fleet) func(n *fleetVM) bool {
+func marksAnyDown(f *fleet) func(n *fleetVM) bool {
 	return func(n *fleetVM) bool {
 		for _, other := range f.VMs {
 			if n.State(other) >= laburnumlever.VMDown {
@@ -53,9 +53,9 @@
 
 // An operator adds an engine and callers ask for what it holds; later it leaves.
 // Through any VM, the engine must be used, and no longer be used, within three seconds.
-func TestNewsReachesAllWithinThreeSeconds(t *testing.T) {
+func TestBackendStateReachesAllVMsWithinThreeSeconds(t *testing.T) {
 	for seed := range uint64(40) {
-		f := joined(t, 100+seed)
+		f := newJoinedFleet(t, 100+seed)
 		e := f.AddEngine(1, "zone-1", f.VMs[1], f.VMs[4])
 		id := e.Announcement.Backend
 		f.Advance(1500 * time.Millisecond) // it has announced and reported by then
@@ -83,8 +83,8 @@
 
 // A VM dies without a word. Callers and orders would go on being sent to it until
 // the others hold it down; once it is started again it must be alive for all at once.
-func TestDeadVMIsDownAndItsRestartIsAlive(t *testing.T) {
-	f := joined(t, 1)
+func TestDeadVMIsMarkedDownAndRejoins(t *testing.T) {
+	f := newJoinedFleet(t, 1)
 	f.VMs[4].Dead = true
 	eventually(t, f, 8*time.Second, "down everywhere", func(n *fleetVM) bool { return n.State(f.VMs[4]) == laburnumlever.VMDown })
 	f.Restart(f.VMs[4])
@@ -94,20 +94,20 @@
 // A VM is frozen (SIGSTOP) for half a minute. The others hold it down; when it
 // wakes, all its timers have run out and all its calls have failed, and it would
 // declare every other VM and all its backend servers down.
-func TestFrozenVMThatWakesDeclaresNobodyDown(t *testing.T) {
-	f := joined(t, 2)
-	sleeper := f.VMs[3]
-	e := f.AddEngine(1, "zone-0", sleeper, f.VMs[0])
+func TestResumedVMMarksNobodyDown(t *testing.T) {
+	f := newJoinedFleet(t, 2)
+	resumed := f.VMs[3]
+	e := f.AddEngine(1, "zone-0", resumed, f.VMs[0])
 	eventually(t, f, 5*time.Second, "engine known", func(n *fleetVM) bool { _, ok := f.Backend(n, e.Announcement.Backend); return ok })
-	sleeper.Frozen = true
+	resumed.Frozen = true
 	f.Advance(30 * time.Second)
-	require.Equal(t, laburnumlever.VMDown, f.VMs[0].State(sleeper))
-	sleeper.Frozen = false
+	require.Equal(t, laburnumlever.VMDown, f.VMs[0].State(resumed))
+	resumed.Frozen = false
 	// The first seconds after the waking are the moment in question; the others hold
 	// the sleeper itself down until it refutes that.
 	_, bad := f.Until(10*time.Second, func() bool {
-		b, _ := f.Backend(sleeper, e.Announcement.Backend)
-		return b.Down || thinksAnyDown(f)(sleeper)
+		b, _ := f.Backend(resumed, e.Announcement.Backend)
+		return b.Down || marksAnyDown(f)(resumed)
 	})
 	require.False(t, bad, "the woken VM declared others down")
 	eventually(t, f, 5*time.Second, "alive again", func(n *fleetVM) bool { return n.Knows() == 6 })
@@ -116,7 +116,7 @@
 // Links break in one direction: from one VM to another, from one VM to all, or
 // from all to one. A membership that trusts a single prober would take healthy VMs down,
 // and with them their backend servers, again and again.
-func TestAsymmetricCutsTakeNoOtherVMDown(t *testing.T) {
+func TestAsymmetricLinkFailuresMarkNoOtherVMDown(t *testing.T) {
 	cuts := map[string]func(f *fleet) func(from, to *fleetVM) bool{
 		"one to one": func(f *fleet) func(from, to *fleetVM) bool {
 			return func(from, to *fleetVM) bool { return from == f.VMs[1] && to == f.VMs[2] }
@@ -130,7 +130,7 @@
 	}
 	for name, cut := range cuts {
 		t.Run(name, func(t *testing.T) {
-			f := joined(t, 3)
+			f := newJoinedFleet(t, 3)
 			f.Blocked = cut(f)
 			never(t, f, time.Minute, "a VM whose links work was held down", func(n *fleetVM) bool {
 				for _, other := range f.VMs {
@@ -149,8 +149,8 @@
 // A zone is cut off for ten minutes and both sides hold each other down. Meanwhile
 // engines start on both sides. Each side must go on with its own list, and after the heal
 // everybody must know everybody, though nobody probes a VM that is down.
-func TestCutOffZoneKeepsItsListAndHeals(t *testing.T) {
-	f := joined(t, 4)
+func TestPartitionedZoneKeepsItsMembersAndHeals(t *testing.T) {
+	f := newJoinedFleet(t, 4)
 	inside := func(n *fleetVM) bool { return n == f.VMs[0] || n == f.VMs[3] }
 	f.Blocked = func(from, to *fleetVM) bool { return inside(from) != inside(to) }
 	eventually(t, f, 15*time.Second, "both sides down for each other", func(n *fleetVM) bool {
@@ -176,8 +176,8 @@
 // must stop sending it work within a few seconds. When it comes back it must be used
 // again, and what it held before the restart must be forgotten: requests sent to
 // a model it no longer holds would fail.
-func TestSilentBackendServerIsDownAndItsRestartIsNew(t *testing.T) {
-	f := joined(t, 5)
+func TestSilentBackendIsMarkedDownAndRestartsEmpty(t *testing.T) {
+	f := newJoinedFleet(t, 5)
 	e := f.AddEngine(1, "zone-1", f.VMs[1], f.VMs[4])
 	id := e.Announcement.Backend
 	eventually(t, f, 5*time.Second, "inventory known", func(n *fleetVM) bool {
@@ -195,14 +195,14 @@
 
 // The VM that speaks for an engine no longer hears it, or dies, while another VM still
 // hears it. Taking its word alone would take a healthy engine out of every VM's routing.
-func TestAnotherVMThatHearsABackendServerSpeaksForIt(t *testing.T) {
-	for _, name := range []string{"link broken", "speaker dead"} {
+func TestAnotherVMTakesOverPublishingABackend(t *testing.T) {
+	for _, name := range []string{"link broken", "publisher dead"} {
 		t.Run(name, func(t *testing.T) {
-			f := joined(t, 6)
+			f := newJoinedFleet(t, 6)
 			e := f.AddEngine(1, "zone-1", f.VMs[1], f.VMs[4])
 			id := e.Announcement.Backend
 			eventually(t, f, 5*time.Second, "known", func(n *fleetVM) bool { _, ok := f.Backend(n, id); return ok })
-			if name == "speaker dead" {
+			if name == "publisher dead" {
 				f.VMs[1].Dead = true
 			} else {
 				e.Hears = func(n *fleetVM) bool { return n != f.VMs[1] }
@@ -217,7 +217,7 @@
 // An engine leaves but goes on announcing while it finishes its requests, and a VM
 // that was cut off brings back news from before. Work sent to it would be cut off.
 func TestLeavingIsStickyUntilANewIncarnation(t *testing.T) {
-	f := joined(t, 7)
+	f := newJoinedFleet(t, 7)
 	e := f.AddEngine(1, "zone-1", f.VMs[1], f.VMs[4])
 	id := e.Announcement.Backend
 	eventually(t, f, 5*time.Second, "known", func(n *fleetVM) bool { _, ok := f.Backend(n, id); return ok })
@@ -235,13 +235,13 @@
 
 // A third of all messages are lost. Nobody may be held down for that, and load must
 // still arrive within a second in the zone of the engine.
-func TestLostMessagesTakeNobodyDown(t *testing.T) {
+func TestMessageLossMarksNobodyDown(t *testing.T) {
 	for seed := range uint64(4) {
-		f := joined(t, 8+seed)
+		f := newJoinedFleet(t, 8+seed)
 		e := f.AddEngine(1, "zone-1", f.VMs[1], f.VMs[4])
 		f.Loss = 0.3
 		f.Advance(5 * time.Second)
-		never(t, f, 2*time.Minute, "held down", thinksAnyDown(f))
+		never(t, f, 2*time.Minute, "held down", marksAnyDown(f))
 		b, ok := f.Backend(f.VMs[4], e.Announcement.Backend)
 		require.True(t, ok)
 		require.Less(t, f.Now.Sub(b.ReportedAt), time.Second)
@@ -250,8 +250,8 @@
 
 // A VM is taken away for good. Its record must not stay in every VM's memory for
 // ever, and news of it, still going round, must not bring it back.
-func TestVMGoneForGoodIsForgotten(t *testing.T) {
-	f := joined(t, 9)
+func TestRemovedVMIsForgotten(t *testing.T) {
+	f := newJoinedFleet(t, 9)
 	gone := f.VMs[5]
 	gone.Dead = true
 	f.ForgetAfter(10 * time.Minute)
@@ -268,7 +268,7 @@
 // at once; a VM that missed the last one must still get it.
 func TestLastLoadReachesEveryVM(t *testing.T) {
 	for seed := range uint64(10) {
-		f := joined(t, 20+seed)
+		f := newJoinedFleet(t, 20+seed)
 		e := f.AddEngine(1, "zone-1", f.VMs[1])
 		eventually(t, f, 5*time.Second, "known", func(n *fleetVM) bool { _, ok := f.Backend(n, e.Announcement.Backend); return ok })
 		reports := e.Report.Sequence
@@ -287,8 +287,8 @@
 // Engines load and unload in a row while messages are lost, so that some VMs miss one
 // change and get the next. A VM that applied it to an older state would route to
 // copies that are gone, or not know of those that are there.
-func TestChangesOfInventoryAddUpToTheWhole(t *testing.T) {
-	f := joined(t, 40)
+func TestInventoryDeltasConverge(t *testing.T) {
+	f := newJoinedFleet(t, 40)
 	e := f.AddEngine(1, "zone-1", f.VMs[1], f.VMs[4])
 	f.Advance(5 * time.Second)
 	f.Loss = 0.4
@@ -306,8 +306,8 @@
 // A model's demand rises at one VM's callers. The VM that places for the zone must
 // see it though no caller asks that VM itself; and when the asking VM dies, its
 // demand must stop to count.
-func TestDemandReachesTheVMThatPlaces(t *testing.T) {
-	f := joined(t, 50)
+func TestDemandReachesTheZoneOwner(t *testing.T) {
+	f := newJoinedFleet(t, 50)
 	f.SetOwner(f.VMs[1])
 	f.Advance(2 * time.Second)
 	rows := []laburnumlever.ModelDemand{{Model: "m", VM: "vm-004", Sequence: 1, RequestsPerSecond: 7}}
--- a/laburnummembership/fleet_test.go
+++ b/laburnummembership/fleet_test.go
@@ -19,10 +19,10 @@
 	// Blocked tells whether messages from one VM to another are lost.
 	Blocked func(from, to *FleetVM) bool
 	// Loss is the share of messages lost besides.
-	Loss     float64
-	byAddr   map[string]*FleetVM
-	queue    fleetQueue
-	sequence int
+	Loss      float64
+	byAddress map[string]*FleetVM
+	queue     fleetQueue
+	sequence  int
 }
 
 // FleetVM is one of them.
@@ -68,10 +68,10 @@
 // NewFleet makes VMs spread over zones, each with the first three as seeds.
 func NewFleet(vms, zones int, seed uint64) *Fleet {
 	f := &Fleet{
-		Now:     time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC),
-		Random:  rand.New(rand.NewPCG(seed, 1)),
-		Blocked: func(_, _ *FleetVM) bool { return false },
-		byAddr:  map[string]*FleetVM{},
+		Now:       time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC),
+		Random:    rand.New(rand.NewPCG(seed, 1)),
+		Blocked:   func(_, _ *FleetVM) bool { return false },
+		byAddress: map[string]*FleetVM{},
 	}
 	for i := range vms {
 		f.add(i, zones)
@@ -89,7 +89,7 @@
 	}
 	n := &FleetVM{ByMethod: map[string]int{}}
 	f.VMs = append(f.VMs, n)
-	f.byAddr[self.PeerAddress] = n
+	f.byAddress[self.PeerAddress] = n
 	f.boot(n, self)
 	var tick func()
 	tick = func() {
@@ -123,7 +123,7 @@
 // ForgetAfter shortens how long the VMs remember one that is down.
 func (f *Fleet) ForgetAfter(d time.Duration) {
 	for _, n := range f.VMs {
-		n.vms.forgetAfter = d
+		n.vms.retention = d
 	}
 }
 
@@ -153,7 +153,7 @@
 func (f *Fleet) step(n *FleetVM, fn func()) {
 	began := time.Now()
 	fn()
-	out := n.takeOut()
+	out := n.drainOutbox()
 	n.Spent += time.Since(began)
 	for _, s := range out {
 		f.deliver(n, s)
@@ -170,9 +170,9 @@
 	from.Spent += time.Since(began)
 	from.Bytes += len(raw) + envelopeBytes
 	from.ByMethod[method] += len(raw) + envelopeBytes
-	if g, ok := message.(gossip); ok && g.News != nil {
-		from.ByMethod["  of it packed facts"] += len(g.News.Packed) * 4 / 3
-		from.ByMethod["  of it load rows"] += len(g.News.Loads) * 4 / 3
+	if g, ok := message.(gossip); ok && g.Updates != nil {
+		from.ByMethod["  of it packed facts"] += len(g.Updates.Packed) * 4 / 3
+		from.ByMethod["  of it load rows"] += len(g.Updates.Loads) * 4 / 3
 	}
 	from.Messages++
 	to.Received += len(raw) + envelopeBytes
@@ -189,7 +189,7 @@
 
 // deliver brings a message and its answer, or its failure after the timeout.
 func (f *Fleet) deliver(from *FleetVM, s send) {
-	to, ok := f.byAddr[s.Address]
+	to, ok := f.byAddress[s.Address]
 	fail := func() {
 		f.finish(from, outcome{token: s.Token, method: s.Method, err: &laburnumlever.PeerLostError{Address: s.Address}})
 	}
@@ -205,11 +205,11 @@
 				return
 			}
 			f.serve(from, to, s, &o)
-			if s.Token != 0 && s.Method != methodAsk && !f.lost(to, from) {
+			if s.Token != 0 && s.Method != methodIndirectProbe && !f.lost(to, from) {
 				answered = true
 				f.after(fleetLatency, func() { f.finish(from, o) })
 			}
-			if s.Method == methodAsk {
+			if s.Method == methodIndirectProbe {
 				answered = true
 			}
 		})
@@ -230,7 +230,7 @@
 		})
 		return
 	}
-	f.step(n, func() { n.conclusion(o, f.Now) })
+	f.step(n, func() { n.handleOutcome(o, f.Now) })
 }
 
 func (f *Fleet) serve(from, to *FleetVM, s send, o *outcome) {
@@ -244,30 +244,30 @@
 		var request syncRequest
 		var answer syncAnswer
 		f.encode(from, to, s.Method, s.Params, &request)
-		f.step(to, func() { answer = to.share(request, f.Now) })
+		f.step(to, func() { answer = to.answerPull(request, f.Now) })
 		f.encode(to, from, s.Method, answer, &o.sync)
 	case methodDemand:
-		var d demandNews
+		var d demandReport
 		f.encode(from, to, s.Method, s.Params, &d)
-		f.step(to, func() { to.takeDemand(d, f.Now) })
-	case methodAsk:
-		f.help(from, to, s)
+		f.step(to, func() { to.mergeDemand(d, f.Now) })
+	case methodIndirectProbe:
+		f.serveIndirectProbe(from, to, s)
 	}
 }
 
-// help does what a helper's handler does: see handleAsk.
-func (f *Fleet) help(from, helper *FleetVM, s send) {
-	var request askRequest
+// serveIndirectProbe does what a helper's handler does: see handleAsk.
+func (f *Fleet) serveIndirectProbe(from, helper *FleetVM, s send) {
+	var request indirectProbeRequest
 	f.encode(from, helper, s.Method, s.Params, &request)
 	answer := func(reached bool) {
 		o := outcome{token: s.Token, method: s.Method}
-		f.encode(helper, from, s.Method, askAnswer{Reached: reached}, &o.ask)
+		f.encode(helper, from, s.Method, indirectProbeAnswer{Reached: reached}, &o.indirectProbe)
 		if f.lost(helper, from) {
 			o.err = &laburnumlever.PeerLostError{}
 		}
 		f.finish(from, o)
 	}
-	target := f.byAddr[request.Address]
+	target := f.byAddress[request.Address]
 	reached := helper.reachable(request.Target, f.Now)
 	if !reached && !target.Dead && !f.lost(helper, target) && !f.lost(target, helper) {
 		reached = true
--- a/laburnummembership/fleetengine_test.go
+++ b/laburnummembership/fleetengine_test.go
@@ -41,7 +41,7 @@
 		})
 	}
 	f.Every(time.Second, func() {
-		e.tell(func(n *FleetVM) { _ = n.announce(e.Announcement, f.Now) }, f)
+		e.sendTo(func(n *FleetVM) { _ = n.announce(e.Announcement, f.Now) }, f)
 	})
 	f.Every(500*time.Millisecond, func() {
 		if e.Quiet {
@@ -49,12 +49,12 @@
 		}
 		e.Report.Sequence++
 		e.Report.InFlight = f.Random.IntN(32)
-		e.tell(func(n *FleetVM) { _ = n.report(e.Report, f.Now) }, f)
+		e.sendTo(func(n *FleetVM) { _ = n.report(e.Report, f.Now) }, f)
 	})
 	return e
 }
 
-func (e *Engine) tell(fn func(n *FleetVM), f *Fleet) {
+func (e *Engine) sendTo(fn func(n *FleetVM), f *Fleet) {
 	for _, n := range e.To {
 		if !e.Silent && !n.Dead && !n.Frozen && e.Hears(n) {
 			f.step(n, func() { fn(n) })
@@ -64,12 +64,12 @@
 
 // Every runs fn once each period.
 func (f *Fleet) Every(period time.Duration, fn func()) {
-	var again func()
-	again = func() {
+	var repeat func()
+	repeat = func() {
 		fn()
-		f.after(period, again)
+		f.after(period, repeat)
 	}
-	f.after(time.Duration(f.Random.Int64N(int64(period))), again)
+	f.after(time.Duration(f.Random.Int64N(int64(period))), repeat)
 }
 
 // Restart makes the engine a new incarnation with nothing loaded.
@@ -129,20 +129,20 @@
 
 // Warm gives every VM all facts at once, in place of a cold start of the fleet.
 func (f *Fleet) Warm() {
-	var all packedNews
+	var all packedUpdates
 	for _, n := range f.VMs {
 		all.VMs = append(all.VMs, n.self)
 		for _, r := range n.backends.records {
-			if r.news.Speaker == n.self.ID && r.inventorySequence > 0 {
-				all.Backends = append(all.Backends, r.news)
-				all.Inventories = append(all.Inventories, r.inventory())
+			if r.state.Publisher == n.self.ID && r.inventorySequence > 0 {
+				all.Backends = append(all.Backends, r.state)
+				all.Inventories = append(all.Inventories, r.fullInventory())
 			}
 		}
 	}
 	for _, n := range f.VMs {
 		n.joined = true
 		n.mergeFacts(all, f.Now, relayNone, map[string]bool{})
-		n.bulk, n.facts = newNewsQueue(), newNewsQueue()
+		n.bulkQueue, n.factQueue = newUpdateQueue(), newUpdateQueue()
 	}
 }
 
--- a/laburnummembership/inventory.go
+++ b/laburnummembership/inventory.go
@@ -10,26 +10,26 @@
 	"laburnumlever"
 )
 
-// basisAge is how long changes are made against the same basis. A VM whose last news
+// baselineAge is how long changes are made against the same basis. A VM whose last news
 // is older than the basis can't apply a change and pulls the whole inventory; longer,
 // and changes of minutes would pile up in each.
-const basisAge = 10 * time.Second
+const baselineAge = 10 * time.Second
 
-// inventoryBasis is what changes are made against. It keeps the keys of all copies
+// inventoryBaseline is what changes are made against. It keeps the keys of all copies
 // that have changed since, also of those that are as before again: a VM that saw the
 // state between must be told.
-type inventoryBasis struct {
-	sequence uint64
-	at       time.Time
-	touched  map[string]bool
+type inventoryBaseline struct {
+	sequence    uint64
+	at          time.Time
+	changedKeys map[string]bool
 	// last is the inventory last made news.
 	last []laburnumlever.Loaded
 }
 
-// inventoryNews is what an engine holds, sent only on change: in whole, or, if Base
+// inventoryUpdate is what an engine holds, sent only on change: in whole, or, if Base
 // is not 0, as all that changed since Base. Such a change can be applied to any state
 // from Base on, as it carries whole copies and not steps.
-type inventoryNews struct {
+type inventoryUpdate struct {
 	Backend     laburnumlever.BackendID `json:"backend"`
 	Incarnation uint64                  `json:"incarnation"`
 	// Sequence is that of the report that showed the change.
@@ -50,8 +50,8 @@
 	return strings.Join(parts, "/")
 }
 
-// touched adds the keys of all copies that differ between two inventories.
-func touched(keys map[string]bool, before, after []laburnumlever.Loaded) {
+// addChangedKeys adds the keys of all copies that differ between two inventories.
+func addChangedKeys(keys map[string]bool, before, after []laburnumlever.Loaded) {
 	old := map[string]laburnumlever.Loaded{}
 	for _, l := range before {
 		old[copyKey(l)] = l
@@ -68,8 +68,8 @@
 	}
 }
 
-// changes returns the present state of the copies with the given keys.
-func changes(keys map[string]bool, loaded []laburnumlever.Loaded) (changed []laburnumlever.Loaded, removed []string) {
+// changedCopies returns the present state of the copies with the given keys.
+func changedCopies(keys map[string]bool, loaded []laburnumlever.Loaded) (changed []laburnumlever.Loaded, removed []string) {
 	gone := maps.Clone(keys)
 	for _, l := range loaded {
 		if key := copyKey(l); keys[key] {
@@ -81,7 +81,7 @@
 }
 
 // apply returns the inventory after a change.
-func (n inventoryNews) apply(loaded []laburnumlever.Loaded) []laburnumlever.Loaded {
+func (n inventoryUpdate) apply(loaded []laburnumlever.Loaded) []laburnumlever.Loaded {
 	if n.Base == 0 {
 		return n.Loaded
 	}
@@ -98,39 +98,39 @@
 			out = append(out, l)
 		}
 	}
-	return inOrder(append(out, n.Loaded...))
+	return sortedCopies(append(out, n.Loaded...))
 }
 
-// inOrder sorts copies, so that every VM shows an inventory alike, whether it got it
+// sortedCopies sorts copies, so that every VM shows an inventory alike, whether it got it
 // from the engine, in whole or as changes.
-func inOrder(loaded []laburnumlever.Loaded) []laburnumlever.Loaded {
+func sortedCopies(loaded []laburnumlever.Loaded) []laburnumlever.Loaded {
 	out := slices.Clone(loaded)
 	slices.SortStableFunc(out, func(a, b laburnumlever.Loaded) int { return strings.Compare(copyKey(a), copyKey(b)) })
 	return out
 }
 
-// inventory is the whole of it, newsOfInventory what is passed on.
-func (r *backendRecord) inventory() inventoryNews {
-	return inventoryNews{
-		Backend:     r.news.Backend,
-		Incarnation: r.news.Incarnation,
+// fullInventory is the whole of it, newsOfInventory what is passed on.
+func (r *backendRecord) fullInventory() inventoryUpdate {
+	return inventoryUpdate{
+		Backend:     r.state.Backend,
+		Incarnation: r.state.Incarnation,
 		Sequence:    r.inventorySequence,
 		Fence:       r.report.Fence,
 		Loaded:      r.report.Loaded,
 	}
 }
 
-func (r *backendRecord) newsOfInventory() inventoryNews {
+func (r *backendRecord) inventoryToSend() inventoryUpdate {
 	if r.delta.Base != 0 {
 		return r.delta
 	}
-	return r.inventory()
+	return r.fullInventory()
 }
 
 // mergeInventory takes in an engine's inventory.
-func (t *backendTable) mergeInventory(n inventoryNews, now time.Time) bool {
+func (t *backendTable) mergeInventory(n inventoryUpdate, now time.Time) bool {
 	r, ok := t.records[n.Backend]
-	if !ok || n.Incarnation != r.news.Incarnation || n.Sequence <= r.inventorySequence {
+	if !ok || n.Incarnation != r.state.Incarnation || n.Sequence <= r.inventorySequence {
 		return false
 	}
 	if n.Base > r.inventorySequence {
@@ -138,8 +138,8 @@
 	}
 	t.setInventorySequence(r, n.Sequence)
 	r.delta = n
-	r.basis = inventoryBasis{}
-	r.newsAt = now
+	r.baseline = inventoryBaseline{}
+	r.updatedAt = now
 	r.report.Loaded = n.apply(r.report.Loaded)
 	r.report.Fence = n.Fence
 	return true
@@ -157,25 +157,25 @@
 		return
 	}
 	c.backends.setInventorySequence(r, r.report.Sequence)
-	r.delta = inventoryNews{}
-	if r.basis.sequence != 0 {
-		touched(r.basis.touched, r.basis.last, r.report.Loaded)
-		r.delta = r.inventory()
-		r.delta.Base = r.basis.sequence
-		r.delta.Loaded, r.delta.Removed = changes(r.basis.touched, r.report.Loaded)
-	}
-	if now.Sub(r.basis.at) >= basisAge {
-		r.basis = inventoryBasis{sequence: r.inventorySequence, at: now, touched: map[string]bool{}}
-	}
-	r.basis.last = r.report.Loaded
-	c.pushInventory(r.news.Backend)
+	r.delta = inventoryUpdate{}
+	if r.baseline.sequence != 0 {
+		addChangedKeys(r.baseline.changedKeys, r.baseline.last, r.report.Loaded)
+		r.delta = r.fullInventory()
+		r.delta.Base = r.baseline.sequence
+		r.delta.Loaded, r.delta.Removed = changedCopies(r.baseline.changedKeys, r.report.Loaded)
+	}
+	if now.Sub(r.baseline.at) >= baselineAge {
+		r.baseline = inventoryBaseline{sequence: r.inventorySequence, at: now, changedKeys: map[string]bool{}}
+	}
+	r.baseline.last = r.report.Loaded
+	c.pushInventory(r.state.Backend)
 }
 
 // pushInventory keeps an announcement that still waits ahead of the inventory: an
 // inventory of an unknown backend server is dropped by whoever gets it.
 func (c *core) pushInventory(id laburnumlever.BackendID) {
-	c.bulk.push(inventoryKey(id))
-	if c.bulk.holds(announcementKey(id)) {
-		c.bulk.push(announcementKey(id))
+	c.bulkQueue.push(inventoryKey(id))
+	if c.bulkQueue.contains(announcementKey(id)) {
+		c.bulkQueue.push(announcementKey(id))
 	}
 }
--- a/laburnummembership/loadrows.go
+++ b/laburnummembership/loadrows.go
@@ -14,8 +14,8 @@
 	queued   uint64
 }
 
-// keyBytes holds a load key.
-const keyBytes = keyBits / 8
+// loadKeyBytes holds a load key.
+const loadKeyBytes = loadKeyBits / 8
 
 // loadRows are rows as bytes: the key in five, the rest as varints. That is about ten
 // bytes a row, thirteen in a JSON string, where columns of JSON numbers took
@@ -23,10 +23,10 @@
 type loadRows []byte
 
 // maxRowBytes is the longest row with counts below two million.
-const maxRowBytes = keyBytes + binary.MaxVarintLen64 + 3 + 3
+const maxRowBytes = loadKeyBytes + binary.MaxVarintLen64 + 3 + 3
 
 func (l loadRows) append(r loadRow) loadRows {
-	for shift := keyBits - 8; shift >= 0; shift -= 8 {
+	for shift := loadKeyBits - 8; shift >= 0; shift -= 8 {
 		l = append(l, byte(r.key>>shift))
 	}
 	l = binary.AppendUvarint(l, r.sequence)
@@ -37,12 +37,12 @@
 // rows reads them; what is broken off at the end is left out.
 func (l loadRows) rows() []loadRow {
 	var out []loadRow
-	for len(l) > keyBytes {
+	for len(l) > loadKeyBytes {
 		var r loadRow
-		for _, b := range l[:keyBytes] {
+		for _, b := range l[:loadKeyBytes] {
 			r.key = r.key<<8 | uint64(b)
 		}
-		l = l[keyBytes:]
+		l = l[loadKeyBytes:]
 		for _, field := range []*uint64{&r.sequence, &r.inFlight, &r.queued} {
 			value, n := binary.Uvarint(l)
 			if n <= 0 {
@@ -56,25 +56,25 @@
 	return out
 }
 
-func (c *core) collectLoads(queue *newsQueue, skip map[string]bool) loadRows {
+func (c *core) collectLoads(queue *updateQueue, skip map[string]bool) loadRows {
 	var rows loadRows
-	queue.take(loadSends, func(key string) taken {
+	queue.take(loadSends, func(key string) addResult {
 		r, ok := c.backends.records[laburnumlever.BackendID(key)]
 		switch {
 		case !ok:
-			return takenGone
+			return addGone
 		case skip["l"+key]:
-			return takenNot
+			return addSkipped
 		case len(rows)+maxRowBytes > loadBudget:
-			return takenFull
+			return addFull
 		}
 		rows = rows.append(loadRow{
-			key:      loadKey(r.news.Backend, r.news.Incarnation),
+			key:      loadKey(r.state.Backend, r.state.Incarnation),
 			sequence: r.report.Sequence,
 			inFlight: uint64(max(0, r.report.InFlight)),
 			queued:   uint64(max(0, r.report.Queued)),
 		})
-		return takenSent
+		return addSent
 	})
 	return rows
 }
--- a/laburnummembership/membership.go
+++ b/laburnummembership/membership.go
@@ -59,7 +59,7 @@
 
 // LeaveFleet tells the others that this VM stops for good; a later start has a new
 // incarnation. Give it a second before the peers are closed.
-func (m *Membership) LeaveFleet() { m.loop.Post(m, left{}) }
+func (m *Membership) LeaveFleet() { m.loop.Post(m, leaveRequested{}) }
 
 // SetSelf changes what this VM says of itself, under a new incarnation if
 // anything differs. The change function runs on the control thread.
@@ -98,24 +98,24 @@
 	case ticked:
 		c.tick(now)
 		ticking = true
-	case left:
+	case leaveRequested:
 		c.leave()
 	case selfChanged:
 		c.setSelf(e.change(c.self))
-	case gossiped:
+	case gossipReceived:
 		e.answer <- c.receive(e.message, now)
-	case pullAsked:
-		e.answer <- c.share(e.request, now)
-	case reachAsked:
+	case pullRequested:
+		e.answer <- c.answerPull(e.request, now)
+	case reachabilityRequested:
 		e.answer <- c.reachable(e.target, now)
-	case demanded:
-		c.takeDemand(e.message, now)
+	case demandReceived:
+		c.mergeDemand(e.message, now)
 	case outcome:
-		c.conclusion(e, now)
+		c.handleOutcome(e, now)
 	default:
 		m.handleBackend(ev)
 	}
-	m.send(c.takeOut())
+	m.send(c.drainOutbox())
 	m.notifyChange(ticking)
 }
 
@@ -126,7 +126,7 @@
 		e.answer <- m.core.announce(e.announcement, now)
 	case reported:
 		e.answer <- m.core.report(e.report, now)
-	case leftBackend:
+	case backendLeft:
 		e.answer <- m.core.leaveBackend(e.backend, e.incarnation, now)
 	default:
 		_ = level.Error(m.cfg.logger).Log("event", laburnumlever.EventUnknownEvent, "name", ev.EventName())
--- a/laburnummembership/membership_test.go
+++ b/laburnummembership/membership_test.go
@@ -28,15 +28,15 @@
 
 func (n *node) Handle(ev laburnumlever.Event) { ev.(ask).fn() }
 
-// look runs fn on the control thread.
-func (n *node) look(fn func()) {
+// onControlThread runs fn on the control thread.
+func (n *node) onControlThread(fn func()) {
 	done := make(chan struct{})
 	n.loop.Post(n, ask{fn: func() { fn(); close(done) }})
 	<-done
 }
 
 func (n *node) backend(id laburnumlever.BackendID) (found laburnumlever.Backend, ok bool) {
-	n.look(func() {
+	n.onControlThread(func() {
 		for _, b := range n.membership.Backends() {
 			if b.Announcement.Backend == id {
 				found, ok = b, true
@@ -47,7 +47,7 @@
 }
 
 func (n *node) alive() (count int) {
-	n.look(func() {
+	n.onControlThread(func() {
 		for _, vm := range n.membership.VMs() {
 			if vm.State == laburnumlever.VMAlive {
 				count++
@@ -85,13 +85,13 @@
 	return nodes
 }
 
-// patience is how long a test waits for what must come; it is no measurement.
-const patience = 30 * time.Second
+// testTimeout is how long a test waits for what must come; it is no measurement.
+const testTimeout = 30 * time.Second
 
-func TestNewsOfABackendServerReachesEveryVM(t *testing.T) {
+func TestBackendStateReachesEveryVM(t *testing.T) {
 	nodes := startNodes(t, 4)
 	for _, n := range nodes {
-		require.Eventually(t, func() bool { return n.alive() == len(nodes) }, patience, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return n.alive() == len(nodes) }, testTimeout, 20*time.Millisecond)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -115,13 +115,13 @@
 		require.Eventually(t, func() bool {
 			b, ok := n.backend("e1")
 			return ok && b.TakesWork() && b.Serves("m") && b.Report.InFlight == 2 && b.Report.Fence == 5
-		}, patience, 20*time.Millisecond)
+		}, testTimeout, 20*time.Millisecond)
 	}
 	require.NoError(t, registry.Leave(ctx, "e1", 7))
 	for _, n := range nodes {
 		require.Eventually(t, func() bool {
 			b, _ := n.backend("e1")
 			return b.Leaving
-		}, patience, 20*time.Millisecond)
+		}, testTimeout, 20*time.Millisecond)
 	}
 }
--- a/laburnummembership/pull.go
+++ b/laburnummembership/pull.go
@@ -16,16 +16,16 @@
 	}
 	c.joinAt = now.Add(joinPeriod)
 	if c.joined {
-		c.joinAt = now.Add(healPeriod)
+		c.joinAt = now.Add(reconnectPeriod)
 	}
 	for _, address := range c.seeds {
-		if address != c.self.PeerAddress && !c.isAlive(address) {
+		if address != c.self.PeerAddress && !c.isLivingAddress(address) {
 			c.pull(address, nil)
 		}
 	}
 }
 
-func (c *core) isAlive(address string) bool {
+func (c *core) isLivingAddress(address string) bool {
 	for _, r := range c.vms.records {
 		if r.vm.PeerAddress == address && isLiving(r.vm.State) {
 			return true
@@ -34,24 +34,24 @@
 	return false
 }
 
-// heal tries one VM that is held down: after a cut each side holds the other down,
+// reconnectDown tries one VM that is held down: after a cut each side holds the other down,
 // and nobody would ever ask again.
-func (c *core) heal(now time.Time) {
-	if now.Before(c.healAt) || c.self.State == laburnumlever.VMLeft {
+func (c *core) reconnectDown(now time.Time) {
+	if now.Before(c.reconnectAt) || c.self.State == laburnumlever.VMLeft {
 		return
 	}
-	c.healAt = now.Add(healPeriod)
+	c.reconnectAt = now.Add(reconnectPeriod)
 	down := c.vms.sorted(func(r *vmRecord) bool { return r.vm.State == laburnumlever.VMDown })
 	if len(down) == 0 {
 		return
 	}
 	r := down[c.random.IntN(len(down))]
-	c.emit(send{Address: r.vm.PeerAddress, Method: methodGossip, Params: c.message(r, nil), Timeout: probeTimeout},
+	c.emit(send{Address: r.vm.PeerAddress, Method: methodGossip, Params: c.buildMessage(r, nil), Timeout: probeTimeout},
 		pending{vm: r.vm.ID})
 }
 
-// compare pulls what gossip missed, if the digests have differed for some time.
-func (c *core) compare(g gossip, address string, now time.Time) {
+// compareDigest pulls what gossip missed, if the digests have differed for some time.
+func (c *core) compareDigest(g gossip, address string, now time.Time) {
 	if g.Digest == c.digest.sum() {
 		// Not a reason to begin counting anew: the VMs of a zone may agree with each
 		// other and lack, together, what all the others have.
@@ -72,9 +72,9 @@
 	c.emit(send{Address: address, Method: methodSync, Params: request, Timeout: syncTimeout}, pending{})
 }
 
-// pulled takes the answer to a pull.
-func (c *core) pulled(token uint64, answer syncAnswer, now time.Time) {
-	if _, ok := c.settle(token); !ok {
+// pullAnswered takes the answer to a pull.
+func (c *core) pullAnswered(token uint64, answer syncAnswer, now time.Time) {
+	if _, ok := c.takePending(token); !ok {
 		return
 	}
 	c.joined = true
@@ -86,29 +86,29 @@
 	}
 	c.mergeFacts(n, now, relay, map[string]bool{})
 	if c.mergeVM(answer.From, now) {
-		c.facts.push(vmKey(answer.From.ID))
+		c.factQueue.push(vmKey(answer.From.ID))
 	}
 }
 
-// share answers a pull.
-func (c *core) share(request syncRequest, now time.Time) syncAnswer {
+// answerPull answers a pull.
+func (c *core) answerPull(request syncRequest, now time.Time) syncAnswer {
 	c.contactAt = now
 	if c.mergeVM(request.From, now) {
-		c.facts.push(vmKey(request.From.ID))
+		c.factQueue.push(vmKey(request.From.ID))
 	}
-	var found packedNews
-	room := syncBudget
+	var answer packedUpdates
+	remaining := syncBudget
 	whole := len(request.Buckets) != bucketCount*bucketBytes
 	for _, key := range c.factKeys() {
 		if !whole && !c.digest.differs(request.Buckets, bucketOf(bucketKey(key))) {
 			continue
 		}
-		if !whole && room < 0 {
+		if !whole && remaining < 0 {
 			break
 		}
-		room -= c.addShared(&found, key)
+		remaining -= c.addFullFact(&answer, key)
 	}
-	return syncAnswer{From: c.self, Packed: found.pack()}
+	return syncAnswer{From: c.self, Packed: answer.pack()}
 }
 
 // bucketKey is the key that a fact is digested under: an inventory counts with
@@ -134,24 +134,24 @@
 	}
 	first := c.random.IntN(len(backends))
 	for i := range backends {
-		id := backends[(first+i)%len(backends)].news.Backend
+		id := backends[(first+i)%len(backends)].state.Backend
 		keys = append(keys, announcementKey(id), inventoryKey(id))
 	}
 	return keys
 }
 
-// addShared adds a fact in full and returns its bytes.
-func (c *core) addShared(n *packedNews, key string) int {
+// addFullFact adds a fact in full and returns its bytes.
+func (c *core) addFullFact(n *packedUpdates, key string) int {
 	item, _ := c.fact(key)
 	if key[0] == 'i' {
-		item = c.backends.records[laburnumlever.BackendID(key[1:])].inventory()
+		item = c.backends.records[laburnumlever.BackendID(key[1:])].fullInventory()
 	}
 	switch v := item.(type) {
-	case backendNews:
+	case backendState:
 		n.Backends = append(n.Backends, v)
 	case laburnumlever.VM:
 		n.VMs = append(n.VMs, v)
-	case inventoryNews:
+	case inventoryUpdate:
 		if v.Sequence == 0 {
 			return 0
 		}
--- a/laburnummembership/latenews_test.go
+++ b/laburnummembership/staleupdates_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// restarted is a VM that knows the second start of a backend server.
-func restarted(t *testing.T) (*FleetVM, time.Time) {
+// newVMWithRestartedBackend is a VM that knows the second start of a backend server.
+func newVMWithRestartedBackend(t *testing.T) (*FleetVM, time.Time) {
 	t.Helper()
 	f := NewFleet(1, 1, 1)
 	n := f.VMs[0]
@@ -23,18 +23,18 @@
 // A backend server crashes and starts again elsewhere. An announcement of its first
 // life was held up and arrives afterwards. Taken, it would send callers to the address
 // of the dead process, which may be another's by now.
-func TestLateAnnouncementOfAnEarlierLifeIsRefused(t *testing.T) {
-	n, now := restarted(t)
+func TestAnnouncementOfEarlierIncarnationIsRefused(t *testing.T) {
+	n, now := newVMWithRestartedBackend(t)
 	late := laburnumlever.Announcement{Backend: "quote-1", Kind: laburnumlever.Engine, Incarnation: 1, Address: "10.0.9.1:9000"}
 	var stale *laburnumlever.StaleNewsError
 	require.ErrorAs(t, n.announce(late, now), &stale)
-	require.Equal(t, "10.0.9.2:9000", n.backends.records["quote-1"].news.Announcement.Address)
+	require.Equal(t, "10.0.9.2:9000", n.backends.records["quote-1"].state.Announcement.Address)
 }
 
 // The same with a load report: it would show the new process as holding what the old one
 // held, and as heard from though nothing came from it.
-func TestLateReportOfAnEarlierLifeIsRefused(t *testing.T) {
-	n, now := restarted(t)
+func TestReportOfEarlierIncarnationIsRefused(t *testing.T) {
+	n, now := newVMWithRestartedBackend(t)
 	late := laburnumlever.LoadReport{
 		Backend: "quote-1", Incarnation: 1, Sequence: 900, InFlight: 40,
 		Loaded: []laburnumlever.Loaded{{Model: "quotes", Version: "v1", Ready: true}},
@@ -47,25 +47,25 @@
 
 // The same with the word that it leaves: the new process would get no work for as long as
 // it lives.
-func TestLateLeaveOfAnEarlierLifeIsRefused(t *testing.T) {
-	n, now := restarted(t)
+func TestLeaveOfEarlierIncarnationIsRefused(t *testing.T) {
+	n, now := newVMWithRestartedBackend(t)
 	var stale *laburnumlever.StaleNewsError
 	require.ErrorAs(t, n.leaveBackend("quote-1", 1, now), &stale)
-	require.False(t, n.backends.records["quote-1"].news.Leaving)
+	require.False(t, n.backends.records["quote-1"].state.Leaving)
 }
 
 // A VM that was cut off goes on speaking for a backend server that tells another VM
 // meanwhile that it leaves. After the cut its news are the higher ones and say nothing of
 // leaving. Taken as they are, callers would be sent to a process that ends under them.
-func TestHigherNewsWithoutLeavingDoNotUndoIt(t *testing.T) {
-	n, now := restarted(t)
+func TestNewerStateWithoutLeavingDoesNotUndoIt(t *testing.T) {
+	n, now := newVMWithRestartedBackend(t)
 	require.NoError(t, n.leaveBackend("quote-1", 2, now))
 	r := n.backends.records["quote-1"]
-	higher := r.news
-	higher.Beat += 10
-	higher.Speaker = "vm-009"
+	higher := r.state
+	higher.StateVersion += 10
+	higher.Publisher = "vm-009"
 	higher.Leaving = false
 	n.backends.merge(higher, now)
-	require.True(t, r.news.Leaving)
-	require.Equal(t, higher.Beat, r.news.Beat)
+	require.True(t, r.state.Leaving)
+	require.Equal(t, higher.StateVersion, r.state.StateVersion)
 }
--- a/laburnummembership/transport.go
+++ b/laburnummembership/transport.go
@@ -27,8 +27,8 @@
 	o := outcome{token: s.Token, method: s.Method}
 	var result any = &o.gossip
 	switch s.Method {
-	case methodAsk:
-		result = &o.ask
+	case methodIndirectProbe:
+		result = &o.indirectProbe
 	case methodSync:
 		result = &o.sync
 	}
@@ -39,24 +39,24 @@
 	m.loop.Post(m, o)
 }
 
-// conclusion hands the end of a message to the step that it belongs to.
-func (c *core) conclusion(o outcome, now time.Time) {
+// handleOutcome hands the end of a message to the step that it belongs to.
+func (c *core) handleOutcome(o outcome, now time.Time) {
 	switch {
-	case o.method == methodAsk:
-		c.asked(o.token, o.ask, o.err, now)
+	case o.method == methodIndirectProbe:
+		c.indirectProbeAnswered(o.token, o.indirectProbe, o.err, now)
 	case o.err != nil:
-		c.failed(o.token, now)
+		c.exchangeFailed(o.token, now)
 	case o.method == methodGossip:
-		c.answered(o.token, o.gossip, now)
+		c.exchangeAnswered(o.token, o.gossip, now)
 	default:
-		c.pulled(o.token, o.sync, now)
+		c.pullAnswered(o.token, o.sync, now)
 	}
 }
 
 func (m *Membership) register() {
 	m.peers.Handle(methodGossip, m.handleGossip)
 	m.peers.Handle(methodSync, m.handleSync)
-	m.peers.Handle(methodAsk, m.handleAsk)
+	m.peers.Handle(methodIndirectProbe, m.handleIndirectProbe)
 	m.peers.Handle(methodDemand, m.handleDemand)
 }
 
@@ -66,7 +66,7 @@
 		return nil, errors.Wrap(err, "gossip")
 	}
 	answer := make(chan gossip, 1)
-	m.loop.Post(m, gossiped{message: message, answer: answer})
+	m.loop.Post(m, gossipReceived{message: message, answer: answer})
 	select {
 	case g := <-answer:
 		return g, nil
@@ -81,7 +81,7 @@
 		return nil, errors.Wrap(err, "sync")
 	}
 	answer := make(chan syncAnswer, 1)
-	m.loop.Post(m, pullAsked{request: request, answer: answer})
+	m.loop.Post(m, pullRequested{request: request, answer: answer})
 	select {
 	case s := <-answer:
 		return s, nil
@@ -90,18 +90,18 @@
 	}
 }
 
-// handleAsk probes a VM for another one.
-func (m *Membership) handleAsk(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
-	var request askRequest
+// handleIndirectProbe probes a VM for another one.
+func (m *Membership) handleIndirectProbe(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
+	var request indirectProbeRequest
 	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, errors.Wrap(err, "ask")
 	}
 	known := make(chan bool, 1)
-	m.loop.Post(m, reachAsked{target: request.Target, answer: known})
+	m.loop.Post(m, reachabilityRequested{target: request.Target, answer: known})
 	select {
 	case reached := <-known:
 		if reached {
-			return askAnswer{Reached: true}, nil
+			return indirectProbeAnswer{Reached: true}, nil
 		}
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -111,14 +111,14 @@
 	var answer gossip
 	// From is left empty: this asks only whether the target answers.
 	err := m.peers.Call(ctx, request.Address, methodGossip, gossip{To: request.Target}, &answer)
-	return askAnswer{Reached: err == nil && answer.From == request.Target}, nil
+	return indirectProbeAnswer{Reached: err == nil && answer.From == request.Target}, nil
 }
 
 func (m *Membership) handleDemand(_ context.Context, params laburnumlever.RawMessage) (any, error) {
-	var message demandNews
+	var message demandReport
 	if err := json.Unmarshal(params, &message); err != nil {
 		return nil, errors.Wrap(err, "demand")
 	}
-	m.loop.Post(m, demanded{message: message})
+	m.loop.Post(m, demandReceived{message: message})
 	return struct{}{}, nil
 }
--- a/laburnummembership/newsqueue.go
+++ b/laburnummembership/updatequeue.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// newsQueue holds the keys of what is to be passed on. An item is sent a limited
+// updateQueue holds the keys of what is to be passed on. An item is sent a limited
 // number of times and read from the tables only when it is sent, so that a message
 // always carries the newest state.
 //
@@ -10,15 +10,15 @@
 // (a cold start, a healed zone) the queue is longer than the bytes allow, and a leaving
 // that waited its turn behind it would come many seconds late. What is starved by
 // that is found by the digests.
-type newsQueue struct {
+type updateQueue struct {
 	order []string // the newest last
 	sends map[string]int
 }
 
-func newNewsQueue() *newsQueue { return &newsQueue{sends: map[string]int{}} }
+func newUpdateQueue() *updateQueue { return &updateQueue{sends: map[string]int{}} }
 
 // push queues a changed item as the newest.
-func (q *newsQueue) push(key string) {
+func (q *updateQueue) push(key string) {
 	if _, ok := q.sends[key]; ok {
 		q.order = slices.DeleteFunc(q.order, func(k string) bool { return k == key })
 	}
@@ -26,27 +26,27 @@
 	q.sends[key] = 0
 }
 
-// holds tells whether an item waits.
-func (q *newsQueue) holds(key string) bool {
+// contains tells whether an item waits.
+func (q *updateQueue) contains(key string) bool {
 	_, ok := q.sends[key]
 	return ok
 }
 
 // take goes through the queue once, the newest first. add tries to put an item into
 // the message and tells what became of it.
-func (q *newsQueue) take(limit int, add func(key string) taken) {
+func (q *updateQueue) take(limit int, add func(key string) addResult) {
 	var kept []string // the newest first, until it is turned round below
 	i := len(q.order) - 1
 	for ; i >= 0; i-- {
 		key := q.order[i]
-		verdict := add(key)
-		if verdict == takenFull {
+		result := add(key)
+		if result == addFull {
 			break
 		}
-		if verdict == takenSent {
+		if result == addSent {
 			q.sends[key]++
 		}
-		if verdict == takenGone || q.sends[key] >= limit {
+		if result == addGone || q.sends[key] >= limit {
 			delete(q.sends, key)
 			continue
 		}
@@ -56,12 +56,12 @@
 	q.order = append(q.order[:i+1], kept...)
 }
 
-// taken is what became of an item offered to a message.
-type taken int
+// addResult is what became of an item offered to a message.
+type addResult int
 
 const (
-	takenSent taken = iota
-	takenNot        // left for another message
-	takenGone       // no longer there
-	takenFull       // the message is full
+	addSent    addResult = iota
+	addSkipped           // left for another message
+	addGone              // no longer there
+	addFull              // the message is full
 )
--- a/laburnummembership/vmtable.go
+++ b/laburnummembership/vmtable.go
@@ -13,8 +13,8 @@
 	vm laburnumlever.VM
 	// deadline is when a suspected VM counts as down.
 	deadline time.Time
-	// accused says that this VM itself found it unreachable, and goes on asking it.
-	accused bool
+	// suspectedHere says that this VM itself found it unreachable, and goes on asking it.
+	suspectedHere bool
 	// changedAt is when its state last changed here.
 	changedAt time.Time
 	// contactAt is when it last sent a message itself.
@@ -25,12 +25,12 @@
 type vmTable struct {
 	records map[laburnumlever.VMID]*vmRecord
 	digest  *digest
-	// forgetAfter is how long a VM that is down is remembered and tried again.
-	forgetAfter time.Duration
+	// retention is how long a VM that is down is remembered and tried again.
+	retention time.Duration
 }
 
 func newVMTable(d *digest) *vmTable {
-	return &vmTable{records: map[laburnumlever.VMID]*vmRecord{}, digest: d, forgetAfter: vmForget}
+	return &vmTable{records: map[laburnumlever.VMID]*vmRecord{}, digest: d, retention: vmRetention}
 }
 
 // supersedesVM tells whether a is newer than b: a higher incarnation, or, at the
@@ -63,7 +63,7 @@
 	r.vm = vm
 	r.changedAt = now
 	r.deadline = now.Add(suspicion)
-	r.accused = false
+	r.suspectedHere = false
 	t.toggle(vm)
 	return true
 }
@@ -82,8 +82,8 @@
 	forgotten := false
 	for id, r := range t.records {
 		age := now.Sub(r.changedAt)
-		gone := r.vm.State == laburnumlever.VMDown && age > t.forgetAfter
-		left := r.vm.State == laburnumlever.VMLeft && age > vmForgetLeft
+		gone := r.vm.State == laburnumlever.VMDown && age > t.retention
+		left := r.vm.State == laburnumlever.VMLeft && age > leftVMRetention
 		if gone || left {
 			t.toggle(r.vm)
 			delete(t.records, id)
