--- a/laburnummembership/backends.go
+++ b/laburnummembership/backends.go
@@ -7,7 +7,8 @@
 	"laburnumlever"
 )
 
-// announce takes what a backend server says of itself directly.
+// announce handles an announcement that a backend server sent to this VM. It returns a
+// *StaleNewsError for an incarnation older than the known one.
 func (c *core) announce(a laburnumlever.Announcement, now time.Time) error {
 	r, ok := c.backends.records[a.Backend]
 	if ok && a.Incarnation < r.state.Incarnation {
@@ -37,7 +38,9 @@
 	c.factsChanged = true
 }
 
-// report takes a load report that a backend server sent directly.
+// report handles a load report that a backend server sent to this VM. It returns a
+// *NotFoundError for an incarnation not yet announced and a *StaleNewsError for an older
+// incarnation or a repeated sequence number.
 func (c *core) report(given laburnumlever.LoadReport, now time.Time) error {
 	r, ok := c.backends.records[given.Backend]
 	switch {
@@ -52,12 +55,12 @@
 	r.directSequence = given.Sequence
 	c.becomePublisher(r, now)
 	if given.Sequence < r.report.Sequence {
-		return nil // gossip was faster
+		return nil // gossip has already delivered a newer report
 	}
 	given.Loaded = sortedCopies(given.Loaded)
 	if r.state.Publisher != c.self.ID || given.Sequence <= r.inventorySequence {
-		// The inventory comes from the VM that speaks for it, with the sequence that
-		// belongs to it: changes could not be applied to a newer state.
+		// Only the publisher's inventory counts, together with its sequence number: deltas from
+		// the publisher could not be applied to a newer inventory.
 		given.Loaded, given.Fence = r.report.Loaded, r.report.Fence
 	}
 	changed := given.Fence != r.report.Fence || !reflect.DeepEqual(given.Loaded, r.report.Loaded)
@@ -81,9 +84,9 @@
 	c.queueLoad(r, now)
 }
 
-// queueLoad passes a load on: to the own zone if it is from there, and to all
-// zones less often. The intervals grow with the number of backend servers, since all
-// their rows share the same bytes.
+// queueLoad queues a load row for gossip: to this zone if the backend server belongs to it, and
+// less often to all zones. The intervals grow with the number of backend servers, because their
+// rows share a fixed number of bytes in each message.
 func (c *core) queueLoad(r *backendRecord, now time.Time) {
 	id := string(r.state.Backend)
 	all := len(c.backends.records)
@@ -108,7 +111,8 @@
 	return max(loadInterval, time.Duration(backends)*step)
 }
 
-// leaveBackend takes a backend server's word that it leaves.
+// leaveBackend handles a backend server's notice that it is leaving. Its errors are those of
+// report.
 func (c *core) leaveBackend(id laburnumlever.BackendID, incarnation uint64, now time.Time) error {
 	r, ok := c.backends.records[id]
 	switch {
@@ -132,8 +136,8 @@
 	c.factsChanged = true
 }
 
-// becomePublisher makes this VM the one that speaks for a backend server it hears, if
-// nobody alive does or what is said of it is wrong.
+// becomePublisher makes this VM the publisher of a backend server that is in contact with it,
+// if the backend server has no live publisher or is published as suspected or down.
 func (c *core) becomePublisher(r *backendRecord, now time.Time) {
 	if c.hasLivePublisher(r) && r.state.Health == healthHeard {
 		return
@@ -147,8 +151,8 @@
 	c.publishInventory(r, now)
 }
 
-// hasLivePublisher counts a suspected speaker as gone: if it is not, two VMs speak for a
-// moment, which costs only bytes.
+// hasLivePublisher counts a suspected publisher as gone. If it is alive after all, two VMs
+// publish for a moment, which costs only bytes.
 func (c *core) hasLivePublisher(r *backendRecord) bool {
 	if r.state.Publisher == c.self.ID {
 		return true
@@ -157,7 +161,7 @@
 	return ok && publisher.vm.State == laburnumlever.VMAlive
 }
 
-// mergeBackend takes in another VM's news of a backend server.
+// mergeBackend merges a backend server's state received from another VM.
 func (c *core) mergeBackend(n backendState, now time.Time, relay relayScope) {
 	if !c.backends.merge(n, now) {
 		return
@@ -165,8 +169,8 @@
 	c.factsChanged = true
 	r := c.backends.records[n.Backend]
 	if r.state.Publisher == c.self.ID && r.contactAt.IsZero() {
-		// Others believe that this VM hears it, perhaps since before a restart: wait
-		// for it as if it had just been heard.
+		// Other VMs hold this VM as the publisher, perhaps since before a restart: allow
+		// the backend server as much time as after a contact.
 		c.backends.recordContact(r, now)
 	}
 	if c.inContact(r, now) {
@@ -186,8 +190,9 @@
 	return !r.contactAt.IsZero() && now.Sub(r.contactAt) < backendTimeout
 }
 
-// checkBackendHealth doubts and declares down the backend servers that this VM speaks
-// for and no longer hears, and takes over those whose speaker is gone.
+// checkBackendHealth marks backend servers that this VM publishes as suspected and then as down
+// once they lose contact, and takes over publishing those in contact that have no live
+// publisher.
 func (c *core) checkBackendHealth(now time.Time) {
 	for _, r := range selected(c.backends.direct, func(r *backendRecord) bool { return c.needsHealthCheck(r, now) }) {
 		silence := now.Sub(r.contactAt)
@@ -202,9 +207,9 @@
 	}
 }
 
-// repeatLoads sends the last load of a backend server that has stopped reporting
-// once more. A row is passed on a few times only, since a newer one follows; after
-// the last one of all, the VMs that it missed would show an older load for good.
+// repeatLoads sends the last load row of a backend server that has stopped reporting once more.
+// Each row is sent only a few times because a newer one normally follows; without the repeat,
+// VMs that missed the very last row would keep an older load indefinitely.
 func (c *core) repeatLoads(now time.Time) {
 	quiet := func(r *backendRecord) bool {
 		return r.state.Publisher == c.self.ID && r.report.Sequence > 0 &&
@@ -236,8 +241,8 @@
 	c.publishStatus(r.state.Backend)
 }
 
-// isDown is this VM's own view: declared down, or spoken for by a VM that is gone
-// while nobody else has heard it.
+// isDown tells whether this VM counts the backend server as down: its published health is down,
+// or its publisher is gone and no other VM has taken over within orphanTimeout.
 func (c *core) isDown(r *backendRecord, now time.Time) bool {
 	if r.state.Health == healthDown {
 		return true
@@ -247,12 +252,12 @@
 	}
 	since := r.updatedAt
 	if publisher, ok := c.vms.records[r.state.Publisher]; ok && publisher.changedAt.After(since) {
-		since = publisher.changedAt // another VM needs time to take over
+		since = publisher.changedAt // gives another VM time to take over
 	}
 	return now.Sub(since) > orphanTimeout
 }
 
-// backendList is what the view shows.
+// backendList returns the known backend servers in order of their id.
 func (c *core) backendList(now time.Time) []laburnumlever.Backend {
 	records := c.backends.sorted()
 	out := make([]laburnumlever.Backend, len(records))
--- a/laburnummembership/backendtable.go
+++ b/laburnummembership/backendtable.go
@@ -8,37 +8,40 @@
 	"laburnumlever"
 )
 
-// backendRecord is one backend server.
+// backendRecord is what this VM knows about one backend server.
 type backendRecord struct {
 	state  backendState
 	report laburnumlever.LoadReport
-	// reportedAt is when the report was learnt.
+	// reportedAt is when the report arrived here.
 	reportedAt time.Time
-	// inventorySequence is that of the last inventory made news.
+	// inventorySequence is the report sequence number of the inventory last published or
+	// received.
 	inventorySequence uint64
-	// delta is that news as a change, for passing on; without a Base there is none.
+	// delta is that inventory as a delta, for gossip. Base 0 means that there is no delta.
 	delta inventoryUpdate
-	// baseline is what the VM that speaks for it makes changes against.
+	// baseline is the inventory against which the publisher computes deltas.
 	baseline inventoryBaseline
-	// contactAt is when it was last heard directly, directSequence its report then.
+	// contactAt is when the backend server last contacted this VM directly, and directSequence
+	// the sequence number of its last direct report.
 	contactAt      time.Time
 	directSequence uint64
-	// updatedAt is when anything new was learnt of it.
+	// updatedAt is when anything about it last changed here, load included; changedAt is when
+	// its state last changed.
 	updatedAt time.Time
 	changedAt time.Time
-	// nearQueuedAt and farQueuedAt are when its load was last queued for the own zone and
-	// for others.
+	// nearQueuedAt and farQueuedAt are when its load was last queued for this zone and for the
+	// others.
 	nearQueuedAt, farQueuedAt time.Time
 }
 
-// backendTable holds the backend servers.
+// backendTable holds the known backend servers.
 type backendTable struct {
 	records map[laburnumlever.BackendID]*backendRecord
 	byKey   map[uint64]*backendRecord
 	digest  *digest
-	// direct are those ever heard directly; only these are judged at each tick.
+	// direct holds those that have contacted this VM; only these are checked at each tick.
 	direct map[laburnumlever.BackendID]*backendRecord
-	// zones counts them by availability zone.
+	// zones counts the backend servers of each availability zone.
 	zones map[laburnumlever.ZoneName]int
 }
 
@@ -52,8 +55,8 @@
 	}
 }
 
-// supersedes tells whether a changes what b says. Leaving is not compared here:
-// it is sticky within an incarnation.
+// supersedes tells whether a is newer than b. Leaving is not compared: once set, it stays set
+// for the incarnation.
 func (a backendState) supersedes(b backendState) bool {
 	switch {
 	case a.Incarnation != b.Incarnation:
@@ -67,7 +70,7 @@
 	}
 }
 
-// merge takes in news and tells whether it changed anything.
+// merge merges a state received from another VM and tells whether it changed anything.
 func (t *backendTable) merge(n backendState, now time.Time) bool {
 	r, ok := t.records[n.Backend]
 	if !ok || n.Incarnation > r.state.Incarnation {
@@ -91,8 +94,9 @@
 	return true
 }
 
-// startIncarnation starts the record of an incarnation. What an earlier one reported is
-// dropped: the restarted engine holds nothing of it.
+// startIncarnation creates the record of a new incarnation and drops the reports of the
+// previous one: a restarted engine holds none of its copies. It returns false for a state
+// without an announcement and for an unknown backend server that is leaving or down.
 func (t *backendTable) startIncarnation(n backendState, now time.Time) bool {
 	old, known := t.records[n.Backend]
 	if n.Announcement == nil || (!known && (n.Leaving || n.Health == healthDown)) {
@@ -118,7 +122,7 @@
 	t.toggle(r)
 }
 
-// mergeLoad takes in one load row; a late one changes nothing.
+// mergeLoad merges one load row and tells whether it was newer than the known one.
 func (t *backendTable) mergeLoad(r *backendRecord, row loadRow, now time.Time) bool {
 	if row.sequence <= r.report.Sequence {
 		return false
@@ -139,7 +143,8 @@
 	delete(t.byKey, loadKey(r.state.Backend, r.state.Incarnation))
 }
 
-// toggle leaves a doubt out of the digest: it passes within a second.
+// toggle adds the backend server's state to the digest or removes it. Suspicion is left out, as
+// it lasts less than a second.
 func (t *backendTable) toggle(r *backendRecord) {
 	key := backendKey(r.state.Backend)
 	status := uint64(0)
@@ -156,14 +161,14 @@
 	return selected(t.records, func(*backendRecord) bool { return true })
 }
 
-// recordContact notes that a backend server was heard directly.
+// recordContact notes that the backend server contacted this VM directly.
 func (t *backendTable) recordContact(r *backendRecord, now time.Time) {
 	r.contactAt = now
 	t.direct[r.state.Backend] = r
 }
 
-// selected lists some of the records by id, so that the same seed gives the same
-// run.
+// selected returns the records that keep accepts, sorted by id so that runs with the same seed
+// are reproducible.
 func selected(records map[laburnumlever.BackendID]*backendRecord, keep func(*backendRecord) bool) []*backendRecord {
 	var out []*backendRecord
 	for _, r := range records {
--- a/laburnummembership/bench_test.go
+++ b/laburnummembership/bench_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sizes are the fleets measured; LABURNUM_VMS limits a run to some of them.
+// sizes returns the fleet sizes to measure, from LABURNUM_VMS.
 func sizes(t *testing.T) []int {
 	t.Helper()
 	chosen := os.Getenv("LABURNUM_VMS")
@@ -34,8 +34,8 @@
 	return out
 }
 
-// fleetOf is a fleet of design proportions: 2,100 engines to 780 VMs in 7 zones,
-// each engine with two VMs of its zone as addresses, three loads a second at most.
+// fleetOf returns a fleet with the proportions of the design: 2,100 engines to 780 VMs in 7
+// zones, each engine with the addresses of two VMs of its zone.
 func fleetOf(vms int) (*fleet, []*laburnummembership.Engine) {
 	zones := min(7, max(2, vms/2))
 	f := laburnummembership.NewFleet(vms, zones, 1)
@@ -53,12 +53,13 @@
 	return f, engines
 }
 
-// changesPerSecond are changes of engines' inventories in the whole fleet: three
-// loads a second, the larger of today's weight stores, each seen to begin and to end.
+// changesPerSecond is the number of inventory changes in the whole fleet: three loads a second,
+// the limit of the larger of today's weight stores, each with a change at its start and its
+// end.
 const changesPerSecond = 6
 
-// TestMeasureCost is a measurement, not a check: it prints what
-// docs/membership-measures.md records.
+// TestMeasureCost is a measurement, not a check. Its results are recorded in
+// docs/membership-measures.md.
 func TestMeasureCost(t *testing.T) {
 	for _, vms := range sizes(t) {
 		t.Run(strconv.Itoa(vms), func(t *testing.T) { measure(t, vms) })
@@ -150,8 +151,8 @@
 	return m.HeapAlloc
 }
 
-// TestMeasureProcess measures VMs with real sockets in one process: what links and
-// the kernel add to the steps. Two engines to each VM announce and report.
+// TestMeasureProcess measures VMs with real sockets in one process, to include the cost of
+// connections and the kernel. Two engines for each VM announce and report.
 func TestMeasureProcess(t *testing.T) {
 	for _, count := range sizes(t) {
 		nodes := startNodes(t, count)
--- a/laburnummembership/config.go
+++ b/laburnummembership/config.go
@@ -7,72 +7,75 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// The defaults; docs/design/membership.md has the measurements behind them.
+// The defaults. The measurements behind them are in docs/design/membership.md.
 const (
 	tickPeriod = 200 * time.Millisecond
-	// probeTimeout is many times a round trip between zones, and short enough
-	// that a probe, its indirect ones and a suspicion end within seconds.
+	// probeTimeout is many times a round trip between zones, yet short enough for a probe, its
+	// indirect probes and a suspicion to end within seconds.
 	probeTimeout = 500 * time.Millisecond
-	// indirectProbeTimeout leaves the helper a probeTimeout of its own.
+	// indirectProbeTimeout leaves the helper VM one probeTimeout for its own probe.
 	indirectProbeTimeout = 900 * time.Millisecond
 	syncTimeout          = 3 * time.Second
 	indirectProbes       = 3
-	// pauseThreshold is how late a tick shows that this process was paused.
+	// pauseThreshold is the time between two ticks above which this process is taken to have
+	// been paused.
 	pauseThreshold = time.Second
-	// suspicionBase and suspicionStep (for each doubling of the fleet) give a
-	// suspected VM the time to hear of it and to refute.
+	// suspicionBase, plus suspicionStep for each doubling of the fleet, is the time that a
+	// suspected VM has to learn of the suspicion and refute it.
 	suspicionBase = 1500 * time.Millisecond
 	suspicionStep = 500 * time.Millisecond
-	// remoteSuspicionFactor stretches the suspicion on VMs that only heard of it.
+	// remoteSuspicionFactor lengthens the suspicion on VMs that learned of it from another VM.
 	remoteSuspicionFactor = 1.5
-	// maxReprobes bounds the accused VMs asked again at one tick.
+	// maxReprobes limits how many suspected VMs are probed again per tick.
 	maxReprobes = 4
-	// recentContact is how recent a message from others must be to show that this
-	// VM is not cut off.
+	// recentContact is how recent another VM's message must be to show that this VM is not cut
+	// off.
 	recentContact    = 1500 * time.Millisecond
 	reconnectPeriod  = 2 * time.Second
 	joinPeriod       = time.Second
 	vmRetention      = 6 * time.Hour
 	leftVMRetention  = 10 * time.Minute
 	backendRetention = 10 * time.Minute
-	// backendTimeout is two announcements and four reports missed, and some.
+	// backendTimeout allows for two missed announcements and four missed reports, with a
+	// margin.
 	backendTimeout = 2200 * time.Millisecond
-	// backendSuspicion is how long others have to say that they still hear it.
+	// backendSuspicion is how long another VM has to publish that it is still in contact with a
+	// suspected backend server.
 	backendSuspicion = 800 * time.Millisecond
-	// orphanTimeout is how long a backend server whose speaker is down may be
-	// without any news before it counts as down here.
+	// orphanTimeout is how long a backend server whose publisher is down may go without updates
+	// before it counts as down here.
 	orphanTimeout = 5 * time.Second
-	// The budgets bound the bytes of each kind of news in one message.
+	// The budgets limit the bytes of each kind of update in one message.
 	factBudget = 500
-	bulkBudget = 4 << 10 // before compression, which makes a seventh of it
+	bulkBudget = 4 << 10 // before compression, which reduces it to about a seventh
 	loadBudget = 450     // before base64, which adds a third
-	// factSends is how often a fact is passed on, for each doubling of the fleet.
+	// factSends is how many times a fact is sent, for each doubling of the fleet.
 	factSends = 1.5
-	// bulkSends is lower, as bulky news costs more and a pull finds what was missed.
+	// bulkSends is lower because these updates are large, and a pull finds what a VM missed.
 	bulkSends = 0.7
-	// minSends keeps a small fleet from missing news: partners are few, and some sends go
-	// to VMs that know it already.
+	// minSends keeps VMs of a small fleet from missing updates: there are few partners, and
+	// some messages go to VMs that already know the update.
 	minSends = 6
-	// loadSends is fixed: a row reaches nineteen in twenty, and the rest with the
-	// next one; more sends would push out newer rows.
+	// loadSends does not grow with the fleet: a row reaches 95% of the VMs, and the rest get
+	// the next row. More repeats would displace newer rows.
 	loadSends = 3
-	// loadInterval is the least time between two load rows of a backend server;
-	// it grows with the number of them, by nearLoadStep in the own zone and by
-	// farLoadStep for the others, so that the bytes stay constant.
+	// loadInterval is the minimum time between two load rows of one backend server. It grows
+	// with their number, by nearLoadStep within the zone and farLoadStep for the other zones,
+	// so that the bytes sent stay constant.
 	loadInterval = 400 * time.Millisecond
 	nearLoadStep = 5 * time.Millisecond
 	farLoadStep  = 14 * time.Millisecond
-	// loadRepeatDelay is how long a load stays unreported before it is sent again.
+	// loadRepeatDelay is how long after the last report its load row is sent again.
 	loadRepeatDelay = 2 * time.Second
-	// syncMismatches is how many exchanges must show another digest before a pull:
-	// fewer, and news still on its way would be pulled as missed.
+	// syncMismatches is how many exchanges must show a different digest before a pull. With
+	// fewer, a VM would pull updates that are still being gossiped.
 	syncMismatches = 5
 	syncPeriod     = time.Second
-	// syncStep stretches syncPeriod for each VM known: the more there are, the more
-	// news is on its way at any time, and a pull for that is wasted.
+	// syncStep lengthens syncPeriod for each known VM: in a larger fleet more updates are in
+	// transit at any time, and a pull for those is wasted.
 	syncStep   = 30 * time.Millisecond
 	syncBudget = 512 << 10 // before compression
-	// relayLimit is how many items learnt by one sync are passed on as news.
+	// relayLimit is the largest number of items learned from one pull that are gossiped on.
 	relayLimit = 50
 )
 
@@ -83,7 +86,7 @@
 	seed   uint64
 }
 
-// Option changes a new membership.
+// Option configures a Membership.
 type Option func(*config)
 
 func newConfig(opts []Option) config {
@@ -94,15 +97,15 @@
 	return cfg
 }
 
-// WithSeeds sets the peer addresses of VMs to join through. They are also tried
-// again while no VM that is alive has them.
+// WithSeeds sets the peer addresses of the VMs to join through. An address is tried again
+// whenever no living VM is known to have it.
 func WithSeeds(addresses []string) Option { return func(c *config) { c.seeds = addresses } }
 
-// WithLogger sets the log; without it nothing is logged.
+// WithLogger sets the logger; the default discards everything.
 func WithLogger(logger log.Logger) Option { return func(c *config) { c.logger = logger } }
 
-// WithScope sets where counters go; without it they go nowhere.
+// WithScope sets the scope for counters; the default discards them.
 func WithScope(scope tally.Scope) Option { return func(c *config) { c.scope = scope } }
 
-// WithRandomSeed makes the choice of partners the same in every run.
+// WithRandomSeed makes the choice of gossip partners reproducible. 0 stands for a random seed.
 func WithRandomSeed(seed uint64) Option { return func(c *config) { c.seed = seed } }
--- a/laburnummembership/core.go
+++ b/laburnummembership/core.go
@@ -9,7 +9,8 @@
 	"laburnumlever"
 )
 
-// send is a message that a step asks for. Its outcome comes back with the token.
+// send is an outgoing message. The outcome of a call carries its Token; Token 0 marks a
+// notification, which has none.
 type send struct {
 	Address string
 	Method  string
@@ -18,8 +19,8 @@
 	Timeout time.Duration
 }
 
-// core is the whole decision code: no goroutine, no network, no clock. Each method
-// is a step; what it wants sent collects in out.
+// core makes all decisions, without goroutines, network or clock. Messages to be sent collect
+// in outbox.
 type core struct {
 	self     laburnumlever.VM
 	seeds    []string
@@ -29,7 +30,7 @@
 	backends *backendTable
 	demand   *demandTable
 
-	factQueue     *updateQueue // VMs and the states of backend servers: small and urgent
+	factQueue     *updateQueue // VMs and backend states: small and urgent
 	bulkQueue     *updateQueue // announcements and inventories
 	nearLoadQueue *updateQueue
 	farLoadQueue  *updateQueue
@@ -37,11 +38,11 @@
 	outbox      []send
 	token       uint64
 	pending     map[uint64]pending
-	farPartners []laburnumlever.VMID // the far partners still to come in this round
+	farPartners []laburnumlever.VMID // remaining partners of the current round through all VMs
 	ticks       uint64
 	lastTickAt  time.Time
 	started     time.Time
-	// contactAt is when any VM last sent this one a message.
+	// contactAt is when this VM last received a message from another VM.
 	contactAt   time.Time
 	reconnectAt time.Time
 	joinAt      time.Time
@@ -54,7 +55,7 @@
 	loadsChanged bool
 }
 
-// pending is a message sent whose outcome is still to come.
+// pending is a call whose outcome has not arrived yet.
 type pending struct {
 	vm      laburnumlever.VMID
 	address string
@@ -63,7 +64,8 @@
 
 func newCore(self laburnumlever.VM, seeds []string, now time.Time, random *rand.Rand) *core {
 	if self.Incarnation == 0 {
-		// Start times order the incarnations of a VM without a disk.
+		// A VM without a disk has no counter to continue, so the start time serves as its
+		// incarnation.
 		self.Incarnation = uint64(now.UnixMilli())
 	}
 	self.State = laburnumlever.VMAlive
@@ -90,7 +92,7 @@
 
 func (c *core) toggleSelf() { c.vms.toggle(c.self) }
 
-// setSelf changes what the VM says of itself, under a new incarnation.
+// setSelf changes this VM's own record, under a new incarnation if anything differs.
 func (c *core) setSelf(next laburnumlever.VM) {
 	next.ID = c.self.ID
 	next.Incarnation = c.self.Incarnation
@@ -105,12 +107,11 @@
 	c.factsChanged = true
 }
 
-// refute raises the own incarnation above what others say of this VM. What they
-// say may come from an earlier start, so the number may be higher than the own.
+// refute raises this VM's incarnation above that of another VM's claim about it. The claim may
+// date from before a restart, so its incarnation may be higher than the current one.
 func (c *core) refute(claimed laburnumlever.VM) {
 	if claimed.Incarnation < c.self.Incarnation {
-		// The refutation was lost on its way to whoever says this, and by now may
-		// have been sent as often as news is.
+		// The sender missed the refutation, which may have used up its sends by now.
 		c.factQueue.push(vmKey(c.self.ID))
 		return
 	}
@@ -124,7 +125,7 @@
 	c.factsChanged = true
 }
 
-// leave tells the others that this VM stops for good.
+// leave announces that this VM stops for good.
 func (c *core) leave() {
 	next := c.self
 	next.State = laburnumlever.VMLeft
@@ -136,11 +137,11 @@
 	}
 }
 
-// leaveMessages is how many VMs are told of the leaving at once: enough that the
-// news goes on even if some of them are just lost.
+// leaveMessages is how many VMs are notified at once of this VM's leaving: enough for the
+// update to spread even if some messages are lost.
 const leaveMessages = 4
 
-// tick does the periodic work.
+// tick runs the periodic work: timeouts, failure detection, gossip and demand.
 func (c *core) tick(now time.Time) {
 	if pause := now.Sub(c.lastTickAt); pause > pauseThreshold {
 		c.resumeAfterPause(now, pause)
@@ -158,10 +159,10 @@
 	c.sendDemand(now)
 }
 
-// resumeAfterPause guards against this VM's own pause (SIGSTOP, a starved or moved VM): on
-// waking, every answer is late and every deadline over, and without it the VM
-// would declare all the others and its backend servers down. So all it waited for is
-// dropped and its deadlines move on by the pause.
+// resumeAfterPause discards pending calls and moves the deadlines by the length of a pause of
+// this VM (SIGSTOP, CPU starvation, live migration). Without it, all answers would be late and
+// all deadlines over on resumption, and this VM would mark all other VMs and its backend
+// servers as down.
 func (c *core) resumeAfterPause(now time.Time, pause time.Duration) {
 	c.pending = map[uint64]pending{}
 	c.contactAt = now
@@ -195,7 +196,7 @@
 	}
 }
 
-// emit asks for a message to be sent.
+// emit queues a call and registers it as pending.
 func (c *core) emit(s send, p pending) {
 	c.token++
 	s.Token = c.token
@@ -204,7 +205,7 @@
 	c.outbox = append(c.outbox, s)
 }
 
-// vmList is what the view shows, this VM included.
+// vmList returns the known VMs, this one included, in order of their id.
 func (c *core) vmList() []laburnumlever.VM {
 	records := c.vms.sorted(func(*vmRecord) bool { return true })
 	out := make([]laburnumlever.VM, 0, len(records)+1)
@@ -217,7 +218,7 @@
 	return slices.Insert(out, at, c.self)
 }
 
-// drainOutbox returns what the steps since the last call want sent.
+// drainOutbox returns the messages queued since the last call and empties the outbox.
 func (c *core) drainOutbox() []send {
 	out := c.outbox
 	c.outbox = nil
--- a/laburnummembership/demand.go
+++ b/laburnummembership/demand.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// demandPeriod is how often demand goes to the VMs that place.
+	// demandPeriod is how often demand is sent to the zone owners.
 	demandPeriod = time.Second
-	// demandStep stretches demandPeriod for each VM known: 39 s at 780 VMs, where
-	// demand moves tenfold within an hour.
+	// demandStep lengthens demandPeriod for each known VM: 39 s with 780 VMs, where demand
+	// changes tenfold within an hour.
 	demandStep = 50 * time.Millisecond
-	// demandSmallFleet is the number of VMs up to which all owners get all demand.
+	// demandSmallFleet is the number of VMs up to which every zone owner gets every VM's
+	// demand.
 	demandSmallFleet = 50
-	// demandMaxPeriods is after how long without news a VM's demand no longer counts, in
-	// periods.
+	// demandMaxPeriods is the number of periods without a report after which a VM's demand no
+	// longer counts.
 	demandMaxPeriods = 15
 )
 
@@ -44,7 +45,7 @@
 	t.dirty = true
 }
 
-// merge takes in another VM's demand; late ones change nothing.
+// merge stores another VM's demand, unless it is older than a known one that has not expired.
 func (t *demandTable) merge(n demandReport, now time.Time) {
 	known := t.others[n.From]
 	if len(n.Rows) > 0 && len(known.rows) > 0 && n.Rows[0].Sequence < known.rows[0].Sequence && now.Sub(known.at) < t.maxAge() {
@@ -53,7 +54,8 @@
 	t.others[n.From] = vmDemand{rows: n.Rows, at: now}
 }
 
-// maxAge follows the period, which the number of those that send sets.
+// maxAge is a multiple of the sending period, estimated from the number of VMs that send demand
+// here.
 func (t *demandTable) maxAge() time.Duration {
 	return demandMaxPeriods * max(demandPeriod, time.Duration(len(t.others))*demandStep)
 }
@@ -81,10 +83,10 @@
 	c.loadsChanged = true
 }
 
-// sendDemand sends the own demand to the VMs that place: in a small fleet to all of
-// them, else to that of the own zone, which most requests stay in. The period grows
-// with the fleet: an owner would else get hundreds of demands of hundreds of models
-// each second.
+// sendDemand sends this VM's demand to the zone owners: to all of them in a small fleet,
+// otherwise to the owner of this zone, where most requests stay. The period grows with the
+// fleet; otherwise an owner would receive hundreds of reports of hundreds of models each
+// second.
 func (c *core) sendDemand(now time.Time) {
 	period := max(demandPeriod, time.Duration(len(c.vms.records))*demandStep)
 	if !c.demand.dirty || now.Sub(c.demand.sentAt) < period {
--- a/laburnummembership/digest.go
+++ b/laburnummembership/digest.go
@@ -9,25 +9,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bucketCount splits the facts for comparison. A pull names all buckets by
-// bucketBytes each and gets the facts of those that differ: while news is on its way
-// about ten do, of five facts each in a fleet of 780 VMs with 2,100 engines.
+// bucketCount is the number of groups in which facts are compared. A pull sends bucketBytes for
+// each bucket and receives the facts of those that differ: with 780 VMs and 2,100 engines about
+// ten buckets of five facts each, while updates are in transit.
 const bucketCount = 512
 
-// bucketBytes is enough to tell two states of one bucket apart.
+// bucketBytes is enough to distinguish two states of one bucket.
 const bucketBytes = 4
 
-// loadKeyBits is the width of a load key: two of 2,100 backend servers share one with
-// a chance of two in a million, and JSON readers keep it exact.
+// loadKeyBits is the width of a load key. Among 2,100 backend servers, two share a key with a
+// probability of two in a million; JSON readers keep 40 bits exact.
 const loadKeyBits = 40
 
-// digest is a hash of all facts, kept up to date fact by fact.
+// digest is a hash of all facts, updated incrementally.
 type digest struct {
 	buckets [bucketCount]uint64
 	total   uint64
 }
 
-// toggle adds a fact's hash or, called again, takes it out.
+// toggle adds a fact's hash or, if it is present, removes it.
 func (d *digest) toggle(key string, hash uint64) {
 	d.buckets[bucketOf(key)] ^= hash
 	d.total ^= hash
@@ -35,7 +35,7 @@
 
 func (d *digest) sum() uint64 { return d.total }
 
-// pack is the buckets for a pull.
+// pack encodes the buckets for a pull.
 func (d *digest) pack() []byte {
 	packed := make([]byte, 0, bucketCount*bucketBytes)
 	for _, b := range d.buckets {
@@ -44,7 +44,7 @@
 	return packed
 }
 
-// differs tells whether a bucket is not as in a packed digest.
+// differs tells whether a bucket differs from that of a packed digest.
 func (d *digest) differs(packed []byte, bucket int) bool {
 	return binary.BigEndian.Uint32(packed[bucket*bucketBytes:]) != uint32(d.buckets[bucket])
 }
@@ -61,7 +61,7 @@
 	return xxhash.Sum64(text)
 }
 
-// loadKey stands for a backend server's incarnation in load rows.
+// loadKey identifies an incarnation of a backend server in load rows.
 func loadKey(id laburnumlever.BackendID, incarnation uint64) uint64 {
 	return hashFields(string(id), incarnation) >> (64 - loadKeyBits)
 }
--- a/laburnummembership/doc.go
+++ b/laburnummembership/doc.go
@@ -1,5 +1,5 @@
-// Package laburnummembership keeps what a VM knows of the other entry VMs and of
-// the backend servers, and spreads it.
+// Package laburnummembership tracks the entry VMs and the backend servers and spreads
+// their state among the entry VMs by gossip.
 //
 // # Usage
 //
@@ -8,28 +8,29 @@
 //	m.Start()
 //	err := m.Announce(ctx, announcement) // any goroutine: from the backends listener
 //	view.VMs, view.Backends = m.VMs(), m.Backends() // control thread
-//	m.Leave()
+//	m.LeaveFleet()
 //
-// The decisions are in a core without goroutines, network or clock: it takes a
-// tick, a message or an announcement with the time and returns what to send.
+// All decisions are made in a core without goroutines, network or clock: it is given a
+// tick, a message or an announcement with the time, and queues the messages to send.
 //
-// # What is spread, and how
+// # Gossip
 //
-// Each VM starts one exchange a tick with one other VM, in turn near (own zone) and
-// far. The exchange is the probe too: an answer proves that the other is alive. Both
-// messages carry news within a fixed number of bytes, facts first, so a node's cost
-// does not grow with the fleet; what grows is how old the load of far
-// backend servers is. What gossip missed is found by comparing digests and pulled.
+// At each tick a VM starts one exchange with another VM, alternating between VMs of its
+// own zone and all VMs. The exchange is also the probe: an answer proves that the other VM
+// is alive. Both messages carry updates within a fixed number of bytes, facts (the states
+// of VMs and backend servers) before load. So the cost of a VM does not grow with the fleet;
+// only the age of the load of distant backend servers does. VMs compare digests of their
+// facts and pull what gossip missed.
 //
-// # Failures
+// # Failure detection
 //
-// A VM that does not answer is probed through others; only if one of these says
-// that it does not reach it either is it suspected, and only if it does not refute
-// that with a higher incarnation is it down. So one broken link, in one direction or
-// both, takes nobody down. A VM whose own clock shows that it was paused
-// drops all it was about to conclude.
+// A VM that does not answer is probed indirectly through other VMs. It is suspected only if
+// one of these reports that it can't reach it either, and marked as down only if it does
+// not refute the suspicion with a higher incarnation. So a single broken link, in one
+// direction or both, marks no VM as down. A VM whose clock shows that it was paused
+// discards its pending probes and extends its deadlines by the pause.
 //
-// Every backend server has one VM that speaks for it, among those that hear it
-// directly. When that VM no longer hears it, it asks the others by a suspicion; one
-// that does hear it takes over.
+// Each backend server has one publisher: a VM in direct contact with it that publishes its
+// state. When the publisher loses contact it marks the backend server as suspected; another
+// VM that is still in contact then takes over as publisher.
 package laburnummembership
--- a/laburnummembership/events.go
+++ b/laburnummembership/events.go
@@ -32,7 +32,7 @@
 
 	demandReceived struct{ message demandReport }
 
-	// outcome is the end of a message that this VM sent.
+	// outcome is the result of a call to another VM.
 	outcome struct {
 		token         uint64
 		method        string
--- a/laburnummembership/exchange.go
+++ b/laburnummembership/exchange.go
@@ -8,8 +8,8 @@
 	"laburnumlever"
 )
 
-// gossipOnce starts this tick's exchange: near and far in turn, so that both the
-// own zone's load and the facts of all get their share.
+// gossipOnce starts this tick's exchange. Partners in this zone and partners among all VMs
+// alternate, so that both the zone's load and the facts of all VMs get a share of the messages.
 func (c *core) gossipOnce() {
 	if c.ticks%2 == 0 {
 		if id, ok := c.pickNear(); ok {
@@ -30,8 +30,8 @@
 	return near[c.random.IntN(len(near))].vm.ID, true
 }
 
-// nextFar goes through all VMs in a random order before any comes again, so that
-// each is probed within a bounded time.
+// nextFar returns the next VM of a shuffled round through all living VMs, so that each is
+// probed within a bounded time.
 func (c *core) nextFar() (laburnumlever.VMID, bool) {
 	for range 2 {
 		for len(c.farPartners) > 0 {
@@ -49,7 +49,7 @@
 	return "", false
 }
 
-// exchange sends news to a VM and probes it by that.
+// exchange sends updates to a VM. The call is also a probe.
 func (c *core) exchange(id laburnumlever.VMID) {
 	r := c.vms.records[id]
 	p := &probe{target: id, incarnation: r.vm.Incarnation}
@@ -58,7 +58,8 @@
 		pending{vm: id, probe: p})
 }
 
-// buildMessage builds a buildMessage for a VM, or for a stranger if r is nil.
+// buildMessage builds a message for a VM, or for an unknown sender if r is nil. skip holds the
+// keys of updates to leave out.
 func (c *core) buildMessage(r *vmRecord, skip map[string]bool) gossip {
 	g := gossip{From: c.self.ID, Digest: c.digest.sum()}
 	if r == nil {
@@ -73,10 +74,10 @@
 	return g
 }
 
-// receive takes in another VM's message and answers it.
+// receive merges another VM's message and returns the answer.
 func (c *core) receive(g gossip, now time.Time) gossip {
 	if g.To != "" && g.To != c.self.ID {
-		// The sender wants whoever had this address before: let it see that by From.
+		// The sender means the VM that had this address before; From in the answer tells it.
 		return gossip{From: c.self.ID, Digest: c.digest.sum()}
 	}
 	c.contactAt = now
@@ -89,7 +90,7 @@
 	return c.buildMessage(r, skip)
 }
 
-// mergeMessage takes in a message's content and returns the keys of its news.
+// mergeMessage merges a message and returns the keys of the updates in it.
 func (c *core) mergeMessage(g gossip, now time.Time) map[string]bool {
 	if g.Receiver != nil {
 		c.refute(*g.Receiver)
@@ -100,7 +101,7 @@
 	return c.mergeUpdates(*g.Updates, now)
 }
 
-// collectUpdates fills a message with news.
+// collectUpdates fills a message with updates. near selects the load queue of this zone.
 func (c *core) collectUpdates(near bool, skip map[string]bool) *updates {
 	n := &updates{}
 	facts, bulk := packedUpdates{}, packedUpdates{}
@@ -133,8 +134,8 @@
 	})
 }
 
-// addFact puts one fact into the message. The first always goes in, so that one
-// larger than the budget is not stuck.
+// addFact adds one fact to the message. The first one is always added, so that a fact larger
+// than the budget does not block the queue.
 func (c *core) addFact(n *packedUpdates, key string, remaining *int, budget int) addResult {
 	item, ok := c.fact(key)
 	if !ok {
@@ -159,7 +160,7 @@
 	return addSent
 }
 
-// fact reads the present state of a queued fact.
+// fact returns the current state of a queued fact.
 func (c *core) fact(key string) (any, bool) {
 	id := key[1:]
 	switch key[0] {
@@ -191,19 +192,18 @@
 	}
 }
 
-// relayScope says what of the news is passed on.
+// relayScope selects which merged updates are gossiped on.
 type relayScope int
 
 const (
 	relayNone relayScope = iota
-	// relayUrgent leaves out announcements and inventories: whoever else lacks them
-	// pulls them too, and in whole they would crowd out the changes on their way.
+	// relayUrgent leaves out announcements and inventories: other VMs that lack them pull them
+	// too, and complete ones would displace the deltas in transit.
 	relayUrgent
 	relayAll
 )
 
-// mergeUpdates takes in news and passes on what is new. It returns the
-// keys of all that was in it.
+// mergeUpdates merges updates and gossips the new ones on. It returns the keys of all of them.
 func (c *core) mergeUpdates(n updates, now time.Time) map[string]bool {
 	seen := map[string]bool{}
 	c.mergeFacts(packedUpdates{VMs: n.VMs, Backends: n.Backends}, now, relayAll, seen)
@@ -257,7 +257,7 @@
 	remoteSuspicion := time.Duration(remoteSuspicionFactor * float64(c.suspicion()))
 	if !c.vms.merge(vm, now, remoteSuspicion) {
 		if r, ok := c.vms.records[vm.ID]; ok && vm.State != laburnumlever.VMAlive && supersedesVM(r.vm, vm) {
-			// Whoever says this has missed the refutation: tell it.
+			// The sender has missed the refutation: send it again.
 			c.factQueue.push(vmKey(vm.ID))
 		}
 		return false
@@ -266,8 +266,8 @@
 	return true
 }
 
-// suspicion is how long a suspected VM has to refute: the news must reach it and
-// its answer come back, which takes some rounds for each doubling of the fleet.
+// suspicion is how long a suspected VM has to refute: the update must reach it and the
+// refutation must spread back, which takes some rounds for each doubling of the fleet.
 func (c *core) suspicion() time.Duration {
 	doublings := math.Log2(float64(len(c.vms.records) + 2))
 	return suspicionBase + time.Duration(doublings*float64(suspicionStep))
--- a/laburnummembership/failures_test.go
+++ b/laburnummembership/failures_test.go
@@ -17,7 +17,7 @@
 	fleetVM = laburnummembership.FleetVM
 )
 
-// newJoinedFleet is a fleet of six VMs in three zones that all know each other.
+// newJoinedFleet returns six VMs in three zones that all know each other.
 func newJoinedFleet(t *testing.T, seed uint64) *fleet {
 	t.Helper()
 	f := laburnummembership.NewFleet(6, 3, seed)
@@ -26,6 +26,8 @@
 	return f
 }
 
+// eventually runs the fleet until the condition holds on every VM that is up, and fails after
+// limit.
 func eventually(t *testing.T, f *fleet, limit time.Duration, what string, holds func(n *fleetVM) bool) {
 	t.Helper()
 	took, ok := f.Until(limit, func() bool { return f.All(holds) })
@@ -33,7 +35,7 @@
 	t.Log(what, took)
 }
 
-// never runs the fleet and fails as soon as a VM that is up shows the condition.
+// never runs the fleet for d and fails as soon as the condition holds on any VM that is up.
 func never(t *testing.T, f *fleet, d time.Duration, what string, holds func(n *fleetVM) bool) {
 	t.Helper()
 	_, ok := f.Until(d, func() bool { return !f.All(func(n *fleetVM) bool { return !holds(n) }) })
@@ -51,8 +53,8 @@
 	}
 }
 
-// An operator adds an engine and callers ask for what it holds; later it leaves.
-// Through any VM, the engine must be used, and no longer be used, within three seconds.
+// Guards against slow gossip: within three seconds, requests through any VM must use a new
+// engine and stop using one that is leaving.
 func TestBackendStateReachesAllVMsWithinThreeSeconds(t *testing.T) {
 	for seed := range uint64(40) {
 		f := newJoinedFleet(t, 100+seed)
@@ -74,15 +76,15 @@
 	}
 }
 
-// sameCopies compares inventories whatever their order, which is the VM's own.
+// sameCopies compares inventories without regard to order, as each VM sorts its own.
 func sameCopies(a, b []laburnumlever.Loaded) bool {
 	return len(a) == len(b) && !slices.ContainsFunc(a, func(l laburnumlever.Loaded) bool {
 		return !slices.ContainsFunc(b, func(other laburnumlever.Loaded) bool { return reflect.DeepEqual(l, other) })
 	})
 }
 
-// A VM dies without a word. Callers and orders would go on being sent to it until
-// the others hold it down; once it is started again it must be alive for all at once.
+// Guards against callers and orders going on being sent to a VM that crashed, and against a
+// restarted VM staying down.
 func TestDeadVMIsMarkedDownAndRejoins(t *testing.T) {
 	f := newJoinedFleet(t, 1)
 	f.VMs[4].Dead = true
@@ -91,9 +93,8 @@
 	eventually(t, f, 5*time.Second, "alive again", func(n *fleetVM) bool { return n.Knows() == 6 })
 }
 
-// A VM is frozen (SIGSTOP) for half a minute. The others hold it down; when it
-// wakes, all its timers have run out and all its calls have failed, and it would
-// declare every other VM and all its backend servers down.
+// A VM is paused (SIGSTOP) for 30 s and marked as down. When it resumes, all its timers and
+// calls have expired; it must not mark the other VMs and its backend servers as down for that.
 func TestResumedVMMarksNobodyDown(t *testing.T) {
 	f := newJoinedFleet(t, 2)
 	resumed := f.VMs[3]
@@ -103,19 +104,19 @@
 	f.Advance(30 * time.Second)
 	require.Equal(t, laburnumlever.VMDown, f.VMs[0].State(resumed))
 	resumed.Frozen = false
-	// The first seconds after the waking are the moment in question; the others hold
-	// the sleeper itself down until it refutes that.
+	// The faults would appear in the first seconds after resuming. The other VMs hold
+	// the resumed VM itself as down until it refutes that.
 	_, bad := f.Until(10*time.Second, func() bool {
 		b, _ := f.Backend(resumed, e.Announcement.Backend)
 		return b.Down || marksAnyDown(f)(resumed)
 	})
-	require.False(t, bad, "the woken VM declared others down")
+	require.False(t, bad, "the resumed VM marked others as down")
 	eventually(t, f, 5*time.Second, "alive again", func(n *fleetVM) bool { return n.Knows() == 6 })
 }
 
-// Links break in one direction: from one VM to another, from one VM to all, or
-// from all to one. A membership that trusts a single prober would take healthy VMs down,
-// and with them their backend servers, again and again.
+// Links fail in one direction: one VM to another, one to all, or all to one. Guards against
+// trusting a single prober, which would mark healthy VMs as down repeatedly, and their backend
+// servers with them.
 func TestAsymmetricLinkFailuresMarkNoOtherVMDown(t *testing.T) {
 	cuts := map[string]func(f *fleet) func(from, to *fleetVM) bool{
 		"one to one": func(f *fleet) func(from, to *fleetVM) bool {
@@ -132,7 +133,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newJoinedFleet(t, 3)
 			f.Blocked = cut(f)
-			never(t, f, time.Minute, "a VM whose links work was held down", func(n *fleetVM) bool {
+			never(t, f, time.Minute, "a VM with working links was marked as down", func(n *fleetVM) bool {
 				for _, other := range f.VMs {
 					if other != f.VMs[1] && n != f.VMs[1] && n.State(other) >= laburnumlever.VMDown {
 						return true
@@ -146,14 +147,14 @@
 	}
 }
 
-// A zone is cut off for ten minutes and both sides hold each other down. Meanwhile
-// engines start on both sides. Each side must go on with its own list, and after the heal
-// everybody must know everybody, though nobody probes a VM that is down.
+// A zone is cut off for ten minutes while engines start on both sides. Guards against a side
+// losing its own state, and against the sides never reconnecting because VMs that are down are
+// not probed.
 func TestPartitionedZoneKeepsItsMembersAndHeals(t *testing.T) {
 	f := newJoinedFleet(t, 4)
 	inside := func(n *fleetVM) bool { return n == f.VMs[0] || n == f.VMs[3] }
 	f.Blocked = func(from, to *fleetVM) bool { return inside(from) != inside(to) }
-	eventually(t, f, 15*time.Second, "both sides down for each other", func(n *fleetVM) bool {
+	eventually(t, f, 15*time.Second, "each side holds the other as down", func(n *fleetVM) bool {
 		if inside(n) {
 			return n.Knows() == 2
 		}
@@ -172,10 +173,9 @@
 	})
 }
 
-// A backend server is killed, hung or cut off: its announcements stop. Every VM
-// must stop sending it work within a few seconds. When it comes back it must be used
-// again, and what it held before the restart must be forgotten: requests sent to
-// a model it no longer holds would fail.
+// Guards against work for a backend server whose announcements have stopped (crashed, hung or
+// cut off), and against keeping its old inventory after a restart: requests for those models
+// would fail.
 func TestSilentBackendIsMarkedDownAndRestartsEmpty(t *testing.T) {
 	f := newJoinedFleet(t, 5)
 	e := f.AddEngine(1, "zone-1", f.VMs[1], f.VMs[4])
@@ -193,8 +193,8 @@
 	})
 }
 
-// The VM that speaks for an engine no longer hears it, or dies, while another VM still
-// hears it. Taking its word alone would take a healthy engine out of every VM's routing.
+// The publisher of an engine loses contact with it or crashes while another VM is still in
+// contact. Guards against marking the healthy engine as down on the publisher's word alone.
 func TestAnotherVMTakesOverPublishingABackend(t *testing.T) {
 	for _, name := range []string{"link broken", "publisher dead"} {
 		t.Run(name, func(t *testing.T) {
@@ -207,15 +207,16 @@
 			} else {
 				e.Hears = func(n *fleetVM) bool { return n != f.VMs[1] }
 			}
-			never(t, f, time.Minute, "a living engine was held down", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return b.Down })
+			never(t, f, time.Minute, "a running engine was marked as down", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return b.Down })
 			sequence := e.Report.Sequence
-			eventually(t, f, 2*time.Second, "load goes on", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return b.Report.Sequence > sequence })
+			eventually(t, f, 2*time.Second, "load is still published", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return b.Report.Sequence > sequence })
 		})
 	}
 }
 
-// An engine leaves but goes on announcing while it finishes its requests, and a VM
-// that was cut off brings back news from before. Work sent to it would be cut off.
+// A leaving engine goes on announcing while it finishes its requests, and a VM that was cut off
+// gossips an older state. Guards against that state undoing the leaving: new requests would be
+// cut off.
 func TestLeavingIsStickyUntilANewIncarnation(t *testing.T) {
 	f := newJoinedFleet(t, 7)
 	e := f.AddEngine(1, "zone-1", f.VMs[1], f.VMs[4])
@@ -227,29 +228,29 @@
 	eventually(t, f, 3*time.Second, "leaving", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return b.Leaving || n == f.VMs[5] })
 	f.Advance(20 * time.Second)
 	f.Blocked = func(_, _ *fleetVM) bool { return false }
-	never(t, f, 30*time.Second, "old news won", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return !b.Leaving && n != f.VMs[5] })
+	never(t, f, 30*time.Second, "an older state undid the leaving", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return !b.Leaving && n != f.VMs[5] })
 	eventually(t, f, 0, "leaving on the healed VM", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return b.Leaving })
 	e.Restart()
 	eventually(t, f, 3*time.Second, "new incarnation takes work", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return b.TakesWork() })
 }
 
-// A third of all messages are lost. Nobody may be held down for that, and load must
-// still arrive within a second in the zone of the engine.
+// With a third of all messages lost, no VM may be marked as down and load must still arrive
+// within a second in the engine's zone.
 func TestMessageLossMarksNobodyDown(t *testing.T) {
 	for seed := range uint64(4) {
 		f := newJoinedFleet(t, 8+seed)
 		e := f.AddEngine(1, "zone-1", f.VMs[1], f.VMs[4])
 		f.Loss = 0.3
 		f.Advance(5 * time.Second)
-		never(t, f, 2*time.Minute, "held down", marksAnyDown(f))
+		never(t, f, 2*time.Minute, "marked as down", marksAnyDown(f))
 		b, ok := f.Backend(f.VMs[4], e.Announcement.Backend)
 		require.True(t, ok)
 		require.Less(t, f.Now.Sub(b.ReportedAt), time.Second)
 	}
 }
 
-// A VM is taken away for good. Its record must not stay in every VM's memory for
-// ever, and news of it, still going round, must not bring it back.
+// Guards against records of removed VMs staying in memory for ever, and against late gossip
+// restoring them.
 func TestRemovedVMIsForgotten(t *testing.T) {
 	f := newJoinedFleet(t, 9)
 	gone := f.VMs[5]
@@ -263,9 +264,9 @@
 	}
 }
 
-// An engine reports once and is then quiet for long, at a moment when messages are
-// lost. Rows of load are passed on only a few times, as a newer one normally follows
-// at once; a VM that missed the last one must still get it.
+// An engine sends its last report while messages are lost, then only announcements. Guards
+// against a VM that missed that row keeping an older load, as each row is sent only a few
+// times.
 func TestLastLoadReachesEveryVM(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newJoinedFleet(t, 20+seed)
@@ -284,9 +285,9 @@
 	}
 }
 
-// Engines load and unload in a row while messages are lost, so that some VMs miss one
-// change and get the next. A VM that applied it to an older state would route to
-// copies that are gone, or not know of those that are there.
+// Inventories change while messages are lost, so VMs miss one delta and receive the next.
+// Guards against applying a delta to an older state: the VM would route to copies that are gone
+// or miss new ones.
 func TestInventoryDeltasConverge(t *testing.T) {
 	f := newJoinedFleet(t, 40)
 	e := f.AddEngine(1, "zone-1", f.VMs[1], f.VMs[4])
@@ -297,15 +298,14 @@
 		f.Advance(700 * time.Millisecond)
 	}
 	f.Loss = 0
-	eventually(t, f, 10*time.Second, "the whole inventory", func(n *fleetVM) bool {
+	eventually(t, f, 10*time.Second, "complete inventory", func(n *fleetVM) bool {
 		b, _ := f.Backend(n, e.Announcement.Backend)
 		return sameCopies(b.Report.Loaded, e.Report.Loaded)
 	})
 }
 
-// A model's demand rises at one VM's callers. The VM that places for the zone must
-// see it though no caller asks that VM itself; and when the asking VM dies, its
-// demand must stop to count.
+// Guards against a zone owner missing demand that arrives at other VMs, and against still
+// counting the demand of a VM that crashed.
 func TestDemandReachesTheZoneOwner(t *testing.T) {
 	f := newJoinedFleet(t, 50)
 	f.SetOwner(f.VMs[1])
--- a/laburnummembership/fleet_test.go
+++ b/laburnummembership/fleet_test.go
@@ -10,26 +10,27 @@
 	"laburnumlever"
 )
 
-// Fleet runs many cores over in-memory queues on a clock of its own. Every
-// message is encoded and decoded as on the wire, so that its bytes can be counted.
+// Fleet runs many cores over in-memory queues on a simulated clock. Messages are encoded and
+// decoded as on the wire, so that their bytes can be counted.
 type Fleet struct {
 	Now    time.Time
 	VMs    []*FleetVM
 	Random *rand.Rand
 	// Blocked tells whether messages from one VM to another are lost.
 	Blocked func(from, to *FleetVM) bool
-	// Loss is the share of messages lost besides.
+	// Loss is the share of the remaining messages that are lost.
 	Loss      float64
 	byAddress map[string]*FleetVM
 	queue     fleetQueue
 	sequence  int
 }
 
-// FleetVM is one of them.
+// FleetVM is one VM of a fleet.
 type FleetVM struct {
 	*core
 	Frozen, Dead bool
-	// Bytes and Messages sent; Spent is the processor time of steps and coding.
+	// Bytes, Messages and ByMethod count what the VM sent, Received the bytes it received.
+	// Spent is the time taken by steps and encoding.
 	Bytes, Messages int
 	Received        int
 	Spent           time.Duration
@@ -38,7 +39,7 @@
 
 const (
 	fleetLatency = time.Millisecond
-	// envelopeBytes is what jsonrpc2 adds to a message, measured on the wire.
+	// envelopeBytes is what jsonrpc2 adds to a message, as measured on the wire.
 	envelopeBytes = 70
 )
 
@@ -65,7 +66,7 @@
 	return last
 }
 
-// NewFleet makes VMs spread over zones, each with the first three as seeds.
+// NewFleet returns VMs distributed over zones, each with the first three as seeds.
 func NewFleet(vms, zones int, seed uint64) *Fleet {
 	f := &Fleet{
 		Now:       time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC),
@@ -106,7 +107,7 @@
 	n.core = newCore(self, seeds, f.Now, rand.New(rand.NewPCG(f.Random.Uint64(), 2)))
 }
 
-// Restart starts a VM anew, without any state.
+// Restart restarts a VM without its state.
 func (f *Fleet) Restart(n *FleetVM) {
 	self := n.self
 	self.Incarnation = 0
@@ -114,20 +115,20 @@
 	n.Dead = false
 }
 
-// After runs fn later.
+// after runs fn once the clock has advanced by d.
 func (f *Fleet) after(d time.Duration, fn func()) {
 	f.sequence++
 	heap.Push(&f.queue, fleetEvent{at: f.Now.Add(d), sequence: f.sequence, run: fn})
 }
 
-// ForgetAfter shortens how long the VMs remember one that is down.
+// ForgetAfter sets how long the VMs remember a VM that is down.
 func (f *Fleet) ForgetAfter(d time.Duration) {
 	for _, n := range f.VMs {
 		n.vms.retention = d
 	}
 }
 
-// Advance runs all that is due in d.
+// Advance advances the clock by d and runs all events due.
 func (f *Fleet) Advance(d time.Duration) {
 	end := f.Now.Add(d)
 	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
@@ -138,7 +139,8 @@
 	f.Now = end
 }
 
-// Until advances until done holds and returns how long that took, or false.
+// Until advances the clock until done holds, for at most limit. It returns the time taken and
+// whether done held.
 func (f *Fleet) Until(limit time.Duration, done func() bool) (time.Duration, bool) {
 	step := max(50*time.Millisecond, time.Duration(len(f.VMs))*time.Millisecond)
 	for took := time.Duration(0); took <= limit; took += step {
@@ -160,7 +162,7 @@
 	}
 }
 
-// encode counts a message's bytes and copies it as the wire would.
+// encode counts a message's bytes and copies it by encoding and decoding.
 func (f *Fleet) encode(from, to *FleetVM, method string, message, into any) {
 	began := time.Now()
 	raw, err := json.Marshal(message)
@@ -187,7 +189,7 @@
 	return to.Frozen || f.Blocked(from, to) || f.Random.Float64() < f.Loss
 }
 
-// deliver brings a message and its answer, or its failure after the timeout.
+// deliver delivers a message and its answer, or a failure after the timeout.
 func (f *Fleet) deliver(from *FleetVM, s send) {
 	to, ok := f.byAddress[s.Address]
 	fail := func() {
@@ -255,7 +257,7 @@
 	}
 }
 
-// serveIndirectProbe does what a helper's handler does: see handleAsk.
+// serveIndirectProbe does the work of Membership.handleIndirectProbe.
 func (f *Fleet) serveIndirectProbe(from, helper *FleetVM, s send) {
 	var request indirectProbeRequest
 	f.encode(from, helper, s.Method, s.Params, &request)
@@ -279,7 +281,7 @@
 	f.after(probeTimeout, func() { answer(false) })
 }
 
-// State is what one VM holds of another.
+// State returns the state of another VM as known to this one, VMLeft if it is unknown.
 func (n *FleetVM) State(of *FleetVM) laburnumlever.VMState {
 	for _, vm := range n.vmList() {
 		if vm.ID == of.self.ID {
@@ -289,7 +291,7 @@
 	return laburnumlever.VMLeft
 }
 
-// Knows tells how many VMs it holds alive.
+// AliveCount returns how many VMs this VM holds as alive, itself included.
 func (n *FleetVM) Knows() (alive int) {
 	for _, vm := range n.vmList() {
 		if vm.State == laburnumlever.VMAlive {
@@ -299,7 +301,7 @@
 	return alive
 }
 
-// Backend is what the VM's view shows of a backend server.
+// Backend returns a backend server as known to a VM.
 func (f *Fleet) Backend(n *FleetVM, id laburnumlever.BackendID) (laburnumlever.Backend, bool) {
 	for _, b := range n.backendList(f.Now) {
 		if b.Announcement.Backend == id {
@@ -309,7 +311,7 @@
 	return laburnumlever.Backend{}, false
 }
 
-// All tells whether a condition holds on every VM that is up.
+// All tells whether the condition holds on every VM that is up.
 func (f *Fleet) All(holds func(n *FleetVM) bool) bool {
 	for _, n := range f.VMs {
 		if !n.Dead && !n.Frozen && !holds(n) {
--- a/laburnummembership/fleetengine_test.go
+++ b/laburnummembership/fleetengine_test.go
@@ -8,14 +8,14 @@
 	"laburnumlever"
 )
 
-// Engine is a backend server that announces and reports to some VMs.
+// Engine is a simulated backend server that announces and reports to some VMs.
 type Engine struct {
 	Announcement laburnumlever.Announcement
 	Report       laburnumlever.LoadReport
 	To           []*FleetVM
-	// Silent says nothing at all, Quiet sends no reports.
+	// A Silent engine sends nothing, one with NoReports only announcements.
 	Silent, Quiet bool
-	// Hears tells which of the VMs its messages reach.
+	// Reaches tells which of the VMs its messages reach.
 	Hears func(n *FleetVM) bool
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// Every runs fn once each period.
+// Every runs fn once per period, from a random offset on.
 func (f *Fleet) Every(period time.Duration, fn func()) {
 	var repeat func()
 	repeat = func() {
@@ -72,23 +72,23 @@
 	f.after(time.Duration(f.Random.Int64N(int64(period))), repeat)
 }
 
-// Restart makes the engine a new incarnation with nothing loaded.
+// Restart gives the engine a new incarnation with nothing loaded.
 func (e *Engine) Restart() {
 	e.Announcement.Incarnation++
 	e.Report = laburnumlever.LoadReport{Backend: e.Report.Backend, Incarnation: e.Announcement.Incarnation}
 	e.Silent = false
 }
 
-// Leave tells the first VM that the engine leaves.
+// Leave notifies the engine's first VM that the engine is leaving.
 func (e *Engine) Leave(f *Fleet) {
 	n := e.To[0]
 	f.step(n, func() { _ = n.leaveBackend(e.Announcement.Backend, e.Announcement.Incarnation, f.Now) })
 }
 
-// Members are all VMs held, whatever their state.
+// Members returns all known VMs in any state.
 func (n *FleetVM) Members() []laburnumlever.VM { return n.vmList() }
 
-// Known is how many backend servers it knows with their inventory.
+// BackendCount returns how many backend servers this VM knows with their inventory.
 func (n *FleetVM) Known() (count int) {
 	for _, r := range n.backends.records {
 		if r.inventorySequence > 0 {
@@ -98,7 +98,7 @@
 	return count
 }
 
-// ResetCounts begins a new measurement.
+// ResetCounts resets the counters of all VMs.
 func (f *Fleet) ResetCounts() {
 	for _, n := range f.VMs {
 		n.Bytes, n.Received, n.Messages, n.Spent = 0, 0, 0, 0
@@ -106,8 +106,8 @@
 	}
 }
 
-// LoadAges are the ages of all load known on all VMs, sorted, of backend servers of
-// the own zone and of others.
+// LoadAges returns the ages of all load known on all VMs, sorted: of backend servers of the
+// same zone and of other zones.
 func (f *Fleet) LoadAges() (near, far []time.Duration) {
 	for _, n := range f.VMs {
 		for _, r := range n.backends.records {
@@ -127,7 +127,7 @@
 	return near, far
 }
 
-// Warm gives every VM all facts at once, in place of a cold start of the fleet.
+// ShareAllFacts gives every VM all facts at once, instead of a cold start of the fleet.
 func (f *Fleet) Warm() {
 	var all packedUpdates
 	for _, n := range f.VMs {
@@ -146,7 +146,7 @@
 	}
 }
 
-// ChangeInventory makes an engine load another model.
+// ChangeInventory replaces one of an engine's copies by another model.
 func (f *Fleet) ChangeInventory(e *Engine) {
 	loaded := slices.Clone(e.Report.Loaded)
 	i := f.Random.IntN(len(loaded))
@@ -155,7 +155,7 @@
 	e.Report.Loaded = loaded
 }
 
-// SetOwner makes a VM say that it places for its zone.
+// SetOwner makes a VM the owner of its zone.
 func (f *Fleet) SetOwner(n *FleetVM) {
 	f.step(n, func() {
 		next := n.self
@@ -164,8 +164,8 @@
 	})
 }
 
-// Demands hands in a VM's demand.
+// SetDemand sets a VM's own demand.
 func (n *FleetVM) Demands(rows []laburnumlever.ModelDemand) { n.demand.setOwn(rows) }
 
-// DemandAt is what a VM holds of all demand.
+// DemandAt returns all demand known to a VM.
 func (f *Fleet) DemandAt(n *FleetVM) []laburnumlever.ModelDemand { return n.demand.list(f.Now) }
--- a/laburnummembership/health.go
+++ b/laburnummembership/health.go
@@ -2,8 +2,8 @@
 
 //go:generate go tool -modfile=../tools/go.mod enumer -type=health -transform=kebab -trimprefix=health -text -json -output=enums_gen.go
 
-// health is what is held of a backend server's announcements. The higher value
-// wins at an equal beat.
+// health is a backend server's state as judged by the arrival of its announcements. At an equal
+// state version the higher value wins.
 type health int
 
 const (
--- a/laburnummembership/inventory.go
+++ b/laburnummembership/inventory.go
@@ -10,38 +10,38 @@
 	"laburnumlever"
 )
 
-// baselineAge is how long changes are made against the same basis. A VM whose last news
-// is older than the basis can't apply a change and pulls the whole inventory; longer,
-// and changes of minutes would pile up in each.
+// baselineAge is how long deltas are computed against the same baseline. A VM whose inventory
+// is older than the baseline can't apply a delta and pulls the complete inventory; with a
+// longer time, the changes of minutes would add up in each delta.
 const baselineAge = 10 * time.Second
 
-// inventoryBaseline is what changes are made against. It keeps the keys of all copies
-// that have changed since, also of those that are as before again: a VM that saw the
-// state between must be told.
+// inventoryBaseline is the inventory against which deltas are computed. It keeps the keys of
+// all copies that have changed since, including those that have changed back: a VM that saw the
+// state in between must be told.
 type inventoryBaseline struct {
 	sequence    uint64
 	at          time.Time
 	changedKeys map[string]bool
-	// last is the inventory last made news.
+	// last is the inventory last published.
 	last []laburnumlever.Loaded
 }
 
-// inventoryUpdate is what an engine holds, sent only on change: in whole, or, if Base
-// is not 0, as all that changed since Base. Such a change can be applied to any state
-// from Base on, as it carries whole copies and not steps.
+// inventoryUpdate is an engine's inventory, sent only on change: complete if Base is 0,
+// otherwise as a delta of all that changed since Base. A delta can be applied to any state from
+// Base on, since it carries whole copies rather than steps.
 type inventoryUpdate struct {
 	Backend     laburnumlever.BackendID `json:"backend"`
 	Incarnation uint64                  `json:"incarnation"`
-	// Sequence is that of the report that showed the change.
+	// Sequence is the sequence number of the load report that showed the change.
 	Sequence uint64                 `json:"sequence"`
 	Base     uint64                 `json:"base,omitempty"`
 	Fence    uint64                 `json:"fence,omitempty"`
 	Loaded   []laburnumlever.Loaded `json:"loaded,omitempty"`
-	// Removed are the copies no longer there, by copyKey.
+	// Removed holds the copyKeys of the copies that are gone.
 	Removed []string `json:"removed,omitempty"`
 }
 
-// copyKey tells copies of one engine apart.
+// copyKey identifies a copy within one engine.
 func copyKey(l laburnumlever.Loaded) string {
 	parts := []string{string(l.Model), string(l.Version)}
 	for _, a := range l.Accelerators {
@@ -68,7 +68,8 @@
 	}
 }
 
-// changedCopies returns the present state of the copies with the given keys.
+// changedCopies returns the current state of the copies with the given keys, and the keys of
+// those that are gone.
 func changedCopies(keys map[string]bool, loaded []laburnumlever.Loaded) (changed []laburnumlever.Loaded, removed []string) {
 	gone := maps.Clone(keys)
 	for _, l := range loaded {
@@ -80,7 +81,7 @@
 	return changed, slices.Sorted(maps.Keys(gone))
 }
 
-// apply returns the inventory after a change.
+// apply returns the inventory after the update.
 func (n inventoryUpdate) apply(loaded []laburnumlever.Loaded) []laburnumlever.Loaded {
 	if n.Base == 0 {
 		return n.Loaded
@@ -101,15 +102,15 @@
 	return sortedCopies(append(out, n.Loaded...))
 }
 
-// sortedCopies sorts copies, so that every VM shows an inventory alike, whether it got it
-// from the engine, in whole or as changes.
+// sortedCopies sorts copies by their key, so that every VM shows the same inventory, whether it
+// came from the engine, complete or as deltas.
 func sortedCopies(loaded []laburnumlever.Loaded) []laburnumlever.Loaded {
 	out := slices.Clone(loaded)
 	slices.SortStableFunc(out, func(a, b laburnumlever.Loaded) int { return strings.Compare(copyKey(a), copyKey(b)) })
 	return out
 }
 
-// fullInventory is the whole of it, newsOfInventory what is passed on.
+// fullInventory returns the complete inventory.
 func (r *backendRecord) fullInventory() inventoryUpdate {
 	return inventoryUpdate{
 		Backend:     r.state.Backend,
@@ -120,6 +121,7 @@
 	}
 }
 
+// inventoryToSend returns the inventory as a delta if there is one, otherwise complete.
 func (r *backendRecord) inventoryToSend() inventoryUpdate {
 	if r.delta.Base != 0 {
 		return r.delta
@@ -127,14 +129,15 @@
 	return r.fullInventory()
 }
 
-// mergeInventory takes in an engine's inventory.
+// mergeInventory merges an engine's inventory and tells whether it was newer than the known
+// one.
 func (t *backendTable) mergeInventory(n inventoryUpdate, now time.Time) bool {
 	r, ok := t.records[n.Backend]
 	if !ok || n.Incarnation != r.state.Incarnation || n.Sequence <= r.inventorySequence {
 		return false
 	}
 	if n.Base > r.inventorySequence {
-		return false // what came before the change was missed, and will be pulled
+		return false // an earlier update was missed and will be pulled
 	}
 	t.setInventorySequence(r, n.Sequence)
 	r.delta = n
@@ -151,7 +154,7 @@
 	t.toggle(r)
 }
 
-// publishInventory makes the inventory last reported news.
+// publishInventory publishes the inventory of the last report.
 func (c *core) publishInventory(r *backendRecord, now time.Time) {
 	if r.report.Sequence <= r.inventorySequence {
 		return
@@ -171,8 +174,8 @@
 	c.pushInventory(r.state.Backend)
 }
 
-// pushInventory keeps an announcement that still waits ahead of the inventory: an
-// inventory of an unknown backend server is dropped by whoever gets it.
+// pushInventory keeps a queued announcement ahead of the inventory, because a VM drops the
+// inventory of an unknown backend server.
 func (c *core) pushInventory(id laburnumlever.BackendID) {
 	c.bulkQueue.push(inventoryKey(id))
 	if c.bulkQueue.contains(announcementKey(id)) {
--- a/laburnummembership/loadrows.go
+++ b/laburnummembership/loadrows.go
@@ -14,15 +14,14 @@
 	queued   uint64
 }
 
-// loadKeyBytes holds a load key.
+// loadKeyBytes is the size of a load key.
 const loadKeyBytes = loadKeyBits / 8
 
-// loadRows are rows as bytes: the key in five, the rest as varints. That is about ten
-// bytes a row, thirteen in a JSON string, where columns of JSON numbers took
-// twenty-four.
+// loadRows are encoded rows: the key in five bytes, the rest as varints. A row takes about ten
+// bytes, thirteen in a JSON string; columns of JSON numbers took twenty-four.
 type loadRows []byte
 
-// maxRowBytes is the longest row with counts below two million.
+// maxRowBytes is the size of the longest row with counts below two million.
 const maxRowBytes = loadKeyBytes + binary.MaxVarintLen64 + 3 + 3
 
 func (l loadRows) append(r loadRow) loadRows {
@@ -34,7 +33,7 @@
 	return binary.AppendUvarint(l, r.queued)
 }
 
-// rows reads them; what is broken off at the end is left out.
+// rows decodes the rows. A truncated row at the end is ignored.
 func (l loadRows) rows() []loadRow {
 	var out []loadRow
 	for len(l) > loadKeyBytes {
--- a/laburnummembership/membership.go
+++ b/laburnummembership/membership.go
@@ -9,8 +9,7 @@
 	"github.com/go-kit/log/level"
 )
 
-// Membership is the part of the control thread that owns what is known of VMs and
-// backend servers.
+// Membership owns the VMs and backend servers known to this VM. It runs on the control thread.
 type Membership struct {
 	loop     laburnumlever.Loop
 	timers   laburnumlever.Timers
@@ -26,8 +25,9 @@
 	_ laburnumlever.BackendRegistry = (*Membership)(nil)
 )
 
-// New makes a membership that knows only its own VM and registers its handlers with
-// peers; Start makes it join. An incarnation of 0 is replaced by the start time.
+// New creates a membership that knows only its own VM and registers its handlers with peers. An
+// incarnation of 0 is replaced by the start time in milliseconds. It joins the fleet after
+// Start.
 func New(loop laburnumlever.Loop, timers laburnumlever.Timers, peers laburnumlever.Peers, self laburnumlever.VM, opts ...Option) *Membership {
 	cfg := newConfig(opts)
 	now := timers.Now()
@@ -40,54 +40,53 @@
 	return m
 }
 
-// OnChange adds a function that runs on the control thread after VMs, Backends or
-// Demand may have changed: at once for facts, at the next tick for load.
+// OnChange adds a function that runs on the control thread after VMs, Backends or Demand may
+// have changed: at once for facts, at the next tick for load.
 func (m *Membership) OnChange(fn func()) { m.onChange = append(m.onChange, fn) }
 
-// Start begins to join and to probe.
+// Start begins to join the fleet and to probe its VMs.
 func (m *Membership) Start() {
 	m.stop = m.timers.Every(tickPeriod, func(now time.Time) { m.loop.Post(m, ticked{now: now}) })
 	m.loop.Post(m, started{})
 }
 
-// Close ends the periodic work. It tells nobody: the others take this VM for down.
+// Close stops the periodic work without notifying other VMs, which will mark this VM as down.
 func (m *Membership) Close() {
 	if m.stop != nil {
 		m.stop()
 	}
 }
 
-// LeaveFleet tells the others that this VM stops for good; a later start has a new
-// incarnation. Give it a second before the peers are closed.
+// LeaveFleet announces that this VM stops for good; a later start has a new incarnation. Wait a
+// second before closing the peers, so that the announcement is sent.
 func (m *Membership) LeaveFleet() { m.loop.Post(m, leaveRequested{}) }
 
-// SetSelf changes what this VM says of itself, under a new incarnation if
-// anything differs. The change function runs on the control thread.
+// SetSelf changes this VM's own record, under a new incarnation if anything differs. The change
+// function runs on the control thread.
 func (m *Membership) SetSelf(change func(laburnumlever.VM) laburnumlever.VM) {
 	m.loop.Post(m, selfChanged{change: change})
 }
 
-// SetDemand hands in this VM's demand, to be carried to the VMs that place. Control
-// thread only.
+// SetDemand sets this VM's demand, which is sent to the zone owners. Control thread only.
 func (m *Membership) SetDemand(rows []laburnumlever.ModelDemand) { m.core.demand.setOwn(rows) }
 
-// Demand is the newest demand of this VM and, on a VM that owns a zone, of the
-// others. Control thread only.
+// Demand returns the latest demand of this VM and, on a zone owner, of the others. Control
+// thread only.
 func (m *Membership) Demand() []laburnumlever.ModelDemand {
 	return m.core.demand.list(m.timers.Now())
 }
 
-// Self is this VM with its present incarnation. Control thread only.
+// Self returns this VM with its current incarnation. Control thread only.
 func (m *Membership) Self() laburnumlever.VM { return m.core.self }
 
-// VMs are the entry VMs known, this one included, whatever their state, by id.
+// VMs returns the known entry VMs in any state, this one included, in order of their id.
 // Control thread only.
 func (m *Membership) VMs() []laburnumlever.VM { return m.core.vmList() }
 
-// Backends are the backend servers known, by id. Control thread only.
+// Backends returns the known backend servers in order of their id. Control thread only.
 func (m *Membership) Backends() []laburnumlever.Backend { return m.core.backendList(m.timers.Now()) }
 
-// Handle takes an event on the control thread.
+// Handle handles an event on the control thread.
 func (m *Membership) Handle(ev laburnumlever.Event) {
 	now := m.timers.Now()
 	c := m.core
@@ -133,9 +132,9 @@
 	}
 }
 
-// notifyChange tells of changed facts at once and of changed load only at ticks:
-// a view built anew for each of hundreds of rows a second would take the
-// processor time that the rows were bounded for.
+// notifyChange reports changed facts at once and changed load only at ticks: rebuilding a view
+// for each of hundreds of rows a second would cost the processor time that limiting the rows
+// saves.
 func (m *Membership) notifyChange(ticking bool) {
 	c := m.core
 	if !c.factsChanged && (!ticking || !c.loadsChanged) {
--- a/laburnummembership/membership_test.go
+++ b/laburnummembership/membership_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// node is a VM with real sockets, as much of one as membership needs.
+// node is a VM with real sockets and only the parts that membership needs.
 type node struct {
 	membership *laburnummembership.Membership
 	loop       *laburnumcontrol.Loop
@@ -28,7 +28,7 @@
 
 func (n *node) Handle(ev laburnumlever.Event) { ev.(ask).fn() }
 
-// onControlThread runs fn on the control thread.
+// onControlThread runs fn on the control thread and waits for it.
 func (n *node) onControlThread(fn func()) {
 	done := make(chan struct{})
 	n.loop.Post(n, ask{fn: func() { fn(); close(done) }})
@@ -85,7 +85,7 @@
 	return nodes
 }
 
-// testTimeout is how long a test waits for what must come; it is no measurement.
+// testTimeout is long enough for a busy machine; it is not a measurement.
 const testTimeout = 30 * time.Second
 
 func TestBackendStateReachesEveryVM(t *testing.T) {
@@ -98,8 +98,8 @@
 	registry := laburnumlever.BackendRegistry(nodes[1].membership)
 	announcement := laburnumlever.Announcement{Backend: "e1", Zone: "zone-0", Incarnation: 7, Slots: 4}
 	require.NoError(t, registry.Announce(ctx, announcement))
-	// As backend servers do: on a busy machine the test may outlast the silence after
-	// which a backend server counts as down.
+	// Backend servers announce periodically. On a busy machine the test may take longer than
+	// backendTimeout, after which the backend server would be marked as down.
 	announcing := time.NewTicker(200 * time.Millisecond)
 	go func() {
 		for registry.Announce(ctx, announcement) == nil {
--- a/laburnummembership/packing.go
+++ b/laburnummembership/packing.go
@@ -10,12 +10,12 @@
 	"laburnumlever"
 )
 
-// maxUnpackedBytes bounds what a packed message may unpack to, in bytes: a broken peer
-// could else fill the memory by a small message.
+// maxUnpackedBytes limits the size of an unpacked message, in bytes: without it, a faulty peer
+// could exhaust the memory with a small message.
 const maxUnpackedBytes = 32 << 20
 
-// packedUpdates is the bulky news, compressed as one: announcements and inventories
-// are alike, and ten of them take little more than one.
+// packedUpdates are the large updates, compressed together: announcements and inventories are
+// so similar that ten take little more space than one.
 type packedUpdates struct {
 	VMs         []laburnumlever.VM `json:"vms,omitempty"`
 	Backends    []backendState     `json:"backends,omitempty"`
@@ -24,11 +24,11 @@
 
 func (p packedUpdates) size() int { return len(p.VMs) + len(p.Backends) + len(p.Inventories) }
 
-// flateWriters are kept for reuse: each is most of a megabyte.
+// flateWriters are pooled because each takes most of a megabyte.
 var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
-		return nil // only for a level that is not one
+		return nil // happens only with an invalid level
 	}
 	return w
 }}
@@ -54,7 +54,7 @@
 	return packed.Bytes()
 }
 
-// unpack reads packed news; what can't be read is no news, and is pulled later.
+// unpack decodes packed updates. Those that can't be decoded are ignored and pulled later.
 func unpack(packed []byte) packedUpdates {
 	var p packedUpdates
 	if len(packed) == 0 {
--- a/laburnummembership/probe.go
+++ b/laburnummembership/probe.go
@@ -6,19 +6,19 @@
 	"laburnumlever"
 )
 
-// probe is the question whether a VM is alive, over its direct and indirect tries.
+// probe checks whether a VM is alive, through a direct call and indirect probes.
 type probe struct {
 	target      laburnumlever.VMID
 	incarnation uint64
-	// helpersPending counts the helpers not yet heard of.
+	// helpersPending counts the helpers that have not answered yet.
 	helpersPending int
-	// targetUnreached and helperUnreached count helpers that did not reach the target, and
-	// that were not reached themselves.
+	// targetUnreached counts helpers that did not reach the target, helperUnreached those that
+	// were not reached themselves.
 	targetUnreached, helperUnreached int
 	reached                          bool
 }
 
-// exchangeAnswered takes the answer to an exchange.
+// exchangeAnswered handles the answer to an exchange.
 func (c *core) exchangeAnswered(token uint64, g gossip, now time.Time) {
 	p, ok := c.takePending(token)
 	if !ok {
@@ -34,18 +34,18 @@
 	case g.UnknownSender:
 		c.pull(p.address, nil)
 	case !wasLiving && c.vms.lives(g.From):
-		// A cut has healed: the other side's news of the time between is not in
-		// anybody's queue any more.
+		// A partition has healed: the other side's updates from that time are in no VM's queue
+		// any more.
 		c.pull(p.address, c.digest.pack())
 	default:
 		c.compareDigest(g, p.address, now)
 	}
 	if g.Receiver != nil && c.vms.lives(g.From) {
-		c.exchange(g.From) // brings the refutation
+		c.exchange(g.From) // sends the refutation
 	}
 }
 
-// exchangeFailed takes the end of an exchange without an answer.
+// exchangeFailed handles an exchange that ended without an answer.
 func (c *core) exchangeFailed(token uint64, now time.Time) {
 	if p, ok := c.takePending(token); ok {
 		c.probeFailed(p, now)
@@ -74,7 +74,7 @@
 	c.concludeProbe(p, now)
 }
 
-// indirectProbeAnswered takes what a helper found, or that it could not be indirectProbeAnswered.
+// indirectProbeAnswered handles a helper's answer, or err if the helper did not answer.
 func (c *core) indirectProbeAnswered(token uint64, answer indirectProbeAnswer, err error, now time.Time) {
 	sent, ok := c.takePending(token)
 	if !ok {
@@ -93,10 +93,10 @@
 	c.concludeProbe(p, now)
 }
 
-// concludeProbe suspects the target once all tries failed. A helper must have been
-// reached: a VM that can send to nobody would else suspect all the others, who
-// would spend their time refuting it. Only when no other VM has sent anything
-// lately either is it cut off wholly, and then it may judge for itself.
+// concludeProbe suspects the target once all probes have failed. At least one helper must have
+// been reached: otherwise a VM whose outgoing messages are lost would suspect all others, which
+// would spend their time refuting it. Only when it has received no message lately either is it
+// completely cut off and may conclude without helpers.
 func (c *core) concludeProbe(p *probe, now time.Time) {
 	if p.helpersPending > 0 || p.reached {
 		return
@@ -117,9 +117,9 @@
 	}
 }
 
-// reprobeSuspects goes on asking those that this VM has accused. On a lossy network an
-// accusation or its refutation is easily lost; asked at every tick, a living VM
-// answers in time with a new incarnation. The other VMs only wait, and longer.
+// reprobeSuspects keeps probing the VMs that this VM itself suspects. On a lossy network a
+// suspicion or its refutation is easily lost; probed at every tick, a living VM answers in time
+// with a new incarnation. Other VMs only wait, and for longer.
 func (c *core) reprobeSuspects() {
 	accused := c.vms.sorted(func(r *vmRecord) bool { return r.suspectedHere && r.vm.State == laburnumlever.VMSuspect })
 	for _, r := range accused[:min(maxReprobes, len(accused))] {
@@ -127,7 +127,7 @@
 	}
 }
 
-// expireSuspicions declares down who did not refute in time.
+// expireSuspicions marks VMs as down that did not refute their suspicion in time.
 func (c *core) expireSuspicions(now time.Time) {
 	overdue := func(r *vmRecord) bool {
 		return r.vm.State == laburnumlever.VMSuspect && !now.Before(r.deadline)
@@ -141,8 +141,8 @@
 	}
 }
 
-// reachable answers a helper's own knowledge: a VM that sent something lately is
-// alive even if it can't be reached from here.
+// reachable tells whether the target has contacted this VM recently. Such a VM is alive even if
+// it can't be reached from here.
 func (c *core) reachable(target laburnumlever.VMID, now time.Time) bool {
 	r, ok := c.vms.records[target]
 	return ok && !r.contactAt.IsZero() && now.Sub(r.contactAt) < recentContact
--- a/laburnummembership/pull.go
+++ b/laburnummembership/pull.go
@@ -7,9 +7,9 @@
 	"laburnumlever"
 )
 
-// join asks the seeds for all they know, until one has answered; later on it asks
-// those that no VM alive has as its address, so that two halves that forgot each
-// other find together again.
+// join pulls all facts from the seeds until one has answered. After that it pulls from seeds
+// whose address no living VM has, so that two halves of a fleet that have forgotten each other
+// merge again.
 func (c *core) join(now time.Time) {
 	if now.Before(c.joinAt) || c.self.State == laburnumlever.VMLeft {
 		return
@@ -34,8 +34,8 @@
 	return false
 }
 
-// reconnectDown tries one VM that is held down: after a cut each side holds the other down,
-// and nobody would ever ask again.
+// reconnectDown contacts one VM that is down: after a partition each side holds the other as
+// down, and otherwise neither would contact the other again.
 func (c *core) reconnectDown(now time.Time) {
 	if now.Before(c.reconnectAt) || c.self.State == laburnumlever.VMLeft {
 		return
@@ -50,11 +50,11 @@
 		pending{vm: r.vm.ID})
 }
 
-// compareDigest pulls what gossip missed, if the digests have differed for some time.
+// compareDigest pulls what gossip missed once the digests have differed for some time.
 func (c *core) compareDigest(g gossip, address string, now time.Time) {
 	if g.Digest == c.digest.sum() {
-		// Not a reason to begin counting anew: the VMs of a zone may agree with each
-		// other and lack, together, what all the others have.
+		// Does not reset the count: the VMs of a zone may agree with each other and
+		// all lack what the other zones have.
 		return
 	}
 	c.mismatches++
@@ -72,7 +72,7 @@
 	c.emit(send{Address: address, Method: methodSync, Params: request, Timeout: syncTimeout}, pending{})
 }
 
-// pullAnswered takes the answer to a pull.
+// pullAnswered handles the answer to a pull.
 func (c *core) pullAnswered(token uint64, answer syncAnswer, now time.Time) {
 	if _, ok := c.takePending(token); !ok {
 		return
@@ -82,7 +82,7 @@
 	relay := relayUrgent
 	if n.size() > relayLimit {
 		relay = relayNone
-		c.syncAt = time.Time{} // much was missed: pull again as soon as digests tell
+		c.syncAt = time.Time{} // much was missed: pull again as soon as digests differ
 	}
 	c.mergeFacts(n, now, relay, map[string]bool{})
 	if c.mergeVM(answer.From, now) {
@@ -90,7 +90,8 @@
 	}
 }
 
-// answerPull answers a pull.
+// answerPull returns the facts of the requested buckets, within syncBudget, or all facts for a
+// request without buckets.
 func (c *core) answerPull(request syncRequest, now time.Time) syncAnswer {
 	c.contactAt = now
 	if c.mergeVM(request.From, now) {
@@ -111,8 +112,8 @@
 	return syncAnswer{From: c.self, Packed: answer.pack()}
 }
 
-// bucketKey is the key that a fact is digested under: an inventory counts with
-// its backend server.
+// bucketKey returns the key under which a fact is digested: announcements and inventories are
+// digested with their backend server.
 func bucketKey(key string) string {
 	if key[0] == 'i' || key[0] == 'a' {
 		return "b" + key[1:]
@@ -120,8 +121,9 @@
 	return key
 }
 
-// factKeys lists all facts, a backend server before its inventory. It begins at a
-// random VM and backend server, so that a bounded answer gets on from pull to pull.
+// factKeys returns the keys of all facts, each announcement before the inventory of the same
+// backend server. The backend servers start at a random one, so that a truncated answer sends
+// different ones at each pull.
 func (c *core) factKeys() []string {
 	var keys []string
 	vms := c.vms.sorted(func(*vmRecord) bool { return true })
@@ -140,7 +142,7 @@
 	return keys
 }
 
-// addFullFact adds a fact in full and returns its bytes.
+// addFullFact adds a complete fact and returns its size in bytes.
 func (c *core) addFullFact(n *packedUpdates, key string) int {
 	item, _ := c.fact(key)
 	if key[0] == 'i' {
--- a/laburnummembership/staleupdates_test.go
+++ b/laburnummembership/staleupdates_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newVMWithRestartedBackend is a VM that knows the second start of a backend server.
+// newVMWithRestartedBackend returns a VM that knows the second incarnation of a backend server.
 func newVMWithRestartedBackend(t *testing.T) (*FleetVM, time.Time) {
 	t.Helper()
 	f := NewFleet(1, 1, 1)
@@ -20,9 +20,9 @@
 	return n, f.Now
 }
 
-// A backend server crashes and starts again elsewhere. An announcement of its first
-// life was held up and arrives afterwards. Taken, it would send callers to the address
-// of the dead process, which may be another's by now.
+// A backend server has restarted at another address when a delayed announcement of its previous
+// incarnation arrives. Guards against sending requests to the old address, which may belong to
+// another process by now.
 func TestAnnouncementOfEarlierIncarnationIsRefused(t *testing.T) {
 	n, now := newVMWithRestartedBackend(t)
 	late := laburnumlever.Announcement{Backend: "quote-1", Kind: laburnumlever.Engine, Incarnation: 1, Address: "10.0.9.1:9000"}
@@ -31,8 +31,8 @@
 	require.Equal(t, "10.0.9.2:9000", n.backends.records["quote-1"].state.Announcement.Address)
 }
 
-// The same with a load report: it would show the new process as holding what the old one
-// held, and as heard from though nothing came from it.
+// Guards against a delayed load report of the previous incarnation giving the new process the
+// old inventory, and making it appear to be in contact.
 func TestReportOfEarlierIncarnationIsRefused(t *testing.T) {
 	n, now := newVMWithRestartedBackend(t)
 	late := laburnumlever.LoadReport{
@@ -45,8 +45,8 @@
 	require.NoError(t, n.report(laburnumlever.LoadReport{Backend: "quote-1", Incarnation: 2, Sequence: 2}, now))
 }
 
-// The same with the word that it leaves: the new process would get no work for as long as
-// it lives.
+// Guards against a delayed leave notice of the previous incarnation: the new process would get
+// no work until its next restart.
 func TestLeaveOfEarlierIncarnationIsRefused(t *testing.T) {
 	n, now := newVMWithRestartedBackend(t)
 	var stale *laburnumlever.StaleNewsError
@@ -54,9 +54,9 @@
 	require.False(t, n.backends.records["quote-1"].state.Leaving)
 }
 
-// A VM that was cut off goes on speaking for a backend server that tells another VM
-// meanwhile that it leaves. After the cut its news are the higher ones and say nothing of
-// leaving. Taken as they are, callers would be sent to a process that ends under them.
+// A publisher that was cut off gossips a newer state without Leaving, while another VM has
+// received the leave notice. Guards against that state undoing the leaving: requests would go
+// to a process about to end.
 func TestNewerStateWithoutLeavingDoesNotUndoIt(t *testing.T) {
 	n, now := newVMWithRestartedBackend(t)
 	require.NoError(t, n.leaveBackend("quote-1", 2, now))
--- a/laburnummembership/transport.go
+++ b/laburnummembership/transport.go
@@ -10,7 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// send starts the calls that a step asked for; each outcome comes back as an event.
+// send sends the messages of one step. Each call runs on a goroutine of its own and posts its
+// outcome as an event.
 func (m *Membership) send(sends []send) {
 	for _, s := range sends {
 		if s.Token == 0 {
@@ -39,7 +40,7 @@
 	m.loop.Post(m, o)
 }
 
-// handleOutcome hands the end of a message to the step that it belongs to.
+// handleOutcome dispatches the outcome of a call.
 func (c *core) handleOutcome(o outcome, now time.Time) {
 	switch {
 	case o.method == methodIndirectProbe:
@@ -63,7 +64,7 @@
 func (m *Membership) handleGossip(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
 	var message gossip
 	if err := json.Unmarshal(params, &message); err != nil {
-		return nil, errors.Wrap(err, "gossip")
+		return nil, errors.Wrap(err, "decode gossip message")
 	}
 	answer := make(chan gossip, 1)
 	m.loop.Post(m, gossipReceived{message: message, answer: answer})
@@ -78,7 +79,7 @@
 func (m *Membership) handleSync(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
 	var request syncRequest
 	if err := json.Unmarshal(params, &request); err != nil {
-		return nil, errors.Wrap(err, "sync")
+		return nil, errors.Wrap(err, "decode pull request")
 	}
 	answer := make(chan syncAnswer, 1)
 	m.loop.Post(m, pullRequested{request: request, answer: answer})
@@ -90,11 +91,11 @@
 	}
 }
 
-// handleIndirectProbe probes a VM for another one.
+// handleIndirectProbe probes a VM on behalf of another.
 func (m *Membership) handleIndirectProbe(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
 	var request indirectProbeRequest
 	if err := json.Unmarshal(params, &request); err != nil {
-		return nil, errors.Wrap(err, "ask")
+		return nil, errors.Wrap(err, "decode indirect probe request")
 	}
 	known := make(chan bool, 1)
 	m.loop.Post(m, reachabilityRequested{target: request.Target, answer: known})
@@ -109,7 +110,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var answer gossip
-	// From is left empty: this asks only whether the target answers.
+	// From is left empty: the call only checks that the target answers.
 	err := m.peers.Call(ctx, request.Address, methodGossip, gossip{To: request.Target}, &answer)
 	return indirectProbeAnswer{Reached: err == nil && answer.From == request.Target}, nil
 }
@@ -117,7 +118,7 @@
 func (m *Membership) handleDemand(_ context.Context, params laburnumlever.RawMessage) (any, error) {
 	var message demandReport
 	if err := json.Unmarshal(params, &message); err != nil {
-		return nil, errors.Wrap(err, "demand")
+		return nil, errors.Wrap(err, "decode demand report")
 	}
 	m.loop.Post(m, demandReceived{message: message})
 	return struct{}{}, nil
--- a/laburnummembership/updatequeue.go
+++ b/laburnummembership/updatequeue.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// updateQueue holds the keys of what is to be passed on. An item is sent a limited
-// number of times and read from the tables only when it is sent, so that a message
-// always carries the newest state.
+// updateQueue holds the keys of updates to be gossiped. An update is sent a limited number of
+// times and is read from the tables only when it is sent, so that a message always carries the
+// latest state.
 //
-// The newest facts go first, every time, until their sends are used up: in a burst
-// (a cold start, a healed zone) the queue is longer than the bytes allow, and a leaving
-// that waited its turn behind it would come many seconds late. What is starved by
-// that is found by the digests.
+// The newest updates go first in every message until their sends are used up. In a burst (a
+// cold start, a healed zone) the queue is longer than the byte budget, and in order of arrival
+// a leaving backend server would be announced many seconds late. Updates starved by that are
+// found by comparing digests.
 type updateQueue struct {
-	order []string // the newest last
+	order []string // newest last
 	sends map[string]int
 }
 
@@ -26,16 +26,16 @@
 	q.sends[key] = 0
 }
 
-// contains tells whether an item waits.
+// contains tells whether an item is queued.
 func (q *updateQueue) contains(key string) bool {
 	_, ok := q.sends[key]
 	return ok
 }
 
-// take goes through the queue once, the newest first. add tries to put an item into
-// the message and tells what became of it.
+// take goes through the queue once, newest first. add tries to put an item into the message and
+// returns the result.
 func (q *updateQueue) take(limit int, add func(key string) addResult) {
-	var kept []string // the newest first, until it is turned round below
+	var kept []string // newest first, reversed below
 	i := len(q.order) - 1
 	for ; i >= 0; i-- {
 		key := q.order[i]
@@ -56,12 +56,12 @@
 	q.order = append(q.order[:i+1], kept...)
 }
 
-// addResult is what became of an item offered to a message.
+// addResult is the result of adding an item to a message.
 type addResult int
 
 const (
 	addSent    addResult = iota
 	addSkipped           // left for another message
-	addGone              // no longer there
+	addGone              // no longer known
 	addFull              // the message is full
 )
--- a/laburnummembership/vmtable.go
+++ b/laburnummembership/vmtable.go
@@ -8,16 +8,16 @@
 	"laburnumlever"
 )
 
-// vmRecord is one other VM.
+// vmRecord is what this VM knows about another VM.
 type vmRecord struct {
 	vm laburnumlever.VM
-	// deadline is when a suspected VM counts as down.
+	// deadline is when a suspected VM is marked as down.
 	deadline time.Time
-	// suspectedHere says that this VM itself found it unreachable, and goes on asking it.
+	// suspectedHere is set if this VM itself found it unreachable, and keeps probing it.
 	suspectedHere bool
-	// changedAt is when its state last changed here.
+	// changedAt is when its record last changed here.
 	changedAt time.Time
-	// contactAt is when it last sent a message itself.
+	// contactAt is when it last sent a message to this VM.
 	contactAt time.Time
 }
 
@@ -25,7 +25,7 @@
 type vmTable struct {
 	records map[laburnumlever.VMID]*vmRecord
 	digest  *digest
-	// retention is how long a VM that is down is remembered and tried again.
+	// retention is how long a VM that is down is remembered and contacted again.
 	retention time.Duration
 }
 
@@ -33,9 +33,9 @@
 	return &vmTable{records: map[laburnumlever.VMID]*vmRecord{}, digest: d, retention: vmRetention}
 }
 
-// supersedesVM tells whether a is newer than b: a higher incarnation, or, at the
-// same one, the worse state. Only the VM itself raises its incarnation, so that
-// leaving is final until it starts anew and a suspicion holds until it refutes it.
+// supersedesVM tells whether a is newer than b: a higher incarnation or, at the same one, a
+// worse state. Only the VM itself raises its incarnation, so leaving is final until it
+// restarts, and a suspicion holds until it refutes it.
 func supersedesVM(a, b laburnumlever.VM) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -43,13 +43,14 @@
 	return a.State > b.State
 }
 
-// merge takes in what was heard of a VM and tells whether it was news.
+// merge merges a VM's record received from another VM and tells whether it was newer than the
+// known one.
 func (t *vmTable) merge(vm laburnumlever.VM, now time.Time, suspicion time.Duration) bool {
 	r, ok := t.records[vm.ID]
 	if !ok {
 		if vm.State == laburnumlever.VMDown || vm.State == laburnumlever.VMLeft {
-			// Late news of a VM forgotten here would bring it back for good, going
-			// round among VMs that forget it at different times.
+			// A late update about a forgotten VM would keep its record for ever: VMs forget it
+			// at different times and would pass it to each other again.
 			return false
 		}
 		t.records[vm.ID] = &vmRecord{vm: vm, changedAt: now, deadline: now.Add(suspicion)}
@@ -68,7 +69,8 @@
 	return true
 }
 
-// toggle leaves a suspicion out of the digest: it passes within seconds.
+// toggle adds a VM's record to the digest or removes it. Suspicion is left out, as it lasts
+// only seconds.
 func (t *vmTable) toggle(vm laburnumlever.VM) {
 	state := vm.State
 	if state == laburnumlever.VMSuspect {
@@ -103,7 +105,8 @@
 	return s == laburnumlever.VMAlive || s == laburnumlever.VMSuspect
 }
 
-// sorted lists the records by id, so that the same seed gives the same run.
+// sorted returns the records that keep accepts, sorted by id so that runs with the same seed
+// are reproducible.
 func (t *vmTable) sorted(keep func(*vmRecord) bool) []*vmRecord {
 	out := make([]*vmRecord, 0, len(t.records))
 	for _, r := range t.records {
