--- a/laburnumspread/body.go
+++ b/laburnumspread/body.go
@@ -10,13 +10,13 @@
 	"laburnumlever"
 )
 
-// maxBody bounds what a packed catalogue may unpack to, in bytes: a broken peer
+// maxUnpackedBytes bounds what a packed catalogue may unpack to, in bytes: a broken peer
 // could else fill the memory by a small message.
-const maxBody = 64 << 20
+const maxUnpackedBytes = 64 << 20
 
-// body is a catalogue with its packed form, made when first needed and on the
+// catalogueBody is a catalogue with its packed form, made when first needed and on the
 // goroutine that needs it, not on the control thread.
-type body struct {
+type catalogueBody struct {
 	catalogue laburnumlever.Catalogue
 	once      sync.Once
 	packed    []byte
@@ -29,7 +29,7 @@
 	Gzip     []byte `json:"gzip"`
 }
 
-func (b *body) envelope() (envelope, error) {
+func (b *catalogueBody) envelope() (envelope, error) {
 	b.once.Do(func() { b.packed, b.err = pack(b.catalogue) })
 	return envelope{Revision: b.catalogue.Revision, Gzip: b.packed}, b.err
 }
@@ -46,19 +46,19 @@
 	return packed.Bytes(), nil
 }
 
-func (e envelope) open() (*body, error) {
+func (e envelope) unpack() (*catalogueBody, error) {
 	r, err := gzip.NewReader(bytes.NewReader(e.Gzip))
 	if err != nil {
 		return nil, &BodyError{Revision: e.Revision, Cause: err}
 	}
-	raw, err := io.ReadAll(io.LimitReader(r, maxBody+1))
+	raw, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
 	if err != nil {
 		return nil, &BodyError{Revision: e.Revision, Cause: err}
 	}
-	if len(raw) > maxBody {
-		return nil, &BodyError{Revision: e.Revision, Cause: &TooLargeError{Limit: maxBody}}
+	if len(raw) > maxUnpackedBytes {
+		return nil, &BodyError{Revision: e.Revision, Cause: &TooLargeError{Limit: maxUnpackedBytes}}
 	}
-	b := &body{packed: e.Gzip}
+	b := &catalogueBody{packed: e.Gzip}
 	if err := json.Unmarshal(raw, &b.catalogue); err != nil {
 		return nil, &BodyError{Revision: e.Revision, Cause: err}
 	}
--- a/laburnumspread/core.go
+++ b/laburnumspread/core.go
@@ -15,11 +15,11 @@
 	comparePeriod = time.Second
 	// fanout VMs are offered a new revision at once.
 	fanout = 4
-	// comingTime is how long a revision that was asked for counts as coming: above
+	// transferGrace is how long a revision that was asked for counts as coming: above
 	// a transfer of hundreds of kilobytes, far below the seven seconds allowed.
-	comingTime   = 500 * time.Millisecond
-	offerTimeout = time.Second
-	bodyTimeout  = 3 * time.Second
+	transferGrace = 500 * time.Millisecond
+	offerTimeout  = time.Second
+	bodyTimeout   = 3 * time.Second
 )
 
 // The methods between VMs.
@@ -40,40 +40,40 @@
 	Wants    bool   `json:"wants,omitempty"`
 }
 
-// send is a message that a step asks for.
-type send struct {
+// message is a message that a step asks for.
+type message struct {
 	address string
 	method  string
 	offer   offer
-	body    *body
+	body    *catalogueBody
 }
 
 // core decides what to send; it has no goroutine, network or clock.
 type core struct {
-	random *rand.Rand
-	held   *body
-	// coming is the newest revision asked for. While it is not here by
+	random  *rand.Rand
+	current *catalogueBody
+	// expectedRevision is the newest revision asked for. While it is not here by
 	// comingUntil the body was lost, and waiting for the next offer would add
 	// a second at every loss.
-	coming      uint64
-	comingUntil time.Time
-	comparedAt  time.Time
-	out         []send
+	expectedRevision uint64
+	expectedUntil    time.Time
+	comparedAt       time.Time
+	outbox           []message
 }
 
 func (c *core) revision() uint64 {
-	if c.held == nil {
+	if c.current == nil {
 		return 0
 	}
-	return c.held.catalogue.Revision
+	return c.current.catalogue.Revision
 }
 
-// take holds a newer catalogue and offers it on; an older one changes nothing.
-func (c *core) take(b *body, vms []laburnumlever.VM) bool {
-	if c.held != nil && b.catalogue.Revision <= c.held.catalogue.Revision {
+// adopt holds a newer catalogue and offers it on; an older one changes nothing.
+func (c *core) adopt(b *catalogueBody, vms []laburnumlever.VM) bool {
+	if c.current != nil && b.catalogue.Revision <= c.current.catalogue.Revision {
 		return false
 	}
-	c.held = b
+	c.current = b
 	for _, vm := range c.pick(vms, fanout) {
 		c.offerTo(vm.PeerAddress)
 	}
@@ -82,8 +82,8 @@
 
 // tick compares with a random VM.
 func (c *core) tick(now time.Time, vms []laburnumlever.VM) {
-	waiting := c.coming > c.revision() && now.Before(c.comingUntil)
-	behind := c.held == nil || c.coming > c.revision()
+	waiting := c.expectedRevision > c.revision() && now.Before(c.expectedUntil)
+	behind := c.current == nil || c.expectedRevision > c.revision()
 	if waiting || (!behind && now.Sub(c.comparedAt) < comparePeriod) {
 		return
 	}
@@ -94,35 +94,35 @@
 }
 
 func (c *core) offerTo(address string) {
-	c.out = append(c.out, send{address: address, method: methodOffer, offer: offer{Revision: c.revision()}})
+	c.outbox = append(c.outbox, message{address: address, method: methodOffer, offer: offer{Revision: c.revision()}})
 }
 
-// offered answers an offer.
-func (c *core) offered(o offer, now time.Time) offerAnswer {
+// handleOffer answers an offer.
+func (c *core) handleOffer(o offer, now time.Time) offerAnswer {
 	answer := offerAnswer{Revision: c.revision()}
-	if o.Revision > c.revision() && c.wants(o.Revision, now) {
+	if o.Revision > c.revision() && c.requestOnce(o.Revision, now) {
 		answer.Wants = true
 	}
 	return answer
 }
 
-// offerAnswered pushes to a VM that is behind, or pulls from one that is ahead.
-func (c *core) offerAnswered(address string, a offerAnswer, now time.Time) {
+// handleOfferAnswer pushes to a VM that is behind, or pulls from one that is ahead.
+func (c *core) handleOfferAnswer(address string, a offerAnswer, now time.Time) {
 	switch {
-	case a.Wants && c.held != nil:
-		c.out = append(c.out, send{address: address, method: methodPush, body: c.held})
-	case a.Revision > c.revision() && c.wants(a.Revision, now):
-		c.out = append(c.out, send{address: address, method: methodPull})
+	case a.Wants && c.current != nil:
+		c.outbox = append(c.outbox, message{address: address, method: methodPush, body: c.current})
+	case a.Revision > c.revision() && c.requestOnce(a.Revision, now):
+		c.outbox = append(c.outbox, message{address: address, method: methodPull})
 	}
 }
 
-// wants tells whether a revision should be sent here, and notes that it will be.
-func (c *core) wants(revision uint64, now time.Time) bool {
-	if revision <= c.coming && now.Before(c.comingUntil) {
+// requestOnce tells whether a revision should be sent here, and notes that it will be.
+func (c *core) requestOnce(revision uint64, now time.Time) bool {
+	if revision <= c.expectedRevision && now.Before(c.expectedUntil) {
 		return false
 	}
-	c.coming = revision
-	c.comingUntil = now.Add(comingTime)
+	c.expectedRevision = revision
+	c.expectedUntil = now.Add(transferGrace)
 	return true
 }
 
@@ -142,8 +142,8 @@
 	return living[:n]
 }
 
-func (c *core) takeOut() []send {
-	out := c.out
-	c.out = nil
+func (c *core) drainOutbox() []message {
+	out := c.outbox
+	c.outbox = nil
 	return out
 }
--- a/laburnumspread/events.go
+++ b/laburnumspread/events.go
@@ -5,7 +5,7 @@
 type (
 	ticked struct{ now time.Time }
 
-	offered struct {
+	offerReceived struct {
 		offer  offer
 		answer chan<- offerAnswer
 	}
@@ -15,13 +15,13 @@
 		answer  offerAnswer
 	}
 
-	received struct{ body *body }
+	bodyReceived struct{ body *catalogueBody }
 
-	pulled struct{ answer chan<- *body }
+	pullRequested struct{ answer chan<- *catalogueBody }
 )
 
 func (ticked) EventName() string        { return "spread-ticked" }
-func (offered) EventName() string       { return "catalogue-offered" }
+func (offerReceived) EventName() string { return "catalogue-offered" }
 func (offerAnswered) EventName() string { return "catalogue-offer-answered" }
-func (received) EventName() string      { return "catalogue-received" }
-func (pulled) EventName() string        { return "catalogue-pulled" }
+func (bodyReceived) EventName() string  { return "catalogue-received" }
+func (pullRequested) EventName() string { return "catalogue-pulled" }
--- a/laburnumspread/failures_test.go
+++ b/laburnumspread/failures_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func revision(n uint64) laburnumlever.Catalogue { return laburnumlever.Catalogue{Revision: n} }
+func emptyCatalogue(n uint64) laburnumlever.Catalogue { return laburnumlever.Catalogue{Revision: n} }
 
 func allHold(f *laburnumspread.Fleet, n uint64) func() bool {
 	return func() bool {
@@ -33,14 +33,14 @@
 // these is restarted there without a disk. Callers in the zone must go on being
 // served by the last revision, on both VMs, and after the heal by the new one; no
 // VM may go back to an older one, though one is offered late.
-func TestCutOffZoneKeepsItsRevisionAndCatchesUp(t *testing.T) {
+func TestPartitionedZoneKeepsItsRevisionAndCatchesUp(t *testing.T) {
 	f := laburnumspread.NewFleet(6, 1)
-	f.Offer(0, revision(5))
+	f.Offer(0, emptyCatalogue(5))
 	_, ok := f.Until(7*time.Second, allHold(f, 5))
 	require.True(t, ok)
 	inside := func(i int) bool { return i >= 4 }
 	f.Blocked = func(from, to int) bool { return inside(from) != inside(to) }
-	f.Offer(0, revision(6))
+	f.Offer(0, emptyCatalogue(6))
 	f.Restart(5)
 	_, ok = f.Until(7*time.Second, func() bool {
 		return f.Revision(1) == 6 && f.Revision(2) == 6 && f.Revision(3) == 6 && f.Revision(5) == 5
@@ -48,14 +48,14 @@
 	require.True(t, ok)
 	require.EqualValues(t, 5, f.Revision(4))
 	f.Blocked = func(_, _ int) bool { return false }
-	f.Offer(4, revision(4))
+	f.Offer(4, emptyCatalogue(4))
 	_, ok = f.Until(7*time.Second, allHold(f, 6))
 	require.True(t, ok)
 }
 
 // A zone is cut off and both its VMs restart without a disk. Nobody there holds a
 // revision, so they must say that they have none rather than invent one.
-func TestWithoutAnyNeighbourThatHasOneThereIsNone(t *testing.T) {
+func TestPartitionedVMsWithoutCatalogueReportNone(t *testing.T) {
 	f := laburnumspread.NewFleet(2, 2)
 	_, ok := f.Until(30*time.Second, func() bool { return f.Revision(0)+f.Revision(1) > 0 })
 	require.False(t, ok)
@@ -80,10 +80,10 @@
 func measureSpread(t *testing.T, vms int, loss float64) {
 	const runs = 5
 	var times []time.Duration
-	var bytes, bodies, top int
+	var bytes, bodies, busiest int
 	for seed := range uint64(runs) {
 		f := laburnumspread.NewFleet(vms, seed)
-		f.Offer(0, revision(1))
+		f.Offer(0, emptyCatalogue(1))
 		_, ok := f.Until(time.Minute, allHold(f, 1))
 		require.True(t, ok)
 		f.Loss = loss
@@ -93,7 +93,7 @@
 		took, ok := f.Until(time.Minute, allHold(f, 2))
 		require.True(t, ok)
 		times = append(times, took)
-		top = max(top, slices.Max(f.Bytes))
+		busiest = max(busiest, slices.Max(f.Bytes))
 		for i := range f.Bytes {
 			bytes += f.Bytes[i]
 			bodies += f.Bodies[i]
@@ -101,7 +101,7 @@
 	}
 	slices.Sort(times)
 	t.Logf("%d VMs, loss %.0f%%: all hold it after median %v max %v; bytes a VM for one revision %d (busiest %d), bodies a VM %.2f",
-		vms, 100*loss, times[runs/2].Round(time.Millisecond), times[runs-1].Round(time.Millisecond), bytes/vms/runs, top,
+		vms, 100*loss, times[runs/2].Round(time.Millisecond), times[runs-1].Round(time.Millisecond), bytes/vms/runs, busiest,
 		float64(bodies)/float64(vms*runs))
 }
 
--- a/laburnumspread/fleet_test.go
+++ b/laburnumspread/fleet_test.go
@@ -30,9 +30,9 @@
 }
 
 const (
-	latency = time.Millisecond
-	// bodyTime is a generous guess for tens of kilobytes between zones.
-	bodyTime = 10 * time.Millisecond
+	offerLatency = time.Millisecond
+	// transferTime is a generous guess for tens of kilobytes between zones.
+	transferTime = 10 * time.Millisecond
 	// offerBytes are an offer or its answer with jsonrpc2's envelope.
 	offerBytes = 95
 )
@@ -72,7 +72,7 @@
 
 // Offer hands a catalogue to one VM.
 func (f *Fleet) Offer(i int, c laburnumlever.Catalogue) {
-	f.Cores[i].take(&body{catalogue: c}, f.others(i))
+	f.Cores[i].adopt(&catalogueBody{catalogue: c}, f.others(i))
 	f.send(i)
 }
 
@@ -115,7 +115,7 @@
 }
 
 func (f *Fleet) send(from int) {
-	for _, m := range f.Cores[from].takeOut() {
+	for _, m := range f.Cores[from].drainOutbox() {
 		to := slices.IndexFunc(f.VMs, func(vm laburnumlever.VM) bool { return vm.PeerAddress == m.address })
 		switch m.method {
 		case methodOffer:
@@ -124,7 +124,7 @@
 			f.transfer(from, to, m.body)
 		case methodPull:
 			f.count(from, offerBytes)
-			if b := f.Cores[to].held; b != nil && !f.lost(from, to) {
+			if b := f.Cores[to].current; b != nil && !f.lost(from, to) {
 				f.transfer(to, from, b)
 			}
 		}
@@ -136,20 +136,20 @@
 	if f.lost(from, to) {
 		return
 	}
-	f.after(latency, func() {
-		answer := f.Cores[to].offered(o, f.Now)
+	f.after(offerLatency, func() {
+		answer := f.Cores[to].handleOffer(o, f.Now)
 		f.count(to, offerBytes)
 		if f.lost(to, from) {
 			return
 		}
-		f.after(latency, func() {
-			f.Cores[from].offerAnswered(f.VMs[to].PeerAddress, answer, f.Now)
+		f.after(offerLatency, func() {
+			f.Cores[from].handleOfferAnswer(f.VMs[to].PeerAddress, answer, f.Now)
 			f.send(from)
 		})
 	})
 }
 
-func (f *Fleet) transfer(from, to int, b *body) {
+func (f *Fleet) transfer(from, to int, b *catalogueBody) {
 	e, err := b.envelope()
 	if err != nil {
 		panic(err)
@@ -162,9 +162,9 @@
 	if f.lost(from, to) {
 		return
 	}
-	f.after(bodyTime, func() {
+	f.after(transferTime, func() {
 		f.Bodies[to]++
-		f.Cores[to].take(b, f.others(to))
+		f.Cores[to].adopt(b, f.others(to))
 		f.send(to)
 	})
 }
--- a/laburnumspread/spread.go
+++ b/laburnumspread/spread.go
@@ -91,14 +91,14 @@
 
 // Offer hands in a catalogue that is accepted; one not newer than what is held
 // changes nothing. Control thread only.
-func (s *Spread) Offer(c laburnumlever.Catalogue) { s.take(&body{catalogue: c}) }
+func (s *Spread) Offer(c laburnumlever.Catalogue) { s.adopt(&catalogueBody{catalogue: c}) }
 
 // Catalogue is the newest held here, and whether there is any. Control thread only.
 func (s *Spread) Catalogue() (laburnumlever.Catalogue, bool) {
-	if s.core.held == nil {
+	if s.core.current == nil {
 		return laburnumlever.Catalogue{}, false
 	}
-	return s.core.held.catalogue, true
+	return s.core.current.catalogue, true
 }
 
 // Handle takes an event on the control thread.
@@ -107,22 +107,22 @@
 	switch e := ev.(type) {
 	case ticked:
 		s.core.tick(now, s.others())
-	case offered:
-		e.answer <- s.core.offered(e.offer, now)
+	case offerReceived:
+		e.answer <- s.core.handleOffer(e.offer, now)
 	case offerAnswered:
-		s.core.offerAnswered(e.address, e.answer, now)
-	case received:
-		s.take(e.body)
-	case pulled:
-		e.answer <- s.core.held
+		s.core.handleOfferAnswer(e.address, e.answer, now)
+	case bodyReceived:
+		s.adopt(e.body)
+	case pullRequested:
+		e.answer <- s.core.current
 	default:
 		_ = level.Error(s.logger).Log("event", laburnumlever.EventUnknownEvent, "name", ev.EventName())
 	}
 	s.send()
 }
 
-func (s *Spread) take(b *body) {
-	if !s.core.take(b, s.others()) {
+func (s *Spread) adopt(b *catalogueBody) {
+	if !s.core.adopt(b, s.others()) {
 		return
 	}
 	_ = level.Info(s.logger).Log("event", laburnumlever.EventCatalogueInForce, "revision", b.catalogue.Revision)
@@ -145,14 +145,14 @@
 }
 
 func (s *Spread) send() {
-	for _, m := range s.core.takeOut() {
+	for _, m := range s.core.drainOutbox() {
 		go s.call(m)
 	}
 }
 
 // call sends one message and posts what came of it. What fails is made good by the
 // next comparison.
-func (s *Spread) call(m send) {
+func (s *Spread) call(m message) {
 	if m.method == methodOffer {
 		ctx, cancel := context.WithTimeout(context.Background(), offerTimeout)
 		defer cancel()
@@ -170,7 +170,7 @@
 	}
 }
 
-func (s *Spread) transfer(ctx context.Context, m send) error {
+func (s *Spread) transfer(ctx context.Context, m message) error {
 	if m.method == methodPush {
 		e, err := m.body.envelope()
 		if err != nil {
@@ -186,11 +186,11 @@
 }
 
 func (s *Spread) receive(e envelope) error {
-	b, err := e.open()
+	b, err := e.unpack()
 	if err != nil {
 		return err
 	}
-	s.loop.Post(s, received{body: b})
+	s.loop.Post(s, bodyReceived{body: b})
 	return nil
 }
 
@@ -200,7 +200,7 @@
 		return nil, errors.Wrap(err, "offer")
 	}
 	answer := make(chan offerAnswer, 1)
-	s.loop.Post(s, offered{offer: o, answer: answer})
+	s.loop.Post(s, offerReceived{offer: o, answer: answer})
 	select {
 	case a := <-answer:
 		return a, nil
@@ -218,8 +218,8 @@
 }
 
 func (s *Spread) handlePull(ctx context.Context, _ laburnumlever.RawMessage) (any, error) {
-	answer := make(chan *body, 1)
-	s.loop.Post(s, pulled{answer: answer})
+	answer := make(chan *catalogueBody, 1)
+	s.loop.Post(s, pullRequested{answer: answer})
 	select {
 	case b := <-answer:
 		if b == nil {
--- a/laburnumspread/spread_test.go
+++ b/laburnumspread/spread_test.go
@@ -29,7 +29,7 @@
 	e.spread.Offer(e.catalogue)
 }
 
-func TestNewestRevisionReachesAllAndNeverGoesBack(t *testing.T) {
+func TestRevisionsReachAllVMsAndNeverRevert(t *testing.T) {
 	const count = 5
 	var vms []laburnumlever.VM
 	var listeners []net.Listener
