--- a/laburnumspread/body.go
+++ b/laburnumspread/body.go
@@ -10,12 +10,12 @@
 	"laburnumlever"
 )
 
-// maxUnpackedBytes bounds what a packed catalogue may unpack to, in bytes: a broken peer
-// could else fill the memory by a small message.
+// maxUnpackedBytes limits the size of an unpacked catalogue, in bytes: without it, a faulty
+// peer could exhaust the memory with a small message.
 const maxUnpackedBytes = 64 << 20
 
-// catalogueBody is a catalogue with its packed form, made when first needed and on the
-// goroutine that needs it, not on the control thread.
+// catalogueBody is a catalogue and its packed form, which is made on first use and off the
+// control thread.
 type catalogueBody struct {
 	catalogue laburnumlever.Catalogue
 	once      sync.Once
@@ -23,7 +23,7 @@
 	err       error
 }
 
-// envelope is a catalogue on the wire: gzipped JSON, about a tenth of the bytes.
+// envelope is a catalogue on the wire. Compression reduces the JSON to about a tenth.
 type envelope struct {
 	Revision uint64 `json:"revision"`
 	Gzip     []byte `json:"gzip"`
@@ -62,6 +62,6 @@
 	if err := json.Unmarshal(raw, &b.catalogue); err != nil {
 		return nil, &BodyError{Revision: e.Revision, Cause: err}
 	}
-	b.once.Do(func() {}) // it came packed
+	b.once.Do(func() {}) // already packed
 	return b, nil
 }
--- a/laburnumspread/core.go
+++ b/laburnumspread/core.go
@@ -8,39 +8,40 @@
 )
 
 const (
-	// tickPeriod is how often a VM asks that has no catalogue, or knows that there
-	// is a newer one.
+	// tickPeriod is the interval at which a VM that has no catalogue, or knows of a newer one,
+	// sends an offer.
 	tickPeriod = 250 * time.Millisecond
-	// comparePeriod is how often the others compare.
+	// comparePeriod is the interval at which all other VMs send an offer.
 	comparePeriod = time.Second
-	// fanout VMs are offered a new revision at once.
+	// fanout is the number of VMs that are offered a new revision at once.
 	fanout = 4
-	// transferGrace is how long a revision that was asked for counts as coming: above
-	// a transfer of hundreds of kilobytes, far below the seven seconds allowed.
+	// transferGrace is how long a requested revision is expected before it is requested again:
+	// above the time to transfer hundreds of kilobytes, far below the seven seconds allowed for
+	// a revision to reach all VMs.
 	transferGrace = 500 * time.Millisecond
 	offerTimeout  = time.Second
 	bodyTimeout   = 3 * time.Second
 )
 
-// The methods between VMs.
+// The JSON-RPC methods between VMs.
 const (
 	methodOffer = "catalogue-offer"
 	methodPush  = "catalogue-push"
 	methodPull  = "catalogue-pull"
 )
 
-// offer tells the revision that a VM holds; 0 means none.
+// offer announces the sender's revision; 0 means that it has none.
 type offer struct {
 	Revision uint64 `json:"revision"`
 }
 
-// offerAnswer tells the other's, and whether it wants the offered one.
+// offerAnswer is the receiver's revision, and whether it wants the offered one.
 type offerAnswer struct {
 	Revision uint64 `json:"revision"`
 	Wants    bool   `json:"wants,omitempty"`
 }
 
-// message is a message that a step asks for.
+// message is an outgoing call. An offer carries a revision, a push a catalogue, a pull neither.
 type message struct {
 	address string
 	method  string
@@ -48,13 +49,14 @@
 	body    *catalogueBody
 }
 
-// core decides what to send; it has no goroutine, network or clock.
+// core makes all decisions, without goroutines, network or clock. Messages to be sent collect
+// in outbox.
 type core struct {
 	random  *rand.Rand
 	current *catalogueBody
-	// expectedRevision is the newest revision asked for. While it is not here by
-	// comingUntil the body was lost, and waiting for the next offer would add
-	// a second at every loss.
+	// expectedRevision is the newest revision requested. If it has not arrived by
+	// expectedUntil, the transfer was lost, and the VM sends offers at every tick: waiting for
+	// the next regular comparison would add a second for each loss.
 	expectedRevision uint64
 	expectedUntil    time.Time
 	comparedAt       time.Time
@@ -68,7 +70,8 @@
 	return c.current.catalogue.Revision
 }
 
-// adopt holds a newer catalogue and offers it on; an older one changes nothing.
+// adopt makes a newer catalogue the current one and offers it to some VMs. It returns false for
+// a catalogue that is not newer.
 func (c *core) adopt(b *catalogueBody, vms []laburnumlever.VM) bool {
 	if c.current != nil && b.catalogue.Revision <= c.current.catalogue.Revision {
 		return false
@@ -80,7 +83,7 @@
 	return true
 }
 
-// tick compares with a random VM.
+// tick offers the current revision to a random VM if a comparison is due.
 func (c *core) tick(now time.Time, vms []laburnumlever.VM) {
 	waiting := c.expectedRevision > c.revision() && now.Before(c.expectedUntil)
 	behind := c.current == nil || c.expectedRevision > c.revision()
@@ -116,7 +119,8 @@
 	}
 }
 
-// requestOnce tells whether a revision should be sent here, and notes that it will be.
+// requestOnce tells whether to request a revision and, if so, marks it as expected. It returns
+// false while a transfer of this or a newer revision is expected.
 func (c *core) requestOnce(revision uint64, now time.Time) bool {
 	if revision <= c.expectedRevision && now.Before(c.expectedUntil) {
 		return false
@@ -126,7 +130,7 @@
 	return true
 }
 
-// pick chooses living VMs at random.
+// pick returns up to n living VMs, chosen at random.
 func (c *core) pick(vms []laburnumlever.VM, n int) []laburnumlever.VM {
 	var living []laburnumlever.VM
 	for _, vm := range vms {
--- a/laburnumspread/doc.go
+++ b/laburnumspread/doc.go
@@ -1,29 +1,30 @@
-// Package laburnumspread brings each new revision of the catalogue to every VM.
+// Package laburnumspread distributes each new revision of the catalogue to every VM.
 //
 // # Usage
 //
-//	s := laburnumspread.New(loop, timers, peers, membership.VMs)
-//	s.OnNewer(publishView) // on the control thread
-//	s.Start()
-//	s.Offer(catalogue) // a voter: each revision that the log has committed
-//	catalogue, ok := s.Catalogue()
+//	d := laburnumspread.New(loop, timers, peers, membership.VMs)
+//	d.OnNewRevision(publishView) // on the control thread
+//	d.Start()
+//	d.Publish(catalogue) // on a voter: each revision that the log has committed
+//	catalogue, ok := d.Catalogue()
 //
-// # How a revision spreads
+// # Distribution
 //
-// A VM that gets a newer revision offers its number at once to a few VMs chosen at random
-// and sends the catalogue itself only to those that say they lack it; they do the
-// same. With every VM offering to four, about one in fifty is missed; for these, and
-// for whoever was cut off, every VM also compares numbers with a random other once a
-// second and pushes or pulls, whichever side is behind.
+// A VM that adopts a newer revision offers its number at once to four VMs chosen at random
+// and sends the catalogue itself only to those that answer that they lack it; these
+// do the same. That misses about one VM in fifty. For these, and for VMs that were cut
+// off, every VM also compares revisions with a random VM once a second, and the VM that is
+// behind gets the newer revision by a push or a pull.
 //
-// A VM that has said that it wants a revision tells further offers that it is
-// coming, for a short time. Without that, at a busy moment each VM would be sent the
-// same hundreds of kilobytes several times.
+// A VM that has requested a revision declines further offers of it for a short time.
+// Otherwise a VM that gets several offers at the same time would be sent the same hundreds
+// of kilobytes several times.
 //
-// # What always holds
+// # Guarantees
 //
-// The revision held only grows, whatever order messages come in: a VM of a cut-off
-// zone keeps its last one and goes on with it, and after the heal an old one sent late
-// changes nothing. A VM that starts without any asks until one answers; until
-// then Catalogue says that there is none.
+// The current revision never goes back, whatever order messages arrive in: a VM in a
+// zone that is cut off keeps its last revision, and an old revision that arrives late after
+// the partition has healed is ignored. A VM that starts without a catalogue sends offers
+// until a VM answers with a revision; until the catalogue arrives, Catalogue reports that
+// there is none.
 package laburnumspread
--- a/laburnumspread/errors.go
+++ b/laburnumspread/errors.go
@@ -2,25 +2,27 @@
 
 import "fmt"
 
-// BodyError is a catalogue from another VM that cannot be read.
+// BodyError reports a catalogue from another VM that can't be decoded.
 type BodyError struct {
 	Revision uint64
 	Cause    error
 }
 
 func (e *BodyError) Error() string {
-	return fmt.Sprintf("catalogue revision %d from another VM: %v", e.Revision, e.Cause)
+	return fmt.Sprintf("decode catalogue revision %d from another VM: %v", e.Revision, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *BodyError) Unwrap() error { return e.Cause }
 
-// NoCatalogueError answers a pull on a VM that has none.
+// NoCatalogueError is the answer to a pull from a VM that has no catalogue yet.
 type NoCatalogueError struct{}
 
-func (e *NoCatalogueError) Error() string { return "no catalogue yet" }
+func (e *NoCatalogueError) Error() string { return "this VM has no catalogue yet" }
 
-// TooLargeError is a catalogue that unpacks to more than the bound.
+// TooLargeError reports a catalogue whose unpacked size exceeds Limit, in bytes.
 type TooLargeError struct{ Limit int }
 
-func (e *TooLargeError) Error() string { return fmt.Sprintf("larger than %d bytes", e.Limit) }
+func (e *TooLargeError) Error() string {
+	return fmt.Sprintf("unpacked size exceeds the limit of %d bytes", e.Limit)
+}
--- a/laburnumspread/failures_test.go
+++ b/laburnumspread/failures_test.go
@@ -29,10 +29,9 @@
 	}
 }
 
-// An operator's change is accepted while a zone of two VMs is cut off, and one of
-// these is restarted there without a disk. Callers in the zone must go on being
-// served by the last revision, on both VMs, and after the heal by the new one; no
-// VM may go back to an older one, though one is offered late.
+// A revision is accepted while a zone of two VMs is cut off, where one restarts without a disk.
+// Guards against VMs of the zone losing the last revision, missing the new one after the
+// partition heals, or reverting to an older one that is offered late.
 func TestPartitionedZoneKeepsItsRevisionAndCatchesUp(t *testing.T) {
 	f := laburnumspread.NewFleet(6, 1)
 	f.Offer(0, emptyCatalogue(5))
@@ -53,16 +52,16 @@
 	require.True(t, ok)
 }
 
-// A zone is cut off and both its VMs restart without a disk. Nobody there holds a
-// revision, so they must say that they have none rather than invent one.
+// All VMs of a cut-off zone restart without a disk. Guards against inventing a revision that no
+// VM holds.
 func TestPartitionedVMsWithoutCatalogueReportNone(t *testing.T) {
 	f := laburnumspread.NewFleet(2, 2)
 	_, ok := f.Until(30*time.Second, func() bool { return f.Revision(0)+f.Revision(1) > 0 })
 	require.False(t, ok)
 }
 
-// TestMeasureSpread is a measurement, not a check: it prints what
-// docs/membership-measures.md records.
+// TestMeasureSpread is a measurement, not a check. Its results are recorded in
+// docs/membership-measures.md.
 func TestMeasureSpread(t *testing.T) {
 	chosen := os.Getenv("LABURNUM_VMS")
 	if chosen == "" {
@@ -105,7 +104,7 @@
 		float64(bodies)/float64(vms*runs))
 }
 
-// designCatalogue has the models of the size to design for.
+// designCatalogue returns a catalogue with as many models as the design allows for.
 func designCatalogue() laburnumlever.Catalogue {
 	c := laburnumlever.Catalogue{}
 	for i := range 370 {
--- a/laburnumspread/fleet_test.go
+++ b/laburnumspread/fleet_test.go
@@ -10,16 +10,16 @@
 	"laburnumlever"
 )
 
-// Fleet runs many cores over in-memory queues on a clock of its own.
+// Fleet runs many cores over in-memory queues on a simulated clock.
 type Fleet struct {
 	Now    time.Time
 	VMs    []laburnumlever.VM
 	Cores  []*core
 	Random *rand.Rand
-	// Loss is the share of messages lost; Blocked tells which are lost besides.
+	// Blocked tells which messages are lost, and Loss the share of the others that are.
 	Loss    float64
 	Blocked func(from, to int) bool
-	// Bytes and Messages sent by each VM, Bodies received by each.
+	// Bytes and Messages count what each VM sent, Bodies the catalogues that each received.
 	Bytes, Messages, Bodies []int
 	events                  []event
 }
@@ -31,13 +31,13 @@
 
 const (
 	offerLatency = time.Millisecond
-	// transferTime is a generous guess for tens of kilobytes between zones.
+	// transferTime is a generous estimate for tens of kilobytes between zones.
 	transferTime = 10 * time.Millisecond
-	// offerBytes are an offer or its answer with jsonrpc2's envelope.
+	// offerBytes is the size of an offer or its answer, with the envelope of jsonrpc2.
 	offerBytes = 95
 )
 
-// NewFleet makes VMs that know each other and hold no catalogue.
+// NewFleet returns VMs that know each other and hold no catalogue.
 func NewFleet(count int, seed uint64) *Fleet {
 	f := &Fleet{
 		Now:      time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC),
@@ -67,19 +67,20 @@
 	return append(slices.Clone(f.VMs[:i]), f.VMs[i+1:]...)
 }
 
-// Restart makes a VM forget all, as one without a disk does.
+// Restart restarts a VM without its state, as on a VM without a disk.
 func (f *Fleet) Restart(i int) { f.Cores[i] = &core{random: f.Cores[i].random} }
 
-// Offer hands a catalogue to one VM.
+// Publish hands in a catalogue on one VM.
 func (f *Fleet) Offer(i int, c laburnumlever.Catalogue) {
 	f.Cores[i].adopt(&catalogueBody{catalogue: c}, f.others(i))
 	f.send(i)
 }
 
-// Revision is what a VM holds.
+// Revision returns a VM's current revision.
 func (f *Fleet) Revision(i int) uint64 { return f.Cores[i].revision() }
 
-// Until advances until done holds; it returns how long that took and whether it did.
+// Until advances the clock until done holds, for at most limit. It returns the time taken and
+// whether done held.
 func (f *Fleet) Until(limit time.Duration, done func() bool) (time.Duration, bool) {
 	began := f.Now
 	for !done() {
@@ -100,7 +101,7 @@
 		if other.at.After(at) {
 			return 1
 		}
-		return -1 // behind all of the same time, in the order asked for
+		return -1 // after events of the same time, in order of insertion
 	})
 	f.events = slices.Insert(f.events, at, e)
 }
--- a/laburnumspread/spread.go
+++ b/laburnumspread/spread.go
@@ -14,8 +14,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Spread is the part of the control thread that owns the catalogue in force on
-// this VM.
+// Spread owns the catalogue in effect on this VM and distributes new revisions to other
+// VMs. It runs on the control thread.
 type Spread struct {
 	loop    laburnumlever.Loop
 	timers  laburnumlever.Timers
@@ -31,19 +31,19 @@
 
 var _ laburnumlever.Part = (*Spread)(nil)
 
-// Option changes a new spread.
+// Option configures a Distributor.
 type Option func(*Spread)
 
-// WithLogger sets the log; without it nothing is logged.
+// WithLogger sets the logger; the default discards everything.
 func WithLogger(logger log.Logger) Option { return func(s *Spread) { s.logger = logger } }
 
-// WithScope sets where counters go; without it they go nowhere.
+// WithScope sets the scope for metrics; the default discards them.
 func WithScope(scope tally.Scope) Option { return func(s *Spread) { s.scope = scope } }
 
-// WithSelf names this VM, so that it does not offer to itself.
+// WithSelf sets this VM's id, so that it sends no offers to itself.
 func WithSelf(self laburnumlever.VMID) Option { return func(s *Spread) { s.self = self } }
 
-// WithRandomSeed makes the choice of VMs the same in every run.
+// WithRandomSeed makes the choice of VMs reproducible.
 func WithRandomSeed(seed uint64) Option {
 	return func(s *Spread) { s.core.random = newRandom(seed) }
 }
@@ -52,8 +52,8 @@
 	return rand.New(rand.NewPCG(seed, 0)) //nolint:gosec // choice of partners, no secret
 }
 
-// New makes a spread without a catalogue and registers its handlers with peers.
-// vms lists the VMs known and is called on the control thread.
+// New creates a distributor without a catalogue and registers its handlers with peers. vms
+// returns the known VMs and is called on the control thread.
 func New(loop laburnumlever.Loop, timers laburnumlever.Timers, peers laburnumlever.Peers, vms func() []laburnumlever.VM, opts ...Option) *Spread {
 	s := &Spread{
 		loop:   loop,
@@ -73,27 +73,27 @@
 	return s
 }
 
-// OnNewer adds a function that runs on the control thread for each revision that
-// comes into force here.
+// OnNewer adds a function that is called on the control thread with each revision that
+// takes effect on this VM.
 func (s *Spread) OnNewer(fn func(laburnumlever.Catalogue)) { s.onNewer = append(s.onNewer, fn) }
 
-// Start begins to compare with other VMs.
+// Start begins to compare revisions with other VMs.
 func (s *Spread) Start() {
 	s.stop = s.timers.Every(tickPeriod, func(now time.Time) { s.loop.Post(s, ticked{now: now}) })
 }
 
-// Close ends the periodic work.
+// Close stops the periodic work.
 func (s *Spread) Close() {
 	if s.stop != nil {
 		s.stop()
 	}
 }
 
-// Offer hands in a catalogue that is accepted; one not newer than what is held
-// changes nothing. Control thread only.
+// Offer hands in a committed catalogue. A catalogue that is not newer than the current one is
+// ignored. Control thread only.
 func (s *Spread) Offer(c laburnumlever.Catalogue) { s.adopt(&catalogueBody{catalogue: c}) }
 
-// Catalogue is the newest held here, and whether there is any. Control thread only.
+// Catalogue returns the current catalogue, or false if there is none yet. Control thread only.
 func (s *Spread) Catalogue() (laburnumlever.Catalogue, bool) {
 	if s.core.current == nil {
 		return laburnumlever.Catalogue{}, false
@@ -101,7 +101,7 @@
 	return s.core.current.catalogue, true
 }
 
-// Handle takes an event on the control thread.
+// Handle handles an event on the control thread.
 func (s *Spread) Handle(ev laburnumlever.Event) {
 	now := s.timers.Now()
 	switch e := ev.(type) {
@@ -150,8 +150,8 @@
 	}
 }
 
-// call sends one message and posts what came of it. What fails is made good by the
-// next comparison.
+// call sends one message and posts the result. A failed call is not repeated: the next
+// comparison makes up for it.
 func (s *Spread) call(m message) {
 	if m.method == methodOffer {
 		ctx, cancel := context.WithTimeout(context.Background(), offerTimeout)
@@ -197,7 +197,7 @@
 func (s *Spread) handleOffer(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
 	var o offer
 	if err := json.Unmarshal(params, &o); err != nil {
-		return nil, errors.Wrap(err, "offer")
+		return nil, errors.Wrap(err, "decode catalogue offer")
 	}
 	answer := make(chan offerAnswer, 1)
 	s.loop.Post(s, offerReceived{offer: o, answer: answer})
@@ -212,7 +212,7 @@
 func (s *Spread) handlePush(_ context.Context, params laburnumlever.RawMessage) (any, error) {
 	var e envelope
 	if err := json.Unmarshal(params, &e); err != nil {
-		return nil, errors.Wrap(err, "push")
+		return nil, errors.Wrap(err, "decode catalogue push")
 	}
 	return struct{}{}, s.receive(e)
 }
