--- a/laburnummembership/probe.go
+++ b/laburnummembership/probe.go
@@ -121,8 +121,8 @@
 // suspicion or its refutation is easily lost; probed at every tick, a living VM answers in time
 // with a new incarnation. Other VMs only wait, and for longer.
 func (c *core) reprobeSuspects() {
-	accused := c.vms.sorted(func(r *vmRecord) bool { return r.suspectedHere && r.vm.State == laburnumlever.VMSuspect })
-	for _, r := range accused[:min(maxReprobes, len(accused))] {
+	suspects := c.vms.sorted(func(r *vmRecord) bool { return r.suspectedHere && r.vm.State == laburnumlever.VMSuspect })
+	for _, r := range suspects[:min(maxReprobes, len(suspects))] {
 		c.exchange(r.vm.ID)
 	}
 }
--- a/laburnummembership/transport.go
+++ b/laburnummembership/transport.go
@@ -64,7 +64,7 @@
 func (m *Membership) handleGossip(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
 	var message gossip
 	if err := json.Unmarshal(params, &message); err != nil {
-		return nil, errors.Wrap(err, "decode gossip message")
+		return nil, errors.Wrap(err, "gossip")
 	}
 	answer := make(chan gossip, 1)
 	m.loop.Post(m, gossipReceived{message: message, answer: answer})
@@ -79,7 +79,7 @@
 func (m *Membership) handleSync(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
 	var request syncRequest
 	if err := json.Unmarshal(params, &request); err != nil {
-		return nil, errors.Wrap(err, "decode pull request")
+		return nil, errors.Wrap(err, "sync")
 	}
 	answer := make(chan syncAnswer, 1)
 	m.loop.Post(m, pullRequested{request: request, answer: answer})
@@ -95,7 +95,7 @@
 func (m *Membership) handleIndirectProbe(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
 	var request indirectProbeRequest
 	if err := json.Unmarshal(params, &request); err != nil {
-		return nil, errors.Wrap(err, "decode indirect probe request")
+		return nil, errors.Wrap(err, "ask")
 	}
 	known := make(chan bool, 1)
 	m.loop.Post(m, reachabilityRequested{target: request.Target, answer: known})
@@ -118,7 +118,7 @@
 func (m *Membership) handleDemand(_ context.Context, params laburnumlever.RawMessage) (any, error) {
 	var message demandReport
 	if err := json.Unmarshal(params, &message); err != nil {
-		return nil, errors.Wrap(err, "decode demand report")
+		return nil, errors.Wrap(err, "demand")
 	}
 	m.loop.Post(m, demandReceived{message: message})
 	return struct{}{}, nil
--- a/laburnumspread/spread.go
+++ b/laburnumspread/spread.go
@@ -197,7 +197,7 @@
 func (s *Spread) handleOffer(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
 	var o offer
 	if err := json.Unmarshal(params, &o); err != nil {
-		return nil, errors.Wrap(err, "decode catalogue offer")
+		return nil, errors.Wrap(err, "offer")
 	}
 	answer := make(chan offerAnswer, 1)
 	s.loop.Post(s, offerReceived{offer: o, answer: answer})
@@ -212,7 +212,7 @@
 func (s *Spread) handlePush(_ context.Context, params laburnumlever.RawMessage) (any, error) {
 	var e envelope
 	if err := json.Unmarshal(params, &e); err != nil {
-		return nil, errors.Wrap(err, "decode catalogue push")
+		return nil, errors.Wrap(err, "push")
 	}
 	return struct{}{}, s.receive(e)
 }
--- a/laburnumspread/spread_test.go
+++ b/laburnumspread/spread_test.go
@@ -39,15 +39,15 @@
 		listeners = append(listeners, ln)
 		vms = append(vms, laburnumlever.VM{ID: laburnumlever.VMID(ln.Addr().String()), PeerAddress: ln.Addr().String()})
 	}
-	held := make([]atomic.Uint64, count)
+	revisions := make([]atomic.Uint64, count)
 	spreads := make([]*laburnumspread.Spread, count)
 	loops := make([]*laburnumcontrol.Loop, count)
 	for i, ln := range listeners {
 		loop, timers, peers := laburnumcontrol.New(), laburnumtimer.New(), laburnumpeer.New(vms[i].ID)
 		s := laburnumspread.New(loop, timers, peers, func() []laburnumlever.VM { return vms }, laburnumspread.WithSelf(vms[i].ID))
 		s.OnNewer(func(c laburnumlever.Catalogue) {
-			require.Greater(t, c.Revision, held[i].Load())
-			held[i].Store(c.Revision)
+			require.Greater(t, c.Revision, revisions[i].Load())
+			revisions[i].Store(c.Revision)
 		})
 		spreads[i], loops[i] = s, loop
 		go loop.Run()
@@ -68,7 +68,7 @@
 	offer(1, 3)
 	offer(2, 9)
 	offer(2, 8)
-	for i := range held {
-		require.Eventually(t, func() bool { return held[i].Load() == 9 }, 30*time.Second, 10*time.Millisecond)
+	for i := range revisions {
+		require.Eventually(t, func() bool { return revisions[i].Load() == 9 }, 30*time.Second, 10*time.Millisecond)
 	}
 }
