--- a/laburnummembership/failures_test.go
+++ b/laburnummembership/failures_test.go
@@ -194,7 +194,7 @@
 }
 
 // The publisher of an engine loses contact with it or crashes while another VM is still in
-// contact. Guards against marking the healthy engine as down on the publisher's word alone.
+// contact. Guards against marking the healthy engine as down because one VM lost contact.
 func TestAnotherVMTakesOverPublishingABackend(t *testing.T) {
 	for _, name := range []string{"link broken", "publisher dead"} {
 		t.Run(name, func(t *testing.T) {
