--- a/laburnummembership/bench_test.go
+++ b/laburnummembership/bench_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sizes are the fleets measured; LABURNUM_VMS limits a run to some of them.
+// sizes returns the fleet sizes to measure, from LABURNUM_VMS.
 func sizes(t *testing.T) []int {
 	t.Helper()
 	chosen := os.Getenv("LABURNUM_VMS")
@@ -34,8 +34,8 @@
 	return out
 }
 
-// fleetOf is a fleet of design proportions: 2,100 engines to 780 VMs in 7 zones,
-// each engine with two VMs of its zone as addresses, three loads a second at most.
+// fleetOf returns a fleet with the proportions of the design: 2,100 engines to 780 VMs in 7
+// zones, each engine with the addresses of two VMs of its zone.
 func fleetOf(vms int) (*fleet, []*laburnummembership.Engine) {
 	zones := min(7, max(2, vms/2))
 	f := laburnummembership.NewFleet(vms, zones, 1)
@@ -53,12 +53,13 @@
 	return f, engines
 }
 
-// changesPerSecond are changes of engines' inventories in the whole fleet: three
-// loads a second, the larger of today's weight stores, each seen to begin and to end.
+// changesPerSecond is the number of inventory changes in the whole fleet: three loads a second,
+// the limit of the larger of today's weight stores, each with a change at its start and its
+// end.
 const changesPerSecond = 6
 
-// TestMeasureCost is a measurement, not a check: it prints what
-// docs/membership-measures.md records.
+// TestMeasureCost is a measurement, not a check. Its results are recorded in
+// docs/membership-measures.md.
 func TestMeasureCost(t *testing.T) {
 	for _, vms := range sizes(t) {
 		t.Run(strconv.Itoa(vms), func(t *testing.T) { measure(t, vms) })
@@ -106,9 +107,9 @@
 		t.Logf("  %s: %d B/s a node", m, b/vms/seconds)
 	}
 	t.Logf("heap a node %d KiB", (heapBytes()-before)/uint64(vms)/1024)
-	near, far := f.LoadAges()
+	farAges, far := f.LoadAges()
 	t.Logf("age of load, own zone: median %v 95th %v max %v; other zones: median %v 95th %v max %v",
-		pick(near, 50), pick(near, 95), pick(near, 100), pick(far, 50), pick(far, 95), pick(far, 100))
+		percentile(farAges, 50), percentile(farAges, 95), percentile(farAges, 100), percentile(far, 50), percentile(far, 95), percentile(far, 100))
 	measureTimes(t, f, engines)
 }
 
@@ -136,7 +137,7 @@
 	t.Logf("dead VM down for the first after %v (%v), for all after %v (%v)", first, ok1, first+took, ok)
 }
 
-func pick(sorted []time.Duration, percent int) time.Duration {
+func percentile(sorted []time.Duration, percent int) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
@@ -150,15 +151,15 @@
 	return m.HeapAlloc
 }
 
-// TestMeasureProcess measures VMs with real sockets in one process: what links and
-// the kernel add to the steps. Two engines to each VM announce and report.
+// TestMeasureProcess measures VMs with real sockets in one process, to include the cost of
+// connections and the kernel. Two engines for each VM announce and report.
 func TestMeasureProcess(t *testing.T) {
 	for _, count := range sizes(t) {
 		nodes := startNodes(t, count)
 		ctx, cancel := context.WithCancel(context.Background())
 		for i, n := range nodes {
 			for e := range 2 {
-				go feed(ctx, n, laburnumlever.BackendID(fmt.Sprintf("engine-%d-%d", i, e)), laburnumlever.ZoneName(fmt.Sprintf("zone-%d", i%2)))
+				go announceAndReport(ctx, n, laburnumlever.BackendID(fmt.Sprintf("engine-%d-%d", i, e)), laburnumlever.ZoneName(fmt.Sprintf("zone-%d", i%2)))
 			}
 		}
 		time.Sleep(8 * time.Second)
@@ -171,7 +172,7 @@
 	}
 }
 
-func feed(ctx context.Context, n *node, id laburnumlever.BackendID, zone laburnumlever.ZoneName) {
+func announceAndReport(ctx context.Context, n *node, id laburnumlever.BackendID, zone laburnumlever.ZoneName) {
 	a := laburnumlever.Announcement{Backend: id, Zone: zone, Incarnation: 1, Slots: 32}
 	ticker := time.NewTicker(500 * time.Millisecond)
 	defer ticker.Stop()
--- a/laburnummembership/core.go
+++ b/laburnummembership/core.go
@@ -9,7 +9,8 @@
 	"laburnumlever"
 )
 
-// send is a message that a step asks for. Its outcome comes back with the token.
+// send is an outgoing message. The outcome of a call carries its Token; Token 0 marks a
+// notification, which has none.
 type send struct {
 	Address string
 	Method  string
@@ -18,8 +19,8 @@
 	Timeout time.Duration
 }
 
-// core is the whole decision code: no goroutine, no network, no clock. Each method
-// is a step; what it wants sent collects in out.
+// core makes all decisions, without goroutines, network or clock. Messages to be sent collect
+// in outbox.
 type core struct {
 	self     laburnumlever.VM
 	seeds    []string
@@ -29,32 +30,32 @@
 	backends *backendTable
 	demand   *demandTable
 
-	facts     *newsQueue // VMs and the states of backend servers: small and urgent
-	bulk      *newsQueue // announcements and inventories
-	nearLoads *newsQueue
-	farLoads  *newsQueue
-
-	out      []send
-	token    uint64
-	pending  map[uint64]pending
-	round    []laburnumlever.VMID // the far partners still to come in this round
-	ticks    uint64
-	tickedAt time.Time
-	started  time.Time
-	// contactAt is when any VM last sent this one a message.
-	contactAt  time.Time
-	healAt     time.Time
-	joinAt     time.Time
-	joined     bool
-	syncAt     time.Time
-	mismatches int
-	forgetAt   time.Time
+	factQueue     *updateQueue // VMs and backend states: small and urgent
+	bulkQueue     *updateQueue // announcements and inventories
+	nearLoadQueue *updateQueue
+	farLoadQueue  *updateQueue
+
+	outbox      []send
+	token       uint64
+	pending     map[uint64]pending
+	farPartners []laburnumlever.VMID // remaining partners of the current round through all VMs
+	ticks       uint64
+	lastTickAt  time.Time
+	started     time.Time
+	// contactAt is when this VM last received a message from another VM.
+	contactAt   time.Time
+	reconnectAt time.Time
+	joinAt      time.Time
+	joined      bool
+	syncAt      time.Time
+	mismatches  int
+	forgottenAt time.Time
 
 	factsChanged bool
 	loadsChanged bool
 }
 
-// pending is a message sent whose outcome is still to come.
+// pending is a call whose outcome has not arrived yet.
 type pending struct {
 	vm      laburnumlever.VMID
 	address string
@@ -63,23 +64,24 @@
 
 func newCore(self laburnumlever.VM, seeds []string, now time.Time, random *rand.Rand) *core {
 	if self.Incarnation == 0 {
-		// Start times order the incarnations of a VM without a disk.
+		// A VM without a disk has no counter to continue, so the start time serves as its
+		// incarnation.
 		self.Incarnation = uint64(now.UnixMilli())
 	}
 	self.State = laburnumlever.VMAlive
 	c := &core{
-		self:      self,
-		seeds:     seeds,
-		random:    random,
-		facts:     newNewsQueue(),
-		bulk:      newNewsQueue(),
-		nearLoads: newNewsQueue(),
-		farLoads:  newNewsQueue(),
-		pending:   map[uint64]pending{},
-		tickedAt:  now,
-		started:   now,
-		contactAt: now,
-		forgetAt:  now,
+		self:          self,
+		seeds:         seeds,
+		random:        random,
+		factQueue:     newUpdateQueue(),
+		bulkQueue:     newUpdateQueue(),
+		nearLoadQueue: newUpdateQueue(),
+		farLoadQueue:  newUpdateQueue(),
+		pending:       map[uint64]pending{},
+		lastTickAt:    now,
+		started:       now,
+		contactAt:     now,
+		forgottenAt:   now,
 	}
 	c.vms = newVMTable(&c.digest)
 	c.backends = newBackendTable(&c.digest)
@@ -90,7 +92,7 @@
 
 func (c *core) toggleSelf() { c.vms.toggle(c.self) }
 
-// setSelf changes what the VM says of itself, under a new incarnation.
+// setSelf changes this VM's own record, under a new incarnation if anything differs.
 func (c *core) setSelf(next laburnumlever.VM) {
 	next.ID = c.self.ID
 	next.Incarnation = c.self.Incarnation
@@ -101,30 +103,29 @@
 	c.toggleSelf()
 	c.self = next
 	c.toggleSelf()
-	c.facts.push(vmKey(c.self.ID))
+	c.factQueue.push(vmKey(c.self.ID))
 	c.factsChanged = true
 }
 
-// refute raises the own incarnation above what others say of this VM. What they
-// say may come from an earlier start, so the number may be higher than the own.
-func (c *core) refute(said laburnumlever.VM) {
-	if said.Incarnation < c.self.Incarnation {
-		// The refutation was lost on its way to whoever says this, and by now may
-		// have been sent as often as news is.
-		c.facts.push(vmKey(c.self.ID))
+// refute raises this VM's incarnation above that of another VM's claim about it. The claim may
+// date from before a restart, so its incarnation may be higher than the current one.
+func (c *core) refute(claimed laburnumlever.VM) {
+	if claimed.Incarnation < c.self.Incarnation {
+		// The sender missed the refutation, which may have used up its sends by now.
+		c.factQueue.push(vmKey(c.self.ID))
 		return
 	}
-	if said.Incarnation == c.self.Incarnation && said.State <= c.self.State {
+	if claimed.Incarnation == c.self.Incarnation && claimed.State <= c.self.State {
 		return
 	}
 	c.toggleSelf()
-	c.self.Incarnation = said.Incarnation + 1
+	c.self.Incarnation = claimed.Incarnation + 1
 	c.toggleSelf()
-	c.facts.push(vmKey(c.self.ID))
+	c.factQueue.push(vmKey(c.self.ID))
 	c.factsChanged = true
 }
 
-// leave tells the others that this VM stops for good.
+// leave announces that this VM stops for good.
 func (c *core) leave() {
 	next := c.self
 	next.State = laburnumlever.VMLeft
@@ -136,33 +137,33 @@
 	}
 }
 
-// leaveMessages is how many VMs are told of the leaving at once: enough that the
-// news goes on even if some of them are just lost.
+// leaveMessages is how many VMs are notified at once of this VM's leaving: enough for the
+// update to spread even if some messages are lost.
 const leaveMessages = 4
 
-// tick does the periodic work.
+// tick runs the periodic work: timeouts, failure detection, gossip and demand.
 func (c *core) tick(now time.Time) {
-	if pause := now.Sub(c.tickedAt); pause > lateTick {
-		c.resume(now, pause)
+	if pause := now.Sub(c.lastTickAt); pause > pauseThreshold {
+		c.resumeAfterPause(now, pause)
 	}
-	c.tickedAt = now
+	c.lastTickAt = now
 	c.ticks++
 	c.expireSuspicions(now)
-	c.confirm()
-	c.judgeBackends(now)
+	c.reprobeSuspects()
+	c.checkBackendHealth(now)
 	c.repeatLoads(now)
 	c.forget(now)
 	c.join(now)
-	c.heal(now)
+	c.reconnectDown(now)
 	c.gossipOnce()
 	c.sendDemand(now)
 }
 
-// resume guards against this VM's own pause (SIGSTOP, a starved or moved VM): on
-// waking, every answer is late and every deadline over, and without it the VM
-// would declare all the others and its backend servers down. So all it waited for is
-// dropped and its deadlines move on by the pause.
-func (c *core) resume(now time.Time, pause time.Duration) {
+// resumeAfterPause discards pending calls and moves the deadlines by the length of a pause of
+// this VM (SIGSTOP, CPU starvation, live migration). Without it, all answers would be late and
+// all deadlines over on resumption, and this VM would mark all other VMs and its backend
+// servers as down.
+func (c *core) resumeAfterPause(now time.Time, pause time.Duration) {
 	c.pending = map[uint64]pending{}
 	c.contactAt = now
 	for _, r := range c.vms.records {
@@ -170,41 +171,41 @@
 		r.contactAt = r.contactAt.Add(pause)
 	}
 	for _, r := range c.backends.records {
-		r.newsAt = r.newsAt.Add(pause)
-		if !r.heardAt.IsZero() {
-			r.heardAt = r.heardAt.Add(pause)
+		r.updatedAt = r.updatedAt.Add(pause)
+		if !r.contactAt.IsZero() {
+			r.contactAt = r.contactAt.Add(pause)
 		}
 		r.changedAt = r.changedAt.Add(pause)
 	}
 }
 
 func (c *core) forget(now time.Time) {
-	if now.Sub(c.forgetAt) < time.Minute {
+	if now.Sub(c.forgottenAt) < time.Minute {
 		return
 	}
-	c.forgetAt = now
+	c.forgottenAt = now
 	if c.vms.forget(now) {
 		c.factsChanged = true
 	}
 	for _, r := range c.backends.records {
-		gone := r.news.Health == healthDown || r.news.Leaving
-		if gone && now.Sub(r.changedAt) > backendForget && now.Sub(r.heardAt) > backendForget {
+		gone := r.state.Health == healthDown || r.state.Leaving
+		if gone && now.Sub(r.changedAt) > backendRetention && now.Sub(r.contactAt) > backendRetention {
 			c.backends.remove(r)
 			c.factsChanged = true
 		}
 	}
 }
 
-// emit asks for a message to be sent.
+// emit queues a call and registers it as pending.
 func (c *core) emit(s send, p pending) {
 	c.token++
 	s.Token = c.token
 	p.address = s.Address
 	c.pending[s.Token] = p
-	c.out = append(c.out, s)
+	c.outbox = append(c.outbox, s)
 }
 
-// vmList is what the view shows, this VM included.
+// vmList returns the known VMs, this one included, in order of their id.
 func (c *core) vmList() []laburnumlever.VM {
 	records := c.vms.sorted(func(*vmRecord) bool { return true })
 	out := make([]laburnumlever.VM, 0, len(records)+1)
@@ -217,14 +218,14 @@
 	return slices.Insert(out, at, c.self)
 }
 
-// takeOut returns what the steps since the last call want sent.
-func (c *core) takeOut() []send {
-	out := c.out
-	c.out = nil
+// drainOutbox returns the messages queued since the last call and empties the outbox.
+func (c *core) drainOutbox() []send {
+	out := c.outbox
+	c.outbox = nil
 	return out
 }
 
-func (c *core) settle(token uint64) (pending, bool) {
+func (c *core) takePending(token uint64) (pending, bool) {
 	p, ok := c.pending[token]
 	delete(c.pending, token)
 	return p, ok
--- a/laburnummembership/demand.go
+++ b/laburnummembership/demand.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// demandPeriod is how often demand goes to the VMs that place.
+	// demandPeriod is how often demand is sent to the zone owners.
 	demandPeriod = time.Second
-	// demandStep stretches demandPeriod for each VM known: 39 s at 780 VMs, where
-	// demand moves tenfold within an hour.
+	// demandStep lengthens demandPeriod for each known VM: 39 s with 780 VMs, where demand
+	// changes tenfold within an hour.
 	demandStep = 50 * time.Millisecond
-	// demandSmallFleet is the number of VMs up to which all owners get all demand.
+	// demandSmallFleet is the number of VMs up to which every zone owner gets every VM's
+	// demand.
 	demandSmallFleet = 50
-	// demandAge is after how long without news a VM's demand no longer counts, in
-	// periods.
-	demandAge = 15
+	// demandMaxPeriods is the number of periods without a report after which a VM's demand no
+	// longer counts.
+	demandMaxPeriods = 15
 )
 
 // demandTable holds the demand of each VM.
 type demandTable struct {
 	self   laburnumlever.VMID
 	own    []laburnumlever.ModelDemand
-	others map[laburnumlever.VMID]demandOf
+	others map[laburnumlever.VMID]vmDemand
 	sentAt time.Time
 	dirty  bool
 }
 
-type demandOf struct {
+type vmDemand struct {
 	rows []laburnumlever.ModelDemand
 	at   time.Time
 }
 
 func newDemandTable(self laburnumlever.VMID) *demandTable {
-	return &demandTable{self: self, others: map[laburnumlever.VMID]demandOf{}}
+	return &demandTable{self: self, others: map[laburnumlever.VMID]vmDemand{}}
 }
 
 func (t *demandTable) setOwn(rows []laburnumlever.ModelDemand) {
@@ -44,24 +45,25 @@
 	t.dirty = true
 }
 
-// merge takes in another VM's demand; late ones change nothing.
-func (t *demandTable) merge(n demandNews, now time.Time) {
+// merge stores another VM's demand, unless it is older than a known one that has not expired.
+func (t *demandTable) merge(n demandReport, now time.Time) {
 	known := t.others[n.From]
-	if len(n.Rows) > 0 && len(known.rows) > 0 && n.Rows[0].Sequence < known.rows[0].Sequence && now.Sub(known.at) < t.age() {
+	if len(n.Rows) > 0 && len(known.rows) > 0 && n.Rows[0].Sequence < known.rows[0].Sequence && now.Sub(known.at) < t.maxAge() {
 		return
 	}
-	t.others[n.From] = demandOf{rows: n.Rows, at: now}
+	t.others[n.From] = vmDemand{rows: n.Rows, at: now}
 }
 
-// age follows the period, which the number of those that send sets.
-func (t *demandTable) age() time.Duration {
-	return demandAge * max(demandPeriod, time.Duration(len(t.others))*demandStep)
+// maxAge is a multiple of the sending period, estimated from the number of VMs that send demand
+// here.
+func (t *demandTable) maxAge() time.Duration {
+	return demandMaxPeriods * max(demandPeriod, time.Duration(len(t.others))*demandStep)
 }
 
 func (t *demandTable) list(now time.Time) []laburnumlever.ModelDemand {
 	out := slices.Clone(t.own)
 	for id, d := range t.others {
-		if now.Sub(d.at) > t.age() {
+		if now.Sub(d.at) > t.maxAge() {
 			delete(t.others, id)
 			continue
 		}
@@ -76,15 +78,15 @@
 	return out
 }
 
-func (c *core) takeDemand(n demandNews, now time.Time) {
+func (c *core) mergeDemand(n demandReport, now time.Time) {
 	c.demand.merge(n, now)
 	c.loadsChanged = true
 }
 
-// sendDemand sends the own demand to the VMs that place: in a small fleet to all of
-// them, else to that of the own zone, which most requests stay in. The period grows
-// with the fleet: an owner would else get hundreds of demands of hundreds of models
-// each second.
+// sendDemand sends this VM's demand to the zone owners: to all of them in a small fleet,
+// otherwise to the owner of this zone, where most requests stay. The period grows with the
+// fleet; otherwise an owner would receive hundreds of reports of hundreds of models each
+// second.
 func (c *core) sendDemand(now time.Time) {
 	period := max(demandPeriod, time.Duration(len(c.vms.records))*demandStep)
 	if !c.demand.dirty || now.Sub(c.demand.sentAt) < period {
@@ -92,13 +94,13 @@
 	}
 	c.demand.sentAt = now
 	c.demand.dirty = false
-	message := demandNews{From: c.self.ID, Rows: c.demand.own}
-	for _, r := range c.placers() {
-		c.out = append(c.out, send{Address: r.vm.PeerAddress, Method: methodDemand, Params: message})
+	message := demandReport{From: c.self.ID, Rows: c.demand.own}
+	for _, r := range c.zoneOwners() {
+		c.outbox = append(c.outbox, send{Address: r.vm.PeerAddress, Method: methodDemand, Params: message})
 	}
 }
 
-func (c *core) placers() []*vmRecord {
+func (c *core) zoneOwners() []*vmRecord {
 	all := c.vms.sorted(func(r *vmRecord) bool { return isLiving(r.vm.State) && r.vm.OwnsZone })
 	if len(c.vms.records) <= demandSmallFleet {
 		return all
--- a/laburnummembership/fleet_test.go
+++ b/laburnummembership/fleet_test.go
@@ -10,26 +10,27 @@
 	"laburnumlever"
 )
 
-// Fleet runs many cores over in-memory queues on a clock of its own. Every
-// message is encoded and decoded as on the wire, so that its bytes can be counted.
+// Fleet runs many cores over in-memory queues on a simulated clock. Messages are encoded and
+// decoded as on the wire, so that their bytes can be counted.
 type Fleet struct {
 	Now    time.Time
 	VMs    []*FleetVM
 	Random *rand.Rand
 	// Blocked tells whether messages from one VM to another are lost.
 	Blocked func(from, to *FleetVM) bool
-	// Loss is the share of messages lost besides.
-	Loss     float64
-	byAddr   map[string]*FleetVM
-	queue    fleetQueue
-	sequence int
+	// Loss is the share of the remaining messages that are lost.
+	Loss      float64
+	byAddress map[string]*FleetVM
+	queue     fleetQueue
+	sequence  int
 }
 
-// FleetVM is one of them.
+// FleetVM is one VM of a fleet.
 type FleetVM struct {
 	*core
 	Frozen, Dead bool
-	// Bytes and Messages sent; Spent is the processor time of steps and coding.
+	// Bytes, Messages and ByMethod count what the VM sent, Received the bytes it received.
+	// Spent is the time taken by steps and encoding.
 	Bytes, Messages int
 	Received        int
 	Spent           time.Duration
@@ -38,7 +39,7 @@
 
 const (
 	fleetLatency = time.Millisecond
-	// envelopeBytes is what jsonrpc2 adds to a message, measured on the wire.
+	// envelopeBytes is what jsonrpc2 adds to a message, as measured on the wire.
 	envelopeBytes = 70
 )
 
@@ -65,13 +66,13 @@
 	return last
 }
 
-// NewFleet makes VMs spread over zones, each with the first three as seeds.
+// NewFleet returns VMs distributed over zones, each with the first three as seeds.
 func NewFleet(vms, zones int, seed uint64) *Fleet {
 	f := &Fleet{
-		Now:     time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC),
-		Random:  rand.New(rand.NewPCG(seed, 1)),
-		Blocked: func(_, _ *FleetVM) bool { return false },
-		byAddr:  map[string]*FleetVM{},
+		Now:       time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC),
+		Random:    rand.New(rand.NewPCG(seed, 1)),
+		Blocked:   func(_, _ *FleetVM) bool { return false },
+		byAddress: map[string]*FleetVM{},
 	}
 	for i := range vms {
 		f.add(i, zones)
@@ -89,7 +90,7 @@
 	}
 	n := &FleetVM{ByMethod: map[string]int{}}
 	f.VMs = append(f.VMs, n)
-	f.byAddr[self.PeerAddress] = n
+	f.byAddress[self.PeerAddress] = n
 	f.boot(n, self)
 	var tick func()
 	tick = func() {
@@ -106,7 +107,7 @@
 	n.core = newCore(self, seeds, f.Now, rand.New(rand.NewPCG(f.Random.Uint64(), 2)))
 }
 
-// Restart starts a VM anew, without any state.
+// Restart restarts a VM without its state.
 func (f *Fleet) Restart(n *FleetVM) {
 	self := n.self
 	self.Incarnation = 0
@@ -114,20 +115,20 @@
 	n.Dead = false
 }
 
-// After runs fn later.
+// after runs fn once the clock has advanced by d.
 func (f *Fleet) after(d time.Duration, fn func()) {
 	f.sequence++
 	heap.Push(&f.queue, fleetEvent{at: f.Now.Add(d), sequence: f.sequence, run: fn})
 }
 
-// ForgetAfter shortens how long the VMs remember one that is down.
+// ForgetAfter sets how long the VMs remember a VM that is down.
 func (f *Fleet) ForgetAfter(d time.Duration) {
 	for _, n := range f.VMs {
-		n.vms.forgetAfter = d
+		n.vms.retention = d
 	}
 }
 
-// Advance runs all that is due in d.
+// Advance advances the clock by d and runs all events due.
 func (f *Fleet) Advance(d time.Duration) {
 	end := f.Now.Add(d)
 	for len(f.queue) > 0 && !f.queue[0].at.After(end) {
@@ -138,7 +139,8 @@
 	f.Now = end
 }
 
-// Until advances until done holds and returns how long that took, or false.
+// Until advances the clock until done holds, for at most limit. It returns the time taken and
+// whether done held.
 func (f *Fleet) Until(limit time.Duration, done func() bool) (time.Duration, bool) {
 	step := max(50*time.Millisecond, time.Duration(len(f.VMs))*time.Millisecond)
 	for took := time.Duration(0); took <= limit; took += step {
@@ -153,14 +155,14 @@
 func (f *Fleet) step(n *FleetVM, fn func()) {
 	began := time.Now()
 	fn()
-	out := n.takeOut()
+	out := n.drainOutbox()
 	n.Spent += time.Since(began)
 	for _, s := range out {
 		f.deliver(n, s)
 	}
 }
 
-// encode counts a message's bytes and copies it as the wire would.
+// encode counts a message's bytes and copies it by encoding and decoding.
 func (f *Fleet) encode(from, to *FleetVM, method string, message, into any) {
 	began := time.Now()
 	raw, err := json.Marshal(message)
@@ -170,9 +172,9 @@
 	from.Spent += time.Since(began)
 	from.Bytes += len(raw) + envelopeBytes
 	from.ByMethod[method] += len(raw) + envelopeBytes
-	if g, ok := message.(gossip); ok && g.News != nil {
-		from.ByMethod["  of it packed facts"] += len(g.News.Packed) * 4 / 3
-		from.ByMethod["  of it load rows"] += len(g.News.Loads) * 4 / 3
+	if g, ok := message.(gossip); ok && g.Updates != nil {
+		from.ByMethod["  of it packed facts"] += len(g.Updates.Packed) * 4 / 3
+		from.ByMethod["  of it load rows"] += len(g.Updates.Loads) * 4 / 3
 	}
 	from.Messages++
 	to.Received += len(raw) + envelopeBytes
@@ -187,9 +189,9 @@
 	return to.Frozen || f.Blocked(from, to) || f.Random.Float64() < f.Loss
 }
 
-// deliver brings a message and its answer, or its failure after the timeout.
+// deliver delivers a message and its answer, or a failure after the timeout.
 func (f *Fleet) deliver(from *FleetVM, s send) {
-	to, ok := f.byAddr[s.Address]
+	to, ok := f.byAddress[s.Address]
 	fail := func() {
 		f.finish(from, outcome{token: s.Token, method: s.Method, err: &laburnumlever.PeerLostError{Address: s.Address}})
 	}
@@ -205,11 +207,11 @@
 				return
 			}
 			f.serve(from, to, s, &o)
-			if s.Token != 0 && s.Method != methodAsk && !f.lost(to, from) {
+			if s.Token != 0 && s.Method != methodIndirectProbe && !f.lost(to, from) {
 				answered = true
 				f.after(fleetLatency, func() { f.finish(from, o) })
 			}
-			if s.Method == methodAsk {
+			if s.Method == methodIndirectProbe {
 				answered = true
 			}
 		})
@@ -230,7 +232,7 @@
 		})
 		return
 	}
-	f.step(n, func() { n.conclusion(o, f.Now) })
+	f.step(n, func() { n.handleOutcome(o, f.Now) })
 }
 
 func (f *Fleet) serve(from, to *FleetVM, s send, o *outcome) {
@@ -244,30 +246,30 @@
 		var request syncRequest
 		var answer syncAnswer
 		f.encode(from, to, s.Method, s.Params, &request)
-		f.step(to, func() { answer = to.share(request, f.Now) })
+		f.step(to, func() { answer = to.answerPull(request, f.Now) })
 		f.encode(to, from, s.Method, answer, &o.sync)
 	case methodDemand:
-		var d demandNews
+		var d demandReport
 		f.encode(from, to, s.Method, s.Params, &d)
-		f.step(to, func() { to.takeDemand(d, f.Now) })
-	case methodAsk:
-		f.help(from, to, s)
+		f.step(to, func() { to.mergeDemand(d, f.Now) })
+	case methodIndirectProbe:
+		f.serveIndirectProbe(from, to, s)
 	}
 }
 
-// help does what a helper's handler does: see handleAsk.
-func (f *Fleet) help(from, helper *FleetVM, s send) {
-	var request askRequest
+// serveIndirectProbe does the work of Membership.handleIndirectProbe.
+func (f *Fleet) serveIndirectProbe(from, helper *FleetVM, s send) {
+	var request indirectProbeRequest
 	f.encode(from, helper, s.Method, s.Params, &request)
 	answer := func(reached bool) {
 		o := outcome{token: s.Token, method: s.Method}
-		f.encode(helper, from, s.Method, askAnswer{Reached: reached}, &o.ask)
+		f.encode(helper, from, s.Method, indirectProbeAnswer{Reached: reached}, &o.indirectProbe)
 		if f.lost(helper, from) {
 			o.err = &laburnumlever.PeerLostError{}
 		}
 		f.finish(from, o)
 	}
-	target := f.byAddr[request.Address]
+	target := f.byAddress[request.Address]
 	reached := helper.reachable(request.Target, f.Now)
 	if !reached && !target.Dead && !f.lost(helper, target) && !f.lost(target, helper) {
 		reached = true
@@ -279,7 +281,7 @@
 	f.after(probeTimeout, func() { answer(false) })
 }
 
-// State is what one VM holds of another.
+// State returns the state of another VM as known to this one, VMLeft if it is unknown.
 func (n *FleetVM) State(of *FleetVM) laburnumlever.VMState {
 	for _, vm := range n.vmList() {
 		if vm.ID == of.self.ID {
@@ -289,7 +291,7 @@
 	return laburnumlever.VMLeft
 }
 
-// Knows tells how many VMs it holds alive.
+// AliveCount returns how many VMs this VM holds as alive, itself included.
 func (n *FleetVM) Knows() (alive int) {
 	for _, vm := range n.vmList() {
 		if vm.State == laburnumlever.VMAlive {
@@ -299,7 +301,7 @@
 	return alive
 }
 
-// Backend is what the VM's view shows of a backend server.
+// Backend returns a backend server as known to a VM.
 func (f *Fleet) Backend(n *FleetVM, id laburnumlever.BackendID) (laburnumlever.Backend, bool) {
 	for _, b := range n.backendList(f.Now) {
 		if b.Announcement.Backend == id {
@@ -309,7 +311,7 @@
 	return laburnumlever.Backend{}, false
 }
 
-// All tells whether a condition holds on every VM that is up.
+// All tells whether the condition holds on every VM that is up.
 func (f *Fleet) All(holds func(n *FleetVM) bool) bool {
 	for _, n := range f.VMs {
 		if !n.Dead && !n.Frozen && !holds(n) {
--- a/laburnummembership/inventory.go
+++ b/laburnummembership/inventory.go
@@ -10,38 +10,38 @@
 	"laburnumlever"
 )
 
-// basisAge is how long changes are made against the same basis. A VM whose last news
-// is older than the basis can't apply a change and pulls the whole inventory; longer,
-// and changes of minutes would pile up in each.
-const basisAge = 10 * time.Second
-
-// inventoryBasis is what changes are made against. It keeps the keys of all copies
-// that have changed since, also of those that are as before again: a VM that saw the
-// state between must be told.
-type inventoryBasis struct {
-	sequence uint64
-	at       time.Time
-	touched  map[string]bool
-	// last is the inventory last made news.
+// baselineAge is how long deltas are computed against the same baseline. A VM whose inventory
+// is older than the baseline can't apply a delta and pulls the complete inventory; with a
+// longer time, the changes of minutes would add up in each delta.
+const baselineAge = 10 * time.Second
+
+// inventoryBaseline is the inventory against which deltas are computed. It keeps the keys of
+// all copies that have changed since, including those that have changed back: a VM that saw the
+// state in between must be told.
+type inventoryBaseline struct {
+	sequence    uint64
+	at          time.Time
+	changedKeys map[string]bool
+	// last is the inventory last published.
 	last []laburnumlever.Loaded
 }
 
-// inventoryNews is what an engine holds, sent only on change: in whole, or, if Base
-// is not 0, as all that changed since Base. Such a change can be applied to any state
-// from Base on, as it carries whole copies and not steps.
-type inventoryNews struct {
+// inventoryUpdate is an engine's inventory, sent only on change: complete if Base is 0,
+// otherwise as a delta of all that changed since Base. A delta can be applied to any state from
+// Base on, since it carries whole copies rather than steps.
+type inventoryUpdate struct {
 	Backend     laburnumlever.BackendID `json:"backend"`
 	Incarnation uint64                  `json:"incarnation"`
-	// Sequence is that of the report that showed the change.
+	// Sequence is the sequence number of the load report that showed the change.
 	Sequence uint64                 `json:"sequence"`
 	Base     uint64                 `json:"base,omitempty"`
 	Fence    uint64                 `json:"fence,omitempty"`
 	Loaded   []laburnumlever.Loaded `json:"loaded,omitempty"`
-	// Removed are the copies no longer there, by copyKey.
+	// Removed holds the copyKeys of the copies that are gone.
 	Removed []string `json:"removed,omitempty"`
 }
 
-// copyKey tells copies of one engine apart.
+// copyKey identifies a copy within one engine.
 func copyKey(l laburnumlever.Loaded) string {
 	parts := []string{string(l.Model), string(l.Version)}
 	for _, a := range l.Accelerators {
@@ -50,8 +50,8 @@
 	return strings.Join(parts, "/")
 }
 
-// touched adds the keys of all copies that differ between two inventories.
-func touched(keys map[string]bool, before, after []laburnumlever.Loaded) {
+// addChangedKeys adds the keys of all copies that differ between two inventories.
+func addChangedKeys(keys map[string]bool, before, after []laburnumlever.Loaded) {
 	old := map[string]laburnumlever.Loaded{}
 	for _, l := range before {
 		old[copyKey(l)] = l
@@ -68,8 +68,9 @@
 	}
 }
 
-// changes returns the present state of the copies with the given keys.
-func changes(keys map[string]bool, loaded []laburnumlever.Loaded) (changed []laburnumlever.Loaded, removed []string) {
+// changedCopies returns the current state of the copies with the given keys, and the keys of
+// those that are gone.
+func changedCopies(keys map[string]bool, loaded []laburnumlever.Loaded) (changed []laburnumlever.Loaded, removed []string) {
 	gone := maps.Clone(keys)
 	for _, l := range loaded {
 		if key := copyKey(l); keys[key] {
@@ -80,8 +81,8 @@
 	return changed, slices.Sorted(maps.Keys(gone))
 }
 
-// apply returns the inventory after a change.
-func (n inventoryNews) apply(loaded []laburnumlever.Loaded) []laburnumlever.Loaded {
+// apply returns the inventory after the update.
+func (n inventoryUpdate) apply(loaded []laburnumlever.Loaded) []laburnumlever.Loaded {
 	if n.Base == 0 {
 		return n.Loaded
 	}
@@ -98,48 +99,50 @@
 			out = append(out, l)
 		}
 	}
-	return inOrder(append(out, n.Loaded...))
+	return sortedCopies(append(out, n.Loaded...))
 }
 
-// inOrder sorts copies, so that every VM shows an inventory alike, whether it got it
-// from the engine, in whole or as changes.
-func inOrder(loaded []laburnumlever.Loaded) []laburnumlever.Loaded {
+// sortedCopies sorts copies by their key, so that every VM shows the same inventory, whether it
+// came from the engine, complete or as deltas.
+func sortedCopies(loaded []laburnumlever.Loaded) []laburnumlever.Loaded {
 	out := slices.Clone(loaded)
 	slices.SortStableFunc(out, func(a, b laburnumlever.Loaded) int { return strings.Compare(copyKey(a), copyKey(b)) })
 	return out
 }
 
-// inventory is the whole of it, newsOfInventory what is passed on.
-func (r *backendRecord) inventory() inventoryNews {
-	return inventoryNews{
-		Backend:     r.news.Backend,
-		Incarnation: r.news.Incarnation,
+// fullInventory returns the complete inventory.
+func (r *backendRecord) fullInventory() inventoryUpdate {
+	return inventoryUpdate{
+		Backend:     r.state.Backend,
+		Incarnation: r.state.Incarnation,
 		Sequence:    r.inventorySequence,
 		Fence:       r.report.Fence,
 		Loaded:      r.report.Loaded,
 	}
 }
 
-func (r *backendRecord) newsOfInventory() inventoryNews {
+// inventoryToSend returns the inventory as a delta if there is one, otherwise complete.
+func (r *backendRecord) inventoryToSend() inventoryUpdate {
 	if r.delta.Base != 0 {
 		return r.delta
 	}
-	return r.inventory()
+	return r.fullInventory()
 }
 
-// mergeInventory takes in an engine's inventory.
-func (t *backendTable) mergeInventory(n inventoryNews, now time.Time) bool {
+// mergeInventory merges an engine's inventory and tells whether it was newer than the known
+// one.
+func (t *backendTable) mergeInventory(n inventoryUpdate, now time.Time) bool {
 	r, ok := t.records[n.Backend]
-	if !ok || n.Incarnation != r.news.Incarnation || n.Sequence <= r.inventorySequence {
+	if !ok || n.Incarnation != r.state.Incarnation || n.Sequence <= r.inventorySequence {
 		return false
 	}
 	if n.Base > r.inventorySequence {
-		return false // what came before the change was missed, and will be pulled
+		return false // an earlier update was missed and will be pulled
 	}
 	t.setInventorySequence(r, n.Sequence)
 	r.delta = n
-	r.basis = inventoryBasis{}
-	r.newsAt = now
+	r.baseline = inventoryBaseline{}
+	r.updatedAt = now
 	r.report.Loaded = n.apply(r.report.Loaded)
 	r.report.Fence = n.Fence
 	return true
@@ -151,31 +154,31 @@
 	t.toggle(r)
 }
 
-// publishInventory makes the inventory last reported news.
+// publishInventory publishes the inventory of the last report.
 func (c *core) publishInventory(r *backendRecord, now time.Time) {
 	if r.report.Sequence <= r.inventorySequence {
 		return
 	}
 	c.backends.setInventorySequence(r, r.report.Sequence)
-	r.delta = inventoryNews{}
-	if r.basis.sequence != 0 {
-		touched(r.basis.touched, r.basis.last, r.report.Loaded)
-		r.delta = r.inventory()
-		r.delta.Base = r.basis.sequence
-		r.delta.Loaded, r.delta.Removed = changes(r.basis.touched, r.report.Loaded)
-	}
-	if now.Sub(r.basis.at) >= basisAge {
-		r.basis = inventoryBasis{sequence: r.inventorySequence, at: now, touched: map[string]bool{}}
-	}
-	r.basis.last = r.report.Loaded
-	c.pushInventory(r.news.Backend)
+	r.delta = inventoryUpdate{}
+	if r.baseline.sequence != 0 {
+		addChangedKeys(r.baseline.changedKeys, r.baseline.last, r.report.Loaded)
+		r.delta = r.fullInventory()
+		r.delta.Base = r.baseline.sequence
+		r.delta.Loaded, r.delta.Removed = changedCopies(r.baseline.changedKeys, r.report.Loaded)
+	}
+	if now.Sub(r.baseline.at) >= baselineAge {
+		r.baseline = inventoryBaseline{sequence: r.inventorySequence, at: now, changedKeys: map[string]bool{}}
+	}
+	r.baseline.last = r.report.Loaded
+	c.pushInventory(r.state.Backend)
 }
 
-// pushInventory keeps an announcement that still waits ahead of the inventory: an
-// inventory of an unknown backend server is dropped by whoever gets it.
+// pushInventory keeps a queued announcement ahead of the inventory, because a VM drops the
+// inventory of an unknown backend server.
 func (c *core) pushInventory(id laburnumlever.BackendID) {
-	c.bulk.push(inventoryKey(id))
-	if c.bulk.holds(announcementKey(id)) {
-		c.bulk.push(announcementKey(id))
+	c.bulkQueue.push(inventoryKey(id))
+	if c.bulkQueue.contains(announcementKey(id)) {
+		c.bulkQueue.push(announcementKey(id))
 	}
 }
--- a/laburnummembership/membership_test.go
+++ b/laburnummembership/membership_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// node is a VM with real sockets, as much of one as membership needs.
+// node is a VM with real sockets and only the parts that membership needs.
 type node struct {
 	membership *laburnummembership.Membership
 	loop       *laburnumcontrol.Loop
@@ -28,15 +28,15 @@
 
 func (n *node) Handle(ev laburnumlever.Event) { ev.(ask).fn() }
 
-// look runs fn on the control thread.
-func (n *node) look(fn func()) {
+// onControlThread runs fn on the control thread and waits for it.
+func (n *node) onControlThread(fn func()) {
 	done := make(chan struct{})
 	n.loop.Post(n, ask{fn: func() { fn(); close(done) }})
 	<-done
 }
 
 func (n *node) backend(id laburnumlever.BackendID) (found laburnumlever.Backend, ok bool) {
-	n.look(func() {
+	n.onControlThread(func() {
 		for _, b := range n.membership.Backends() {
 			if b.Announcement.Backend == id {
 				found, ok = b, true
@@ -47,7 +47,7 @@
 }
 
 func (n *node) alive() (count int) {
-	n.look(func() {
+	n.onControlThread(func() {
 		for _, vm := range n.membership.VMs() {
 			if vm.State == laburnumlever.VMAlive {
 				count++
@@ -85,21 +85,21 @@
 	return nodes
 }
 
-// patience is how long a test waits for what must come; it is no measurement.
-const patience = 30 * time.Second
+// testTimeout is long enough for a busy machine; it is not a measurement.
+const testTimeout = 30 * time.Second
 
-func TestNewsOfABackendServerReachesEveryVM(t *testing.T) {
+func TestBackendStateReachesEveryVM(t *testing.T) {
 	nodes := startNodes(t, 4)
 	for _, n := range nodes {
-		require.Eventually(t, func() bool { return n.alive() == len(nodes) }, patience, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return n.alive() == len(nodes) }, testTimeout, 20*time.Millisecond)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	registry := laburnumlever.BackendRegistry(nodes[1].membership)
 	announcement := laburnumlever.Announcement{Backend: "e1", Zone: "zone-0", Incarnation: 7, Slots: 4}
 	require.NoError(t, registry.Announce(ctx, announcement))
-	// As backend servers do: on a busy machine the test may outlast the silence after
-	// which a backend server counts as down.
+	// Backend servers announce periodically. On a busy machine the test may take longer than
+	// backendTimeout, after which the backend server would be marked as down.
 	announcing := time.NewTicker(200 * time.Millisecond)
 	go func() {
 		for registry.Announce(ctx, announcement) == nil {
@@ -115,13 +115,13 @@
 		require.Eventually(t, func() bool {
 			b, ok := n.backend("e1")
 			return ok && b.TakesWork() && b.Serves("m") && b.Report.InFlight == 2 && b.Report.Fence == 5
-		}, patience, 20*time.Millisecond)
+		}, testTimeout, 20*time.Millisecond)
 	}
 	require.NoError(t, registry.Leave(ctx, "e1", 7))
 	for _, n := range nodes {
 		require.Eventually(t, func() bool {
 			b, _ := n.backend("e1")
 			return b.Leaving
-		}, patience, 20*time.Millisecond)
+		}, testTimeout, 20*time.Millisecond)
 	}
 }
--- a/laburnummembership/pull.go
+++ b/laburnummembership/pull.go
@@ -7,25 +7,25 @@
 	"laburnumlever"
 )
 
-// join asks the seeds for all they know, until one has answered; later on it asks
-// those that no VM alive has as its address, so that two halves that forgot each
-// other find together again.
+// join pulls all facts from the seeds until one has answered. After that it pulls from seeds
+// whose address no living VM has, so that two halves of a fleet that have forgotten each other
+// merge again.
 func (c *core) join(now time.Time) {
 	if now.Before(c.joinAt) || c.self.State == laburnumlever.VMLeft {
 		return
 	}
 	c.joinAt = now.Add(joinPeriod)
 	if c.joined {
-		c.joinAt = now.Add(healPeriod)
+		c.joinAt = now.Add(reconnectPeriod)
 	}
 	for _, address := range c.seeds {
-		if address != c.self.PeerAddress && !c.isAlive(address) {
+		if address != c.self.PeerAddress && !c.isLivingAddress(address) {
 			c.pull(address, nil)
 		}
 	}
 }
 
-func (c *core) isAlive(address string) bool {
+func (c *core) isLivingAddress(address string) bool {
 	for _, r := range c.vms.records {
 		if r.vm.PeerAddress == address && isLiving(r.vm.State) {
 			return true
@@ -34,27 +34,27 @@
 	return false
 }
 
-// heal tries one VM that is held down: after a cut each side holds the other down,
-// and nobody would ever ask again.
-func (c *core) heal(now time.Time) {
-	if now.Before(c.healAt) || c.self.State == laburnumlever.VMLeft {
+// reconnectDown contacts one VM that is down: after a partition each side holds the other as
+// down, and otherwise neither would contact the other again.
+func (c *core) reconnectDown(now time.Time) {
+	if now.Before(c.reconnectAt) || c.self.State == laburnumlever.VMLeft {
 		return
 	}
-	c.healAt = now.Add(healPeriod)
+	c.reconnectAt = now.Add(reconnectPeriod)
 	down := c.vms.sorted(func(r *vmRecord) bool { return r.vm.State == laburnumlever.VMDown })
 	if len(down) == 0 {
 		return
 	}
 	r := down[c.random.IntN(len(down))]
-	c.emit(send{Address: r.vm.PeerAddress, Method: methodGossip, Params: c.message(r, nil), Timeout: probeTimeout},
+	c.emit(send{Address: r.vm.PeerAddress, Method: methodGossip, Params: c.buildMessage(r, nil), Timeout: probeTimeout},
 		pending{vm: r.vm.ID})
 }
 
-// compare pulls what gossip missed, if the digests have differed for some time.
-func (c *core) compare(g gossip, address string, now time.Time) {
+// compareDigest pulls what gossip missed once the digests have differed for some time.
+func (c *core) compareDigest(g gossip, address string, now time.Time) {
 	if g.Digest == c.digest.sum() {
-		// Not a reason to begin counting anew: the VMs of a zone may agree with each
-		// other and lack, together, what all the others have.
+		// Does not reset the count: the VMs of a zone may agree with each other and
+		// all lack what the other zones have.
 		return
 	}
 	c.mismatches++
@@ -72,9 +72,9 @@
 	c.emit(send{Address: address, Method: methodSync, Params: request, Timeout: syncTimeout}, pending{})
 }
 
-// pulled takes the answer to a pull.
-func (c *core) pulled(token uint64, answer syncAnswer, now time.Time) {
-	if _, ok := c.settle(token); !ok {
+// pullAnswered handles the answer to a pull.
+func (c *core) pullAnswered(token uint64, answer syncAnswer, now time.Time) {
+	if _, ok := c.takePending(token); !ok {
 		return
 	}
 	c.joined = true
@@ -82,37 +82,38 @@
 	relay := relayUrgent
 	if n.size() > relayLimit {
 		relay = relayNone
-		c.syncAt = time.Time{} // much was missed: pull again as soon as digests tell
+		c.syncAt = time.Time{} // much was missed: pull again as soon as digests differ
 	}
 	c.mergeFacts(n, now, relay, map[string]bool{})
 	if c.mergeVM(answer.From, now) {
-		c.facts.push(vmKey(answer.From.ID))
+		c.factQueue.push(vmKey(answer.From.ID))
 	}
 }
 
-// share answers a pull.
-func (c *core) share(request syncRequest, now time.Time) syncAnswer {
+// answerPull returns the facts of the requested buckets, within syncBudget, or all facts for a
+// request without buckets.
+func (c *core) answerPull(request syncRequest, now time.Time) syncAnswer {
 	c.contactAt = now
 	if c.mergeVM(request.From, now) {
-		c.facts.push(vmKey(request.From.ID))
+		c.factQueue.push(vmKey(request.From.ID))
 	}
-	var found packedNews
-	room := syncBudget
+	var answer packedUpdates
+	remaining := syncBudget
 	whole := len(request.Buckets) != bucketCount*bucketBytes
 	for _, key := range c.factKeys() {
 		if !whole && !c.digest.differs(request.Buckets, bucketOf(bucketKey(key))) {
 			continue
 		}
-		if !whole && room < 0 {
+		if !whole && remaining < 0 {
 			break
 		}
-		room -= c.addShared(&found, key)
+		remaining -= c.addFullFact(&answer, key)
 	}
-	return syncAnswer{From: c.self, Packed: found.pack()}
+	return syncAnswer{From: c.self, Packed: answer.pack()}
 }
 
-// bucketKey is the key that a fact is digested under: an inventory counts with
-// its backend server.
+// bucketKey returns the key under which a fact is digested: announcements and inventories are
+// digested with their backend server.
 func bucketKey(key string) string {
 	if key[0] == 'i' || key[0] == 'a' {
 		return "b" + key[1:]
@@ -120,8 +121,9 @@
 	return key
 }
 
-// factKeys lists all facts, a backend server before its inventory. It begins at a
-// random VM and backend server, so that a bounded answer gets on from pull to pull.
+// factKeys returns the keys of all facts, each announcement before the inventory of the same
+// backend server. The backend servers start at a random one, so that a truncated answer sends
+// different ones at each pull.
 func (c *core) factKeys() []string {
 	var keys []string
 	vms := c.vms.sorted(func(*vmRecord) bool { return true })
@@ -134,24 +136,24 @@
 	}
 	first := c.random.IntN(len(backends))
 	for i := range backends {
-		id := backends[(first+i)%len(backends)].news.Backend
+		id := backends[(first+i)%len(backends)].state.Backend
 		keys = append(keys, announcementKey(id), inventoryKey(id))
 	}
 	return keys
 }
 
-// addShared adds a fact in full and returns its bytes.
-func (c *core) addShared(n *packedNews, key string) int {
+// addFullFact adds a complete fact and returns its size in bytes.
+func (c *core) addFullFact(n *packedUpdates, key string) int {
 	item, _ := c.fact(key)
 	if key[0] == 'i' {
-		item = c.backends.records[laburnumlever.BackendID(key[1:])].inventory()
+		item = c.backends.records[laburnumlever.BackendID(key[1:])].fullInventory()
 	}
 	switch v := item.(type) {
-	case backendNews:
+	case backendState:
 		n.Backends = append(n.Backends, v)
 	case laburnumlever.VM:
 		n.VMs = append(n.VMs, v)
-	case inventoryNews:
+	case inventoryUpdate:
 		if v.Sequence == 0 {
 			return 0
 		}
--- a/laburnumspread/fleet_test.go
+++ b/laburnumspread/fleet_test.go
@@ -10,16 +10,16 @@
 	"laburnumlever"
 )
 
-// Fleet runs many cores over in-memory queues on a clock of its own.
+// Fleet runs many cores over in-memory queues on a simulated clock.
 type Fleet struct {
 	Now    time.Time
 	VMs    []laburnumlever.VM
 	Cores  []*core
 	Random *rand.Rand
-	// Loss is the share of messages lost; Blocked tells which are lost besides.
+	// Blocked tells which messages are lost, and Loss the share of the others that are.
 	Loss    float64
 	Blocked func(from, to int) bool
-	// Bytes and Messages sent by each VM, Bodies received by each.
+	// Bytes and Messages count what each VM sent, Bodies the catalogues that each received.
 	Bytes, Messages, Bodies []int
 	events                  []event
 }
@@ -30,14 +30,14 @@
 }
 
 const (
-	latency = time.Millisecond
-	// bodyTime is a generous guess for tens of kilobytes between zones.
-	bodyTime = 10 * time.Millisecond
-	// offerBytes are an offer or its answer with jsonrpc2's envelope.
+	offerLatency = time.Millisecond
+	// transferTime is a generous estimate for tens of kilobytes between zones.
+	transferTime = 10 * time.Millisecond
+	// offerBytes is the size of an offer or its answer, with the envelope of jsonrpc2.
 	offerBytes = 95
 )
 
-// NewFleet makes VMs that know each other and hold no catalogue.
+// NewFleet returns VMs that know each other and hold no catalogue.
 func NewFleet(count int, seed uint64) *Fleet {
 	f := &Fleet{
 		Now:      time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC),
@@ -67,19 +67,20 @@
 	return append(slices.Clone(f.VMs[:i]), f.VMs[i+1:]...)
 }
 
-// Restart makes a VM forget all, as one without a disk does.
+// Restart restarts a VM without its state, as on a VM without a disk.
 func (f *Fleet) Restart(i int) { f.Cores[i] = &core{random: f.Cores[i].random} }
 
-// Offer hands a catalogue to one VM.
+// Publish hands in a catalogue on one VM.
 func (f *Fleet) Offer(i int, c laburnumlever.Catalogue) {
-	f.Cores[i].take(&body{catalogue: c}, f.others(i))
+	f.Cores[i].adopt(&catalogueBody{catalogue: c}, f.others(i))
 	f.send(i)
 }
 
-// Revision is what a VM holds.
+// Revision returns a VM's current revision.
 func (f *Fleet) Revision(i int) uint64 { return f.Cores[i].revision() }
 
-// Until advances until done holds; it returns how long that took and whether it did.
+// Until advances the clock until done holds, for at most limit. It returns the time taken and
+// whether done held.
 func (f *Fleet) Until(limit time.Duration, done func() bool) (time.Duration, bool) {
 	began := f.Now
 	for !done() {
@@ -100,7 +101,7 @@
 		if other.at.After(at) {
 			return 1
 		}
-		return -1 // behind all of the same time, in the order asked for
+		return -1 // after events of the same time, in order of insertion
 	})
 	f.events = slices.Insert(f.events, at, e)
 }
@@ -115,7 +116,7 @@
 }
 
 func (f *Fleet) send(from int) {
-	for _, m := range f.Cores[from].takeOut() {
+	for _, m := range f.Cores[from].drainOutbox() {
 		to := slices.IndexFunc(f.VMs, func(vm laburnumlever.VM) bool { return vm.PeerAddress == m.address })
 		switch m.method {
 		case methodOffer:
@@ -124,7 +125,7 @@
 			f.transfer(from, to, m.body)
 		case methodPull:
 			f.count(from, offerBytes)
-			if b := f.Cores[to].held; b != nil && !f.lost(from, to) {
+			if b := f.Cores[to].current; b != nil && !f.lost(from, to) {
 				f.transfer(to, from, b)
 			}
 		}
@@ -136,20 +137,20 @@
 	if f.lost(from, to) {
 		return
 	}
-	f.after(latency, func() {
-		answer := f.Cores[to].offered(o, f.Now)
+	f.after(offerLatency, func() {
+		answer := f.Cores[to].handleOffer(o, f.Now)
 		f.count(to, offerBytes)
 		if f.lost(to, from) {
 			return
 		}
-		f.after(latency, func() {
-			f.Cores[from].offerAnswered(f.VMs[to].PeerAddress, answer, f.Now)
+		f.after(offerLatency, func() {
+			f.Cores[from].handleOfferAnswer(f.VMs[to].PeerAddress, answer, f.Now)
 			f.send(from)
 		})
 	})
 }
 
-func (f *Fleet) transfer(from, to int, b *body) {
+func (f *Fleet) transfer(from, to int, b *catalogueBody) {
 	e, err := b.envelope()
 	if err != nil {
 		panic(err)
@@ -162,9 +163,9 @@
 	if f.lost(from, to) {
 		return
 	}
-	f.after(bodyTime, func() {
+	f.after(transferTime, func() {
 		f.Bodies[to]++
-		f.Cores[to].take(b, f.others(to))
+		f.Cores[to].adopt(b, f.others(to))
 		f.send(to)
 	})
 }
--- a/laburnumspread/spread.go
+++ b/laburnumspread/spread.go
@@ -14,8 +14,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Spread is the part of the control thread that owns the catalogue in force on
-// this VM.
+// Spread owns the catalogue in effect on this VM and distributes new revisions to other
+// VMs. It runs on the control thread.
 type Spread struct {
 	loop    laburnumlever.Loop
 	timers  laburnumlever.Timers
@@ -31,19 +31,19 @@
 
 var _ laburnumlever.Part = (*Spread)(nil)
 
-// Option changes a new spread.
+// Option configures a Distributor.
 type Option func(*Spread)
 
-// WithLogger sets the log; without it nothing is logged.
+// WithLogger sets the logger; the default discards everything.
 func WithLogger(logger log.Logger) Option { return func(s *Spread) { s.logger = logger } }
 
-// WithScope sets where counters go; without it they go nowhere.
+// WithScope sets the scope for metrics; the default discards them.
 func WithScope(scope tally.Scope) Option { return func(s *Spread) { s.scope = scope } }
 
-// WithSelf names this VM, so that it does not offer to itself.
+// WithSelf sets this VM's id, so that it sends no offers to itself.
 func WithSelf(self laburnumlever.VMID) Option { return func(s *Spread) { s.self = self } }
 
-// WithRandomSeed makes the choice of VMs the same in every run.
+// WithRandomSeed makes the choice of VMs reproducible.
 func WithRandomSeed(seed uint64) Option {
 	return func(s *Spread) { s.core.random = newRandom(seed) }
 }
@@ -52,8 +52,8 @@
 	return rand.New(rand.NewPCG(seed, 0)) //nolint:gosec // choice of partners, no secret
 }
 
-// New makes a spread without a catalogue and registers its handlers with peers.
-// vms lists the VMs known and is called on the control thread.
+// New creates a distributor without a catalogue and registers its handlers with peers. vms
+// returns the known VMs and is called on the control thread.
 func New(loop laburnumlever.Loop, timers laburnumlever.Timers, peers laburnumlever.Peers, vms func() []laburnumlever.VM, opts ...Option) *Spread {
 	s := &Spread{
 		loop:   loop,
@@ -73,56 +73,56 @@
 	return s
 }
 
-// OnNewer adds a function that runs on the control thread for each revision that
-// comes into force here.
+// OnNewer adds a function that is called on the control thread with each revision that
+// takes effect on this VM.
 func (s *Spread) OnNewer(fn func(laburnumlever.Catalogue)) { s.onNewer = append(s.onNewer, fn) }
 
-// Start begins to compare with other VMs.
+// Start begins to compare revisions with other VMs.
 func (s *Spread) Start() {
 	s.stop = s.timers.Every(tickPeriod, func(now time.Time) { s.loop.Post(s, ticked{now: now}) })
 }
 
-// Close ends the periodic work.
+// Close stops the periodic work.
 func (s *Spread) Close() {
 	if s.stop != nil {
 		s.stop()
 	}
 }
 
-// Offer hands in a catalogue that is accepted; one not newer than what is held
-// changes nothing. Control thread only.
-func (s *Spread) Offer(c laburnumlever.Catalogue) { s.take(&body{catalogue: c}) }
+// Offer hands in a committed catalogue. A catalogue that is not newer than the current one is
+// ignored. Control thread only.
+func (s *Spread) Offer(c laburnumlever.Catalogue) { s.adopt(&catalogueBody{catalogue: c}) }
 
-// Catalogue is the newest held here, and whether there is any. Control thread only.
+// Catalogue returns the current catalogue, or false if there is none yet. Control thread only.
 func (s *Spread) Catalogue() (laburnumlever.Catalogue, bool) {
-	if s.core.held == nil {
+	if s.core.current == nil {
 		return laburnumlever.Catalogue{}, false
 	}
-	return s.core.held.catalogue, true
+	return s.core.current.catalogue, true
 }
 
-// Handle takes an event on the control thread.
+// Handle handles an event on the control thread.
 func (s *Spread) Handle(ev laburnumlever.Event) {
 	now := s.timers.Now()
 	switch e := ev.(type) {
 	case ticked:
 		s.core.tick(now, s.others())
-	case offered:
-		e.answer <- s.core.offered(e.offer, now)
+	case offerReceived:
+		e.answer <- s.core.handleOffer(e.offer, now)
 	case offerAnswered:
-		s.core.offerAnswered(e.address, e.answer, now)
-	case received:
-		s.take(e.body)
-	case pulled:
-		e.answer <- s.core.held
+		s.core.handleOfferAnswer(e.address, e.answer, now)
+	case bodyReceived:
+		s.adopt(e.body)
+	case pullRequested:
+		e.answer <- s.core.current
 	default:
 		_ = level.Error(s.logger).Log("event", laburnumlever.EventUnknownEvent, "name", ev.EventName())
 	}
 	s.send()
 }
 
-func (s *Spread) take(b *body) {
-	if !s.core.take(b, s.others()) {
+func (s *Spread) adopt(b *catalogueBody) {
+	if !s.core.adopt(b, s.others()) {
 		return
 	}
 	_ = level.Info(s.logger).Log("event", laburnumlever.EventCatalogueInForce, "revision", b.catalogue.Revision)
@@ -145,14 +145,14 @@
 }
 
 func (s *Spread) send() {
-	for _, m := range s.core.takeOut() {
+	for _, m := range s.core.drainOutbox() {
 		go s.call(m)
 	}
 }
 
-// call sends one message and posts what came of it. What fails is made good by the
-// next comparison.
-func (s *Spread) call(m send) {
+// call sends one message and posts the result. A failed call is not repeated: the next
+// comparison makes up for it.
+func (s *Spread) call(m message) {
 	if m.method == methodOffer {
 		ctx, cancel := context.WithTimeout(context.Background(), offerTimeout)
 		defer cancel()
@@ -170,7 +170,7 @@
 	}
 }
 
-func (s *Spread) transfer(ctx context.Context, m send) error {
+func (s *Spread) transfer(ctx context.Context, m message) error {
 	if m.method == methodPush {
 		e, err := m.body.envelope()
 		if err != nil {
@@ -186,11 +186,11 @@
 }
 
 func (s *Spread) receive(e envelope) error {
-	b, err := e.open()
+	b, err := e.unpack()
 	if err != nil {
 		return err
 	}
-	s.loop.Post(s, received{body: b})
+	s.loop.Post(s, bodyReceived{body: b})
 	return nil
 }
 
@@ -200,7 +200,7 @@
 		return nil, errors.Wrap(err, "offer")
 	}
 	answer := make(chan offerAnswer, 1)
-	s.loop.Post(s, offered{offer: o, answer: answer})
+	s.loop.Post(s, offerReceived{offer: o, answer: answer})
 	select {
 	case a := <-answer:
 		return a, nil
@@ -218,8 +218,8 @@
 }
 
 func (s *Spread) handlePull(ctx context.Context, _ laburnumlever.RawMessage) (any, error) {
-	answer := make(chan *body, 1)
-	s.loop.Post(s, pulled{answer: answer})
+	answer := make(chan *catalogueBody, 1)
+	s.loop.Post(s, pullRequested{answer: answer})
 	select {
 	case b := <-answer:
 		if b == nil {
