--- a/laburnumorder/bench_test.go
+++ b/laburnumorder/bench_test.go
@@ -12,12 +12,12 @@
 	"laburnumlever/laburnumtimer"
 )
 
-// quietFleet answers every claim with what the engine reports.
-type quietFleet struct{ view laburnumlever.View }
+// idleFleet answers every claim with what the engine reports.
+type idleFleet struct{ view laburnumlever.View }
 
-func (q *quietFleet) View() *laburnumlever.View { return &q.view }
+func (q *idleFleet) View() *laburnumlever.View { return &q.view }
 
-func (q *quietFleet) Claim(_ context.Context, to laburnumlever.Announcement, fence uint64) (laburnumlever.Inventory, error) {
+func (q *idleFleet) Claim(_ context.Context, to laburnumlever.Announcement, fence uint64) (laburnumlever.Inventory, error) {
 	for _, b := range q.view.Backends {
 		if b.Announcement.Backend == to.Backend {
 			return laburnumlever.Inventory{Backend: to.Backend, Incarnation: 1, Fence: fence, Loaded: b.Report.Loaded, Accelerators: to.Accelerators}, nil
@@ -26,11 +26,11 @@
 	return laburnumlever.Inventory{}, &laburnumlever.NotFoundError{Kind: "engine", Name: string(to.Backend)}
 }
 
-func (q *quietFleet) Order(context.Context, laburnumlever.Announcement, laburnumlever.Order) (laburnumlever.OrderAnswer, error) {
+func (q *idleFleet) Order(context.Context, laburnumlever.Announcement, laburnumlever.Order) (laburnumlever.OrderAnswer, error) {
 	return laburnumlever.OrderAnswer{}, &laburnumlever.NotSentError{}
 }
 
-func (q *quietFleet) Propose(context.Context, laburnumlever.Command) (laburnumlever.Result, error) {
+func (q *idleFleet) Propose(context.Context, laburnumlever.Command) (laburnumlever.Result, error) {
 	return laburnumlever.Result{Code: laburnumlever.ResultOK, Fence: 1}, nil
 }
 
@@ -39,7 +39,7 @@
 func BenchmarkOwnerRound(b *testing.B) {
 	for _, size := range [][2]int{{20, 30}, {300, 130}, {2100, 370}} {
 		b.Run(fmt.Sprintf("engines=%d", size[0]), func(b *testing.B) {
-			q := &quietFleet{}
+			q := &idleFleet{}
 			q.view.Catalogue = catalogueOf(size[1], 20000)
 			for i := range size[0] {
 				a := laburnumlever.Announcement{
--- a/laburnumorder/engine.go
+++ b/laburnumorder/engine.go
@@ -14,15 +14,15 @@
 type engine struct {
 	announcement laburnumlever.Announcement
 	gone         bool // down or not announced
-	// known tells that the ledger has its inventory, read under this lease and of
+	// orderable tells that the ledger has its inventory, read under this lease and of
 	// this incarnation, so that it can be ordered.
-	known       bool
+	orderable   bool
 	incarnation uint64
 	count       uint64 // claims and orders numbered under this lease
-	read        uint64 // the read under way, 0 when none
-	reads       uint64
+	activeRead  uint64 // the read under way, 0 when none
+	readCount   uint64
 	nextRead    time.Time
-	order       *tracked // the order whose outcome is not known yet
+	order       *trackedOrder // the order whose outcome is not known yet
 	pauseUntil  time.Time
 	// intents are those recorded in the log and not yet resolved.
 	intents map[laburnumlever.OrderID]laburnumlever.OrderIntent
@@ -46,9 +46,9 @@
 	return e
 }
 
-// forget makes an engine be claimed anew, as under a new lease.
-func (e *engine) forget() {
-	e.known = false
+// resetClaim makes an engine be claimed anew, as under a new lease.
+func (e *engine) resetClaim() {
+	e.orderable = false
 	e.count = 0
 	e.nextRead = time.Time{}
 }
@@ -63,8 +63,8 @@
 	return ids
 }
 
-// watch takes the engines of the zone from the view.
-func (o *Owner) watch(view *laburnumlever.View, now time.Time) {
+// updateEngines takes the engines of the zone from the view.
+func (o *Owner) updateEngines(view *laburnumlever.View, now time.Time) {
 	for _, e := range o.engines {
 		e.gone = true
 	}
@@ -75,20 +75,20 @@
 		e := o.engine(b.Announcement.Backend)
 		e.gone = b.Down
 		e.announcement = b.Announcement
-		if e.known && b.Announcement.Incarnation > e.incarnation {
+		if e.orderable && b.Announcement.Incarnation > e.incarnation {
 			// It restarted: it holds nothing now, and has forgotten its number.
-			e.known = false
+			e.orderable = false
 			e.nextRead = time.Time{}
 		}
-		if e.known && o.hints(e, b.Report) {
-			e.readBy(now.Add(busyRead))
+		if e.orderable && o.reportDiffers(e, b.Report) {
+			e.readNoLaterThan(now.Add(busyReadPeriod))
 		}
 	}
 }
 
-// hints tells whether a report differs from the ledger. It may be older than the
+// reportDiffers tells whether a report differs from the ledger. It may be older than the
 // ledger, so it is only a reason to read the inventory.
-func (o *Owner) hints(e *engine, r laburnumlever.LoadReport) bool {
+func (o *Owner) reportDiffers(e *engine, r laburnumlever.LoadReport) bool {
 	if len(e.announcement.Accelerators) != len(o.ledger.Accelerators(e.announcement.Backend)) {
 		return true
 	}
@@ -98,22 +98,22 @@
 	known := o.ledger.Loaded(e.announcement.Backend)
 	return !slices.EqualFunc(known, r.Loaded, func(a, b laburnumlever.Loaded) bool {
 		return a.Ready == b.Ready && a.Draining == b.Draining && a.PartMiB == b.PartMiB &&
-			len(a.Adapters) == len(b.Adapters) && keyOf(a) == keyOf(b)
+			len(a.Adapters) == len(b.Adapters) && copyKey(a) == copyKey(b)
 	})
 }
 
-func (e *engine) readBy(at time.Time) {
+func (e *engine) readNoLaterThan(at time.Time) {
 	if e.nextRead.After(at) {
 		e.nextRead = at
 	}
 }
 
-// readDue claims and reads the engines whose inventory is wanted. A read and an
+// startDueReads claims and reads the engines whose inventory is wanted. A read and an
 // order never run side by side on one engine: the read could miss the order's copy.
-func (o *Owner) readDue(now time.Time) {
+func (o *Owner) startDueReads(now time.Time) {
 	for _, id := range o.sortedEngines() {
 		e := o.engines[id]
-		if e.gone || e.read != 0 || now.Before(e.nextRead) || e.order != nil && !e.order.is(stateUnknown) {
+		if e.gone || e.activeRead != 0 || now.Before(e.nextRead) || e.order != nil && !e.order.is(stateUnknown) {
 			continue
 		}
 		o.startRead(e, now)
@@ -121,29 +121,29 @@
 }
 
 func (o *Owner) startRead(e *engine, now time.Time) {
-	e.reads++
-	e.read = e.reads
-	e.nextRead = now.Add(retryRead)
+	e.readCount++
+	e.activeRead = e.readCount
+	e.nextRead = now.Add(readRetryDelay)
 	e.count++
 	if e.count >= maxCount {
 		// Numbers have run out: a new grant brings a new lease number.
-		o.giveLeaseBack()
+		o.releaseLease()
 		return
 	}
-	read, number, to := e.read, Number(o.lease.fence, e.count), e.announcement
+	read, number, to := e.activeRead, Number(o.lease.fence, e.count), e.announcement
 	o.call(func(ctx context.Context) {
 		began := o.timers.Now()
-		inventory, err := o.link.Claim(ctx, to, number)
+		inventory, err := o.client.Claim(ctx, to, number)
 		o.loop.Post(o, readAnswered{backend: to.Backend, read: read, began: began, number: number, inventory: inventory, err: err})
 	})
 }
 
 func (o *Owner) onRead(ev readAnswered) {
 	e := o.engine(ev.backend)
-	if e.read != ev.read {
+	if e.activeRead != ev.read {
 		return
 	}
-	e.read = 0
+	e.activeRead = 0
 	if LeaseOf(ev.number) != o.lease.fence {
 		return
 	}
@@ -154,12 +154,12 @@
 	}
 	o.ledger.Read(ev.backend, ev.inventory, ev.began)
 	e.incarnation = ev.inventory.Incarnation
-	e.known = e.announcement.ChecksFencing || !ev.began.Before(o.quietUntil)
-	o.settle(e, ev)
-	o.noteLoading(e, now)
+	e.orderable = e.announcement.ChecksFencing || !ev.began.Before(o.earlierOrdersUntil)
+	o.settleOrders(e, ev)
+	o.trackLoads(e, now)
 	e.nextRead = now.Add(o.readPeriod(e))
-	if !e.known {
-		e.readBy(o.quietUntil)
+	if !e.orderable {
+		e.readNoLaterThan(o.earlierOrdersUntil)
 	}
 }
 
@@ -181,12 +181,12 @@
 	if ev.inventory.Fence < ev.number {
 		// It says that it checks and does not take the number up: an old order
 		// could still take effect, so it gets none from here either.
-		e.known = false
+		e.orderable = false
 		return &FenceIgnoredError{Backend: ev.backend, Claimed: ev.number, Kept: ev.inventory.Fence}
 	}
 	if ev.inventory.Fence > ev.number {
 		// Another owner has claimed it: this one's lease is over.
-		e.known = false
+		e.orderable = false
 		o.lease.next = time.Time{}
 		return &laburnumlever.StaleNewsError{Backend: ev.backend, Known: ev.inventory.Fence, Given: ev.number}
 	}
@@ -195,29 +195,29 @@
 
 func (o *Owner) readPeriod(e *engine) time.Duration {
 	if len(e.loading) > 0 || len(e.intents) > 0 || e.order != nil || len(o.ledger.Unsettled(e.announcement.Backend)) > 0 {
-		return busyRead
+		return busyReadPeriod
 	}
-	return idleRead
+	return idleReadPeriod
 }
 
-// noteLoading follows which copies use the weight store.
-func (o *Owner) noteLoading(e *engine, now time.Time) {
+// trackLoads follows which copies use the weight store.
+func (o *Owner) trackLoads(e *engine, now time.Time) {
 	seen := make(map[string]bool)
 	for _, c := range o.ledger.Loaded(e.announcement.Backend) {
-		key := keyOf(c)
+		key := copyKey(c)
 		seen[key] = true
 		if _, known := e.loading[key]; !c.Ready && !c.Draining && !known {
 			e.loading[key] = now
 		}
-		if c.Draining || c.Ready && e.hasForm(key, c) {
+		if c.Draining || c.Ready && e.hasOrderedForm(key, c) {
 			delete(e.loading, key)
 		}
 	}
-	e.forgetLoads(seen, now)
+	e.pruneLoads(seen, now)
 }
 
-// forgetLoads ends the loads of copies that have gone or that took too long.
-func (e *engine) forgetLoads(seen map[string]bool, now time.Time) {
+// pruneLoads ends the loads of copies that have gone or that took too long.
+func (e *engine) pruneLoads(seen map[string]bool, now time.Time) {
 	for key, since := range e.loading {
 		if !seen[key] || now.Sub(since) > maxLoadTime {
 			delete(e.loading, key)
@@ -230,16 +230,16 @@
 	}
 }
 
-// hasForm tells that a copy has the form that was last ordered; one that takes
+// hasOrderedForm tells that a copy has the form that was last ordered; one that takes
 // requests may still be changing in place.
-func (e *engine) hasForm(key string, c laburnumlever.Loaded) bool {
+func (e *engine) hasOrderedForm(key string, c laburnumlever.Loaded) bool {
 	want, ok := e.updates[key]
 	return !ok || c.PartMiB == want.PartMiB && slices.Equal(c.Adapters, want.Adapters)
 }
 
-// loadsUnderWay counts the zone's loads for its part of the weight store. Loads of an
+// activeLoads counts the zone's loads for its part of the weight store. Loads of an
 // engine that is gone count too: it may only be out of this VM's sight.
-func (o *Owner) loadsUnderWay(now time.Time) int {
+func (o *Owner) activeLoads(now time.Time) int {
 	n := 0
 	for _, e := range o.engines {
 		for _, since := range e.loading {
--- a/laburnumorder/explain.go
+++ b/laburnumorder/explain.go
@@ -9,37 +9,37 @@
 	"laburnumlever/laburnumplacement"
 )
 
-// published is the last round, for explanations; it is not changed.
-type published struct {
+// planningRound is the last round, for explanations; it is not changed.
+type planningRound struct {
 	snapshot laburnumplacement.Snapshot
 	plan     laburnumplacement.Plan
-	history  []record
+	history  []moveRecord
 	at       time.Time
 }
 
-// record is a move that was begun.
-type record struct {
+// moveRecord is a move that was begun.
+type moveRecord struct {
 	move  laburnumplacement.Move
 	order laburnumlever.OrderID
 	at    time.Time
 }
 
-func (o *Owner) note(m laburnumplacement.Move, order laburnumlever.OrderID, now time.Time) {
-	o.history = append(slices.Clone(o.history), record{move: m, order: order, at: now})
+func (o *Owner) recordMove(m laburnumplacement.Move, order laburnumlever.OrderID, now time.Time) {
+	o.history = append(slices.Clone(o.history), moveRecord{move: m, order: order, at: now})
 	if len(o.history) > historySize {
 		o.history = o.history[len(o.history)-historySize:]
 	}
 }
 
 func (o *Owner) publish(s laburnumplacement.Snapshot, plan laburnumplacement.Plan, now time.Time) {
-	o.published.Store(&published{snapshot: s, plan: plan, history: o.history, at: now})
+	o.lastRound.Store(&planningRound{snapshot: s, plan: plan, history: o.history, at: now})
 }
 
 // Explain says why the copies of a model are where they are, what is planned, and
 // what this owner moved. False when this VM does not own its zone. Safe for use by
 // any goroutine.
 func (o *Owner) Explain(model laburnumlever.ModelName) (laburnumlever.Explanation, bool) {
-	p := o.published.Load()
+	p := o.lastRound.Load()
 	if p == nil || !o.Owns() {
 		return laburnumlever.Explanation{}, false
 	}
--- a/laburnumorder/world_test.go
+++ b/laburnumorder/harness_test.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	underWay = 30 * time.Second
-	loadTime = 2 * time.Second
+	maxOrderDelay = 30 * time.Second
+	loadTime      = 2 * time.Second
 )
 
-// fate is what the network does to one order.
-type fate int
+// orderFault is what the network does to one order.
+type orderFault int
 
 const (
-	delivered  fate = iota
-	lost            // it never arrives
-	answerLost      // it arrives, its answer does not
-	late            // the sender hears nothing, and it arrives later
-	twice           // it arrives and is answered, and arrives once more later
+	orderDelivered  orderFault = iota
+	orderLost                  // it never arrives
+	answerLost                 // it arrives, its answer does not
+	orderDelayed               // the sender hears nothing, and it arrives later
+	orderDuplicated            // it arrives and is answered, and arrives once more later
 )
 
 // tester is what *testing.T and *rapid.T share.
@@ -36,49 +36,49 @@
 	Helper()
 }
 
-// world is one zone: its engines, two entry VMs and the quorum, on a manual clock.
-type world struct {
-	t         tester
-	timers    *laburnumtimer.Manual
-	engines   []*laburnumstandin.Engine
-	all       []*laburnumstandin.Engine // those that were restarted too
-	vms       []*vm
-	catalogue laburnumlever.Catalogue
-	fate      fate
-	delay     time.Duration
-	quorum    quorum
-	orders    []laburnumlever.Order // as sent
-	claims    int
-	zones     []laburnumlever.ZoneName
-	lies      bool // engines announce that they check and do not
-	noGap     bool // a model that is reachable must stay so
-	reached   []laburnumlever.ModelName
+// harness is one zone: its engines, two entry VMs and the quorum, on a manual clock.
+type harness struct {
+	t                 tester
+	timers            *laburnumtimer.Manual
+	engines           []*laburnumstandin.Engine
+	allEngines        []*laburnumstandin.Engine // those that were restarted too
+	vms               []*vm
+	catalogue         laburnumlever.Catalogue
+	orderFault        orderFault
+	delay             time.Duration
+	quorum            quorum
+	orders            []laburnumlever.Order // as sent
+	claims            int
+	zones             []laburnumlever.ZoneName
+	ignoreFencing     bool // engines announce that they check and do not
+	requireContinuity bool // a model that is reachable must stay so
+	reachableBefore   []laburnumlever.ModelName
 }
 
 // vm is one entry VM. It is the loop and the views of its owner too.
 type vm struct {
-	w       *world
-	id      laburnumlever.VM
-	owner   *laburnumorder.Owner
-	queue   []laburnumlever.Event
-	work    []func()
-	frozen  bool // nothing runs on it
-	cut     bool // from the quorum
-	manual  bool // work waits for the test
-	reports map[laburnumlever.BackendID]laburnumlever.LoadReport
-	stale   bool // reports do not change
-	heard   map[laburnumlever.BackendID]time.Time
-	alone   bool // sees no other zone
+	w             *harness
+	id            laburnumlever.VM
+	owner         *laburnumorder.Owner
+	queue         []laburnumlever.Event
+	work          []func()
+	frozen        bool // nothing runs on it
+	cutFromQuorum bool // from the quorum
+	manualWork    bool // work waits for the test
+	reports       map[laburnumlever.BackendID]laburnumlever.LoadReport
+	staleReports  bool // reports do not change
+	reportedAt    map[laburnumlever.BackendID]time.Time
+	isolated      bool // sees no other zone
 }
 
-func newWorld(t tester, checks ...bool) *world {
-	return newZones(t, []laburnumlever.ZoneName{"a", "a"}, checks...)
+func newHarness(t tester, checks ...bool) *harness {
+	return newZonesHarness(t, []laburnumlever.ZoneName{"a", "a"}, checks...)
 }
 
-// newZones makes one VM for each zone named; the engines follow in turn.
-func newZones(t tester, zones []laburnumlever.ZoneName, checks ...bool) *world {
-	w := &world{t: t, zones: zones, timers: laburnumtimer.NewManual(time.Unix(1000, 0)), catalogue: catalogueOf(4, 60)}
-	w.quorum = quorum{w: w, leases: make(map[string]*granted)}
+// newZonesHarness makes one VM for each zone named; the engines follow in turn.
+func newZonesHarness(t tester, zones []laburnumlever.ZoneName, checks ...bool) *harness {
+	w := &harness{t: t, zones: zones, timers: laburnumtimer.NewManual(time.Unix(1000, 0)), catalogue: catalogueOf(4, 60)}
+	w.quorum = quorum{w: w, leases: make(map[string]*grant)}
 	for i, check := range checks {
 		w.addEngine(i, check, 1)
 	}
@@ -102,7 +102,7 @@
 
 // newVersions changes every model's version, so that what is planned from now on is
 // another copy than any order under way loads, on the same accelerators.
-func (w *world) newVersions() {
+func (w *harness) newVersions() {
 	models := slices.Clone(w.catalogue.Models)
 	for i := range models {
 		models[i].Version += "+"
@@ -112,18 +112,18 @@
 }
 
 // change changes one model in a new catalogue.
-func (w *world) change(i int, apply func(m *laburnumlever.Model)) {
+func (w *harness) change(i int, apply func(m *laburnumlever.Model)) {
 	w.catalogue.Models = slices.Clone(w.catalogue.Models)
 	apply(&w.catalogue.Models[i])
 	w.catalogue = w.catalogue.WithRevision(w.catalogue.Revision + 1)
 }
 
-func (w *world) addEngine(i int, checks bool, incarnation uint64) {
+func (w *harness) addEngine(i int, checks bool, incarnation uint64) {
 	e := laburnumstandin.NewEngine(laburnumlever.Announcement{
 		Backend: laburnumlever.BackendID(fmt.Sprintf("e%d", i)), Zone: w.zones[i%len(w.zones)], Incarnation: incarnation, ChecksFencing: checks, Slots: 1,
 		Accelerators: []laburnumlever.Accelerator{{ID: "a0", MemoryMiB: 100}, {ID: "a1", MemoryMiB: 100}},
 	}, laburnumstandin.WithTimers(w.timers), laburnumstandin.WithLoadTime(loadTime))
-	w.all = append(w.all, e)
+	w.allEngines = append(w.allEngines, e)
 	if i < len(w.engines) {
 		w.engines[i] = e
 		return
@@ -131,24 +131,24 @@
 	w.engines = append(w.engines, e)
 }
 
-func (w *world) restartEngine(i int) {
+func (w *harness) restartEngine(i int) {
 	a := w.engines[i].Announcement()
 	w.addEngine(i, a.ChecksFencing, a.Incarnation+1)
 }
 
 // startVM replaces the VM's process: what it had under way is gone.
-func (w *world) startVM(i int, incarnation uint64) {
+func (w *harness) startVM(i int, incarnation uint64) {
 	if old := w.vms[i]; old != nil {
 		old.frozen = true
 	}
 	v := &vm{
 		w: w, id: laburnumlever.VM{ID: laburnumlever.VMID(fmt.Sprintf("vm%d", i)), Zone: w.zones[i], Incarnation: incarnation},
-		reports: make(map[laburnumlever.BackendID]laburnumlever.LoadReport),
-		heard:   make(map[laburnumlever.BackendID]time.Time),
+		reports:    make(map[laburnumlever.BackendID]laburnumlever.LoadReport),
+		reportedAt: make(map[laburnumlever.BackendID]time.Time),
 	}
-	v.owner = laburnumorder.New(v, w.timers, &proposer{v}, &link{v}, v, v.id,
+	v.owner = laburnumorder.New(v, w.timers, &proposer{v}, &engineClient{v}, v, v.id,
 		laburnumorder.WithRunner(func(work func()) { v.work = append(v.work, work) }),
-		laburnumorder.WithUnderWay(underWay))
+		laburnumorder.WithUnderWay(maxOrderDelay))
 	w.vms[i] = v
 	v.owner.Start()
 }
@@ -159,13 +159,13 @@
 	view := &laburnumlever.View{Self: v.id, Catalogue: v.w.catalogue}
 	for _, e := range v.w.engines {
 		a := e.Announcement()
-		a.ChecksFencing = a.ChecksFencing || v.w.lies
-		if !v.stale {
+		a.ChecksFencing = a.ChecksFencing || v.w.ignoreFencing
+		if !v.staleReports {
 			v.reports[a.Backend] = e.Report()
-			v.heard[a.Backend] = v.w.timers.Now()
+			v.reportedAt[a.Backend] = v.w.timers.Now()
 		}
 		view.Backends = append(view.Backends, laburnumlever.Backend{
-			Announcement: a, Report: v.reports[a.Backend], ReportedAt: v.heard[a.Backend], Down: v.alone && a.Zone != v.id.Zone,
+			Announcement: a, Report: v.reports[a.Backend], ReportedAt: v.reportedAt[a.Backend], Down: v.isolated && a.Zone != v.id.Zone,
 		})
 	}
 	return view
@@ -173,9 +173,9 @@
 
 // settle runs what the VM has to do, unless it is frozen or the test runs its work.
 func (v *vm) settle() {
-	for !v.frozen && (len(v.queue) > 0 || len(v.work) > 0 && !v.manual) {
+	for !v.frozen && (len(v.queue) > 0 || len(v.work) > 0 && !v.manualWork) {
 		v.events()
-		if !v.manual {
+		if !v.manualWork {
 			v.workOnce(0)
 		}
 	}
@@ -198,7 +198,7 @@
 }
 
 // run passes time in small steps and checks the memory at every one.
-func (w *world) run(d time.Duration) {
+func (w *harness) run(d time.Duration) {
 	const step = 250 * time.Millisecond
 	for ; d > 0; d -= step {
 		w.timers.Advance(min(d, step))
@@ -210,31 +210,31 @@
 }
 
 // runUntilOrder passes time until the first order has been sent.
-func (w *world) runUntilOrder() {
+func (w *harness) runUntilOrder() {
 	for i := 0; i < 1000 && len(w.orders) == 0; i++ {
 		w.run(250 * time.Millisecond)
 	}
 	require.NotEmpty(w.t, w.orders)
 }
 
-func (w *world) check() {
-	for _, e := range w.all {
+func (w *harness) check() {
+	for _, e := range w.allEngines {
 		require.Empty(w.t, e.Violations())
 	}
-	if !w.noGap {
+	if !w.requireContinuity {
 		return
 	}
 	now := w.reachable()
-	for _, name := range w.reached {
+	for _, name := range w.reachableBefore {
 		if _, ok := w.catalogue.Model(name); ok {
 			require.Contains(w.t, now, name)
 		}
 	}
-	w.reached = now
+	w.reachableBefore = now
 }
 
 // reachable lists the models that have a ready copy.
-func (w *world) reachable() []laburnumlever.ModelName {
+func (w *harness) reachable() []laburnumlever.ModelName {
 	var names []laburnumlever.ModelName
 	for _, e := range w.engines {
 		for _, c := range e.Report().Loaded {
@@ -247,15 +247,15 @@
 	return names
 }
 
-func (w *world) requireAllReachable() {
+func (w *harness) requireAllReachable() {
 	w.t.Helper()
 	require.Len(w.t, w.reachable(), len(w.catalogue.Models))
 }
 
-// link is the network between a VM and the engines.
-type link struct{ v *vm }
+// engineClient is the network between a VM and the engines.
+type engineClient struct{ v *vm }
 
-func (l *link) Claim(ctx context.Context, to laburnumlever.Announcement, fence uint64) (laburnumlever.Inventory, error) {
+func (l *engineClient) Claim(ctx context.Context, to laburnumlever.Announcement, fence uint64) (laburnumlever.Inventory, error) {
 	if ctx.Err() != nil {
 		return laburnumlever.Inventory{}, ctx.Err()
 	}
@@ -263,25 +263,25 @@
 	return l.engine(to).Claim(fence), nil
 }
 
-func (l *link) engine(to laburnumlever.Announcement) *laburnumstandin.Engine {
+func (l *engineClient) engine(to laburnumlever.Announcement) *laburnumstandin.Engine {
 	i := slices.IndexFunc(l.v.w.engines, func(e *laburnumstandin.Engine) bool { return e.Announcement().Backend == to.Backend })
 	return l.v.w.engines[i]
 }
 
 // Order sends also when its context has ended: on a VM that wakes up, the write may
 // go out before the timers run.
-func (l *link) Order(_ context.Context, to laburnumlever.Announcement, order laburnumlever.Order) (laburnumlever.OrderAnswer, error) {
+func (l *engineClient) Order(_ context.Context, to laburnumlever.Announcement, order laburnumlever.Order) (laburnumlever.OrderAnswer, error) {
 	w := l.v.w
 	w.orders = append(w.orders, order)
 	gone := &laburnumlever.OutcomeUnknownError{Detail: "no answer"}
-	if w.fate == late || w.fate == twice {
+	if w.orderFault == orderDelayed || w.orderFault == orderDuplicated {
 		w.timers.After(w.delay, func(time.Time) { l.engine(to).Order(order) })
 	}
-	if w.fate == lost || w.fate == late {
+	if w.orderFault == orderLost || w.orderFault == orderDelayed {
 		return laburnumlever.OrderAnswer{}, gone
 	}
 	answer := l.engine(to).Order(order)
-	if w.fate == answerLost {
+	if w.orderFault == answerLost {
 		return laburnumlever.OrderAnswer{}, gone
 	}
 	return answer, nil
@@ -291,7 +291,7 @@
 type proposer struct{ v *vm }
 
 func (p *proposer) Propose(_ context.Context, cmd laburnumlever.Command) (laburnumlever.Result, error) {
-	if p.v.cut {
+	if p.v.cutFromQuorum {
 		return laburnumlever.Result{}, &laburnumlever.NoQuorumError{Detail: "cut off"}
 	}
 	return p.v.w.quorum.apply(cmd), nil
@@ -299,13 +299,13 @@
 
 // quorum grants leases and keeps intents, as the replicated state machine does.
 type quorum struct {
-	w       *world
+	w       *harness
 	fence   uint64
-	leases  map[string]*granted
+	leases  map[string]*grant
 	intents []laburnumlever.OrderIntent
 }
 
-type granted struct {
+type grant struct {
 	holder      laburnumlever.VMID
 	incarnation uint64
 	fence       uint64
@@ -341,7 +341,7 @@
 		g.until = now.Add(time.Duration(c.TTL))
 	case free && cmd.Kind == laburnumlever.CommandAcquireLease:
 		q.fence++
-		g = &granted{holder: c.Holder, incarnation: c.Incarnation, fence: q.fence, until: now.Add(time.Duration(c.TTL))}
+		g = &grant{holder: c.Holder, incarnation: c.Incarnation, fence: q.fence, until: now.Add(time.Duration(c.TTL))}
 		q.leases[c.Name] = g
 	default:
 		return laburnumlever.Result{Code: laburnumlever.ResultNotHolder}
--- a/laburnumorder/lease.go
+++ b/laburnumorder/lease.go
@@ -27,11 +27,11 @@
 
 func (d *deadline) set(at time.Time) { d.at.Store(&at) }
 
-// over is how long the deadline has passed. It is measured on the monotonic clock
+// expiredFor is how long the deadline has passed. It is measured on the monotonic clock
 // and on the wall clock, and the worse counts: while a VM is suspended its
 // monotonic clock may stand still, and it would wake up believing in a lease that has
 // long been another's.
-func (d *deadline) over(now time.Time) time.Duration {
+func (d *deadline) expiredFor(now time.Time) time.Duration {
 	at := d.at.Load()
 	if at == nil {
 		return time.Hour
@@ -39,7 +39,7 @@
 	return max(now.Sub(*at), now.Round(0).Sub(at.Round(0)))
 }
 
-func (d *deadline) live(now time.Time) bool { return d.over(now) < 0 }
+func (d *deadline) isLive(now time.Time) bool { return d.expiredFor(now) < 0 }
 
 func (o *Owner) leaseName() string { return "zone/" + string(o.self.Zone) }
 
@@ -83,7 +83,7 @@
 	}
 	// The time counts from before the command was proposed: the quorum's count
 	// began later, so it ends later.
-	o.lease.until.set(ev.asked.Add(o.ttl - o.ttl/marginDivisor))
+	o.lease.until.set(ev.asked.Add(o.ttl - o.ttl/leaseMarginDivisor))
 	if ev.result.Fence != o.lease.fence {
 		o.takeOver(ev)
 	}
@@ -96,10 +96,10 @@
 	o.lease.fence = ev.result.Fence
 	o.granted.Store(o.lease.fence)
 	o.owns.Store(true)
-	o.quietUntil = now.Add(o.ttl + o.underWay)
-	o.paceIsNew = true
+	o.earlierOrdersUntil = now.Add(o.ttl + o.maxOrderDelay)
+	o.resetPace = true
 	for _, e := range o.engines {
-		e.forget()
+		e.resetClaim()
 	}
 	for _, intent := range ev.result.Intents {
 		o.inherit(intent)
@@ -115,7 +115,7 @@
 		return
 	}
 	o.ledger.Open(intent.Backend, intent.Order)
-	o.ledger.Sent(intent.Backend, intent.Order.ID, o.quietUntil)
+	o.ledger.Sent(intent.Backend, intent.Order.ID, o.earlierOrdersUntil)
 	e.intents[intent.Order.ID] = intent
 }
 
@@ -128,15 +128,15 @@
 	o.owns.Store(false)
 }
 
-// mayOrder tells whether the engine may be ordered now. One that checks may be
+// leasePermits tells whether the engine may be ordered now. One that checks may be
 // ordered also when the lease's time has run out without word of another holder,
 // because the engine itself refuses this owner once there is one.
-func (o *Owner) mayOrder(e *engine, now time.Time) bool {
+func (o *Owner) leasePermits(e *engine, now time.Time) bool {
 	if o.lease.fence == 0 {
 		return false
 	}
 	if e.announcement.ChecksFencing {
 		return true
 	}
-	return o.lease.until.live(now) && !now.Before(o.quietUntil)
+	return o.lease.until.isLive(now) && !now.Before(o.earlierOrdersUntil)
 }
--- a/laburnumorder/ledger.go
+++ b/laburnumorder/ledger.go
@@ -17,7 +17,7 @@
 type account struct {
 	accelerators []laburnumlever.Accelerator
 	loaded       []laburnumlever.Loaded
-	open         []Entry
+	pending      []Entry
 }
 
 // Entry is a load order that may yet take effect.
@@ -43,25 +43,25 @@
 // Open counts a load order from now on.
 func (l *Ledger) Open(backend laburnumlever.BackendID, order laburnumlever.Order) {
 	a := l.account(backend)
-	if order.Kind != laburnumlever.Load || a.find(order.ID) >= 0 {
+	if order.Kind != laburnumlever.Load || a.indexOf(order.ID) >= 0 {
 		return
 	}
-	a.open = append(a.open, Entry{Order: order})
+	a.pending = append(a.pending, Entry{Order: order})
 }
 
 // Sent notes when an order that has been sent can't arrive any more.
 func (l *Ledger) Sent(backend laburnumlever.BackendID, id laburnumlever.OrderID, settleAfter time.Time) {
 	a := l.account(backend)
-	if i := a.find(id); i >= 0 {
-		a.open[i].SettleAfter = settleAfter
+	if i := a.indexOf(id); i >= 0 {
+		a.pending[i].SettleAfter = settleAfter
 	}
 }
 
 // Drop takes out an order that surely never left this VM.
 func (l *Ledger) Drop(backend laburnumlever.BackendID, id laburnumlever.OrderID) {
 	a := l.account(backend)
-	if i := a.find(id); i >= 0 {
-		a.open = slices.Delete(a.open, i, i+1)
+	if i := a.indexOf(id); i >= 0 {
+		a.pending = slices.Delete(a.pending, i, i+1)
 	}
 }
 
@@ -77,21 +77,21 @@
 	a := l.account(backend)
 	a.loaded = inventory.Loaded
 	a.accelerators = inventory.Accelerators
-	a.open = slices.DeleteFunc(a.open, func(e Entry) bool {
+	a.pending = slices.DeleteFunc(a.pending, func(e Entry) bool {
 		return !e.SettleAfter.IsZero() && !began.Before(e.SettleAfter)
 	})
 }
 
 // Counts tells whether an order is still counted.
 func (l *Ledger) Counts(backend laburnumlever.BackendID, id laburnumlever.OrderID) bool {
-	return l.account(backend).find(id) >= 0
+	return l.account(backend).indexOf(id) >= 0
 }
 
 // CountsCopy tells whether an order that loads the copy is still counted, so that
 // unloading it frees no memory yet.
 func (l *Ledger) CountsCopy(backend laburnumlever.BackendID, c laburnumlever.Loaded) bool {
-	key := keyOf(c)
-	return slices.ContainsFunc(l.account(backend).open, func(e Entry) bool { return keyOf(e.Order.Copy) == key })
+	key := copyKey(c)
+	return slices.ContainsFunc(l.account(backend).pending, func(e Entry) bool { return copyKey(e.Order.Copy) == key })
 }
 
 // Loaded is the engine's last inventory.
@@ -105,7 +105,9 @@
 }
 
 // Unsettled are the engine's orders that are still counted.
-func (l *Ledger) Unsettled(backend laburnumlever.BackendID) []Entry { return l.account(backend).open }
+func (l *Ledger) Unsettled(backend laburnumlever.BackendID) []Entry {
+	return l.account(backend).pending
+}
 
 // Fits tells whether the engine has memory for the copy, whatever becomes of the
 // orders that are open.
@@ -128,17 +130,17 @@
 // committed counts each copy once, at the largest size that any order or the
 // inventory gives it: while a copy changes in place it may have either size.
 func (a *account) committed(id laburnumlever.AcceleratorID, more *laburnumlever.Loaded) int {
-	sizes := make(map[string]int, len(a.loaded)+len(a.open))
+	sizes := make(map[string]int, len(a.loaded)+len(a.pending))
 	count := func(c laburnumlever.Loaded) {
 		if slices.Contains(c.Accelerators, id) {
-			key := keyOf(c)
+			key := copyKey(c)
 			sizes[key] = max(sizes[key], c.PartMiB)
 		}
 	}
 	for _, c := range a.loaded {
 		count(c)
 	}
-	for _, e := range a.open {
+	for _, e := range a.pending {
 		count(e.Order.Copy)
 	}
 	if more != nil {
@@ -151,13 +153,13 @@
 	return total
 }
 
-func (a *account) find(id laburnumlever.OrderID) int {
-	return slices.IndexFunc(a.open, func(e Entry) bool { return e.Order.ID == id })
+func (a *account) indexOf(id laburnumlever.OrderID) int {
+	return slices.IndexFunc(a.pending, func(e Entry) bool { return e.Order.ID == id })
 }
 
-// keyOf names a copy: an engine holds a version of a model on the same
+// copyKey names a copy: an engine holds a version of a model on the same
 // accelerators only once.
-func keyOf(c laburnumlever.Loaded) string {
+func copyKey(c laburnumlever.Loaded) string {
 	var b strings.Builder
 	b.WriteString(string(c.Model))
 	b.WriteByte(0)
--- a/laburnumorder/ledger_test.go
+++ b/laburnumorder/ledger_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLedgerCounts(t *testing.T) {
+func TestLedgerCommittedMemory(t *testing.T) {
 	at := time.Unix(100, 0)
 	part := func(version string, mib int) laburnumlever.Loaded {
 		return laburnumlever.Loaded{Model: "m", Version: laburnumlever.Version(version), PartMiB: mib, Accelerators: []laburnumlever.AcceleratorID{"a0"}}
--- a/laburnumorder/options.go
+++ b/laburnumorder/options.go
@@ -10,37 +10,37 @@
 // The periods and bounds of an owner.
 const (
 	defaultLeaseTTL = 10 * time.Second
-	// defaultUnderWay is the longest that an order can be under way: its timeout,
+	// defaultMaxOrderDelay is the longest that an order can be under way: its timeout,
 	// and as long again for what waits in the engine's socket.
-	defaultUnderWay    = 30 * time.Second
-	defaultCallTimeout = 10 * time.Second
-	defaultTick        = 500 * time.Millisecond
+	defaultMaxOrderDelay = 30 * time.Second
+	defaultCallTimeout   = 10 * time.Second
+	defaultTick          = 500 * time.Millisecond
 	// renewalsPerTTL leaves room for two lost renewals.
 	renewalsPerTTL = 3
-	// marginDivisor is the part of the lease that this VM does not use: its clock
+	// leaseMarginDivisor is the part of the lease that this VM does not use: its clock
 	// may run slower than the leader's by that much.
-	marginDivisor = 10
-	// idleRead is how often an engine's inventory is read when nothing hints at
+	leaseMarginDivisor = 10
+	// idleReadPeriod is how often an engine's inventory is read when nothing hints at
 	// a change.
-	idleRead = 15 * time.Second
-	// busyRead is how often it is read while something there is changing.
-	busyRead = time.Second
-	// retryRead spaces the reads of an engine that does not answer.
-	retryRead = 2 * time.Second
-	// failedPause keeps an engine that failed an order from being asked again at
+	idleReadPeriod = 15 * time.Second
+	// busyReadPeriod is how often it is read while something there is changing.
+	busyReadPeriod = time.Second
+	// readRetryDelay spaces the reads of an engine that does not answer.
+	readRetryDelay = 2 * time.Second
+	// failedOrderPause keeps an engine that failed an order from being asked again at
 	// once.
-	failedPause = 10 * time.Second
+	failedOrderPause = 10 * time.Second
 	// stableAfter is how long a copy must have been seen ready before another is
 	// given up for it: several reports, and longer than a dead engine goes unnoticed.
 	stableAfter = 6 * time.Second
-	// reportAge is how old a report of another zone's engine may be for its copies to
+	// maxReportAge is how old a report of another zone's engine may be for its copies to
 	// be relied on: six reports. Without it, copies that the other zone gave up while
 	// its reports did not arrive would be taken for the ones that answer.
-	reportAge = 3 * time.Second
-	// versionAge is how long after a change of a model's version another zone's copies
+	maxReportAge = 3 * time.Second
+	// freshVersionPeriod is how long after a change of a model's version another zone's copies
 	// of it are not relied on: a catalogue is in force everywhere within 7 s, and
 	// what was done until then shows in reports within reportAge.
-	versionAge = 12 * time.Second
+	freshVersionPeriod = 12 * time.Second
 	// overdueAfter is how long the zones may get nowhere with their repairs
 	// before each repairs in its own zone.
 	overdueAfter = 20 * time.Second
@@ -48,8 +48,8 @@
 	releaseTimeout = time.Second
 	// observePeriod is how often the demand is taken in: VMs send it no oftener.
 	observePeriod = 2 * time.Second
-	// planRest is how many times as long as a round took the next one waits.
-	planRest = 100
+	// planRestFactor is how many times as long as a round took the next one waits.
+	planRestFactor = 100
 	// historySize is how many moves are kept for explanations.
 	historySize = 256
 	// maxLoadTime is how long a load counts against the zone's parallel loads
@@ -71,7 +71,7 @@
 
 // WithUnderWay sets the longest time that an order can be under way to an engine:
 // longer than the call timeout.
-func WithUnderWay(d time.Duration) Option { return func(o *Owner) { o.underWay = d } }
+func WithUnderWay(d time.Duration) Option { return func(o *Owner) { o.maxOrderDelay = d } }
 
 // WithCallTimeout sets how long the answer of an engine or of the log is awaited.
 func WithCallTimeout(d time.Duration) Option { return func(o *Owner) { o.callTimeout = d } }
--- a/laburnumorder/owner.go
+++ b/laburnumorder/owner.go
@@ -18,38 +18,38 @@
 	loop     laburnumlever.Loop
 	timers   laburnumlever.Timers
 	proposer laburnumlever.Proposer
-	link     laburnumlever.Engines
+	client   laburnumlever.Engines
 	views    laburnumlever.Views
 	self     laburnumlever.VM
 
-	logger      log.Logger
-	scope       tally.Scope
-	ttl         time.Duration
-	underWay    time.Duration
-	callTimeout time.Duration
-	tickPeriod  time.Duration
-	run         func(work func())
-
-	lease       lease
-	quietUntil  time.Time
-	engines     map[laburnumlever.BackendID]*engine
-	ledger      *Ledger
-	orders      uint64
-	pace        laburnumplacement.Pace
-	paceIsNew   bool
-	nextPlan    time.Time
-	nextObserve time.Time
-	planner     *laburnumplacement.Planner
-	estimator   *laburnumplacement.Estimator
-	ready       readiness
-	progress    progress
-	versions    versions
-	history     []record
+	logger        log.Logger
+	scope         tally.Scope
+	ttl           time.Duration
+	maxOrderDelay time.Duration
+	callTimeout   time.Duration
+	tickPeriod    time.Duration
+	run           func(work func())
+
+	lease              lease
+	earlierOrdersUntil time.Time
+	engines            map[laburnumlever.BackendID]*engine
+	ledger             *Ledger
+	orders             uint64
+	pace               laburnumplacement.Pace
+	resetPace          bool
+	nextPlan           time.Time
+	nextObserve        time.Time
+	planner            *laburnumplacement.Planner
+	estimator          *laburnumplacement.Estimator
+	readiness          readiness
+	progress           progress
+	versions           versions
+	history            []moveRecord
 
 	owns      atomic.Bool
 	granted   atomic.Uint64 // the lease's number, for Close
-	moves     atomic.Uint64
-	published atomic.Pointer[published]
+	loadsDone atomic.Uint64
+	lastRound atomic.Pointer[planningRound]
 	ctx       context.Context //nolint:containedctx // ends the calls of this owner's life
 	cancel    context.CancelFunc
 	cancels   []func()
@@ -67,20 +67,20 @@
 	opts ...Option,
 ) *Owner {
 	o := &Owner{
-		loop: loop, timers: timers, proposer: proposer, link: engines, views: views, self: self,
-		logger:      log.NewNopLogger(),
-		scope:       tally.NoopScope,
-		ttl:         defaultLeaseTTL,
-		underWay:    defaultUnderWay,
-		callTimeout: defaultCallTimeout,
-		tickPeriod:  defaultTick,
-		run:         func(work func()) { go work() },
-		engines:     make(map[laburnumlever.BackendID]*engine),
-		ledger:      NewLedger(),
-		planner:     laburnumplacement.NewPlanner(),
-		estimator:   laburnumplacement.NewEstimator(),
-		ready:       newReadiness(),
-		versions:    make(versions),
+		loop: loop, timers: timers, proposer: proposer, client: engines, views: views, self: self,
+		logger:        log.NewNopLogger(),
+		scope:         tally.NoopScope,
+		ttl:           defaultLeaseTTL,
+		maxOrderDelay: defaultMaxOrderDelay,
+		callTimeout:   defaultCallTimeout,
+		tickPeriod:    defaultTick,
+		run:           func(work func()) { go work() },
+		engines:       make(map[laburnumlever.BackendID]*engine),
+		ledger:        NewLedger(),
+		planner:       laburnumplacement.NewPlanner(),
+		estimator:     laburnumplacement.NewEstimator(),
+		readiness:     newReadiness(),
+		versions:      make(versions),
 	}
 	for _, opt := range opts {
 		opt(o)
@@ -117,7 +117,7 @@
 
 // Moves counts the loads that engines have taken on this owner's orders. Safe for
 // use by any goroutine.
-func (o *Owner) Moves() uint64 { return o.moves.Load() }
+func (o *Owner) Moves() uint64 { return o.loadsDone.Load() }
 
 // Handle takes the owner's events on the control thread.
 func (o *Owner) Handle(ev laburnumlever.Event) {
@@ -153,15 +153,15 @@
 	if o.lease.fence == 0 {
 		return
 	}
-	o.watch(view, now)
-	o.readDue(now)
+	o.updateEngines(view, now)
+	o.startDueReads(now)
 	if now.Before(o.nextPlan) {
 		return
 	}
 	o.plan(view, now)
 	// A round over a large fleet takes milliseconds: the wait keeps planning to a
 	// hundredth of the control thread's time, whatever the fleet's size.
-	o.nextPlan = now.Add(planRest * o.timers.Now().Sub(now))
+	o.nextPlan = now.Add(planRestFactor * o.timers.Now().Sub(now))
 }
 
 // call runs work that waits for the network, off the control thread. Its context
@@ -176,8 +176,8 @@
 	})
 }
 
-// giveLeaseBack makes the next grant a new one.
-func (o *Owner) giveLeaseBack() {
+// releaseLease makes the next grant a new one.
+func (o *Owner) releaseLease() {
 	cmd := o.releaseCommand(o.lease.fence)
 	o.loseLease("")
 	o.call(func(ctx context.Context) { _, _ = o.proposer.Propose(ctx, cmd) })
--- a/laburnumorder/owner_test.go
+++ b/laburnumorder/owner_test.go
@@ -12,9 +12,9 @@
 
 // A zone starts: every model becomes reachable on both kinds of engine, through one
 // owner, though two VMs ask for the zone.
-func TestZoneBecomesResident(t *testing.T) {
+func TestAllModelsBecomeReachable(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		w := newWorld(t, checks, checks)
+		w := newHarness(t, checks, checks)
 		w.run(2 * time.Minute)
 		w.requireAllReachable()
 		require.NotEqual(t, w.vms[0].owner.Owns(), w.vms[1].owner.Owns())
@@ -29,14 +29,14 @@
 // An order or its answer is lost, comes late or comes twice. A caller would see a
 // model missing if the owner gave up, and an engine out of memory if it counted
 // the order as not sent. The engine counts; the models must come all the same.
-func TestOrdersLostLateAndTwice(t *testing.T) {
-	for name, fate := range map[string]fate{"lost": lost, "answer lost": answerLost, "late": late, "twice": twice} {
+func TestLostDelayedAndDuplicatedOrders(t *testing.T) {
+	for name, fault := range map[string]orderFault{"lost": orderLost, "answer lost": answerLost, "late": orderDelayed, "twice": orderDuplicated} {
 		for _, checks := range []bool{true, false} {
 			t.Run(name, func(t *testing.T) {
-				w := newWorld(t, checks, checks)
-				w.fate, w.delay = fate, underWay-time.Second
+				w := newHarness(t, checks, checks)
+				w.orderFault, w.delay = fault, maxOrderDelay-time.Second
 				w.runUntilOrder()
-				w.fate = delivered
+				w.orderFault = orderDelivered
 				w.newVersions()
 				w.run(25 * time.Second)
 				w.newVersions()
@@ -50,15 +50,15 @@
 // The owner is killed after it committed an intent, or after it sent the order: the
 // order arrives 20 s later. The other VM takes the zone over and must count what
 // may still come.
-func TestOwnerKilledWithOrderUnderWay(t *testing.T) {
-	for name, fate := range map[string]fate{"between intent and send": lost, "between send and answer": late} {
+func TestOwnerKilledWithOrderInFlight(t *testing.T) {
+	for name, fault := range map[string]orderFault{"between intent and send": orderLost, "between send and answer": orderDelayed} {
 		for _, checks := range []bool{true, false} {
 			t.Run(name, func(t *testing.T) {
-				w := newWorld(t, checks, checks)
-				w.fate, w.delay = fate, 20*time.Second
+				w := newHarness(t, checks, checks)
+				w.orderFault, w.delay = fault, 20*time.Second
 				w.runUntilOrder()
 				w.startVM(0, 2)
-				w.fate = delivered
+				w.orderFault = orderDelivered
 				w.newVersions()
 				w.run(3 * time.Minute)
 				w.requireAllReachable()
@@ -73,10 +73,10 @@
 // and sends.
 func TestFrozenOwnerWakesAndSends(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		w := newWorld(t, checks)
+		w := newHarness(t, checks)
 		w.catalogue = catalogueOf(2, 60)
 		first, second := w.vms[0], w.vms[1]
-		first.manual, second.cut = true, true
+		first.manualWork, second.cutFromQuorum = true, true
 		// Work runs one piece at a time until the next piece is the first order.
 		for range 2000 {
 			w.run(250 * time.Millisecond)
@@ -87,13 +87,13 @@
 		}
 		require.True(t, aboutToOrder(w, first, checks))
 		require.Empty(t, w.orders)
-		second.cut = false
+		second.cutFromQuorum = false
 		first.frozen = true
 		w.newVersions()
 		w.run(2 * time.Minute)
 		w.requireAllReachable()
 		sentBefore := len(w.orders)
-		first.frozen, first.manual = false, false
+		first.frozen, first.manualWork = false, false
 		w.run(2 * time.Minute)
 		if !checks {
 			require.Len(t, w.orders, sentBefore, "the lease was over: nothing may be sent")
@@ -104,7 +104,7 @@
 }
 
 // aboutToOrder tells whether the VM's next piece of work sends an order.
-func aboutToOrder(w *world, v *vm, checks bool) bool {
+func aboutToOrder(w *harness, v *vm, checks bool) bool {
 	e, _ := v.owner.Explain("m0")
 	begun := len(e.Lines) > 1 && strings.HasPrefix(e.Lines[len(e.Lines)-1], "moved")
 	return begun && len(v.work) > 0 && (checks || len(w.quorum.intents) > 0)
@@ -112,12 +112,12 @@
 
 // The zone is cut off from the quorum for ten minutes and loses an engine. Engines
 // that check are ordered on, so its models come back; those that do not rest.
-func TestCutOffZone(t *testing.T) {
+func TestZoneCutFromQuorum(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		w := newWorld(t, checks, checks)
+		w := newHarness(t, checks, checks)
 		w.run(2 * time.Minute)
 		for _, v := range w.vms {
-			v.cut = true
+			v.cutFromQuorum = true
 		}
 		w.run(time.Minute)
 		before := len(w.orders)
@@ -130,7 +130,7 @@
 		}
 		require.Len(t, w.orders, before)
 		for _, v := range w.vms {
-			v.cut = false
+			v.cutFromQuorum = false
 		}
 		w.run(3 * time.Minute)
 		w.requireAllReachable()
@@ -138,10 +138,10 @@
 }
 
 // A zone that no quorum ever granted orders nothing, not even engines that check.
-func TestNoGrantNoOrder(t *testing.T) {
-	w := newWorld(t, true, false)
+func TestNoOrdersWithoutLease(t *testing.T) {
+	w := newHarness(t, true, false)
 	for _, v := range w.vms {
-		v.cut = true
+		v.cutFromQuorum = true
 	}
 	w.run(5 * time.Minute)
 	require.Empty(t, w.orders)
@@ -149,9 +149,9 @@
 
 // An engine announces that it checks fencing numbers and does not. Orders on the
 // strength of its word would not be guarded at all, so it gets none.
-func TestEngineThatIgnoresItsNumber(t *testing.T) {
-	w := newWorld(t, false)
-	w.lies = true
+func TestEngineIgnoringFencingNumberGetsNoOrders(t *testing.T) {
+	w := newHarness(t, false)
+	w.ignoreFencing = true
 	w.run(2 * time.Minute)
 	require.Empty(t, w.orders)
 }
@@ -160,10 +160,10 @@
 // owner that believed them would load into memory that is taken.
 func TestStaleReportsAndRestarts(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		w := newWorld(t, checks, checks)
+		w := newHarness(t, checks, checks)
 		for _, v := range w.vms {
 			v.View()
-			v.stale = true
+			v.staleReports = true
 		}
 		w.run(time.Minute)
 		w.restartEngine(1)
@@ -179,8 +179,8 @@
 // catalogue must come, and no accelerator be asked for too much meanwhile.
 func TestCatalogueChangesUnderLoad(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		w := newWorld(t, checks, checks, checks)
-		w.noGap = true
+		w := newHarness(t, checks, checks, checks)
+		w.requireContinuity = true
 		w.run(50 * time.Second)
 		changes := []func(c *laburnumlever.Catalogue){
 			func(c *laburnumlever.Catalogue) { c.Models[0].WeightsMiB = 70 },
@@ -202,7 +202,7 @@
 		w.newVersions()
 		w.run(4 * time.Minute)
 		requireCurrent(t, w)
-		w.noGap = false
+		w.requireContinuity = false
 		w.engines[0].LoseAccelerator("a1")
 		w.run(5 * time.Minute)
 		w.requireAllReachable()
@@ -211,7 +211,7 @@
 }
 
 // requireCurrent checks that all copies have the catalogue's form.
-func requireCurrent(t tester, w *world) {
+func requireCurrent(t tester, w *harness) {
 	for _, e := range w.engines {
 		for _, c := range e.Report().Loaded {
 			m, ok := w.catalogue.Model(c.Model)
--- a/laburnumorder/plan.go
+++ b/laburnumorder/plan.go
@@ -18,18 +18,18 @@
 	snapshot := o.snapshot(view, now)
 	plan := o.planner.Plan(snapshot)
 	share := laburnumplacement.ShareOf(view.Catalogue.Deployment, o.self.Zone)
-	if o.paceIsNew {
+	if o.resetPace {
 		o.pace = laburnumplacement.NewPace(now, share)
-		o.paceIsNew = false
+		o.resetPace = false
 	}
 	for _, m := range plan.Moves {
 		if m.Zone != o.self.Zone {
 			continue
 		}
-		if m.Kind == laburnumlever.Load && !o.pace.Ready(now, share, o.loadsUnderWay(now)) {
+		if m.Kind == laburnumlever.Load && !o.pace.Ready(now, share, o.activeLoads(now)) {
 			continue
 		}
-		if o.begin(m, now) && m.Kind == laburnumlever.Load {
+		if o.startMove(m, now) && m.Kind == laburnumlever.Load {
 			o.pace = o.pace.WithLoad(now, share)
 		}
 	}
@@ -49,36 +49,36 @@
 			continue
 		}
 		e := laburnumplacement.EngineOf(b)
-		if now.Sub(b.ReportedAt) > reportAge && e.Zone != o.self.Zone {
+		if now.Sub(b.ReportedAt) > maxReportAge && e.Zone != o.self.Zone {
 			old[e.ID] = true
 		}
 		if own, ok := o.engines[e.ID]; ok && e.Zone == o.self.Zone {
-			o.ownEngine(&e, own, b, now)
+			o.applyLedger(&e, own, b, now)
 		}
 		s.Engines = append(s.Engines, e)
 	}
-	o.ready.mark(s.Engines, old, now)
+	o.readiness.markStable(s.Engines, old, now)
 	s.Fresh = o.versions.fresh(view.Catalogue.Models, now)
 	s.Overdue = o.progress.overdue(s, now)
 	return s
 }
 
-// ownEngine replaces what the engine last reported by what the ledger counts.
-func (o *Owner) ownEngine(e *laburnumplacement.Engine, own *engine, b laburnumlever.Backend, now time.Time) {
-	e.Usable = b.TakesWork() && own.known && o.mayOrder(own, now)
-	if !own.known {
+// applyLedger replaces what the engine last reported by what the ledger counts.
+func (o *Owner) applyLedger(e *laburnumplacement.Engine, own *engine, b laburnumlever.Backend, now time.Time) {
+	e.Usable = b.TakesWork() && own.orderable && o.leasePermits(own, now)
+	if !own.orderable {
 		return
 	}
 	e.Accelerators = o.ledger.Accelerators(e.ID)
 	e.Copies = nil
 	for _, l := range o.ledger.Loaded(e.ID) {
-		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: l, Going: own.unloads(l), Counted: o.ledger.CountsCopy(e.ID, l)})
+		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: l, Going: own.isUnloading(l), Counted: o.ledger.CountsCopy(e.ID, l)})
 	}
-	if coming, ok := own.coming(); ok && !holds(e.Copies, coming) {
+	if coming, ok := own.pendingLoad(); ok && !containsCopy(e.Copies, coming) {
 		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: coming})
 	}
 	for i, c := range e.Copies {
-		if want, ok := own.updates[keyOf(c.Loaded)]; ok {
+		if want, ok := own.updates[copyKey(c.Loaded)]; ok {
 			// The planner sees the form that was ordered, or it would order it again
 			// and the engine would begin the load anew each time. What the ledger
 			// counts beyond that is reserved.
@@ -106,13 +106,13 @@
 	return list
 }
 
-func (e *engine) unloads(l laburnumlever.Loaded) bool {
-	return e.order != nil && e.order.order.Kind == laburnumlever.Unload && keyOf(e.order.order.Copy) == keyOf(l)
+func (e *engine) isUnloading(l laburnumlever.Loaded) bool {
+	return e.order != nil && e.order.order.Kind == laburnumlever.Unload && copyKey(e.order.order.Copy) == copyKey(l)
 }
 
-// coming is the copy of a load order that is under way. One whose outcome is
+// pendingLoad is the copy of a load order that is under way. One whose outcome is
 // unknown is not counted on: the model is repaired elsewhere.
-func (e *engine) coming() (laburnumlever.Loaded, bool) {
+func (e *engine) pendingLoad() (laburnumlever.Loaded, bool) {
 	if e.order == nil || e.order.order.Kind != laburnumlever.Load || e.order.is(stateUnknown) {
 		return laburnumlever.Loaded{}, false
 	}
@@ -121,9 +121,9 @@
 	return c, true
 }
 
-func holds(copies []laburnumplacement.Copy, l laburnumlever.Loaded) bool {
+func containsCopy(copies []laburnumplacement.Copy, l laburnumlever.Loaded) bool {
 	for _, c := range copies {
-		if keyOf(c.Loaded) == keyOf(l) {
+		if copyKey(c.Loaded) == copyKey(l) {
 			return true
 		}
 	}
--- a/laburnumorder/readiness.go
+++ b/laburnumorder/readiness.go
@@ -12,29 +12,29 @@
 // is kept by engine, in the order of its report: from round to round hardly any
 // engine's copies change, and a map of all copies was two fifths of a round.
 type readiness struct {
-	engines map[laburnumlever.BackendID]seenCopies
+	engines map[laburnumlever.BackendID]readyCopies
 }
 
-type seenCopies struct {
+type readyCopies struct {
 	copies []laburnumplacement.Copy
 	since  []time.Time // zero for a copy that was not ready
 }
 
 func newReadiness() readiness {
-	return readiness{engines: make(map[laburnumlever.BackendID]seenCopies)}
+	return readiness{engines: make(map[laburnumlever.BackendID]readyCopies)}
 }
 
-// mark sets which copies are stable. A copy that is not seen, or on an engine that
+// markStable sets which copies are stable. A copy that is not seen, or on an engine that
 // is down, begins anew: to rely on it again takes as long as on a new one.
 // So does one whose engine has not reported for some time (old).
-func (r *readiness) mark(engines []laburnumplacement.Engine, old map[laburnumlever.BackendID]bool, now time.Time) {
-	next := make(map[laburnumlever.BackendID]seenCopies, len(engines))
+func (r *readiness) markStable(engines []laburnumplacement.Engine, old map[laburnumlever.BackendID]bool, now time.Time) {
+	next := make(map[laburnumlever.BackendID]readyCopies, len(engines))
 	for _, e := range engines {
 		if !e.Serving || old[e.ID] {
 			continue
 		}
 		before := r.engines[e.ID]
-		seen := seenCopies{copies: e.Copies, since: make([]time.Time, len(e.Copies))}
+		seen := readyCopies{copies: e.Copies, since: make([]time.Time, len(e.Copies))}
 		for i, c := range e.Copies {
 			if !c.Ready {
 				continue
@@ -51,7 +51,7 @@
 }
 
 // sinceOf finds since when a copy has been ready, where it stood last time first.
-func (s seenCopies) sinceOf(i int, c laburnumplacement.Copy) time.Time {
+func (s readyCopies) sinceOf(i int, c laburnumplacement.Copy) time.Time {
 	if i < len(s.copies) && sameCopy(s.copies[i].Loaded, c.Loaded) {
 		return s.since[i]
 	}
@@ -114,7 +114,7 @@
 			known = versionSince{version: m.Version, since: now}
 			v[m.Name] = known
 		}
-		if now.Sub(known.since) < versionAge {
+		if now.Sub(known.since) < freshVersionPeriod {
 			list[m.Name] = true
 		}
 	}
--- a/laburnumorder/schedule_test.go
+++ b/laburnumorder/schedule_test.go
@@ -15,22 +15,22 @@
 // end, every model is reachable.
 func TestRandomScheduleNeverOverCommits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, true, false, rapid.Bool().Draw(t, "third engine checks"))
+		w := newHarness(t, true, false, rapid.Bool().Draw(t, "third engine checks"))
 		incarnation := uint64(1)
 		actions := map[string]func(*rapid.T){
 			"time":   func(t *rapid.T) { w.run(time.Duration(rapid.IntRange(1, 15000).Draw(t, "ms")) * time.Millisecond) },
 			"freeze": func(t *rapid.T) { v := w.drawVM(t); v.frozen = !v.frozen },
-			"cut":    func(t *rapid.T) { v := w.drawVM(t); v.cut = !v.cut },
-			"stale":  func(t *rapid.T) { v := w.drawVM(t); v.stale = !v.stale },
-			"hold":   func(t *rapid.T) { v := w.drawVM(t); v.manual = !v.manual },
+			"cut":    func(t *rapid.T) { v := w.drawVM(t); v.cutFromQuorum = !v.cutFromQuorum },
+			"stale":  func(t *rapid.T) { v := w.drawVM(t); v.staleReports = !v.staleReports },
+			"hold":   func(t *rapid.T) { v := w.drawVM(t); v.manualWork = !v.manualWork },
 			"work": func(t *rapid.T) {
 				if v := w.drawVM(t); !v.frozen {
 					v.workOnce(rapid.IntRange(0, 3).Draw(t, "piece"))
 				}
 			},
 			"network": func(t *rapid.T) {
-				w.fate = fate(rapid.IntRange(int(delivered), int(twice)).Draw(t, "fate"))
-				w.delay = time.Duration(rapid.IntRange(1, int(underWay/time.Second)-1).Draw(t, "delay")) * time.Second
+				w.orderFault = orderFault(rapid.IntRange(int(orderDelivered), int(orderDuplicated)).Draw(t, "fate"))
+				w.delay = time.Duration(rapid.IntRange(1, int(maxOrderDelay/time.Second)-1).Draw(t, "delay")) * time.Second
 			},
 			"kill": func(t *rapid.T) {
 				incarnation++
@@ -42,9 +42,9 @@
 			"versions":    func(*rapid.T) { w.newVersions() },
 		}
 		t.Repeat(actions)
-		w.fate = delivered
+		w.orderFault = orderDelivered
 		for i := range w.vms {
-			w.vms[i].frozen, w.vms[i].cut, w.vms[i].stale, w.vms[i].manual = false, false, false, false
+			w.vms[i].frozen, w.vms[i].cutFromQuorum, w.vms[i].staleReports, w.vms[i].manualWork = false, false, false, false
 		}
 		w.run(6 * time.Minute)
 		w.requireAllReachable()
@@ -57,15 +57,15 @@
 // on the strength of one that the other is giving up.
 func TestRandomViewsLoseNoModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newZones(t, []laburnumlever.ZoneName{"a", "b"}, true, true, true, true)
+		w := newZonesHarness(t, []laburnumlever.ZoneName{"a", "b"}, true, true, true, true)
 		w.run(2 * time.Minute)
 		w.requireAllReachable()
-		w.noGap = true
+		w.requireContinuity = true
 		incarnation := uint64(1)
 		t.Repeat(map[string]func(*rapid.T){
 			"time":      func(t *rapid.T) { w.run(time.Duration(rapid.IntRange(1, 20000).Draw(t, "ms")) * time.Millisecond) },
-			"alone":     func(t *rapid.T) { v := w.drawVM(t); v.alone = !v.alone },
-			"stale":     func(t *rapid.T) { v := w.drawVM(t); v.stale = !v.stale },
+			"alone":     func(t *rapid.T) { v := w.drawVM(t); v.isolated = !v.isolated },
+			"stale":     func(t *rapid.T) { v := w.drawVM(t); v.staleReports = !v.staleReports },
 			"freeze":    func(t *rapid.T) { v := w.drawVM(t); v.frozen = !v.frozen },
 			"catalogue": w.drawChange,
 			"versions":  func(*rapid.T) { w.newVersions() },
@@ -75,17 +75,17 @@
 			},
 		})
 		for _, v := range w.vms {
-			v.alone, v.stale, v.frozen = false, false, false
+			v.isolated, v.staleReports, v.frozen = false, false, false
 		}
 		w.run(5 * time.Minute)
 		requireCurrent(t, w)
 	})
 }
 
-func (w *world) drawVM(t *rapid.T) *vm { return w.vms[rapid.IntRange(0, 1).Draw(t, "vm")] }
+func (w *harness) drawVM(t *rapid.T) *vm { return w.vms[rapid.IntRange(0, 1).Draw(t, "vm")] }
 
 // drawChange changes one model; each always fits an accelerator of its own.
-func (w *world) drawChange(t *rapid.T) {
+func (w *harness) drawChange(t *rapid.T) {
 	w.change(rapid.IntRange(0, len(w.catalogue.Models)-1).Draw(t, "model"), func(m *laburnumlever.Model) {
 		switch rapid.IntRange(0, 2).Draw(t, "change") {
 		case 0:
--- a/laburnumorder/send.go
+++ b/laburnumorder/send.go
@@ -12,11 +12,11 @@
 	"github.com/go-kit/log/level"
 )
 
-// begin starts one move. It reports whether the move is under way: an engine that
+// startMove starts one move. It reports whether the move is under way: an engine that
 // is busy, or memory that is still counted, leaves it to a later round.
-func (o *Owner) begin(m laburnumplacement.Move, now time.Time) bool {
+func (o *Owner) startMove(m laburnumplacement.Move, now time.Time) bool {
 	e, ok := o.engines[m.Engine]
-	if !ok || !o.free(e, now) || e.count >= maxCount {
+	if !ok || !o.canOrder(e, now) || e.count >= maxCount {
 		return false
 	}
 	if m.Kind == laburnumlever.Load && !o.ledger.Fits(m.Engine, m.Copy) {
@@ -30,15 +30,15 @@
 		Fence: Number(o.lease.fence, e.count),
 		Copy:  m.Copy,
 	}
-	o.note(m, order.ID, now)
+	o.recordMove(m, order.ID, now)
 	if !e.announcement.ChecksFencing {
 		order.Fence = o.lease.fence
 	}
-	e.order = newTracked(order)
+	e.order = newTrackedOrder(order)
 	o.ledger.Open(m.Engine, order)
 	if m.Kind == laburnumlever.Load {
-		e.loading[keyOf(m.Copy)] = now
-		e.updates[keyOf(m.Copy)] = m.Copy
+		e.loading[copyKey(m.Copy)] = now
+		e.updates[copyKey(m.Copy)] = m.Copy
 	}
 	if e.announcement.ChecksFencing {
 		o.send(e)
@@ -48,15 +48,15 @@
 	return true
 }
 
-// free tells whether the engine can be given an order now.
-func (o *Owner) free(e *engine, now time.Time) bool {
-	return e.known && !e.gone && e.order == nil && e.read == 0 && !now.Before(e.pauseUntil) && o.mayOrder(e, now)
+// canOrder tells whether the engine can be given an order now.
+func (o *Owner) canOrder(e *engine, now time.Time) bool {
+	return e.orderable && !e.gone && e.order == nil && e.activeRead == 0 && !now.Before(e.pauseUntil) && o.leasePermits(e, now)
 }
 
 // recordIntent commits the order's intent first: if this VM dies between here and the
 // answer, the next owner learns from the log that the order may have been sent.
 func (o *Owner) recordIntent(e *engine) {
-	o.move(e, "intent-proposed")
+	o.advance(e, "intent-proposed")
 	intent := laburnumlever.OrderIntent{
 		Lease: o.leaseName(), Backend: e.announcement.Backend,
 		Incarnation: e.incarnation, Order: e.order.order,
@@ -76,17 +76,17 @@
 	if ev.err != nil || ev.result.Code != laburnumlever.ResultOK {
 		// It was not sent and never will be. The intent may be in the log all the
 		// same, so it is resolved like one that was.
-		o.move(e, "intent-failed")
-		o.drop(e)
+		o.advance(e, "intent-failed")
+		o.dropOrder(e)
 		if ev.result.Code == laburnumlever.ResultNotHolder {
 			o.lease.next = time.Time{}
 		}
 		return
 	}
-	o.move(e, "intent-committed")
-	if e.order.order.Fence != o.lease.fence || !o.lease.until.live(o.timers.Now()) {
-		o.move(e, "lease-over")
-		o.drop(e)
+	o.advance(e, "intent-committed")
+	if e.order.order.Fence != o.lease.fence || !o.lease.until.isLive(o.timers.Now()) {
+		o.advance(e, "lease-over")
+		o.dropOrder(e)
 		return
 	}
 	o.send(e)
@@ -96,15 +96,15 @@
 // looks at the lease's time once more just before the write: events may have
 // waited, or this VM may have been frozen, since the control thread looked.
 func (o *Owner) send(e *engine) {
-	o.move(e, "send-started")
+	o.advance(e, "send-started")
 	order, to := e.order.order, e.announcement
 	o.call(func(ctx context.Context) {
-		if over := o.lease.until.over(o.timers.Now()); !to.ChecksFencing && over >= 0 {
+		if over := o.lease.until.expiredFor(o.timers.Now()); !to.ChecksFencing && over >= 0 {
 			err := &laburnumlever.NotSentError{Cause: &LeaseOverError{Zone: o.self.Zone, Over: over}}
 			o.loop.Post(o, orderAnswered{backend: to.Backend, order: order.ID, err: err})
 			return
 		}
-		answer, err := o.link.Order(ctx, to, order)
+		answer, err := o.client.Order(ctx, to, order)
 		o.loop.Post(o, orderAnswered{backend: to.Backend, order: order.ID, answer: answer, err: err})
 	})
 }
@@ -118,79 +118,79 @@
 	var notSent *laburnumlever.NotSentError
 	switch {
 	case errors.As(ev.err, &notSent):
-		o.move(e, "not-sent")
-		e.pauseUntil = now.Add(retryRead)
-		o.drop(e)
+		o.advance(e, "not-sent")
+		e.pauseUntil = now.Add(readRetryDelay)
+		o.dropOrder(e)
 	case ev.err != nil || ev.answer.ID != ev.order:
-		o.move(e, "answer-lost")
+		o.advance(e, "answer-lost")
 		_ = level.Warn(o.logger).Log("event", laburnumlever.EventOrderOutcomeUnknown, "backend", ev.backend, "order", ev.order, "err", ev.err)
-		o.ledger.Sent(ev.backend, ev.order, now.Add(o.underWay))
-		e.order.settleAfter = now.Add(o.underWay)
+		o.ledger.Sent(ev.backend, ev.order, now.Add(o.maxOrderDelay))
+		e.order.settleAfter = now.Add(o.maxOrderDelay)
 		e.nextRead = now
 	default:
-		o.answered(e, ev.answer, now)
+		o.applyAnswer(e, ev.answer, now)
 	}
 }
 
-func (o *Owner) answered(e *engine, answer laburnumlever.OrderAnswer, now time.Time) {
-	o.move(e, "answered")
+func (o *Owner) applyAnswer(e *engine, answer laburnumlever.OrderAnswer, now time.Time) {
+	o.advance(e, "answered")
 	order := e.order.order
 	backend := e.announcement.Backend
-	o.ledger.Sent(backend, order.ID, now.Add(o.underWay))
+	o.ledger.Sent(backend, order.ID, now.Add(o.maxOrderDelay))
 	o.ledger.Answered(backend, answer.Loaded)
 	e.order = nil
 	o.scope.Tagged(map[string]string{"kind": order.Kind.String(), "outcome": answer.Outcome.String()}).Counter("orders").Inc(1)
 	switch answer.Outcome {
 	case laburnumlever.OrderDone:
 		if order.Kind == laburnumlever.Load {
-			o.moves.Add(1)
+			o.loadsDone.Add(1)
 		}
 	case laburnumlever.OrderStaleFence:
 		// Another owner has claimed the engine, or it restarted and was claimed.
-		e.known = false
+		e.orderable = false
 		o.lease.next = time.Time{}
 	default:
-		e.pauseUntil = now.Add(failedPause)
+		e.pauseUntil = now.Add(failedOrderPause)
 		_ = level.Warn(o.logger).Log("event", laburnumlever.EventOrderRefused, "backend", backend, "order", order.ID, "outcome", answer.Outcome, "detail", answer.Detail)
 	}
-	o.noteLoading(e, now)
+	o.trackLoads(e, now)
 	// A read that is due stays due: pushed back by each order, it would never come on an
 	// engine that is ordered every round, and orders long settled would count for ever.
-	e.readBy(now.Add(busyRead))
+	e.readNoLaterThan(now.Add(busyReadPeriod))
 }
 
-// drop forgets an order that surely never left this VM.
-func (o *Owner) drop(e *engine) {
+// dropOrder forgets an order that surely never left this VM.
+func (o *Owner) dropOrder(e *engine) {
 	order := e.order.order
 	o.ledger.Drop(e.announcement.Backend, order.ID)
-	delete(e.loading, keyOf(order.Copy))
-	delete(e.updates, keyOf(order.Copy))
+	delete(e.loading, copyKey(order.Copy))
+	delete(e.updates, copyKey(order.Copy))
 	e.order = nil
-	o.resolve(e, order.ID)
+	o.resolveIntent(e, order.ID)
 }
 
-// settle ends what an inventory has settled. A claim with a higher number rules out
+// settleOrders ends what an inventory has settled. A claim with a higher number rules out
 // a lost order to an engine that checks at once; the ledger still counts it until it
 // can't arrive any more, because an engine that restarts forgets its number.
-func (o *Owner) settle(e *engine, ev readAnswered) {
+func (o *Owner) settleOrders(e *engine, ev readAnswered) {
 	if e.order != nil && e.order.is(stateUnknown) {
 		if e.announcement.ChecksFencing || !ev.began.Before(e.order.settleAfter) {
-			o.move(e, "read-after-wait")
-			delete(e.loading, keyOf(e.order.order.Copy))
+			o.advance(e, "read-after-wait")
+			delete(e.loading, copyKey(e.order.order.Copy))
 			e.order = nil
 		}
 	}
 	for id := range e.intents {
 		current := e.order != nil && e.order.order.ID == id
-		if !current && !o.ledger.Counts(ev.backend, id) && !ev.began.Before(o.quietUntil) {
-			o.resolve(e, id)
+		if !current && !o.ledger.Counts(ev.backend, id) && !ev.began.Before(o.earlierOrdersUntil) {
+			o.resolveIntent(e, id)
 		}
 	}
 }
 
-// resolve takes an intent out of the log. One that fails stays with the engine and
+// resolveIntent takes an intent out of the log. One that fails stays with the engine and
 // is tried again after a later read.
-func (o *Owner) resolve(e *engine, id laburnumlever.OrderID) {
+func (o *Owner) resolveIntent(e *engine, id laburnumlever.OrderID) {
 	intent, ok := e.intents[id]
 	if !ok {
 		return
@@ -207,11 +207,11 @@
 		delete(e.intents, ev.order)
 		return
 	}
-	e.readBy(o.timers.Now().Add(idleRead))
+	e.readNoLaterThan(o.timers.Now().Add(idleReadPeriod))
 }
 
-func (o *Owner) move(e *engine, event string) {
-	if err := e.order.on(event); err != nil {
+func (o *Owner) advance(e *engine, event string) {
+	if err := e.order.apply(event); err != nil {
 		_ = level.Error(o.logger).Log("event", laburnumlever.EventOrderChart, "backend", e.announcement.Backend, "order", e.order.order.ID, "err", err)
 	}
 }
--- a/laburnumorder/tracked.go
+++ b/laburnumorder/trackedorder.go
@@ -15,24 +15,24 @@
 
 var orderChart = laburnumchart.MustLoad("order")
 
-// tracked is an order with its place in the chart.
-type tracked struct {
+// trackedOrder is an order with its place in the chart.
+type trackedOrder struct {
 	order laburnumlever.Order
 	state string
 	// settleAfter is when an order whose answer was lost can't arrive any more.
 	settleAfter time.Time
 }
 
-func newTracked(order laburnumlever.Order) *tracked {
-	return &tracked{order: order, state: orderChart.Initial()}
+func newTrackedOrder(order laburnumlever.Order) *trackedOrder {
+	return &trackedOrder{order: order, state: orderChart.Initial()}
 }
 
-// on moves the order along. An event that its state does not take is a mistake in
+// apply moves the order along. An event that its state does not take is a mistake in
 // this package: it is reported, and the order stays counted.
-func (t *tracked) on(event string) error {
+func (t *trackedOrder) apply(event string) error {
 	next, err := orderChart.Next(t.state, event)
 	t.state = next
 	return err
 }
 
-func (t *tracked) is(state string) bool { return t.state == state }
+func (t *trackedOrder) is(state string) bool { return t.state == state }
--- a/laburnumorder/zones_test.go
+++ b/laburnumorder/zones_test.go
@@ -9,15 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-func twoZones(t tester) *world {
-	w := newZones(t, []laburnumlever.ZoneName{"a", "b"}, true, true, true, true)
+func twoZones(t tester) *harness {
+	w := newZonesHarness(t, []laburnumlever.ZoneName{"a", "b"}, true, true, true, true)
 	w.run(3 * time.Minute)
 	w.requireReachableIn("a")
 	w.requireReachableIn("b")
 	return w
 }
 
-func (w *world) requireReachableIn(zone laburnumlever.ZoneName) {
+func (w *harness) requireReachableIn(zone laburnumlever.ZoneName) {
 	names := make(map[laburnumlever.ModelName]bool)
 	for _, e := range w.engines {
 		for _, c := range e.Report().Loaded {
@@ -32,17 +32,17 @@
 // Two zones are cut apart, the quorum stays with zone a. Each has all models and loses
 // an engine. Callers in each zone must find every model again that its own memory can
 // hold, and nothing may move once the zones see each other again and are whole.
-func TestZonesCutApart(t *testing.T) {
+func TestPartitionedZones(t *testing.T) {
 	w := twoZones(t)
 	a, b := w.vms[0], w.vms[1]
-	a.alone, b.alone, b.cut = true, true, true
+	a.isolated, b.isolated, b.cutFromQuorum = true, true, true
 	w.run(time.Minute)
 	w.restartEngine(0)
 	w.restartEngine(1)
 	w.run(3 * time.Minute)
 	w.requireReachableIn("a")
 	w.requireReachableIn("b")
-	a.alone, b.alone, b.cut = false, false, false
+	a.isolated, b.isolated, b.cutFromQuorum = false, false, false
 	before := len(w.orders)
 	w.run(5 * time.Minute)
 	require.Len(t, w.orders, before)
@@ -50,9 +50,9 @@
 
 // The views of two owners differ for long: a sees nothing of b, b sees all. Neither
 // may wait for the other to repair a model, nor may they load and unload in turn.
-func TestViewsThatDifferComeToRest(t *testing.T) {
+func TestDivergingViewsConverge(t *testing.T) {
 	w := twoZones(t)
-	w.vms[0].alone = true
+	w.vms[0].isolated = true
 	w.restartEngine(0)
 	w.restartEngine(1)
 	w.run(3 * time.Minute)
@@ -64,9 +64,9 @@
 
 // All the zones' weights come from one store. A cold start after an outage of every
 // engine must not pass its rate or its parallel loads, whoever owns the zones.
-func TestColdStartKeepsToTheWeightStore(t *testing.T) {
+func TestColdStartRespectsWeightStoreLimits(t *testing.T) {
 	zones := []laburnumlever.ZoneName{"a", "b", "c", "d"}
-	w := newZones(t, zones, true, true, true, true, true, true, true, true)
+	w := newZonesHarness(t, zones, true, true, true, true, true, true, true, true)
 	w.catalogue.Deployment.WeightStore = laburnumlever.WeightStore{LoadsPerSecond: 1.5, ParallelLoads: 7}
 	start, highest := w.timers.Now(), 0
 	for range 240 {
@@ -97,10 +97,10 @@
 // ever: each round the owner unloads a copy that it has just loaded to make room, finds the
 // memory still counted for the load, and loads the copy there again; and as an order goes
 // out every round, the inventory is never read that would end the count.
-func TestVersionsComeToRestInFullMemory(t *testing.T) {
-	w := newZones(t, []laburnumlever.ZoneName{"a", "b"}, true, true, true, true)
+func TestVersionChangesConvergeInFullMemory(t *testing.T) {
+	w := newZonesHarness(t, []laburnumlever.ZoneName{"a", "b"}, true, true, true, true)
 	w.run(2 * time.Minute)
-	w.noGap = true
+	w.requireContinuity = true
 	w.startVM(0, 2)
 	w.change(0, func(m *laburnumlever.Model) { m.Adapters = []laburnumlever.Adapter{{Name: "x", SizeMiB: 9}} })
 	w.newVersions()
@@ -127,8 +127,8 @@
 // Operators change the versions each second, so that each round has an order for the
 // engine. Its inventory must be read all the same: memory that settled orders held
 // is found free only by a read.
-func TestReadsComeBetweenOrders(t *testing.T) {
-	w := newWorld(t, true)
+func TestInventoryIsReadBetweenOrders(t *testing.T) {
+	w := newHarness(t, true)
 	w.catalogue = catalogueOf(1, 1).WithRevision(2)
 	w.run(time.Minute)
 	orders, claims := len(w.orders), w.claims
@@ -144,8 +144,8 @@
 // Every engine restarts while the VM that owns zone b is frozen and zone a does not know
 // it. Zone a plans some models for b's engine, where nobody loads them: their callers
 // would be refused for as long as b's VM stands still, though a has room.
-func TestRepairLeftToAZoneWhoseOwnerStandsStill(t *testing.T) {
-	w := newZones(t, []laburnumlever.ZoneName{"a", "b"}, true, true, true)
+func TestRepairTakenOverFromFrozenOwner(t *testing.T) {
+	w := newZonesHarness(t, []laburnumlever.ZoneName{"a", "b"}, true, true, true)
 	w.run(time.Minute)
 	w.requireAllReachable()
 	w.vms[1].frozen = true
