--- a/laburnumorder/bench_test.go
+++ b/laburnumorder/bench_test.go
@@ -12,7 +12,7 @@
 	"laburnumlever/laburnumtimer"
 )
 
-// idleFleet answers every claim with what the engine reports.
+// idleFleet answers every claim with the engine's reported copies.
 type idleFleet struct{ view laburnumlever.View }
 
 func (q *idleFleet) View() *laburnumlever.View { return &q.view }
@@ -34,8 +34,8 @@
 	return laburnumlever.Result{Code: laburnumlever.ResultOK, Fence: 1}, nil
 }
 
-// BenchmarkOwnerRound is one tick of an owner in a fleet at rest: the view taken in,
-// the engines of its zone looked at, and one planning round over the whole fleet.
+// BenchmarkOwnerRound measures one tick of an owner when nothing changes: it applies the
+// view, checks the engines of its zone and runs one planning round over the whole fleet.
 func BenchmarkOwnerRound(b *testing.B) {
 	for _, size := range [][2]int{{20, 30}, {300, 130}, {2100, 370}} {
 		b.Run(fmt.Sprintf("engines=%d", size[0]), func(b *testing.B) {
--- a/laburnumorder/doc.go
+++ b/laburnumorder/doc.go
@@ -1,6 +1,6 @@
-// Package laburnumorder is the placement owner of one availability zone: it holds
-// the zone's lease, claims the zone's model engines, keeps the ledger of their
-// memory, and carries out the planner's moves by orders.
+// Package laburnumorder implements the placement owner of one availability zone. An
+// Owner holds the zone's lease, claims the zone's model engines, accounts for their
+// memory in a Ledger and sends load and unload orders for the planner's moves.
 //
 // # Usage
 //
@@ -8,29 +8,29 @@
 //	owner.Start()
 //	defer owner.Close()
 //
-// Every entry VM runs an Owner; the one that the quorum grants the lease
-// "zone/<zone>" orders, the others wait for it to be free.
+// Every entry VM runs an Owner. The one to which the quorum grants the lease
+// "zone/<zone>" sends orders; the others keep trying to acquire the lease.
 //
-// # How memory is never over-committed
+// # Preventing memory over-commitment
 //
-// The Ledger counts, for each accelerator, what the engine's last inventory holds
-// plus every order that may yet take effect. An order leaves the ledger only by an
-// inventory that was read later than the order can arrive, or when it surely never
-// left this VM; never because of a timeout. Reports lag, so the ledger never reads
-// them: they only hint that an inventory should be read.
+// The Ledger counts, for each accelerator, the engine's last inventory plus every
+// order that may still take effect. An order is removed from the ledger only by an
+// inventory that was read after the order could last have arrived, or when it was
+// certainly never sent; a timeout alone never removes it. The ledger ignores load
+// reports because they lag: a report only triggers a read of the inventory.
 //
-// Engines that check fencing numbers are claimed first: the claim raises their
-// number and reads the inventory in one step, so that no order of an earlier owner
-// can take effect after it. Each order and claim has a number of its own, made of
-// the lease's number and a count (see Number), so an owner can also rule out
-// its own lost orders, without a quorum. An owner that is cut off goes on with
-// such engines: a rival has a higher lease number, and from its claim on the orders
-// of this one are refused.
+// Engines that check fencing numbers are claimed first. The claim raises the engine's
+// fencing number and reads its inventory in one step, so that no order of an earlier
+// owner can take effect afterwards. Each order and claim has its own number, composed
+// of the lease's number and a count (see FencingNumber), so that an owner can also rule
+// out its own lost orders without a quorum. An owner that is cut off from the quorum
+// continues to order such engines: a new owner has a higher lease number, and once it
+// has claimed an engine, the engine refuses orders of the old owner.
 //
-// Engines that do not check are ordered only under a live lease. The intent is
-// committed first, the lease's time is checked just before the send, with a margin,
-// and a new owner waits until the last order of an earlier one has either arrived
-// or can't any more. Orders under way that long after all, as from a VM that is
-// frozen between that check and the write to the socket, are what such engines
-// can't be guarded against; docs/design/orders.md says what is left of it.
+// Engines that do not check fencing numbers are ordered only under a live lease. The
+// intent is committed first, the lease's remaining time is checked with a margin just
+// before the send, and a new owner waits until the last order of an earlier owner has
+// either arrived or can no longer arrive. These engines are not protected from an order
+// that is delayed for longer than that, for example when a VM is frozen between the
+// check and the write to the socket; docs/design/orders.md describes this remaining risk.
 package laburnumorder
--- a/laburnumorder/engine.go
+++ b/laburnumorder/engine.go
@@ -10,25 +10,25 @@
 	"github.com/go-kit/log/level"
 )
 
-// engine is what the owner keeps of one engine of its zone.
+// engine is the owner's state for one engine of its zone.
 type engine struct {
 	announcement laburnumlever.Announcement
 	gone         bool // down or not announced
-	// orderable tells that the ledger has its inventory, read under this lease and of
-	// this incarnation, so that it can be ordered.
+	// orderable means that the ledger has the inventory of this incarnation, read under
+	// the current lease, so that orders may be sent.
 	orderable   bool
 	incarnation uint64
-	count       uint64 // claims and orders numbered under this lease
-	activeRead  uint64 // the read under way, 0 when none
+	count       uint64 // claims and orders numbered under the current lease
+	activeRead  uint64 // number of the read in progress, 0 for none
 	readCount   uint64
 	nextRead    time.Time
-	order       *trackedOrder // the order whose outcome is not known yet
+	order       *trackedOrder // the order in progress, nil for none
 	pauseUntil  time.Time
-	// intents are those recorded in the log and not yet resolved.
+	// intents are proposed to the log and not yet resolved.
 	intents map[laburnumlever.OrderID]laburnumlever.OrderIntent
-	// loading is when each copy that is loading was ordered or first seen.
+	// loading maps each loading copy to when it was ordered or first seen.
 	loading map[string]time.Time
-	// updates are the forms that copies are being changed to in place.
+	// updates maps copies to the size and adapters of the last load order.
 	updates map[string]laburnumlever.Loaded
 }
 
@@ -46,14 +46,14 @@
 	return e
 }
 
-// resetClaim makes an engine be claimed anew, as under a new lease.
+// resetClaim makes the owner claim the engine again, because the lease is new.
 func (e *engine) resetClaim() {
 	e.orderable = false
 	e.count = 0
 	e.nextRead = time.Time{}
 }
 
-// sortedEngines makes the order of work the same in every run.
+// sortedEngines lists the engines in a fixed order, so that runs are reproducible.
 func (o *Owner) sortedEngines() []laburnumlever.BackendID {
 	ids := make([]laburnumlever.BackendID, 0, len(o.engines))
 	for id := range o.engines {
@@ -63,7 +63,7 @@
 	return ids
 }
 
-// updateEngines takes the engines of the zone from the view.
+// updateEngines updates the engines of the zone from the view.
 func (o *Owner) updateEngines(view *laburnumlever.View, now time.Time) {
 	for _, e := range o.engines {
 		e.gone = true
@@ -76,7 +76,7 @@
 		e.gone = b.Down
 		e.announcement = b.Announcement
 		if e.orderable && b.Announcement.Incarnation > e.incarnation {
-			// It restarted: it holds nothing now, and has forgotten its number.
+			// It restarted: its memory is empty and its fencing number is lost.
 			e.orderable = false
 			e.nextRead = time.Time{}
 		}
@@ -86,8 +86,8 @@
 	}
 }
 
-// reportDiffers tells whether a report differs from the ledger. It may be older than the
-// ledger, so it is only a reason to read the inventory.
+// reportDiffers reports whether a load report differs from the ledger. The report may be
+// older than the ledger, so a difference only triggers a read of the inventory.
 func (o *Owner) reportDiffers(e *engine, r laburnumlever.LoadReport) bool {
 	if len(e.announcement.Accelerators) != len(o.ledger.Accelerators(e.announcement.Backend)) {
 		return true
@@ -108,8 +108,8 @@
 	}
 }
 
-// startDueReads claims and reads the engines whose inventory is wanted. A read and an
-// order never run side by side on one engine: the read could miss the order's copy.
+// startDueReads claims the engines whose inventory read is due. A read and an order never
+// run concurrently on one engine: the read could miss the order's copy.
 func (o *Owner) startDueReads(now time.Time) {
 	for _, id := range o.sortedEngines() {
 		e := o.engines[id]
@@ -126,7 +126,7 @@
 	e.nextRead = now.Add(readRetryDelay)
 	e.count++
 	if e.count >= maxCount {
-		// Numbers have run out: a new grant brings a new lease number.
+		// No numbers are left under this lease; the next grant has a new lease number.
 		o.releaseLease()
 		return
 	}
@@ -179,13 +179,13 @@
 
 func (o *Owner) checkFence(e *engine, ev readAnswered) error {
 	if ev.inventory.Fence < ev.number {
-		// It says that it checks and does not take the number up: an old order
-		// could still take effect, so it gets none from here either.
+		// It announces that it checks fencing numbers but did not adopt this one, so an
+		// old order could still take effect. It gets no orders.
 		e.orderable = false
 		return &FenceIgnoredError{Backend: ev.backend, Claimed: ev.number, Kept: ev.inventory.Fence}
 	}
 	if ev.inventory.Fence > ev.number {
-		// Another owner has claimed it: this one's lease is over.
+		// Another owner has claimed it, so this owner's lease has expired.
 		e.orderable = false
 		o.lease.next = time.Time{}
 		return &laburnumlever.StaleNewsError{Backend: ev.backend, Known: ev.inventory.Fence, Given: ev.number}
@@ -200,7 +200,7 @@
 	return idleReadPeriod
 }
 
-// trackLoads follows which copies use the weight store.
+// trackLoads updates which copies are loading from the weight store.
 func (o *Owner) trackLoads(e *engine, now time.Time) {
 	seen := make(map[string]bool)
 	for _, c := range o.ledger.Loaded(e.announcement.Backend) {
@@ -216,7 +216,7 @@
 	e.pruneLoads(seen, now)
 }
 
-// pruneLoads ends the loads of copies that have gone or that took too long.
+// pruneLoads removes the loads of copies that are gone or that exceed maxLoadTime.
 func (e *engine) pruneLoads(seen map[string]bool, now time.Time) {
 	for key, since := range e.loading {
 		if !seen[key] || now.Sub(since) > maxLoadTime {
@@ -230,15 +230,15 @@
 	}
 }
 
-// hasOrderedForm tells that a copy has the form that was last ordered; one that takes
-// requests may still be changing in place.
+// hasOrderedForm reports whether a copy has the size and adapters of its last load order.
+// A ready copy may still be changing in place.
 func (e *engine) hasOrderedForm(key string, c laburnumlever.Loaded) bool {
 	want, ok := e.updates[key]
 	return !ok || c.PartMiB == want.PartMiB && slices.Equal(c.Adapters, want.Adapters)
 }
 
-// activeLoads counts the zone's loads for its part of the weight store. Loads of an
-// engine that is gone count too: it may only be out of this VM's sight.
+// activeLoads counts the zone's loads against its share of the weight store. Loads of an
+// absent engine count too: it may only be unreachable from this VM.
 func (o *Owner) activeLoads(now time.Time) int {
 	n := 0
 	for _, e := range o.engines {
--- a/laburnumorder/errors.go
+++ b/laburnumorder/errors.go
@@ -7,18 +7,19 @@
 	"laburnumlever"
 )
 
-// LeaseOverError says that an order was not sent because the zone's lease is no
-// longer sure to be held.
+// LeaseExpiredError means that an order was not sent because the zone's lease may have
+// expired. ExpiredFor is the time since the end of the lease, less its margin.
 type LeaseOverError struct {
 	Zone laburnumlever.ZoneName
 	Over time.Duration
 }
 
 func (e *LeaseOverError) Error() string {
-	return fmt.Sprintf("the lease of zone %s has been over for %s", e.Zone, e.Over)
+	return fmt.Sprintf("order not sent: the lease of zone %q expired %s ago", e.Zone, e.Over)
 }
 
-// EngineAnswerError is an answer from an engine that can't be used.
+// EngineAnswerError is a failed call to an engine. Status is the HTTP status, 0 when there
+// was no response.
 type EngineAnswerError struct {
 	Backend laburnumlever.BackendID
 	Status  int
@@ -26,27 +27,27 @@
 }
 
 func (e *EngineAnswerError) Error() string {
-	return fmt.Sprintf("engine %s: status %d: %v", e.Backend, e.Status, e.Cause)
+	return fmt.Sprintf("call to engine %q failed: HTTP status %d: %v", e.Backend, e.Status, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *EngineAnswerError) Unwrap() error { return e.Cause }
 
-// WrongEngineError is an answer by another engine than the one asked, as when an
-// address has been given to another.
+// WrongEngineError is an answer from another engine than the one that was called, for
+// example because its address was reassigned.
 type WrongEngineError struct{ Want, Got laburnumlever.BackendID }
 
 func (e *WrongEngineError) Error() string {
-	return fmt.Sprintf("asked engine %s, but %s answered", e.Want, e.Got)
+	return fmt.Sprintf("claim of engine %q was answered by engine %q", e.Want, e.Got)
 }
 
-// FenceIgnoredError is an engine that announces that it checks fencing numbers but
-// did not take up the one that it was claimed with.
+// FenceIgnoredError means that an engine announces that it checks fencing numbers but did
+// not adopt the number of a claim.
 type FenceIgnoredError struct {
 	Backend       laburnumlever.BackendID
 	Claimed, Kept uint64
 }
 
 func (e *FenceIgnoredError) Error() string {
-	return fmt.Sprintf("engine %s was claimed with %d and keeps %d", e.Backend, e.Claimed, e.Kept)
+	return fmt.Sprintf("engine %q was claimed with fencing number %d but returned the lower number %d", e.Backend, e.Claimed, e.Kept)
 }
--- a/laburnumorder/explain.go
+++ b/laburnumorder/explain.go
@@ -9,7 +9,7 @@
 	"laburnumlever/laburnumplacement"
 )
 
-// planningRound is the last round, for explanations; it is not changed.
+// planningRound is the result of one planning round, for explanations. It is immutable.
 type planningRound struct {
 	snapshot laburnumplacement.Snapshot
 	plan     laburnumplacement.Plan
@@ -17,7 +17,7 @@
 	at       time.Time
 }
 
-// moveRecord is a move that was begun.
+// moveRecord is a move that was started.
 type moveRecord struct {
 	move  laburnumplacement.Move
 	order laburnumlever.OrderID
@@ -35,9 +35,9 @@
 	o.lastRound.Store(&planningRound{snapshot: s, plan: plan, history: o.history, at: now})
 }
 
-// Explain says why the copies of a model are where they are, what is planned, and
-// what this owner moved. False when this VM does not own its zone. Safe for use by
-// any goroutine.
+// Explain describes the placement of a model's copies, the planned moves and the moves
+// that this owner has started. It returns false when this VM does not own its zone. It is
+// safe for concurrent use.
 func (o *Owner) Explain(model laburnumlever.ModelName) (laburnumlever.Explanation, bool) {
 	p := o.lastRound.Load()
 	if p == nil || !o.Owns() {
--- a/laburnumorder/harness_test.go
+++ b/laburnumorder/harness_test.go
@@ -19,29 +19,29 @@
 	loadTime      = 2 * time.Second
 )
 
-// orderFault is what the network does to one order.
+// orderFault is how the network delivers one order.
 type orderFault int
 
 const (
 	orderDelivered  orderFault = iota
-	orderLost                  // it never arrives
-	answerLost                 // it arrives, its answer does not
-	orderDelayed               // the sender hears nothing, and it arrives later
-	orderDuplicated            // it arrives and is answered, and arrives once more later
+	orderLost                  // never arrives
+	answerLost                 // arrives, but its answer does not
+	orderDelayed               // arrives after the delay, and the sender gets no answer
+	orderDuplicated            // arrives and is answered, and arrives again after the delay
 )
 
-// tester is what *testing.T and *rapid.T share.
+// tester is implemented by *testing.T and *rapid.T.
 type tester interface {
 	require.TestingT
 	Helper()
 }
 
-// harness is one zone: its engines, two entry VMs and the quorum, on a manual clock.
+// harness runs the engines and entry VMs of some zones and a quorum on a manual clock.
 type harness struct {
 	t                 tester
 	timers            *laburnumtimer.Manual
 	engines           []*laburnumstandin.Engine
-	allEngines        []*laburnumstandin.Engine // those that were restarted too
+	allEngines        []*laburnumstandin.Engine // includes processes replaced by a restart
 	vms               []*vm
 	catalogue         laburnumlever.Catalogue
 	orderFault        orderFault
@@ -50,32 +50,33 @@
 	orders            []laburnumlever.Order // as sent
 	claims            int
 	zones             []laburnumlever.ZoneName
-	ignoreFencing     bool // engines announce that they check and do not
-	requireContinuity bool // a model that is reachable must stay so
+	ignoreFencing     bool // engines announce that they check fencing numbers, but do not
+	requireContinuity bool // a reachable model must stay reachable
 	reachableBefore   []laburnumlever.ModelName
 }
 
-// vm is one entry VM. It is the loop and the views of its owner too.
+// vm is one entry VM. It also implements the loop and the views of its owner.
 type vm struct {
 	w             *harness
 	id            laburnumlever.VM
 	owner         *laburnumorder.Owner
 	queue         []laburnumlever.Event
 	work          []func()
-	frozen        bool // nothing runs on it
-	cutFromQuorum bool // from the quorum
-	manualWork    bool // work waits for the test
+	frozen        bool // no event or call runs
+	cutFromQuorum bool // proposals fail
+	manualWork    bool // calls run only by workOnce
 	reports       map[laburnumlever.BackendID]laburnumlever.LoadReport
-	staleReports  bool // reports do not change
+	staleReports  bool // the view keeps its last reports
 	reportedAt    map[laburnumlever.BackendID]time.Time
-	isolated      bool // sees no other zone
+	isolated      bool // the engines of other zones look down
 }
 
 func newHarness(t tester, checks ...bool) *harness {
 	return newZonesHarness(t, []laburnumlever.ZoneName{"a", "a"}, checks...)
 }
 
-// newZonesHarness makes one VM for each zone named; the engines follow in turn.
+// newZonesHarness starts one VM for each element of zones and assigns the engines to the
+// elements in turn.
 func newZonesHarness(t tester, zones []laburnumlever.ZoneName, checks ...bool) *harness {
 	w := &harness{t: t, zones: zones, timers: laburnumtimer.NewManual(time.Unix(1000, 0)), catalogue: catalogueOf(4, 60)}
 	w.quorum = quorum{w: w, leases: make(map[string]*grant)}
@@ -100,8 +101,8 @@
 	return c
 }
 
-// newVersions changes every model's version, so that what is planned from now on is
-// another copy than any order under way loads, on the same accelerators.
+// newVersions changes every model's version, so that later plans load other copies than
+// the orders in flight, on the same accelerators.
 func (w *harness) newVersions() {
 	models := slices.Clone(w.catalogue.Models)
 	for i := range models {
@@ -136,7 +137,7 @@
 	w.addEngine(i, a.ChecksFencing, a.Incarnation+1)
 }
 
-// startVM replaces the VM's process: what it had under way is gone.
+// startVM replaces the VM's process. Calls in progress are lost.
 func (w *harness) startVM(i int, incarnation uint64) {
 	if old := w.vms[i]; old != nil {
 		old.frozen = true
@@ -171,7 +172,8 @@
 	return view
 }
 
-// settle runs what the VM has to do, unless it is frozen or the test runs its work.
+// settle handles the VM's events and calls until none is left. It does nothing on a frozen
+// VM and leaves calls with manualWork to the test.
 func (v *vm) settle() {
 	for !v.frozen && (len(v.queue) > 0 || len(v.work) > 0 && !v.manualWork) {
 		v.events()
@@ -197,7 +199,7 @@
 	}
 }
 
-// run passes time in small steps and checks the memory at every one.
+// run advances the clock in small steps and checks the memory after each.
 func (w *harness) run(d time.Duration) {
 	const step = 250 * time.Millisecond
 	for ; d > 0; d -= step {
@@ -209,7 +211,7 @@
 	}
 }
 
-// runUntilOrder passes time until the first order has been sent.
+// runUntilOrder advances the clock until the first order has been sent.
 func (w *harness) runUntilOrder() {
 	for i := 0; i < 1000 && len(w.orders) == 0; i++ {
 		w.run(250 * time.Millisecond)
@@ -233,7 +235,7 @@
 	w.reachableBefore = now
 }
 
-// reachable lists the models that have a ready copy.
+// reachable returns the models that have a ready copy.
 func (w *harness) reachable() []laburnumlever.ModelName {
 	var names []laburnumlever.ModelName
 	for _, e := range w.engines {
@@ -252,7 +254,7 @@
 	require.Len(w.t, w.reachable(), len(w.catalogue.Models))
 }
 
-// engineClient is the network between a VM and the engines.
+// engineClient simulates the network between a VM and the engines.
 type engineClient struct{ v *vm }
 
 func (l *engineClient) Claim(ctx context.Context, to laburnumlever.Announcement, fence uint64) (laburnumlever.Inventory, error) {
@@ -268,8 +270,8 @@
 	return l.v.w.engines[i]
 }
 
-// Order sends also when its context has ended: on a VM that wakes up, the write may
-// go out before the timers run.
+// Order sends even if its context is done: when a frozen VM resumes, the write may happen
+// before its timers run.
 func (l *engineClient) Order(_ context.Context, to laburnumlever.Announcement, order laburnumlever.Order) (laburnumlever.OrderAnswer, error) {
 	w := l.v.w
 	w.orders = append(w.orders, order)
@@ -287,7 +289,7 @@
 	return answer, nil
 }
 
-// proposer is a VM's way to the quorum.
+// proposer is a VM's connection to the quorum.
 type proposer struct{ v *vm }
 
 func (p *proposer) Propose(_ context.Context, cmd laburnumlever.Command) (laburnumlever.Result, error) {
@@ -297,7 +299,7 @@
 	return p.v.w.quorum.apply(cmd), nil
 }
 
-// quorum grants leases and keeps intents, as the replicated state machine does.
+// quorum grants leases and stores intents like the replicated state machine.
 type quorum struct {
 	w       *harness
 	fence   uint64
--- a/laburnumorder/httpengines.go
+++ b/laburnumorder/httpengines.go
@@ -27,17 +27,17 @@
 )
 
 // HTTPEngines sends claims and orders to engines as JSON over HTTP. It is safe for
-// use by many goroutines.
+// concurrent use.
 type HTTPEngines struct{ client *http.Client }
 
-// HTTPOption changes new HTTPEngines.
+// HTTPOption configures HTTPEngines.
 type HTTPOption func(*HTTPEngines)
 
 // WithClient sets the HTTP client.
 func WithClient(client *http.Client) HTTPOption { return func(h *HTTPEngines) { h.client = client } }
 
-// NewHTTPEngines makes a link to engines over HTTP. Its client follows no redirect: it
-// would send an order a second time, to an engine that it was not meant for.
+// NewHTTPEngines returns an HTTP client for engines. It follows no redirects: a redirect
+// would send the order a second time, to an engine that it is not meant for.
 func NewHTTPEngines(opts ...HTTPOption) laburnumlever.Engines {
 	h := &HTTPEngines{client: &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -57,7 +57,7 @@
 	Fence uint64 `json:"fence"`
 }
 
-// Claim raises the engine's fencing number and reads its inventory.
+// Claim raises the engine's fencing number to fence and returns its inventory.
 func (h *HTTPEngines) Claim(ctx context.Context, to laburnumlever.Announcement, fence uint64) (laburnumlever.Inventory, error) {
 	var inventory laburnumlever.Inventory
 	err := h.post(ctx, to, claimPath, claimBody{Fence: fence}, &inventory)
@@ -65,7 +65,7 @@
 }
 
 // Order sends one order. A *laburnumlever.NotSentError means that no connection was
-// made; any other error leaves the outcome unknown.
+// established; after any other error the outcome is unknown.
 func (h *HTTPEngines) Order(ctx context.Context, to laburnumlever.Announcement, order laburnumlever.Order) (laburnumlever.OrderAnswer, error) {
 	var answer laburnumlever.OrderAnswer
 	err := h.post(ctx, to, orderPath, order, &answer)
--- a/laburnumorder/httpengines_test.go
+++ b/laburnumorder/httpengines_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Only an order that never had a connection may be taken for not sent: an engine that
-// hangs up after reading it may have taken it.
+// Guards against reporting an order as not sent once it had a connection: an engine that
+// closes the connection after reading the order may have applied it.
 func TestHTTPEngines(t *testing.T) {
 	a := laburnumlever.Announcement{
 		Backend: "e", Incarnation: 3, ChecksFencing: true,
--- a/laburnumorder/lease.go
+++ b/laburnumorder/lease.go
@@ -10,27 +10,26 @@
 	"github.com/go-kit/log/level"
 )
 
-// lease is what an owner knows of its zone's lease.
+// lease is the owner's view of its zone's lease.
 type lease struct {
-	// fence is the number of the last grant; 0 when none, or when the lease is
-	// known to be another's. It outlives the lease's time: see mayOrder.
+	// fence is the number of the last grant; 0 when there was none, or when another VM is
+	// known to hold the lease. It stays set after the lease expires: see leasePermits.
 	fence uint64
 	until deadline
-	// busy tells that a lease command is under way.
+	// busy means that a lease command is in flight.
 	busy bool
 	next time.Time
 }
 
-// deadline is when the lease can no longer be relied on. Workers read it just
-// before a send, so it is atomic.
+// deadline is the end of the lease, less a margin. It is atomic because workers read it
+// just before a send.
 type deadline struct{ at atomic.Pointer[time.Time] }
 
 func (d *deadline) set(at time.Time) { d.at.Store(&at) }
 
-// expiredFor is how long the deadline has passed. It is measured on the monotonic clock
-// and on the wall clock, and the worse counts: while a VM is suspended its
-// monotonic clock may stand still, and it would wake up believing in a lease that has
-// long been another's.
+// expiredFor returns the time since the deadline, negative before it. It is the larger of
+// the differences on the monotonic clock and on the wall clock: the monotonic clock may
+// stop while a VM is suspended, so that an expired lease would look live after it resumes.
 func (d *deadline) expiredFor(now time.Time) time.Duration {
 	at := d.at.Load()
 	if at == nil {
@@ -43,7 +42,7 @@
 
 func (o *Owner) leaseName() string { return "zone/" + string(o.self.Zone) }
 
-// keepLease acquires the lease or renews it when it is time.
+// keepLease acquires or renews the lease when that is due.
 func (o *Owner) keepLease(now time.Time) {
 	if o.lease.busy || now.Before(o.lease.next) {
 		return
@@ -72,8 +71,8 @@
 func (o *Owner) onLease(ev leaseAnswered) {
 	o.lease.busy = false
 	if ev.err != nil {
-		// Nothing is known of the lease: it runs out by its own time, and engines
-		// that check are ordered on under its number.
+		// The state of the lease is unknown. It expires at its deadline; engines that
+		// check fencing numbers are still ordered under its number.
 		_ = level.Debug(o.logger).Log("event", laburnumlever.EventLeaseNotRenewed, "zone", o.self.Zone, "err", ev.err)
 		return
 	}
@@ -81,16 +80,16 @@
 		o.loseLease(ev.result.Holder)
 		return
 	}
-	// The time counts from before the command was proposed: the quorum's count
-	// began later, so it ends later.
+	// The lease term is counted from before the command was proposed. The quorum starts
+	// counting later, so the lease ends here first.
 	o.lease.until.set(ev.asked.Add(o.ttl - o.ttl/leaseMarginDivisor))
 	if ev.result.Fence != o.lease.fence {
 		o.takeOver(ev)
 	}
 }
 
-// takeOver begins a new ownership: nothing that was read before counts, and the
-// zone's part of the weight store starts with an empty bucket.
+// takeOver starts a new ownership term: all inventories must be read again, and the token
+// bucket for the zone's share of the weight store starts empty.
 func (o *Owner) takeOver(ev leaseAnswered) {
 	now := o.timers.Now()
 	o.lease.fence = ev.result.Fence
@@ -107,8 +106,8 @@
 	_ = level.Info(o.logger).Log("event", laburnumlever.EventZoneOwned, "zone", o.self.Zone, "fence", ev.result.Fence, "intents", len(ev.result.Intents))
 }
 
-// inherit counts an order that an earlier owner may have sent, until an inventory
-// is read after the wait.
+// inherit adds to the ledger an order that an earlier owner may have sent. It counts until
+// an inventory is read after earlierOrdersUntil.
 func (o *Owner) inherit(intent laburnumlever.OrderIntent) {
 	e := o.engine(intent.Backend)
 	if e.order != nil && e.order.order.ID == intent.Order.ID {
@@ -128,9 +127,9 @@
 	o.owns.Store(false)
 }
 
-// leasePermits tells whether the engine may be ordered now. One that checks may be
-// ordered also when the lease's time has run out without word of another holder,
-// because the engine itself refuses this owner once there is one.
+// leasePermits reports whether the lease allows orders to the engine now. An engine that
+// checks fencing numbers may be ordered after the lease has expired, as long as no other
+// holder is known, because the engine refuses this owner once a new holder has claimed it.
 func (o *Owner) leasePermits(e *engine, now time.Time) bool {
 	if o.lease.fence == 0 {
 		return false
--- a/laburnumorder/ledger.go
+++ b/laburnumorder/ledger.go
@@ -8,8 +8,8 @@
 	"laburnumlever"
 )
 
-// Ledger counts the memory of a zone's accelerators. It is not safe for use by many
-// goroutines: the control thread owns it.
+// Ledger accounts for the memory of a zone's accelerators, in MiB. It is not safe for
+// concurrent use: only the control thread uses it.
 type Ledger struct {
 	accounts map[laburnumlever.BackendID]*account
 }
@@ -20,15 +20,15 @@
 	pending      []Entry
 }
 
-// Entry is a load order that may yet take effect.
+// PendingOrder is a load order that may still take effect.
 type Entry struct {
 	Order laburnumlever.Order
-	// SettleAfter is when it can't arrive any more. Zero while it is not sent or
-	// its answer is awaited.
+	// SettleAfter is the time from which it can no longer arrive. Zero until it is sent
+	// and answered or its outcome is unknown.
 	SettleAfter time.Time
 }
 
-// NewLedger makes an empty ledger.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{accounts: make(map[laburnumlever.BackendID]*account)} }
 
 func (l *Ledger) account(backend laburnumlever.BackendID) *account {
@@ -40,7 +40,7 @@
 	return a
 }
 
-// Open counts a load order from now on.
+// AddOrder adds a load order. Other orders and known ones are ignored.
 func (l *Ledger) Open(backend laburnumlever.BackendID, order laburnumlever.Order) {
 	a := l.account(backend)
 	if order.Kind != laburnumlever.Load || a.indexOf(order.ID) >= 0 {
@@ -49,7 +49,7 @@
 	a.pending = append(a.pending, Entry{Order: order})
 }
 
-// Sent notes when an order that has been sent can't arrive any more.
+// SetSettleTime sets the time from which a sent order can no longer arrive.
 func (l *Ledger) Sent(backend laburnumlever.BackendID, id laburnumlever.OrderID, settleAfter time.Time) {
 	a := l.account(backend)
 	if i := a.indexOf(id); i >= 0 {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Drop takes out an order that surely never left this VM.
+// RemoveOrder removes an order that was certainly never sent.
 func (l *Ledger) Drop(backend laburnumlever.BackendID, id laburnumlever.OrderID) {
 	a := l.account(backend)
 	if i := a.indexOf(id); i >= 0 {
@@ -65,14 +65,14 @@
 	}
 }
 
-// Answered replaces the inventory by the one that came with an order's answer.
-// Orders stay counted: a duplicate may still be under way.
+// SetLoaded replaces the loaded copies by those in the answer to an order. Pending orders
+// stay counted: a duplicate may still be in flight.
 func (l *Ledger) Answered(backend laburnumlever.BackendID, loaded []laburnumlever.Loaded) {
 	l.account(backend).loaded = loaded
 }
 
-// Read replaces the inventory by one whose reading began at the given time, and
-// takes out the orders that could not arrive any more by then.
+// ApplyInventory replaces the inventory by one whose read started at began, and removes
+// the orders that could no longer arrive by then.
 func (l *Ledger) Read(backend laburnumlever.BackendID, inventory laburnumlever.Inventory, began time.Time) {
 	a := l.account(backend)
 	a.loaded = inventory.Loaded
@@ -82,35 +82,35 @@
 	})
 }
 
-// Counts tells whether an order is still counted.
+// HasOrder reports whether an order is pending.
 func (l *Ledger) Counts(backend laburnumlever.BackendID, id laburnumlever.OrderID) bool {
 	return l.account(backend).indexOf(id) >= 0
 }
 
-// CountsCopy tells whether an order that loads the copy is still counted, so that
-// unloading it frees no memory yet.
+// HasOrderFor reports whether a load order for the copy is pending, so that unloading the
+// copy frees no memory yet.
 func (l *Ledger) CountsCopy(backend laburnumlever.BackendID, c laburnumlever.Loaded) bool {
 	key := copyKey(c)
 	return slices.ContainsFunc(l.account(backend).pending, func(e Entry) bool { return copyKey(e.Order.Copy) == key })
 }
 
-// Loaded is the engine's last inventory.
+// Loaded returns the copies in the engine's last inventory.
 func (l *Ledger) Loaded(backend laburnumlever.BackendID) []laburnumlever.Loaded {
 	return l.account(backend).loaded
 }
 
-// Accelerators are those of the engine's last inventory.
+// Accelerators returns the accelerators in the engine's last inventory.
 func (l *Ledger) Accelerators(backend laburnumlever.BackendID) []laburnumlever.Accelerator {
 	return l.account(backend).accelerators
 }
 
-// Unsettled are the engine's orders that are still counted.
+// PendingOrders returns the engine's pending orders.
 func (l *Ledger) Unsettled(backend laburnumlever.BackendID) []Entry {
 	return l.account(backend).pending
 }
 
-// Fits tells whether the engine has memory for the copy, whatever becomes of the
-// orders that are open.
+// Fits reports whether the engine has memory for the copy even if all pending orders take
+// effect.
 func (l *Ledger) Fits(backend laburnumlever.BackendID, c laburnumlever.Loaded) bool {
 	a := l.account(backend)
 	for _, id := range c.Accelerators {
@@ -122,13 +122,13 @@
 	return len(c.Accelerators) > 0
 }
 
-// Committed is the memory counted on an accelerator, in MiB.
+// Committed returns the memory committed on an accelerator, in MiB.
 func (l *Ledger) Committed(backend laburnumlever.BackendID, id laburnumlever.AcceleratorID) int {
 	return l.account(backend).committed(id, nil)
 }
 
-// committed counts each copy once, at the largest size that any order or the
-// inventory gives it: while a copy changes in place it may have either size.
+// committed counts each copy once, at its largest size in the inventory and the pending
+// orders: while a copy changes in place it may have either size.
 func (a *account) committed(id laburnumlever.AcceleratorID, more *laburnumlever.Loaded) int {
 	sizes := make(map[string]int, len(a.loaded)+len(a.pending))
 	count := func(c laburnumlever.Loaded) {
@@ -157,7 +157,7 @@
 	return slices.IndexFunc(a.pending, func(e Entry) bool { return e.Order.ID == id })
 }
 
-// copyKey names a copy: an engine holds a version of a model on the same
+// copyKey identifies a copy within an engine: it holds a version of a model on the same
 // accelerators only once.
 func copyKey(c laburnumlever.Loaded) string {
 	var b strings.Builder
--- a/laburnumorder/ledger_test.go
+++ b/laburnumorder/ledger_test.go
@@ -23,14 +23,14 @@
 		change func(l *laburnumorder.Ledger)
 		want   int
 	}{
-		"open order":                    {want: 60, change: func(*laburnumorder.Ledger) {}},
-		"loaded and open are one copy":  {want: 70, change: func(l *laburnumorder.Ledger) { l.Read("e", inventory(part("v1", 70)), at) }},
-		"another version is another":    {want: 100, change: func(l *laburnumorder.Ledger) { l.Read("e", inventory(part("v2", 40)), at) }},
-		"awaited answer, empty read":    {want: 60, change: func(l *laburnumorder.Ledger) { l.Read("e", inventory(), at.Add(time.Hour)) }},
-		"lost answer, read too early":   {want: 60, change: func(l *laburnumorder.Ledger) { l.Sent("e", "o1", at); l.Read("e", inventory(), at.Add(-1)) }},
-		"lost answer, read after wait":  {want: 0, change: func(l *laburnumorder.Ledger) { l.Sent("e", "o1", at); l.Read("e", inventory(), at) }},
-		"lost answer, another's answer": {want: 60, change: func(l *laburnumorder.Ledger) { l.Sent("e", "o1", at); l.Answered("e", nil) }},
-		"never sent":                    {want: 0, change: func(l *laburnumorder.Ledger) { l.Drop("e", "o1") }},
+		"pending order":                        {want: 60, change: func(*laburnumorder.Ledger) {}},
+		"loaded and pending are one copy":      {want: 70, change: func(l *laburnumorder.Ledger) { l.Read("e", inventory(part("v1", 70)), at) }},
+		"other version is another copy":        {want: 100, change: func(l *laburnumorder.Ledger) { l.Read("e", inventory(part("v2", 40)), at) }},
+		"answer pending, empty read":           {want: 60, change: func(l *laburnumorder.Ledger) { l.Read("e", inventory(), at.Add(time.Hour)) }},
+		"lost answer, read too early":          {want: 60, change: func(l *laburnumorder.Ledger) { l.Sent("e", "o1", at); l.Read("e", inventory(), at.Add(-1)) }},
+		"lost answer, read after settle time":  {want: 0, change: func(l *laburnumorder.Ledger) { l.Sent("e", "o1", at); l.Read("e", inventory(), at) }},
+		"lost answer, answer to another order": {want: 60, change: func(l *laburnumorder.Ledger) { l.Sent("e", "o1", at); l.Answered("e", nil) }},
+		"never sent":                           {want: 0, change: func(l *laburnumorder.Ledger) { l.Drop("e", "o1") }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := laburnumorder.NewLedger()
--- a/laburnumorder/number.go
+++ b/laburnumorder/number.go
@@ -1,17 +1,17 @@
 package laburnumorder
 
-// countBits is how many orders and claims an owner can number for one engine under
-// one lease; it leaves 43 bits for leases.
+// countBits bounds the orders and claims that an owner can number for one engine under
+// one lease. It leaves at least 43 bits for the lease's number.
 const (
 	countBits = 20
 	maxCount  = 1<<countBits - 1
 )
 
-// Number is the fencing number of one claim or order: the lease's number first, so
-// that a later owner's numbers are all higher, then the owner's own count. The count
-// guards against an order of the same owner that arrives late or twice: the
-// engine has seen a higher number by then and refuses it.
+// FencingNumber returns the fencing number of one claim or order: the lease's number in
+// the high bits, so that all numbers of a later owner are higher, and the owner's own
+// count in the low bits. The count guards against delayed and duplicated orders of the
+// same owner: the engine has seen a higher number by then and refuses them.
 func Number(lease, count uint64) uint64 { return lease<<countBits | min(count, maxCount) }
 
-// LeaseOf is the lease's number in a fencing number.
+// LeaseNumber returns the lease's number within a fencing number.
 func LeaseOf(number uint64) uint64 { return number >> countBits }
--- a/laburnumorder/owner.go
+++ b/laburnumorder/owner.go
@@ -12,8 +12,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Owner is the placement owner of this VM's zone, as long as the quorum grants it
-// the zone's lease. It is a part on the control thread.
+// Owner is the placement owner of this VM's zone while it holds the zone's lease. Its
+// events are handled on the control thread.
 type Owner struct {
 	loop     laburnumlever.Loop
 	timers   laburnumlever.Timers
@@ -50,13 +50,13 @@
 	granted   atomic.Uint64 // the lease's number, for Close
 	loadsDone atomic.Uint64
 	lastRound atomic.Pointer[planningRound]
-	ctx       context.Context //nolint:containedctx // ends the calls of this owner's life
+	ctx       context.Context //nolint:containedctx // Close cancels all calls through it
 	cancel    context.CancelFunc
 	cancels   []func()
 }
 
-// New makes an owner that does nothing before Start. self gives the zone, and the
-// incarnation that tells this process from earlier ones on the same VM.
+// New returns an owner that is idle until Start. self gives the zone and the incarnation,
+// which distinguishes this process from earlier ones on the same VM.
 func New(
 	loop laburnumlever.Loop,
 	timers laburnumlever.Timers,
@@ -89,13 +89,13 @@
 	return o
 }
 
-// Start begins to ask for the zone's lease.
+// Start starts the periodic ticks, which acquire the zone's lease and plan.
 func (o *Owner) Start() {
 	o.cancels = append(o.cancels, o.timers.Every(o.tickPeriod, func(now time.Time) { o.loop.Post(o, ticked{now: now}) }))
 }
 
-// Close stops the owner: no order is sent any more. It gives the lease back if the
-// log answers within a call's timeout, so that another VM need not wait for it to run out.
+// Close stops the owner, which sends no more orders. It releases the lease if the log
+// answers within releaseTimeout, so that another VM need not wait until it expires.
 func (o *Owner) Close() {
 	for _, cancel := range o.cancels {
 		cancel()
@@ -111,15 +111,15 @@
 	_, _ = o.proposer.Propose(ctx, o.releaseCommand(o.granted.Load()))
 }
 
-// Owns tells whether this VM holds its zone, as far as it knows. Safe for use by
-// any goroutine.
+// Owns reports whether this VM owns its zone as far as it knows. It is safe for concurrent
+// use.
 func (o *Owner) Owns() bool { return o.owns.Load() }
 
-// Moves counts the loads that engines have taken on this owner's orders. Safe for
-// use by any goroutine.
+// LoadsDone returns the number of load orders that engines have accepted from this owner.
+// It is safe for concurrent use.
 func (o *Owner) Moves() uint64 { return o.loadsDone.Load() }
 
-// Handle takes the owner's events on the control thread.
+// Handle handles one of the owner's events. Only the control thread may call it.
 func (o *Owner) Handle(ev laburnumlever.Event) {
 	switch ev := ev.(type) {
 	case ticked:
@@ -145,7 +145,7 @@
 		return
 	}
 	if !now.Before(o.nextObserve) {
-		// VMs that do not own their zone observe too, so that a new owner knows
+		// VMs that do not own their zone sample the demand too, so that a new owner knows
 		// the peaks of the last half hour.
 		o.nextObserve = now.Add(observePeriod)
 		o.estimator.Observe(now, view.Demand)
@@ -159,13 +159,13 @@
 		return
 	}
 	o.plan(view, now)
-	// A round over a large fleet takes milliseconds: the wait keeps planning to a
-	// hundredth of the control thread's time, whatever the fleet's size.
+	// A round over a large fleet takes milliseconds. The wait limits planning to a
+	// hundredth of the control thread's time for any fleet size.
 	o.nextPlan = now.Add(planRestFactor * o.timers.Now().Sub(now))
 }
 
-// call runs work that waits for the network, off the control thread. Its context
-// ends after the call timeout or with the owner.
+// call runs network work off the control thread. Its context is cancelled after the call
+// timeout or when the owner closes.
 func (o *Owner) call(work func(ctx context.Context)) {
 	ctx, cancel := context.WithCancel(o.ctx)
 	stop := o.timers.After(o.callTimeout, func(time.Time) { cancel() })
@@ -176,7 +176,7 @@
 	})
 }
 
-// releaseLease makes the next grant a new one.
+// releaseLease releases the lease, so that the next grant has a new number.
 func (o *Owner) releaseLease() {
 	cmd := o.releaseCommand(o.lease.fence)
 	o.loseLease("")
--- a/laburnumorder/owner_test.go
+++ b/laburnumorder/owner_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A zone starts: every model becomes reachable on both kinds of engine, through one
-// owner, though two VMs ask for the zone.
+// A zone starts cold with two VMs. One of them becomes the owner, and every model becomes
+// reachable on both kinds of engine.
 func TestAllModelsBecomeReachable(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		w := newHarness(t, checks, checks)
@@ -26,9 +26,9 @@
 	}
 }
 
-// An order or its answer is lost, comes late or comes twice. A caller would see a
-// model missing if the owner gave up, and an engine out of memory if it counted
-// the order as not sent. The engine counts; the models must come all the same.
+// Guards against missing models and over-committed memory when an order or its answer is
+// lost, delayed or duplicated: the owner must neither stop retrying nor treat the order as
+// not sent. The engine counts its memory.
 func TestLostDelayedAndDuplicatedOrders(t *testing.T) {
 	for name, fault := range map[string]orderFault{"lost": orderLost, "answer lost": answerLost, "late": orderDelayed, "twice": orderDuplicated} {
 		for _, checks := range []bool{true, false} {
@@ -47,9 +47,8 @@
 	}
 }
 
-// The owner is killed after it committed an intent, or after it sent the order: the
-// order arrives 20 s later. The other VM takes the zone over and must count what
-// may still come.
+// The owner is killed after it committed an intent, or after it sent an order that arrives
+// 20 s later. Guards against a new owner that ignores orders of the old one still in flight.
 func TestOwnerKilledWithOrderInFlight(t *testing.T) {
 	for name, fault := range map[string]orderFault{"between intent and send": orderLost, "between send and answer": orderDelayed} {
 		for _, checks := range []bool{true, false} {
@@ -68,16 +67,16 @@
 	}
 }
 
-// The owner's VM is frozen between the decision to send an order and the send, past
-// its lease. The other VM takes over and fills the memory. Then the first wakes
-// and sends.
+// The owner's VM is frozen just before it sends an order until after its lease has expired
+// and the other VM has filled the memory. Guards against the first VM's order taking effect
+// when it resumes.
 func TestFrozenOwnerWakesAndSends(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		w := newHarness(t, checks)
 		w.catalogue = catalogueOf(2, 60)
 		first, second := w.vms[0], w.vms[1]
 		first.manualWork, second.cutFromQuorum = true, true
-		// Work runs one piece at a time until the next piece is the first order.
+		// Calls run one at a time until the next call is the first order.
 		for range 2000 {
 			w.run(250 * time.Millisecond)
 			if aboutToOrder(w, first, checks) {
@@ -96,22 +95,23 @@
 		first.frozen, first.manualWork = false, false
 		w.run(2 * time.Minute)
 		if !checks {
-			require.Len(t, w.orders, sentBefore, "the lease was over: nothing may be sent")
+			require.Len(t, w.orders, sentBefore, "order sent after the lease had expired")
 		}
 		w.requireAllReachable()
 		require.False(t, first.owner.Owns())
 	}
 }
 
-// aboutToOrder tells whether the VM's next piece of work sends an order.
+// aboutToOrder reports whether the VM's next call sends an order.
 func aboutToOrder(w *harness, v *vm, checks bool) bool {
 	e, _ := v.owner.Explain("m0")
 	begun := len(e.Lines) > 1 && strings.HasPrefix(e.Lines[len(e.Lines)-1], "moved")
 	return begun && len(v.work) > 0 && (checks || len(w.quorum.intents) > 0)
 }
 
-// The zone is cut off from the quorum for ten minutes and loses an engine. Engines
-// that check are ordered on, so its models come back; those that do not rest.
+// The zone is cut off from the quorum and an engine restarts. Engines that check fencing
+// numbers are still ordered, so the models return; engines that do not check get no orders
+// until the quorum is back.
 func TestZoneCutFromQuorum(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		w := newHarness(t, checks, checks)
@@ -137,7 +137,8 @@
 	}
 }
 
-// A zone that no quorum ever granted orders nothing, not even engines that check.
+// An owner that was never granted the lease sends no orders, not even to engines that check
+// fencing numbers.
 func TestNoOrdersWithoutLease(t *testing.T) {
 	w := newHarness(t, true, false)
 	for _, v := range w.vms {
@@ -147,8 +148,8 @@
 	require.Empty(t, w.orders)
 }
 
-// An engine announces that it checks fencing numbers and does not. Orders on the
-// strength of its word would not be guarded at all, so it gets none.
+// An engine announces that it checks fencing numbers but does not. Guards against orders to
+// it that neither fencing nor the lease protects.
 func TestEngineIgnoringFencingNumberGetsNoOrders(t *testing.T) {
 	w := newHarness(t, false)
 	w.ignoreFencing = true
@@ -156,8 +157,8 @@
 	require.Empty(t, w.orders)
 }
 
-// Engines go on reporting what they held before a restart and before new loads. An
-// owner that believed them would load into memory that is taken.
+// Engines keep reporting their copies from before a restart and before new loads. Guards
+// against loading into memory that is in use because of such stale reports.
 func TestStaleReportsAndRestarts(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		w := newHarness(t, checks, checks)
@@ -174,9 +175,9 @@
 	}
 }
 
-// While loads are under way the operators grow a model, change a version, remove
-// a model and add adapters; an accelerator dies. Every model of the newest
-// catalogue must come, and no accelerator be asked for too much meanwhile.
+// Sizes, versions, models and adapters change while loads are in progress, and an
+// accelerator fails. Guards against missing models of the newest catalogue and against
+// over-committed memory.
 func TestCatalogueChangesUnderLoad(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		w := newHarness(t, checks, checks, checks)
@@ -210,7 +211,7 @@
 	}
 }
 
-// requireCurrent checks that all copies have the catalogue's form.
+// requireCurrent checks that all copies match the catalogue's version, size and adapters.
 func requireCurrent(t tester, w *harness) {
 	for _, e := range w.engines {
 		for _, c := range e.Report().Loaded {
--- a/laburnumorder/plan.go
+++ b/laburnumorder/plan.go
@@ -7,12 +7,12 @@
 	"laburnumlever/laburnumplacement"
 )
 
-// plan runs one round of the planner over the whole fleet and begins this zone's
-// moves, as far as the engines are free, the ledger has room and the zone's part
-// of the weight store allows.
+// plan runs one planning round over the whole fleet and starts this zone's moves, as far
+// as engines are idle, the ledger has memory and the zone's share of the weight store
+// allows.
 func (o *Owner) plan(view *laburnumlever.View, now time.Time) {
 	if view.Catalogue.Revision == 0 {
-		// Not yet told what the operators want: to unload all would be wrong.
+		// No catalogue has been received yet; planning now would unload all models.
 		return
 	}
 	snapshot := o.snapshot(view, now)
@@ -63,7 +63,7 @@
 	return s
 }
 
-// applyLedger replaces what the engine last reported by what the ledger counts.
+// applyLedger replaces the engine's reported copies by those in the ledger.
 func (o *Owner) applyLedger(e *laburnumplacement.Engine, own *engine, b laburnumlever.Backend, now time.Time) {
 	e.Usable = b.TakesWork() && own.orderable && o.leasePermits(own, now)
 	if !own.orderable {
@@ -79,8 +79,8 @@
 	}
 	for i, c := range e.Copies {
 		if want, ok := own.updates[copyKey(c.Loaded)]; ok {
-			// The planner sees the form that was ordered, or it would order it again
-			// and the engine would begin the load anew each time. What the ledger
+			// The planner gets the ordered size and adapters. Otherwise it would repeat
+			// the order, and the engine would restart the load each time. What the ledger
 			// counts beyond that is reserved.
 			e.Copies[i].Adapters = want.Adapters
 			e.Copies[i].PartMiB = want.PartMiB
@@ -89,7 +89,8 @@
 	e.Reserved = o.reserved(e)
 }
 
-// reserved is what the ledger counts on each accelerator beside the copies.
+// reserved returns the memory that the ledger commits on each accelerator beyond the
+// copies, in MiB.
 func (o *Owner) reserved(e *laburnumplacement.Engine) []int {
 	list := make([]int, len(e.Accelerators))
 	for i, a := range e.Accelerators {
@@ -110,8 +111,8 @@
 	return e.order != nil && e.order.order.Kind == laburnumlever.Unload && copyKey(e.order.order.Copy) == copyKey(l)
 }
 
-// pendingLoad is the copy of a load order that is under way. One whose outcome is
-// unknown is not counted on: the model is repaired elsewhere.
+// pendingLoad returns the copy of the load order in progress. An order whose outcome is
+// unknown does not count: the model is repaired elsewhere.
 func (e *engine) pendingLoad() (laburnumlever.Loaded, bool) {
 	if e.order == nil || e.order.order.Kind != laburnumlever.Load || e.order.is(stateUnknown) {
 		return laburnumlever.Loaded{}, false
--- a/laburnumorder/readiness.go
+++ b/laburnumorder/readiness.go
@@ -8,9 +8,9 @@
 	"laburnumlever/laburnumplacement"
 )
 
-// readiness remembers since when each copy has been seen ready without a break. It
-// is kept by engine, in the order of its report: from round to round hardly any
-// engine's copies change, and a map of all copies was two fifths of a round.
+// readiness records since when each copy has been continuously ready. Copies are stored
+// per engine in the order of its report, because they rarely change between rounds; a map
+// of all copies took two fifths of a round.
 type readiness struct {
 	engines map[laburnumlever.BackendID]readyCopies
 }
@@ -24,9 +24,9 @@
 	return readiness{engines: make(map[laburnumlever.BackendID]readyCopies)}
 }
 
-// markStable sets which copies are stable. A copy that is not seen, or on an engine that
-// is down, begins anew: to rely on it again takes as long as on a new one.
-// So does one whose engine has not reported for some time (old).
+// markStable sets Stable on copies that have been ready for stableAfter. The time restarts
+// for a copy that was missing, and for copies on an engine that is down or whose reports
+// are too old (old).
 func (r *readiness) markStable(engines []laburnumplacement.Engine, old map[laburnumlever.BackendID]bool, now time.Time) {
 	next := make(map[laburnumlever.BackendID]readyCopies, len(engines))
 	for _, e := range engines {
@@ -50,7 +50,8 @@
 	r.engines = next
 }
 
-// sinceOf finds since when a copy has been ready, where it stood last time first.
+// sinceOf returns since when a copy has been ready. It tries the copy's previous index
+// first.
 func (s readyCopies) sinceOf(i int, c laburnumplacement.Copy) time.Time {
 	if i < len(s.copies) && sameCopy(s.copies[i].Loaded, c.Loaded) {
 		return s.since[i]
@@ -67,14 +68,14 @@
 	return a.Model == b.Model && a.Version == b.Version && slices.Equal(a.Accelerators, b.Accelerators)
 }
 
-// progress follows whether the zones get on with their repairs.
+// progress tracks whether the number of models without a copy falls.
 type progress struct {
 	missing int
 	at      time.Time
 }
 
-// overdue lists the models without a copy if their number has not fallen for too
-// long. While it falls, the rest only wait for the weight store.
+// overdue returns the models without a copy if their number has not fallen for
+// overdueAfter. While it falls, the others only wait for the weight store.
 func (p *progress) overdue(s laburnumplacement.Snapshot, now time.Time) map[laburnumlever.ModelName]bool {
 	missing := make(map[laburnumlever.ModelName]bool)
 	for _, m := range s.Catalogue.Models {
@@ -97,7 +98,7 @@
 	return missing
 }
 
-// versions remembers since when each model has had its version.
+// versions records since when each model has had its version.
 type versions map[laburnumlever.ModelName]versionSince
 
 type versionSince struct {
@@ -105,7 +106,7 @@
 	since   time.Time
 }
 
-// fresh lists the models whose version changed a moment ago.
+// fresh returns the models whose version changed within freshVersionPeriod.
 func (v versions) fresh(models []laburnumlever.Model, now time.Time) map[laburnumlever.ModelName]bool {
 	list := make(map[laburnumlever.ModelName]bool)
 	for _, m := range models {
--- a/laburnumorder/schedule_test.go
+++ b/laburnumorder/schedule_test.go
@@ -9,10 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Any order of faults: two owners, both kinds of engine, orders lost, late or
-// twice, VMs frozen, killed and cut off, engines restarted, the catalogue changed. At
-// no moment may an engine be asked for more than it has; and once the faults
-// end, every model is reachable.
+// Random faults: orders lost, delayed or duplicated, VMs frozen, killed and cut off, engines
+// restarted, the catalogue changed, with both kinds of engine. Guards against memory being
+// over-committed at any time, and against missing models after the faults end.
 func TestRandomScheduleNeverOverCommits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newHarness(t, true, false, rapid.Bool().Draw(t, "third engine checks"))
@@ -51,10 +50,9 @@
 	})
 }
 
-// Two zones whose owners see each other's engines late or not at all, while the
-// operators change every version and the sizes, and owners freeze and die. No engine
-// dies, so no model may be away for a moment: neither zone may give up a copy
-// on the strength of one that the other is giving up.
+// The owners of two zones have stale or no views of each other's engines, freeze and fail
+// while versions and sizes change; no engine fails. Guards against both zones unloading
+// their copies of a model because each relies on the other's.
 func TestRandomViewsLoseNoModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newZonesHarness(t, []laburnumlever.ZoneName{"a", "b"}, true, true, true, true)
@@ -84,7 +82,7 @@
 
 func (w *harness) drawVM(t *rapid.T) *vm { return w.vms[rapid.IntRange(0, 1).Draw(t, "vm")] }
 
-// drawChange changes one model; each always fits an accelerator of its own.
+// drawChange changes one model. Each model always fits on one accelerator.
 func (w *harness) drawChange(t *rapid.T) {
 	w.change(rapid.IntRange(0, len(w.catalogue.Models)-1).Draw(t, "model"), func(m *laburnumlever.Model) {
 		switch rapid.IntRange(0, 2).Draw(t, "change") {
--- a/laburnumorder/send.go
+++ b/laburnumorder/send.go
@@ -12,8 +12,8 @@
 	"github.com/go-kit/log/level"
 )
 
-// startMove starts one move. It reports whether the move is under way: an engine that
-// is busy, or memory that is still counted, leaves it to a later round.
+// startMove starts one move and reports whether it did. If the engine is busy or its memory
+// is still committed, a later round tries again.
 func (o *Owner) startMove(m laburnumplacement.Move, now time.Time) bool {
 	e, ok := o.engines[m.Engine]
 	if !ok || !o.canOrder(e, now) || e.count >= maxCount {
@@ -48,13 +48,13 @@
 	return true
 }
 
-// canOrder tells whether the engine can be given an order now.
+// canOrder reports whether an order can be sent to the engine now.
 func (o *Owner) canOrder(e *engine, now time.Time) bool {
 	return e.orderable && !e.gone && e.order == nil && e.activeRead == 0 && !now.Before(e.pauseUntil) && o.leasePermits(e, now)
 }
 
-// recordIntent commits the order's intent first: if this VM dies between here and the
-// answer, the next owner learns from the log that the order may have been sent.
+// recordIntent commits the order's intent before the send. If this VM fails before the
+// answer arrives, the next owner learns from the log that the order may have been sent.
 func (o *Owner) recordIntent(e *engine) {
 	o.advance(e, "intent-proposed")
 	intent := laburnumlever.OrderIntent{
@@ -74,8 +74,8 @@
 		return
 	}
 	if ev.err != nil || ev.result.Code != laburnumlever.ResultOK {
-		// It was not sent and never will be. The intent may be in the log all the
-		// same, so it is resolved like one that was.
+		// The order was not sent and never will be. The intent may be in the log
+		// nevertheless, so it is resolved like that of a sent order.
 		o.advance(e, "intent-failed")
 		o.dropOrder(e)
 		if ev.result.Code == laburnumlever.ResultNotHolder {
@@ -92,9 +92,9 @@
 	o.send(e)
 }
 
-// send hands the order to a worker. For an engine that does not check, the worker
-// looks at the lease's time once more just before the write: events may have
-// waited, or this VM may have been frozen, since the control thread looked.
+// send sends the order from a worker. For an engine that does not check fencing numbers,
+// the worker checks the lease's deadline again just before the write: since the control
+// thread checked it, events may have been queued or this VM may have been frozen.
 func (o *Owner) send(e *engine) {
 	o.advance(e, "send-started")
 	order, to := e.order.order, e.announcement
@@ -146,7 +146,7 @@
 			o.loadsDone.Add(1)
 		}
 	case laburnumlever.OrderStaleFence:
-		// Another owner has claimed the engine, or it restarted and was claimed.
+		// Another owner has claimed the engine, possibly after a restart.
 		e.orderable = false
 		o.lease.next = time.Time{}
 	default:
@@ -154,12 +154,12 @@
 		_ = level.Warn(o.logger).Log("event", laburnumlever.EventOrderRefused, "backend", backend, "order", order.ID, "outcome", answer.Outcome, "detail", answer.Detail)
 	}
 	o.trackLoads(e, now)
-	// A read that is due stays due: pushed back by each order, it would never come on an
-	// engine that is ordered every round, and orders long settled would count for ever.
+	// An earlier read keeps its time. If each order postponed it, an engine that is ordered
+	// in every round would never be read, and settled orders would count forever.
 	e.readNoLaterThan(now.Add(busyReadPeriod))
 }
 
-// dropOrder forgets an order that surely never left this VM.
+// dropOrder removes an order that was certainly never sent.
 func (o *Owner) dropOrder(e *engine) {
 	order := e.order.order
 	o.ledger.Drop(e.announcement.Backend, order.ID)
@@ -169,9 +169,10 @@
 	o.resolveIntent(e, order.ID)
 }
 
-// settleOrders ends what an inventory has settled. A claim with a higher number rules out
-// a lost order to an engine that checks at once; the ledger still counts it until it
-// can't arrive any more, because an engine that restarts forgets its number.
+// settleOrders completes the orders and intents that an inventory has settled. At an engine
+// that checks fencing numbers, a claim with a higher number rules out a lost order at once.
+// The ledger still counts it until it can no longer arrive, because an engine loses its
+// number when it restarts.
 func (o *Owner) settleOrders(e *engine, ev readAnswered) {
 	if e.order != nil && e.order.is(stateUnknown) {
 		if e.announcement.ChecksFencing || !ev.began.Before(e.order.settleAfter) {
@@ -188,8 +189,8 @@
 	}
 }
 
-// resolveIntent takes an intent out of the log. One that fails stays with the engine and
-// is tried again after a later read.
+// resolveIntent removes an intent from the log. If that fails, the intent is kept and
+// resolved again after a later read.
 func (o *Owner) resolveIntent(e *engine, id laburnumlever.OrderID) {
 	intent, ok := e.intents[id]
 	if !ok {
--- a/laburnumorder/trackedorder.go
+++ b/laburnumorder/trackedorder.go
@@ -7,7 +7,7 @@
 	"laburnumlever/laburnumchart"
 )
 
-// The states of the chart order.jsonc that decisions depend on.
+// The states of the state chart order.jsonc that this package tests for.
 const (
 	stateUnknown = "unknown"
 	stateNotSent = "not-sent"
@@ -15,11 +15,12 @@
 
 var orderChart = laburnumchart.MustLoad("order")
 
-// trackedOrder is an order with its place in the chart.
+// trackedOrder is an order with its state in the chart.
 type trackedOrder struct {
 	order laburnumlever.Order
 	state string
-	// settleAfter is when an order whose answer was lost can't arrive any more.
+	// settleAfter is the time from which an order whose answer was lost can no longer
+	// arrive.
 	settleAfter time.Time
 }
 
@@ -27,8 +28,8 @@
 	return &trackedOrder{order: order, state: orderChart.Initial()}
 }
 
-// apply moves the order along. An event that its state does not take is a mistake in
-// this package: it is reported, and the order stays counted.
+// apply changes the order's state by an event. An event that is invalid in the current
+// state is a bug in this package: it returns an error, and the order stays pending.
 func (t *trackedOrder) apply(event string) error {
 	next, err := orderChart.Next(t.state, event)
 	t.state = next
--- a/laburnumorder/zones_test.go
+++ b/laburnumorder/zones_test.go
@@ -29,9 +29,9 @@
 	require.Len(w.t, names, len(w.catalogue.Models))
 }
 
-// Two zones are cut apart, the quorum stays with zone a. Each has all models and loses
-// an engine. Callers in each zone must find every model again that its own memory can
-// hold, and nothing may move once the zones see each other again and are whole.
+// Two zones are partitioned, with the quorum in zone a, and an engine restarts in each.
+// Guards against models that stay missing in a zone whose memory can hold them, and against
+// moves after the partition heals.
 func TestPartitionedZones(t *testing.T) {
 	w := twoZones(t)
 	a, b := w.vms[0], w.vms[1]
@@ -48,8 +48,8 @@
 	require.Len(t, w.orders, before)
 }
 
-// The views of two owners differ for long: a sees nothing of b, b sees all. Neither
-// may wait for the other to repair a model, nor may they load and unload in turn.
+// Zone a does not see zone b's engines, b sees all. Guards against each zone waiting for the
+// other to repair a model, and against endless loads and unloads.
 func TestDivergingViewsConverge(t *testing.T) {
 	w := twoZones(t)
 	w.vms[0].isolated = true
@@ -62,8 +62,8 @@
 	require.Len(t, w.orders, before)
 }
 
-// All the zones' weights come from one store. A cold start after an outage of every
-// engine must not pass its rate or its parallel loads, whoever owns the zones.
+// All zones load from one weight store. Guards against exceeding its rate or its parallel
+// loads in a cold start after all engines failed.
 func TestColdStartRespectsWeightStoreLimits(t *testing.T) {
 	zones := []laburnumlever.ZoneName{"a", "b", "c", "d"}
 	w := newZonesHarness(t, zones, true, true, true, true, true, true, true, true)
@@ -92,11 +92,9 @@
 	require.Positive(t, highest)
 }
 
-// The operators change versions and sizes faster than the fleet can follow, while owners
-// are killed and one is frozen; then they stop. One model stays at its first version for
-// ever: each round the owner unloads a copy that it has just loaded to make room, finds the
-// memory still counted for the load, and loads the copy there again; and as an order goes
-// out every round, the inventory is never read that would end the count.
+// Guards against an endless loop after fast changes of versions and sizes: each round the
+// owner unloads a new copy to make room, finds its memory still counted and loads it again.
+// The orders of every round postpone the inventory read that would end the count.
 func TestVersionChangesConvergeInFullMemory(t *testing.T) {
 	w := newZonesHarness(t, []laburnumlever.ZoneName{"a", "b"}, true, true, true, true)
 	w.run(2 * time.Minute)
@@ -124,9 +122,9 @@
 	require.Len(t, w.orders, before)
 }
 
-// Operators change the versions each second, so that each round has an order for the
-// engine. Its inventory must be read all the same: memory that settled orders held
-// is found free only by a read.
+// Versions change twice a second, so that each round has an order for the engine. Guards
+// against orders that keep postponing the inventory read: only a read frees the memory that
+// is counted for settled orders.
 func TestInventoryIsReadBetweenOrders(t *testing.T) {
 	w := newHarness(t, true)
 	w.catalogue = catalogueOf(1, 1).WithRevision(2)
@@ -141,9 +139,9 @@
 	require.GreaterOrEqual(t, w.claims-claims, seconds/3)
 }
 
-// Every engine restarts while the VM that owns zone b is frozen and zone a does not know
-// it. Zone a plans some models for b's engine, where nobody loads them: their callers
-// would be refused for as long as b's VM stands still, though a has room.
+// All engines restart while the VM that owns zone b is frozen, and zone a does not know it.
+// Guards against models that zone a leaves to zone b and that stay missing although zone a
+// has room.
 func TestRepairTakenOverFromFrozenOwner(t *testing.T) {
 	w := newZonesHarness(t, []laburnumlever.ZoneName{"a", "b"}, true, true, true)
 	w.run(time.Minute)
