--- a/laburnumdispatch/announcement_test.go
+++ b/laburnumdispatch/announcement_test.go
@@ -15,7 +15,7 @@
 // announcement of that server comes in. The sender read the router's record without its
 // lock, so it could send to the new address under the old identity, or to half of each:
 // an address that belongs to another service by now.
-func TestTicketKeepsTheAnnouncementThatItWasPlacedBy(t *testing.T) {
+func TestTicketKeepsAnnouncementOfItsServer(t *testing.T) {
 	view := func(address string) *laburnumrouter.Index {
 		return laburnumrouter.NewIndex(&laburnumlever.View{Backends: []laburnumlever.Backend{{
 			Announcement: laburnumlever.Announcement{
--- a/laburnumdispatch/dispatcher.go
+++ b/laburnumdispatch/dispatcher.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// waitShare of the target may be spent waiting here. The rest is for the prefill
+	// maxWaitFraction of the target may be spent waiting here. The rest is for the prefill
 	// and for a short wait in an engine that other VMs have filled meanwhile.
-	waitShare = 0.75
-	// defaultWait holds for a class without a target.
-	defaultWait = 10 * time.Second
+	maxWaitFraction = 0.75
+	// defaultFirstTokenTarget holds for a class without a target.
+	defaultFirstTokenTarget = 10 * time.Second
 )
 
 // Request is what a decision needs to know.
@@ -45,9 +45,9 @@
 func (q *Request) deadline() time.Time {
 	wait := time.Duration(q.Class.FirstToken)
 	if wait == 0 {
-		wait = defaultWait
+		wait = defaultFirstTokenTarget
 	}
-	return q.Received.Add(time.Duration(waitShare * float64(wait)))
+	return q.Received.Add(time.Duration(maxWaitFraction * float64(wait)))
 }
 
 // Ticket is a request's place in the decisions.
@@ -64,18 +64,18 @@
 	// Attempts made, the present one included.
 	Attempts int
 
-	server    *laburnumrouter.Server
-	admission laburnumadmission.Request
-	query     laburnumrouter.Query
-	item      *laburnumqueue.Item
-	last      *laburnumrouter.Server
+	server     *laburnumrouter.Server
+	admission  laburnumadmission.Request
+	query      laburnumrouter.Query
+	item       *laburnumqueue.Item
+	lastServer *laburnumrouter.Server
 }
 
 // Placed tells whether the request has a server, where it is already counted.
 func (t *Ticket) Placed() bool { return t.server != nil }
 
-// place notes the server that the request goes to.
-func (t *Ticket) place(server *laburnumrouter.Server) {
+// setServer notes the server that the request goes to.
+func (t *Ticket) setServer(server *laburnumrouter.Server) {
 	t.server = server
 	t.Backend = server.Announcement()
 }
@@ -85,21 +85,21 @@
 
 // Dispatcher decides for one VM.
 type Dispatcher struct {
-	admission *laburnumadmission.Admission
-	queue     *laburnumqueue.Queue
-	router    *laburnumrouter.Router
-	budget    *laburnumretry.Budget
-	paces     map[string]*pace // of each entry that something waits for
+	admission  *laburnumadmission.Admission
+	queue      *laburnumqueue.Queue
+	router     *laburnumrouter.Router
+	budget     *laburnumretry.Budget
+	startRates map[string]*startRate // of each entry that something waits for
 }
 
 // New returns a dispatcher for a VM in the zone; the seed makes runs repeatable.
 func New(zone laburnumlever.ZoneName, seed uint64) *Dispatcher {
 	return &Dispatcher{
-		admission: laburnumadmission.New(),
-		queue:     laburnumqueue.New(laburnumqueue.DefaultSize),
-		router:    laburnumrouter.New(zone, seed),
-		budget:    laburnumretry.NewBudget(),
-		paces:     map[string]*pace{},
+		admission:  laburnumadmission.New(),
+		queue:      laburnumqueue.New(laburnumqueue.DefaultSize),
+		router:     laburnumrouter.New(zone, seed),
+		budget:     laburnumretry.NewBudget(),
+		startRates: map[string]*startRate{},
 	}
 }
 
@@ -107,7 +107,7 @@
 func (d *Dispatcher) Update(ix *laburnumrouter.Index, share laburnumadmission.Share, now time.Time) {
 	d.router.Update(ix)
 	d.admission.SetShare(share)
-	d.start(now)
+	d.startQueued(now)
 }
 
 // Waiting is how many requests wait.
@@ -129,25 +129,25 @@
 	}
 	d.budget.FirstAttempt()
 	if d.queue.Len() == 0 && d.router.HasRoom(t.query, now) {
-		d.send(t, now)
+		d.assign(t, now)
 		return nil
 	}
-	if err := d.wait(t, now); err != nil {
+	if err := d.enqueue(t, now); err != nil {
 		d.admission.Release(now, t.admission, 0)
 		return err
 	}
-	d.start(now)
+	d.startQueued(now)
 	return nil
 }
 
-// wait puts the request into the queue unless its turn would come too late.
-func (d *Dispatcher) wait(t *Ticket, now time.Time) error {
+// enqueue puts the request into the queue unless its turn would come too late.
+func (d *Dispatcher) enqueue(t *Ticket, now time.Time) error {
 	q := &t.Request
 	item := &laburnumqueue.Item{
 		Owner: q.Owner, Key: q.Key, Entry: q.entry(), Priority: q.Class.Priority,
 		Cost: q.cost(), Deadline: q.deadline(), Tag: t,
 	}
-	turn := d.turn(item)
+	turn := d.expectedWait(item)
 	if now.Add(turn).After(item.Deadline) {
 		return t.refusal(laburnumlever.RefusedDeadline, turn, "its turn would come after its deadline")
 	}
@@ -159,31 +159,31 @@
 		if loser == t {
 			return refusal
 		}
-		d.giveUp(loser, refusal, now)
+		d.refuseQueued(loser, refusal, now)
 	}
 	return nil
 }
 
-// turn is how long the item is likely to wait; 0 while nothing tells.
-func (d *Dispatcher) turn(item *laburnumqueue.Item) time.Duration {
+// expectedWait is how long the item is likely to wait; 0 while nothing tells.
+func (d *Dispatcher) expectedWait(item *laburnumqueue.Item) time.Duration {
 	ahead := d.queue.Ahead(item)
 	if ahead == item.Cost {
-		delete(d.paces, item.Entry) // nothing waited: the old measure is over
+		delete(d.startRates, item.Entry) // nothing waited: the old measure is over
 	}
-	p := d.paces[item.Entry]
+	p := d.startRates[item.Entry]
 	if p == nil {
 		return 0
 	}
-	return p.wait(ahead)
+	return p.expectedWait(ahead)
 }
 
-func (d *Dispatcher) started(item *laburnumqueue.Item, now time.Time) {
-	p := d.paces[item.Entry]
+func (d *Dispatcher) recordStart(item *laburnumqueue.Item, now time.Time) {
+	p := d.startRates[item.Entry]
 	if p == nil {
-		p = &pace{}
-		d.paces[item.Entry] = p
+		p = &startRate{}
+		d.startRates[item.Entry] = p
 	}
-	p.started(item.Cost, now)
+	p.record(item.Cost, now)
 }
 
 // Tick gives up what has waited too long and starts what there is room for.
@@ -191,12 +191,12 @@
 	for _, item := range d.queue.Expire(now) {
 		t := item.Tag.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
 		t.item = nil
-		d.giveUp(t, t.refusal(laburnumlever.RefusedQueueTimeout, time.Second, "it waited until its deadline"), now)
+		d.refuseQueued(t, t.refusal(laburnumlever.RefusedQueueTimeout, time.Second, "it waited until its deadline"), now)
 	}
-	d.start(now)
+	d.startQueued(now)
 }
 
-func (d *Dispatcher) giveUp(t *Ticket, refusal *laburnumlever.RefusalError, now time.Time) {
+func (d *Dispatcher) refuseQueued(t *Ticket, refusal *laburnumlever.RefusalError, now time.Time) {
 	t.Refusal = refusal
 	d.admission.Release(now, t.admission, 0)
 	if t.Wake != nil {
@@ -204,27 +204,27 @@
 	}
 }
 
-// start sends waiting requests while there is room.
-func (d *Dispatcher) start(now time.Time) {
+// startQueued sends waiting requests while there is room.
+func (d *Dispatcher) startQueued(now time.Time) {
 	for d.queue.Len() > 0 {
 		full := map[string]bool{}
-		item := d.queue.Pop(func(i *laburnumqueue.Item) bool { return d.room(i, full, now) })
+		item := d.queue.Pop(func(i *laburnumqueue.Item) bool { return d.hasFreeSlot(i, full, now) })
 		if item == nil {
 			return
 		}
 		t := item.Tag.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
 		t.item = nil
-		d.started(item, now)
-		d.send(t, now)
+		d.recordStart(item, now)
+		d.assign(t, now)
 		if t.Wake != nil {
 			t.Wake()
 		}
 	}
-	clear(d.paces)
+	clear(d.startRates)
 }
 
-// room asks once for each entry in a search.
-func (d *Dispatcher) room(i *laburnumqueue.Item, full map[string]bool, now time.Time) bool {
+// hasFreeSlot asks once for each entry in a search.
+func (d *Dispatcher) hasFreeSlot(i *laburnumqueue.Item, full map[string]bool, now time.Time) bool {
 	if full[i.Entry] {
 		return false
 	}
@@ -236,14 +236,14 @@
 	return false
 }
 
-func (d *Dispatcher) send(t *Ticket, now time.Time) bool {
+func (d *Dispatcher) assign(t *Ticket, now time.Time) bool {
 	server, ok := d.router.Pick(t.query, now)
 	if !ok {
 		t.server = nil
 		return false
 	}
 	server.Begin(now)
-	t.place(server)
+	t.setServer(server)
 	t.Attempts++
 	return true
 }
@@ -254,10 +254,10 @@
 		return
 	}
 	t.query.Avoid = t.server.ID()
-	t.last = t.server
+	t.lastServer = t.server
 	t.server.End(sample, now)
 	t.server = nil
-	d.start(now)
+	d.startQueued(now)
 }
 
 // Retry asks for another attempt after a failure: verdict Again means that it
@@ -269,12 +269,12 @@
 		return reason, verdict
 	}
 	if reason == laburnumlever.RetryStreamResumed {
-		t.last.Begin(now)
-		t.place(t.last)
+		t.lastServer.Begin(now)
+		t.setServer(t.lastServer)
 		t.Attempts++
 		return reason, verdict
 	}
-	if !d.send(t, now) {
+	if !d.assign(t, now) {
 		return reason, laburnumretry.GiveUp
 	}
 	return reason, verdict
@@ -291,7 +291,7 @@
 		t.item = nil
 	}
 	d.admission.Release(now, t.admission, used)
-	d.start(now)
+	d.startQueued(now)
 }
 
 func (t *Ticket) refusal(reason laburnumlever.RefusalReason, after time.Duration, detail string) *laburnumlever.RefusalError {
--- a/laburnumdispatch/loads_test.go
+++ b/laburnumdispatch/loads_test.go
@@ -13,27 +13,27 @@
 )
 
 var (
-	quick = laburnumlever.Class{Name: "quick", FirstToken: laburnumlever.Duration(1900 * time.Millisecond)}
-	batch = laburnumlever.Class{Name: "batch", Priority: laburnumlever.Batch, FirstToken: laburnumlever.Duration(20 * time.Second)}
+	quickClass = laburnumlever.Class{Name: "quick", FirstToken: laburnumlever.Duration(1900 * time.Millisecond)}
+	batchClass = laburnumlever.Class{Name: "batch", Priority: laburnumlever.Batch, FirstToken: laburnumlever.Duration(20 * time.Second)}
 )
 
 const (
 	vms = 3
 	// capacity is what ten engines do of ordinary calls, a second: 40 slots, each
 	// busy for 200/4000 + 100/50 seconds with one.
-	capacity = 40 / 2.05
-	length   = 2 * time.Minute
+	capacity     = 40 / 2.05
+	loadDuration = 2 * time.Minute
 )
 
-func ordinary(key string) *call { return &call{key: key, class: quick, prompt: 200, answer: 100} }
+func ordinary(key string) *call { return &call{key: key, class: quickClass, prompt: 200, answer: 100} }
 
 // load is one of the five.
 type load struct {
 	name  string
-	setup func(p *play)
+	setup func(p *simulation)
 	kinds []kind
-	// atLeast is what callers of the first kind must get inside their target.
-	atLeast float64
+	// minOnTimeShare is what callers of the first kind must get inside their target.
+	minOnTimeShare float64
 }
 
 type kind struct {
@@ -41,14 +41,14 @@
 	of   func(c *call) bool
 }
 
-func every(*call) bool { return true }
+func allCalls(*call) bool { return true }
 
 func steady(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
 var loads = []load{
-	{"burst: tenfold for a minute", func(p *play) {
+	{"burst: tenfold for a minute", func(p *simulation) {
 		rate := func(since time.Duration) float64 {
 			if since > 30*time.Second && since < 90*time.Second {
 				return 3 * capacity
@@ -56,10 +56,10 @@
 			return 0.3 * capacity
 		}
 		n := 0
-		p.arrivals(length, rate, func() *call { n++; return ordinary(fmt.Sprint(n % 50)) })
-	}, []kind{{"all", every}}, 0.36},
-	{"three callers send 90 in 100, 1.5 times capacity", func(p *play) {
-		p.arrivals(length, steady(1.5*capacity), func() *call {
+		p.arrivals(loadDuration, rate, func() *call { n++; return ordinary(fmt.Sprint(n % 50)) })
+	}, []kind{{"all", allCalls}}, 0.36},
+	{"three callers send 90 in 100, 1.5 times capacity", func(p *simulation) {
+		p.arrivals(loadDuration, steady(1.5*capacity), func() *call {
 			if p.rand.IntN(10) > 0 {
 				return ordinary(fmt.Sprint("heavy", p.rand.IntN(3)))
 			}
@@ -69,15 +69,15 @@
 		{"the other thirty", func(c *call) bool { return strings.HasPrefix(c.key, "light") }},
 		{"the three", func(c *call) bool { return strings.HasPrefix(c.key, "heavy") }},
 	}, 0.93},
-	{"one engine of ten is ten times slower, 0.7 of capacity", func(p *play) {
+	{"one engine of ten is ten times slower, 0.7 of capacity", func(p *simulation) {
 		p.engines[3].rate /= 10
 		p.engines[3].prefill /= 10
 		n := 0
-		p.arrivals(length, steady(0.7*capacity), func() *call { n++; return ordinary(fmt.Sprint(n % 50)) })
-	}, []kind{{"all", every}}, 0.99},
-	{"one call in ten is long, 1.3 times capacity", func(p *play) {
+		p.arrivals(loadDuration, steady(0.7*capacity), func() *call { n++; return ordinary(fmt.Sprint(n % 50)) })
+	}, []kind{{"all", allCalls}}, 0.99},
+	{"one call in ten is long, 1.3 times capacity", func(p *simulation) {
 		// a long one takes 8000/4000 + 400/50 = 10 s of a slot
-		p.arrivals(length, steady(1.3*40/(0.9*2.05+0.1*10)), func() *call {
+		p.arrivals(loadDuration, steady(1.3*40/(0.9*2.05+0.1*10)), func() *call {
 			c := ordinary(fmt.Sprint(p.rand.IntN(50)))
 			if p.rand.IntN(10) == 0 {
 				c.prompt, c.answer = 8000, 400
@@ -98,25 +98,25 @@
 	{"batch", func(c *call) bool { return c.class.Priority == laburnumlever.Batch }},
 }
 
-func saturation(times float64) func(p *play) {
-	return func(p *play) {
-		p.arrivals(length, steady(times*capacity), func() *call {
+func saturation(times float64) func(p *simulation) {
+	return func(p *simulation) {
+		p.arrivals(loadDuration, steady(times*capacity), func() *call {
 			c := ordinary(fmt.Sprint(p.rand.IntN(50)))
 			if p.rand.IntN(10) < 3 {
-				c.class = batch
+				c.class = batchClass
 			}
 			return c
 		})
 	}
 }
 
-func (l load) play(c contestant) *play {
-	p := newPlay(10, c.maxQueue)
+func (l load) simulate(c namedPolicy) *simulation {
+	p := newSimulation(10, c.maxQueue)
 	for i := range vms {
 		p.vms = append(p.vms, c.make(p, uint64(i)))
 	}
 	l.setup(p)
-	p.run(length + patience)
+	p.run(loadDuration + callerTimeout)
 	return p
 }
 
@@ -124,37 +124,37 @@
 // at all while engines work on what nobody waits for any more. The first kind of
 // callers must get at least what the load's text says, never less than under any
 // baseline, and retries must stay a tenth of the calls. The table is printed with -v.
-func TestFiveLoads(t *testing.T) {
+func TestLoadPatterns(t *testing.T) {
 	var table strings.Builder
 	table.WriteString("| load | policy | callers | calls | inside target | late | no answer | longest wait | retries | refusals |\n")
 	table.WriteString("| --- | --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | --- |\n")
 	for _, l := range loads {
 		best := 0.0
-		for i, c := range contestants {
-			p := l.play(c)
+		for i, c := range namedPolicies {
+			p := l.simulate(c)
 			for _, k := range l.kinds {
-				row(&table, l.name, c.name, k, p)
+				writeRow(&table, l.name, c.name, k, p)
 			}
-			first := p.tally(l.kinds[0].of)
+			first := p.stats(l.kinds[0].of)
 			if i == 0 {
-				best = first.share()
-				require.GreaterOrEqual(t, best, l.atLeast, l.name)
+				best = first.onTimeShare()
+				require.GreaterOrEqual(t, best, l.minOnTimeShare, l.name)
 				require.LessOrEqual(t, p.retries, len(p.calls)/10+vms*5, l.name)
 				continue
 			}
-			require.GreaterOrEqual(t, best, first.share(), "%s: %s does better", l.name, c.name)
+			require.GreaterOrEqual(t, best, first.onTimeShare(), "%s: %s does better", l.name, c.name)
 		}
 	}
 	t.Log("\n" + table.String())
 }
 
-func row(w *strings.Builder, load, policy string, k kind, p *play) {
-	t := p.tally(k.of)
+func writeRow(w *strings.Builder, load, policy string, k kind, p *simulation) {
+	t := p.stats(k.of)
 	reasons := make([]string, 0, len(p.refused))
 	for reason, n := range p.refused {
 		reasons = append(reasons, fmt.Sprintf("%s %d", strings.TrimPrefix(reason, "refused-"), n))
 	}
 	slices.Sort(reasons)
 	fmt.Fprintf(w, "| %s | %s | %s | %d | %.1f%% | %d | %d | %.1f s | %d | %s |\n", load, policy, k.name, t.calls,
-		100*t.share(), t.late, t.refused, t.longest.Seconds(), p.retries, strings.Join(reasons, ", "))
+		100*t.onTimeShare(), t.late, t.refused, t.longest.Seconds(), p.retries, strings.Join(reasons, ", "))
 }
--- a/laburnumdispatch/policies_test.go
+++ b/laburnumdispatch/policies_test.go
@@ -13,13 +13,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// dispatching is what the proxy does, on the manual clock.
-type dispatching struct {
-	p *play
+// dispatcherPolicy is what the proxy does, on the manual clock.
+type dispatcherPolicy struct {
+	p *simulation
 	d *laburnumdispatch.Dispatcher
 }
 
-func (v *dispatching) arrive(c *call) {
+func (v *dispatcherPolicy) arrive(c *call) {
 	t := &laburnumdispatch.Ticket{Request: laburnumdispatch.Request{
 		Owner: "o", Key: c.key, Model: "m", Class: c.class, Prompt: c.prompt, Answer: c.answer, Received: c.at,
 	}}
@@ -39,25 +39,25 @@
 	}
 }
 
-func (v *dispatching) refused(c *call, refusal *laburnumlever.RefusalError) {
-	c.gone = true
+func (v *dispatcherPolicy) refused(c *call, refusal *laburnumlever.RefusalError) {
+	c.abandoned = true
 	v.p.refused[refusal.Reason.String()]++
 }
 
-func (v *dispatching) send(c *call, t *laburnumdispatch.Ticket) {
+func (v *dispatcherPolicy) send(c *call, t *laburnumdispatch.Ticket) {
 	i, _ := strconv.Atoi(string(t.Backend.Backend))
 	// sent after this event: Wake runs within the dispatcher
 	v.p.after(0, func() { v.p.send(c, v.p.engines[i]) })
 }
 
-func (v *dispatching) ended(c *call, _ *engine) {
+func (v *dispatcherPolicy) ended(c *call, _ *engine) {
 	t := c.ticket.(*laburnumdispatch.Ticket)
 	took := v.p.now.Sub(c.first) + time.Duration(float64(c.prompt)/4000*float64(time.Second))
 	v.d.EndAttempt(t, laburnumrouter.Sample{Took: took, Prompt: c.prompt, Answer: c.answer}, v.p.now)
 	v.d.Finish(t, c.prompt+c.answer, v.p.now)
 }
 
-func (v *dispatching) busy(c *call, _ *engine) {
+func (v *dispatcherPolicy) busy(c *call, _ *engine) {
 	t := c.ticket.(*laburnumdispatch.Ticket)
 	v.d.EndAttempt(t, laburnumrouter.Sample{Busy: true}, v.p.now)
 	_, verdict := v.d.Retry(t, laburnumretry.Situation{Reason: laburnumlever.RefusedBackendBusy}, v.p.now)
@@ -69,32 +69,32 @@
 	v.refused(c, &laburnumlever.RefusalError{Reason: laburnumlever.RefusedBackendBusy})
 }
 
-func (v *dispatching) gone(c *call) {
+func (v *dispatcherPolicy) callerGone(c *call) {
 	t := c.ticket.(*laburnumdispatch.Ticket)
 	v.d.EndAttempt(t, laburnumrouter.Sample{Skipped: true}, v.p.now)
 	v.d.Finish(t, 0, v.p.now)
 }
 
-func (v *dispatching) report(view *laburnumlever.View) {
+func (v *dispatcherPolicy) report(view *laburnumlever.View) {
 	v.d.Update(laburnumrouter.NewIndex(view), laburnumadmission.Share{}, v.p.now)
 }
 
-func (v *dispatching) tick() { v.d.Tick(v.p.now) }
+func (v *dispatcherPolicy) tick() { v.d.Tick(v.p.now) }
 
 // baseline sends at once, as plain balancers do.
 type baseline struct {
-	p        *play
+	p        *simulation
 	next     int
 	least    bool // least in flight by its own count, else round robin
 	retries  bool // tries again without limit when an engine is full
 	inFlight map[*engine]int
-	at       map[*call]*engine
+	assigned map[*call]*engine
 }
 
 func (v *baseline) arrive(c *call) { v.send(c) }
 
 func (v *baseline) send(c *call) {
-	if c.gone {
+	if c.abandoned {
 		return
 	}
 	v.next++
@@ -108,7 +108,7 @@
 		}
 	}
 	v.inFlight[e]++
-	v.at[c] = e
+	v.assigned[c] = e
 	v.p.send(c, e)
 }
 
@@ -120,32 +120,32 @@
 	v.p.after(backoff, func() { v.send(c) })
 }
 
-func (v *baseline) gone(c *call) {
+func (v *baseline) callerGone(c *call) {
 	v.p.refused["caller-gone"]++
 	if !v.retries {
-		v.inFlight[v.at[c]]--
+		v.inFlight[v.assigned[c]]--
 	}
 }
 
 func (v *baseline) report(*laburnumlever.View) {}
 func (v *baseline) tick()                      {}
 
-// contestant is a policy in the table.
-type contestant struct {
+// namedPolicy is a policy in the table.
+type namedPolicy struct {
 	name     string
 	maxQueue int
-	make     func(p *play, seed uint64) policy
+	make     func(p *simulation, seed uint64) policy
 }
 
-func newBaseline(p *play, least, retries bool) policy {
-	return &baseline{p: p, least: least, retries: retries, inFlight: map[*engine]int{}, at: map[*call]*engine{}}
+func newBaseline(p *simulation, least, retries bool) policy {
+	return &baseline{p: p, least: least, retries: retries, inFlight: map[*engine]int{}, assigned: map[*call]*engine{}}
 }
 
-var contestants = []contestant{
-	{"laburnumlever", engineQueue, func(p *play, seed uint64) policy {
-		return &dispatching{p: p, d: laburnumdispatch.New("", seed)}
+var namedPolicies = []namedPolicy{
+	{"laburnumlever", engineQueueSize, func(p *simulation, seed uint64) policy {
+		return &dispatcherPolicy{p: p, d: laburnumdispatch.New("", seed)}
 	}},
-	{"round robin, no admission", -1, func(p *play, _ uint64) policy { return newBaseline(p, false, false) }},
-	{"least in flight, no admission", -1, func(p *play, _ uint64) policy { return newBaseline(p, true, false) }},
-	{"least in flight, unlimited retry", engineQueue, func(p *play, _ uint64) policy { return newBaseline(p, true, true) }},
+	{"round robin, no admission", -1, func(p *simulation, _ uint64) policy { return newBaseline(p, false, false) }},
+	{"least in flight, no admission", -1, func(p *simulation, _ uint64) policy { return newBaseline(p, true, false) }},
+	{"least in flight, unlimited retry", engineQueueSize, func(p *simulation, _ uint64) policy { return newBaseline(p, true, true) }},
 }
--- a/laburnumdispatch/fake_test.go
+++ b/laburnumdispatch/simulation_test.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	reportEvery = 500 * time.Millisecond
-	reportLag   = 300 * time.Millisecond
-	tickEvery   = 100 * time.Millisecond
-	patience    = 30 * time.Second // a caller without a first token then goes away
-	engineQueue = 4                // of the engines that refuse when full
+	reportInterval  = 500 * time.Millisecond
+	reportLag       = 300 * time.Millisecond
+	tickInterval    = 100 * time.Millisecond
+	callerTimeout   = 30 * time.Second // a caller without a first token then goes away
+	engineQueueSize = 4                // of the engines that refuse when full
 )
 
 var start = time.Unix(1_000_000, 0)
 
 // call is one request of a caller in a played load.
 type call struct {
-	key            string
-	class          laburnumlever.Class
-	prompt, answer int
-	at, first      time.Time
-	vm             policy
-	gone, answered bool
-	sends          int
-	ticket         any
+	key                 string
+	class               laburnumlever.Class
+	prompt, answer      int
+	at, first           time.Time
+	vm                  policy
+	abandoned, answered bool
+	sends               int
+	ticket              any
 }
 
 // engine is the fake: batch slots, a prefill rate, a token rate for each slot.
@@ -49,7 +49,7 @@
 	arrive(c *call)
 	ended(c *call, e *engine)
 	busy(c *call, e *engine)
-	gone(c *call)
+	callerGone(c *call)
 	report(view *laburnumlever.View)
 	tick()
 }
@@ -75,8 +75,8 @@
 	return last
 }
 
-// play is one load played against one policy on a clock of its own.
-type play struct {
+// simulation is one load played against one policy on a clock of its own.
+type simulation struct {
 	now     time.Time
 	order   int
 	queue   events
@@ -88,25 +88,25 @@
 	retries int
 }
 
-func newPlay(engines int, maxQueue int) *play {
-	p := &play{now: start, rand: rand.New(rand.NewPCG(1, 2)), refused: map[string]int{}}
+func newSimulation(engines int, maxQueue int) *simulation {
+	p := &simulation{now: start, rand: rand.New(rand.NewPCG(1, 2)), refused: map[string]int{}}
 	for i := range engines {
 		p.engines = append(p.engines, &engine{id: i, slots: 4, prefill: 4000, rate: 50, maxQueue: maxQueue})
 	}
 	return p
 }
 
-func (p *play) after(d time.Duration, fn func()) {
+func (p *simulation) after(d time.Duration, fn func()) {
 	p.order++
 	heap.Push(&p.queue, event{at: p.now.Add(d), order: p.order, fn: fn})
 }
 
-func (p *play) every(d time.Duration, fn func()) {
+func (p *simulation) every(d time.Duration, fn func()) {
 	p.after(d, func() { fn(); p.every(d, fn) })
 }
 
 // arrivals come at the rate, which may change with time, until the end.
-func (p *play) arrivals(end time.Duration, rate func(since time.Duration) float64, draw func() *call) {
+func (p *simulation) arrivals(end time.Duration, rate func(since time.Duration) float64, draw func() *call) {
 	since := p.now.Sub(start)
 	if since >= end {
 		return
@@ -117,11 +117,11 @@
 		c.at = p.now
 		c.vm = p.vms[p.rand.IntN(len(p.vms))]
 		p.calls = append(p.calls, c)
-		p.after(patience, func() {
-			if c.first.IsZero() && !c.gone {
-				c.gone = true
-				p.drop(c)
-				c.vm.gone(c)
+		p.after(callerTimeout, func() {
+			if c.first.IsZero() && !c.abandoned {
+				c.abandoned = true
+				p.removeFromQueues(c)
+				c.vm.callerGone(c)
 			}
 		})
 		c.vm.arrive(c)
@@ -129,9 +129,9 @@
 	})
 }
 
-func (p *play) run(length time.Duration) {
-	p.every(reportEvery, p.reports)
-	p.every(tickEvery, func() {
+func (p *simulation) run(length time.Duration) {
+	p.every(reportInterval, p.reports)
+	p.every(tickInterval, func() {
 		for _, vm := range p.vms {
 			vm.tick()
 		}
@@ -146,7 +146,7 @@
 }
 
 // reports reach the VMs late.
-func (p *play) reports() {
+func (p *simulation) reports() {
 	view := &laburnumlever.View{}
 	for _, e := range p.engines {
 		e.nextCount++
@@ -170,14 +170,14 @@
 }
 
 // send gives the call to an engine.
-func (p *play) send(c *call, e *engine) {
+func (p *simulation) send(c *call, e *engine) {
 	c.sends++
 	if c.sends > 1 {
 		p.retries++
 	}
 	switch {
 	case e.running < e.slots:
-		p.work(c, e)
+		p.serve(c, e)
 	case e.maxQueue >= 0 && len(e.waiting) >= e.maxQueue:
 		c.vm.busy(c, e)
 	default:
@@ -185,7 +185,7 @@
 	}
 }
 
-func (p *play) work(c *call, e *engine) {
+func (p *simulation) serve(c *call, e *engine) {
 	e.running++
 	prefill := time.Duration(float64(c.prompt) / e.prefill * float64(time.Second))
 	generate := time.Duration(float64(c.answer) / e.rate * float64(time.Second))
@@ -196,29 +196,29 @@
 		if len(e.waiting) > 0 {
 			next := e.waiting[0]
 			e.waiting = e.waiting[1:]
-			p.work(next, e)
+			p.serve(next, e)
 		}
 		c.vm.ended(c, e)
 	})
 }
 
-// drop takes a call whose caller is gone out of the engines' queues.
-func (p *play) drop(c *call) {
+// removeFromQueues takes a call whose caller is gone out of the engines' queues.
+func (p *simulation) removeFromQueues(c *call) {
 	for _, e := range p.engines {
 		e.waiting = slices.DeleteFunc(e.waiting, func(other *call) bool { return other == c })
 	}
 }
 
-// tally is what the callers of one kind got.
-type tally struct {
-	calls, inside, late, refused int
+// callStats is what the callers of one kind got.
+type callStats struct {
+	calls, onTime, late, refused int
 	longest                      time.Duration // wait for a first token
 }
 
-func (t tally) share() float64 { return float64(t.inside) / float64(max(1, t.calls)) }
+func (t callStats) onTimeShare() float64 { return float64(t.onTime) / float64(max(1, t.calls)) }
 
-func (p *play) tally(of func(c *call) bool) tally {
-	var t tally
+func (p *simulation) stats(of func(c *call) bool) callStats {
+	var t callStats
 	for _, c := range p.calls {
 		if !of(c) {
 			continue
@@ -230,7 +230,7 @@
 			t.refused++
 			continue
 		case wait <= time.Duration(c.class.FirstToken):
-			t.inside++
+			t.onTime++
 		default:
 			t.late++
 		}
