--- a/laburnumdispatch/announcement_test.go
+++ b/laburnumdispatch/announcement_test.go
@@ -11,10 +11,9 @@
 	"laburnumlever/laburnumrouter"
 )
 
-// A caller's request has its backend server, and is about to be sent, when a new
-// announcement of that server comes in. The sender read the router's record without its
-// lock, so it could send to the new address under the old identity, or to half of each:
-// an address that belongs to another service by now.
+// Guards against sending a request to a mix of two announcements: a server announces a new
+// address while a request is about to be sent to it, and the sender reads the router's
+// record without a lock.
 func TestTicketKeepsAnnouncementOfItsServer(t *testing.T) {
 	view := func(address string) *laburnumrouter.Index {
 		return laburnumrouter.NewIndex(&laburnumlever.View{Backends: []laburnumlever.Backend{{
@@ -34,7 +33,7 @@
 		defer close(updated)
 		d.Update(view("10.0.0.2:80"), share, start)
 	}()
-	sentTo := ticket.Backend.Address // without the lock, as the sender does it
+	sentTo := ticket.Backend.Address // read without a lock, like the sender
 	<-updated
 	require.Equal(t, "10.0.0.1:80", sentTo)
 	require.Equal(t, "10.0.0.1:80", ticket.Backend.Address)
--- a/laburnumdispatch/dispatcher.go
+++ b/laburnumdispatch/dispatcher.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// maxWaitFraction of the target may be spent waiting here. The rest is for the prefill
-	// and for a short wait in an engine that other VMs have filled meanwhile.
+	// maxWaitFraction of the first-token target may be spent in the queue. The rest is for
+	// the prefill and a short wait in an engine that other VMs have filled meanwhile.
 	maxWaitFraction = 0.75
-	// defaultFirstTokenTarget holds for a class without a target.
+	// defaultFirstTokenTarget applies to classes without a target.
 	defaultFirstTokenTarget = 10 * time.Second
 )
 
-// Request is what a decision needs to know.
+// Request holds the properties of a request that decisions depend on. Prompt and Answer
+// are estimates in tokens.
 type Request struct {
 	Owner       laburnumlever.OwnerName
 	OwnerLimits laburnumlever.Limits
@@ -50,18 +51,19 @@
 	return q.Received.Add(time.Duration(maxWaitFraction * float64(wait)))
 }
 
-// Ticket is a request's place in the decisions.
+// Ticket is the dispatcher's state for one request.
 type Ticket struct {
 	Request Request
-	// Wake, if set, is called when waiting has ended: it is placed or Refusal is set.
+	// Wake, if set, is called when the request leaves the queue: it is assigned to a server
+	// or Refusal is set.
 	Wake func()
-	// Backend is the server that the request goes to, as it announced itself when it
-	// was chosen. The router's own record changes with every announcement, so one who
-	// sends by it could mix an old address with a new one.
+	// Backend is the announcement of the assigned server at the time of the assignment. It
+	// is a copy because the router's record changes with every announcement: a sender that
+	// reads it could mix an old address with a new one.
 	Backend laburnumlever.Announcement
-	// Refusal when it was given up while waiting.
+	// Refusal is set when the request was refused while queued.
 	Refusal *laburnumlever.RefusalError
-	// Attempts made, the present one included.
+	// Attempts counts the attempts, including the current one.
 	Attempts int
 
 	server     *laburnumrouter.Server
@@ -71,28 +73,28 @@
 	lastServer *laburnumrouter.Server
 }
 
-// Placed tells whether the request has a server, where it is already counted.
+// Assigned reports whether the request is assigned to a server and occupies a slot there.
 func (t *Ticket) Placed() bool { return t.server != nil }
 
-// setServer notes the server that the request goes to.
+// setServer assigns the request to a server.
 func (t *Ticket) setServer(server *laburnumrouter.Server) {
 	t.server = server
 	t.Backend = server.Announcement()
 }
 
-// Waiting tells whether it is neither placed nor refused.
+// Queued reports whether the request is in the queue.
 func (t *Ticket) Waiting() bool { return t.item != nil }
 
-// Dispatcher decides for one VM.
+// Dispatcher admits, queues and routes the requests of one VM.
 type Dispatcher struct {
 	admission  *laburnumadmission.Admission
 	queue      *laburnumqueue.Queue
 	router     *laburnumrouter.Router
 	budget     *laburnumretry.Budget
-	startRates map[string]*startRate // of each entry that something waits for
+	startRates map[string]*startRate // by catalogue entry, for entries with queued requests
 }
 
-// New returns a dispatcher for a VM in the zone; the seed makes runs repeatable.
+// New returns a dispatcher for a VM in the zone. The seed makes runs reproducible.
 func New(zone laburnumlever.ZoneName, seed uint64) *Dispatcher {
 	return &Dispatcher{
 		admission:  laburnumadmission.New(),
@@ -103,18 +105,18 @@
 	}
 }
 
-// Update takes a new index and this VM's share of the limits.
+// Update sets a new index and this VM's share of the limits.
 func (d *Dispatcher) Update(ix *laburnumrouter.Index, share laburnumadmission.Share, now time.Time) {
 	d.router.Update(ix)
 	d.admission.SetShare(share)
 	d.startQueued(now)
 }
 
-// Waiting is how many requests wait.
+// QueueLen returns the number of queued requests.
 func (d *Dispatcher) Waiting() int { return d.queue.Len() }
 
-// Submit lets a request in: afterwards it is placed or it waits. Else the error
-// is a *laburnumlever.RefusalError and there is nothing to finish.
+// Submit admits a request and assigns it to a server or queues it. Otherwise it returns a
+// *laburnumlever.RefusalError, and Finish must not be called.
 func (d *Dispatcher) Submit(t *Ticket, now time.Time) error {
 	q := &t.Request
 	t.query = laburnumrouter.Query{Model: q.Model, Service: q.Service, Prefix: q.Prefix}
@@ -140,7 +142,7 @@
 	return nil
 }
 
-// enqueue puts the request into the queue unless its turn would come too late.
+// enqueue queues the request unless its expected wait exceeds its deadline.
 func (d *Dispatcher) enqueue(t *Ticket, now time.Time) error {
 	q := &t.Request
 	item := &laburnumqueue.Item{
@@ -164,11 +166,11 @@
 	return nil
 }
 
-// expectedWait is how long the item is likely to wait; 0 while nothing tells.
+// expectedWait estimates the item's time in the queue; 0 while the start rate is unknown.
 func (d *Dispatcher) expectedWait(item *laburnumqueue.Item) time.Duration {
 	ahead := d.queue.Ahead(item)
 	if ahead == item.Cost {
-		delete(d.startRates, item.Entry) // nothing waited: the old measure is over
+		delete(d.startRates, item.Entry) // no request was queued for the entry, so the old measurement is invalid
 	}
 	p := d.startRates[item.Entry]
 	if p == nil {
@@ -186,7 +188,7 @@
 	p.record(item.Cost, now)
 }
 
-// Tick gives up what has waited too long and starts what there is room for.
+// Tick refuses queued requests whose deadline has passed and assigns others to free slots.
 func (d *Dispatcher) Tick(now time.Time) {
 	for _, item := range d.queue.Expire(now) {
 		t := item.Tag.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
@@ -204,7 +206,7 @@
 	}
 }
 
-// startQueued sends waiting requests while there is room.
+// startQueued assigns queued requests to servers while there are free slots.
 func (d *Dispatcher) startQueued(now time.Time) {
 	for d.queue.Len() > 0 {
 		full := map[string]bool{}
@@ -223,7 +225,8 @@
 	clear(d.startRates)
 }
 
-// hasFreeSlot asks once for each entry in a search.
+// hasFreeSlot reports whether the item's entry has a free slot. full caches the entries
+// that have none during one search.
 func (d *Dispatcher) hasFreeSlot(i *laburnumqueue.Item, full map[string]bool, now time.Time) bool {
 	if full[i.Entry] {
 		return false
@@ -248,7 +251,7 @@
 	return true
 }
 
-// EndAttempt frees the place on the server and learns from the attempt.
+// EndAttempt frees the slot on the server and records how the attempt went.
 func (d *Dispatcher) EndAttempt(t *Ticket, sample laburnumrouter.Sample, now time.Time) {
 	if t.server == nil {
 		return
@@ -260,8 +263,9 @@
 	d.startQueued(now)
 }
 
-// Retry asks for another attempt after a failure: verdict Again means that it
-// is placed. A stream is resumed on the server that has it, which needs no new place.
+// Retry decides on another attempt after a failure. With the verdict Again the request is
+// assigned to a server. A stream is resumed on its last server even if that has no free
+// slot.
 func (d *Dispatcher) Retry(t *Ticket, s laburnumretry.Situation, now time.Time) (laburnumlever.RetryReason, laburnumretry.Verdict) {
 	s.Attempts = t.Attempts
 	reason, verdict := d.budget.Decide(s)
@@ -280,11 +284,11 @@
 	return reason, verdict
 }
 
-// Finish ends a request that Submit let in; used is its true cost in tokens. One
-// that still waits is taken out: its caller is gone.
+// Finish ends a request that Submit admitted; used is its actual cost in tokens. A request
+// that is still queued, because its caller is gone, is removed from the queue.
 func (d *Dispatcher) Finish(t *Ticket, used int, now time.Time) {
 	if t.Refusal != nil {
-		return // giveUp has released it
+		return // refuseQueued has released it
 	}
 	if t.item != nil {
 		d.queue.Remove(t.item)
--- a/laburnumdispatch/loads_test.go
+++ b/laburnumdispatch/loads_test.go
@@ -19,20 +19,20 @@
 
 const (
 	vms = 3
-	// capacity is what ten engines do of ordinary calls, a second: 40 slots, each
-	// busy for 200/4000 + 100/50 seconds with one.
+	// capacity of ten engines in ordinary calls per second: 40 slots, each busy for
+	// 200/4000 + 100/50 seconds per call.
 	capacity     = 40 / 2.05
 	loadDuration = 2 * time.Minute
 )
 
 func ordinary(key string) *call { return &call{key: key, class: quickClass, prompt: 200, answer: 100} }
 
-// load is one of the five.
+// load is one load pattern.
 type load struct {
 	name  string
 	setup func(p *simulation)
 	kinds []kind
-	// minOnTimeShare is what callers of the first kind must get inside their target.
+	// minOnTimeShare is the required share of calls of the first kind within their target.
 	minOnTimeShare float64
 }
 
@@ -76,7 +76,7 @@
 		p.arrivals(loadDuration, steady(0.7*capacity), func() *call { n++; return ordinary(fmt.Sprint(n % 50)) })
 	}, []kind{{"all", allCalls}}, 0.99},
 	{"one call in ten is long, 1.3 times capacity", func(p *simulation) {
-		// a long one takes 8000/4000 + 400/50 = 10 s of a slot
+		// a long call occupies a slot for 8000/4000 + 400/50 = 10 s
 		p.arrivals(loadDuration, steady(1.3*40/(0.9*2.05+0.1*10)), func() *call {
 			c := ordinary(fmt.Sprint(p.rand.IntN(50)))
 			if p.rand.IntN(10) == 0 {
@@ -120,10 +120,9 @@
 	return p
 }
 
-// Each load is one that takes a plain balancer down: callers see answers late or not
-// at all while engines work on what nobody waits for any more. The first kind of
-// callers must get at least what the load's text says, never less than under any
-// baseline, and retries must stay a tenth of the calls. The table is printed with -v.
+// Guards against overload in which engines work on calls that were abandoned. For each load,
+// the first kind of calls must reach its on-time share and do no worse than any baseline,
+// and retries must stay within a tenth of the calls. -v prints the table.
 func TestLoadPatterns(t *testing.T) {
 	var table strings.Builder
 	table.WriteString("| load | policy | callers | calls | inside target | late | no answer | longest wait | retries | refusals |\n")
@@ -142,7 +141,7 @@
 				require.LessOrEqual(t, p.retries, len(p.calls)/10+vms*5, l.name)
 				continue
 			}
-			require.GreaterOrEqual(t, best, first.onTimeShare(), "%s: %s does better", l.name, c.name)
+			require.GreaterOrEqual(t, best, first.onTimeShare(), "%s: baseline %q has a higher on-time share", l.name, c.name)
 		}
 	}
 	t.Log("\n" + table.String())
--- a/laburnumdispatch/policies_test.go
+++ b/laburnumdispatch/policies_test.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// dispatcherPolicy is what the proxy does, on the manual clock.
+// dispatcherPolicy uses the Dispatcher in the same way as the proxy.
 type dispatcherPolicy struct {
 	p *simulation
 	d *laburnumdispatch.Dispatcher
@@ -46,7 +46,7 @@
 
 func (v *dispatcherPolicy) send(c *call, t *laburnumdispatch.Ticket) {
 	i, _ := strconv.Atoi(string(t.Backend.Backend))
-	// sent after this event: Wake runs within the dispatcher
+	// deferred until after this event, because Wake runs within the dispatcher
 	v.p.after(0, func() { v.p.send(c, v.p.engines[i]) })
 }
 
@@ -81,12 +81,12 @@
 
 func (v *dispatcherPolicy) tick() { v.d.Tick(v.p.now) }
 
-// baseline sends at once, as plain balancers do.
+// baseline sends each call at once, like a plain load balancer.
 type baseline struct {
 	p        *simulation
 	next     int
-	least    bool // least in flight by its own count, else round robin
-	retries  bool // tries again without limit when an engine is full
+	least    bool // least in flight by its own count, otherwise round robin
+	retries  bool // retries without limit when an engine is full
 	inFlight map[*engine]int
 	assigned map[*call]*engine
 }
@@ -130,7 +130,7 @@
 func (v *baseline) report(*laburnumlever.View) {}
 func (v *baseline) tick()                      {}
 
-// namedPolicy is a policy in the table.
+// namedPolicy is a policy and its engines' queue size.
 type namedPolicy struct {
 	name     string
 	maxQueue int
--- a/laburnumdispatch/simulation_test.go
+++ b/laburnumdispatch/simulation_test.go
@@ -14,13 +14,13 @@
 	reportInterval  = 500 * time.Millisecond
 	reportLag       = 300 * time.Millisecond
 	tickInterval    = 100 * time.Millisecond
-	callerTimeout   = 30 * time.Second // a caller without a first token then goes away
-	engineQueueSize = 4                // of the engines that refuse when full
+	callerTimeout   = 30 * time.Second // a caller without a first token disconnects then
+	engineQueueSize = 4                // of engines with a bounded queue
 )
 
 var start = time.Unix(1_000_000, 0)
 
-// call is one request of a caller in a played load.
+// call is one request in a simulated load.
 type call struct {
 	key                 string
 	class               laburnumlever.Class
@@ -32,19 +32,19 @@
 	ticket              any
 }
 
-// engine is the fake: batch slots, a prefill rate, a token rate for each slot.
+// engine simulates an engine with batch slots, a prefill rate and a token rate per slot.
 type engine struct {
 	id        int
 	slots     int
 	prefill   float64
 	rate      float64
-	maxQueue  int // -1 for none
+	maxQueue  int // -1 for unbounded
 	running   int
 	waiting   []*call
 	nextCount uint64
 }
 
-// policy is what a VM does with requests.
+// policy is the routing policy of a VM.
 type policy interface {
 	arrive(c *call)
 	ended(c *call, e *engine)
@@ -75,7 +75,7 @@
 	return last
 }
 
-// simulation is one load played against one policy on a clock of its own.
+// simulation runs one load against one policy on a simulated clock.
 type simulation struct {
 	now     time.Time
 	order   int
@@ -105,7 +105,7 @@
 	p.after(d, func() { fn(); p.every(d, fn) })
 }
 
-// arrivals come at the rate, which may change with time, until the end.
+// arrivals generates Poisson arrivals at a rate that depends on time, until end.
 func (p *simulation) arrivals(end time.Duration, rate func(since time.Duration) float64, draw func() *call) {
 	since := p.now.Sub(start)
 	if since >= end {
@@ -145,7 +145,7 @@
 	}
 }
 
-// reports reach the VMs late.
+// reports sends the engines' load reports to the VMs, with reportLag except at the start.
 func (p *simulation) reports() {
 	view := &laburnumlever.View{}
 	for _, e := range p.engines {
@@ -169,7 +169,7 @@
 	})
 }
 
-// send gives the call to an engine.
+// send sends the call to an engine.
 func (p *simulation) send(c *call, e *engine) {
 	c.sends++
 	if c.sends > 1 {
@@ -202,14 +202,14 @@
 	})
 }
 
-// removeFromQueues takes a call whose caller is gone out of the engines' queues.
+// removeFromQueues removes an abandoned call from the engines' queues.
 func (p *simulation) removeFromQueues(c *call) {
 	for _, e := range p.engines {
 		e.waiting = slices.DeleteFunc(e.waiting, func(other *call) bool { return other == c })
 	}
 }
 
-// callStats is what the callers of one kind got.
+// callStats summarises the calls of one kind.
 type callStats struct {
 	calls, onTime, late, refused int
 	longest                      time.Duration // wait for a first token
--- a/laburnumdispatch/startrate.go
+++ b/laburnumdispatch/startrate.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// startRateWindow is the time over which starts are averaged: long against a single
-	// answer, short against a burst.
+	// startRateWindow is the time over which starts are averaged: longer than a single
+	// answer, shorter than a burst.
 	startRateWindow = 2 * time.Second
-	// minMeasuredTime of measured time before the rate is believed.
+	// minMeasuredTime is the time measured before the rate is used.
 	minMeasuredTime = 300 * time.Millisecond
 )
 
-// startRate is the rate, in tokens a second, at which waiting work has been started. It
-// is measured only while something waits: at other times the rate is the callers'.
+// startRate measures the rate, in tokens per second, at which queued work is started. It is
+// measured only while requests are queued: otherwise the arrival rate limits it.
 type startRate struct {
 	since time.Time
 	last  time.Time
@@ -24,14 +24,15 @@
 	}
 	p.last = now
 	if span := now.Sub(p.since); span > startRateWindow {
-		// keep half: a running mean over one to two spans
+		// keep half a window, which gives a moving average
 		p.since = now.Add(-startRateWindow / 2)
 		p.cost *= float64(startRateWindow/2) / float64(span)
 	}
 	p.cost += float64(cost)
 }
 
-// expectedWait is how long starting that many tokens is likely to take; 0 while unknown.
+// expectedWait estimates the time to start work of the given cost in tokens; 0 while the
+// rate is unknown.
 func (p *startRate) expectedWait(cost int) time.Duration {
 	span := p.last.Sub(p.since)
 	if span < minMeasuredTime || p.cost == 0 {
