--- a/laburnumrouter/index.go
+++ b/laburnumrouter/index.go
@@ -37,10 +37,10 @@
 		if !l.Ready {
 			continue
 		}
-		places := ix.models[l.Model]
-		if len(places) > 0 && places[len(places)-1] == i {
+		indexes := ix.models[l.Model]
+		if len(indexes) > 0 && indexes[len(indexes)-1] == i {
 			continue // a second copy on the same engine
 		}
-		ix.models[l.Model] = append(places, i)
+		ix.models[l.Model] = append(indexes, i)
 	}
 }
--- a/laburnumrouter/prefixes.go
+++ b/laburnumrouter/prefixes.go
@@ -40,13 +40,13 @@
 	return slot.server
 }
 
-func (p *prefixes) sent(hash uint64, s *Server) {
+func (p *prefixes) recordSent(hash uint64, s *Server) {
 	p.slots[hash%prefixSlots] = prefixSlot{hash: hash, server: s}
 }
 
-// reported takes a server's cache events in. Events are late and incomplete, so they
+// addReported takes a server's cache events in. Events are late and incomplete, so they
 // only fill what this VM doesn't know from its own sending.
-func (p *prefixes) reported(s *Server, hashes []uint64) {
+func (p *prefixes) addReported(s *Server, hashes []uint64) {
 	for _, hash := range hashes[:min(len(hashes), reportedPrefixes)] {
 		slot := &p.slots[hash%prefixSlots]
 		if slot.hash != hash {
--- a/laburnumrouter/router.go
+++ b/laburnumrouter/router.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// spillFactor is how much worse the own zone must be for another to be used.
-	spillFactor = 3
+	// otherZoneFactor is how much worse the own zone must be for another to be used.
+	otherZoneFactor = 3
 	// affinityFactor is how much worse a server with the prefix may be.
 	affinityFactor = 2
-	// roomScan bounds the search for a free server after two full ones.
-	roomScan = 32
+	// maxSlotScan bounds the search for a free server after two full ones.
+	maxSlotScan = 32
 )
 
 // Query is what a routing decision is made for: a model or a plain service.
@@ -30,9 +30,9 @@
 
 // group is the servers of one model or service, the own zone's first.
 type group struct {
-	servers []*Server
-	local   int     // how many are of the own zone
-	usual   float64 // middle pace, seconds a token; 0 when none is known
+	servers         []*Server
+	local           int     // how many are of the own zone
+	medianTokenTime float64 // middle pace, seconds a token; 0 when none is known
 }
 
 // Router holds what this VM knows of each backend server beyond its reports.
@@ -58,7 +58,7 @@
 // Update takes a new index. What is known of servers that are still there stays.
 func (r *Router) Update(ix *Index) {
 	servers := make(map[laburnumlever.BackendID]*Server, len(ix.backends))
-	places := make([]*Server, len(ix.backends))
+	serversByIndex := make([]*Server, len(ix.backends))
 	for i := range ix.backends {
 		b := &ix.backends[i]
 		s := r.servers[b.Announcement.Backend]
@@ -66,46 +66,46 @@
 			s = &Server{}
 		}
 		if s.update(b, r.zone) {
-			r.prefixes.reported(s, b.Report.Prefixes)
+			r.prefixes.addReported(s, b.Report.Prefixes)
 		}
 		servers[b.Announcement.Backend] = s
-		places[i] = s
+		serversByIndex[i] = s
 	}
 	r.servers = servers
 	r.generation++
 	r.models = make(map[laburnumlever.ModelName]*group, len(ix.models))
-	for name, at := range ix.models {
-		r.models[name] = r.newGroup(places, at)
+	for name, indexes := range ix.models {
+		r.models[name] = r.newGroup(serversByIndex, indexes)
 	}
 	r.services = make(map[laburnumlever.ServiceName]*group, len(ix.services))
-	for name, at := range ix.services {
-		r.services[name] = r.newGroup(places, at)
+	for name, indexes := range ix.services {
+		r.services[name] = r.newGroup(serversByIndex, indexes)
 	}
 }
 
-func (r *Router) newGroup(places []*Server, at []int) *group {
-	g := &group{servers: make([]*Server, 0, len(at))}
-	for _, i := range at {
-		places[i].generation = r.generation
-		if places[i].local {
-			g.servers = append(g.servers, places[i])
+func (r *Router) newGroup(serversByIndex []*Server, indexes []int) *group {
+	g := &group{servers: make([]*Server, 0, len(indexes))}
+	for _, i := range indexes {
+		serversByIndex[i].generation = r.generation
+		if serversByIndex[i].local {
+			g.servers = append(g.servers, serversByIndex[i])
 		}
 	}
 	g.local = len(g.servers)
-	for _, i := range at {
-		if !places[i].local {
-			g.servers = append(g.servers, places[i])
+	for _, i := range indexes {
+		if !serversByIndex[i].local {
+			g.servers = append(g.servers, serversByIndex[i])
 		}
 	}
-	g.usual = usualPace(g.servers)
+	g.medianTokenTime = medianTokenTimeOf(g.servers)
 	return g
 }
 
-func usualPace(servers []*Server) float64 {
+func medianTokenTimeOf(servers []*Server) float64 {
 	known := make([]float64, 0, len(servers))
 	for _, s := range servers {
-		if s.pace > 0 {
-			known = append(known, s.pace)
+		if s.tokenTime > 0 {
+			known = append(known, s.tokenTime)
 		}
 	}
 	if len(known) == 0 {
@@ -118,7 +118,7 @@
 // HasRoom tells whether a server of the query's group has a free place.
 func (r *Router) HasRoom(q Query, now time.Time) bool {
 	g := r.group(q)
-	return g != nil && r.roomy(g, q, now) != nil
+	return g != nil && r.findFreeSlot(g, q, now) != nil
 }
 
 // Known tells whether any server takes work for the query.
@@ -132,16 +132,16 @@
 		return nil, false
 	}
 	best := r.choose(g, q, now)
-	if !best.hasRoom(now) {
-		if s := r.roomy(g, q, now); s != nil {
+	if !best.hasFreeSlot(now) {
+		if s := r.findFreeSlot(g, q, now); s != nil {
 			best = s
 		}
 	}
-	if s := r.withPrefix(g, q, best, now); s != nil {
+	if s := r.prefixServer(g, q, best, now); s != nil {
 		best = s
 	}
 	if q.Prefix != 0 {
-		r.prefixes.sent(q.Prefix, best)
+		r.prefixes.recordSent(q.Prefix, best)
 	}
 	return best, true
 }
@@ -149,25 +149,25 @@
 // choose draws two of the own zone, and one of another as long as that may help.
 func (r *Router) choose(g *group, q Query, now time.Time) *Server {
 	if g.local == 0 {
-		return r.two(g, 0, len(g.servers), q, now)
+		return r.pickOfTwo(g, 0, len(g.servers), q, now)
 	}
-	best := r.two(g, 0, g.local, q, now)
-	if g.local == len(g.servers) || best.wantsProbe(now, g.usual) {
+	best := r.pickOfTwo(g, 0, g.local, q, now)
+	if g.local == len(g.servers) || best.wantsProbe(now, g.medianTokenTime) {
 		return best // a probe must not go to another zone's server instead
 	}
-	far := r.two(g, g.local, len(g.servers), q, now)
-	if best.ID() == q.Avoid || farIsBetter(best, far, g.usual, now) {
-		return far
+	other := r.pickOfTwo(g, g.local, len(g.servers), q, now)
+	if best.ID() == q.Avoid || otherZoneIsBetter(best, other, g.medianTokenTime, now) {
+		return other
 	}
 	return best
 }
 
-func farIsBetter(near, far *Server, usual float64, now time.Time) bool {
-	one := far.score(now, usual) / (far.load(now) + 1) // what one more request costs there
-	return near.score(now, usual) > spillFactor*far.score(now, usual)+one
+func otherZoneIsBetter(own, other *Server, medianTokenTime float64, now time.Time) bool {
+	one := other.score(now, medianTokenTime) / (other.load(now) + 1) // what one more request costs there
+	return own.score(now, medianTokenTime) > otherZoneFactor*other.score(now, medianTokenTime)+one
 }
 
-func (r *Router) two(g *group, from, to int, q Query, now time.Time) *Server {
+func (r *Router) pickOfTwo(g *group, from, to int, q Query, now time.Time) *Server {
 	n := to - from
 	at := r.rand.IntN(n)
 	first := g.servers[from+at]
@@ -178,34 +178,34 @@
 	switch {
 	case first.ID() == q.Avoid:
 		return second
-	case second.ID() == q.Avoid, first.wantsProbe(now, g.usual):
+	case second.ID() == q.Avoid, first.wantsProbe(now, g.medianTokenTime):
 		return first
-	case second.wantsProbe(now, g.usual), second.score(now, g.usual) < first.score(now, g.usual):
+	case second.wantsProbe(now, g.medianTokenTime), second.score(now, g.medianTokenTime) < first.score(now, g.medianTokenTime):
 		return second
 	default:
 		return first
 	}
 }
 
-// roomy finds a server with a free place from a drawn start on.
-func (r *Router) roomy(g *group, q Query, now time.Time) *Server {
+// findFreeSlot finds a server with a free place from a drawn start on.
+func (r *Router) findFreeSlot(g *group, q Query, now time.Time) *Server {
 	start := r.rand.IntN(len(g.servers))
-	for i := range min(roomScan, len(g.servers)) {
+	for i := range min(maxSlotScan, len(g.servers)) {
 		s := g.servers[(start+i)%len(g.servers)]
-		if s.hasRoom(now) && s.ID() != q.Avoid && s.failing(now) < 1.0/2 {
+		if s.hasFreeSlot(now) && s.ID() != q.Avoid && s.failureShare(now) < 1.0/2 {
 			return s
 		}
 	}
 	return nil
 }
 
-// withPrefix is the server that has the prompt's beginning, if that is worth it.
-func (r *Router) withPrefix(g *group, q Query, best *Server, now time.Time) *Server {
+// prefixServer is the server that has the prompt's beginning, if that is worth it.
+func (r *Router) prefixServer(g *group, q Query, best *Server, now time.Time) *Server {
 	s := r.prefixes.find(q.Prefix)
-	if s == nil || s.ID() == q.Avoid || s.generation != r.generation || !s.serves(q.Model) || !s.hasRoom(now) {
+	if s == nil || s.ID() == q.Avoid || s.generation != r.generation || !s.serves(q.Model) || !s.hasFreeSlot(now) {
 		return nil
 	}
-	if s.score(now, g.usual) > affinityFactor*best.score(now, g.usual) {
+	if s.score(now, g.medianTokenTime) > affinityFactor*best.score(now, g.medianTokenTime) {
 		return nil
 	}
 	return s
--- a/laburnumrouter/router_test.go
+++ b/laburnumrouter/router_test.go
@@ -37,8 +37,8 @@
 	return r
 }
 
-// shares sends 1000 requests, six at a time.
-func shares(r *laburnumrouter.Router, now time.Time, took func(id laburnumlever.BackendID) laburnumrouter.Sample) map[laburnumlever.BackendID]int {
+// sendRequests sends 1000 requests, six at a time.
+func sendRequests(r *laburnumrouter.Router, now time.Time, took func(id laburnumlever.BackendID) laburnumrouter.Sample) map[laburnumlever.BackendID]int {
 	got := map[laburnumlever.BackendID]int{}
 	const atOnce = 6
 	var open []*laburnumrouter.Server
@@ -60,66 +60,66 @@
 	return got
 }
 
-func quick(laburnumlever.BackendID) laburnumrouter.Sample {
+func normalSample(laburnumlever.BackendID) laburnumrouter.Sample {
 	return laburnumrouter.Sample{Took: time.Second, Prompt: 8, Answer: 100}
 }
 
-func TestLeavingGetsNothing(t *testing.T) {
+func TestLeavingAndDownServersGetNoRequests(t *testing.T) {
 	view := fleet(3, 1, 1)
 	view.Backends[0].Leaving = true
 	view.Backends[1].Down = true
-	require.Equal(t, map[laburnumlever.BackendID]int{"2": 1000}, shares(newRouter(view), start, quick))
+	require.Equal(t, map[laburnumlever.BackendID]int{"2": 1000}, sendRequests(newRouter(view), start, normalSample))
 }
 
 // An engine fails fast. By its in-flight count it looks the least busy, and callers
 // see most of their requests fail. It is passed over, probed, and comes back.
-func TestFailingServerIsPassedOverAndComesBack(t *testing.T) {
+func TestFailingServerIsAvoidedAndRecovers(t *testing.T) {
 	view := fleet(9, 1, 1)
 	r := newRouter(view)
 	bad := func(id laburnumlever.BackendID) laburnumrouter.Sample {
 		return laburnumrouter.Sample{Took: time.Second, Prompt: 8, Answer: 100, Failed: id == "0"}
 	}
-	shares(r, start, bad)
-	require.Less(t, shares(r, start, bad)["0"], 20)
+	sendRequests(r, start, bad)
+	require.Less(t, sendRequests(r, start, bad)["0"], 20)
 	now := start
 	for range 10 {
 		now = now.Add(3 * time.Second)
 		r.Update(laburnumrouter.NewIndex(view))
-		shares(r, now, quick)
+		sendRequests(r, now, normalSample)
 	}
-	require.Greater(t, shares(r, now, quick)["0"], 100)
+	require.Greater(t, sendRequests(r, now, normalSample)["0"], 100)
 }
 
-func TestSlowServerLosesItsShareAndComesBack(t *testing.T) {
+func TestSlowServerIsAvoidedAndRecovers(t *testing.T) {
 	r := newRouter(fleet(9, 1, 1))
 	slow := func(id laburnumlever.BackendID) laburnumrouter.Sample {
-		s := quick(id)
+		s := normalSample(id)
 		if id == "0" {
 			s.Took *= 10
 		}
 		return s
 	}
-	shares(r, start, slow)
-	require.Less(t, shares(r, start, slow)["0"], 20)
-	require.Greater(t, shares(r, start, slow)["3"], 400) // the other two of the zone share the rest
+	sendRequests(r, start, slow)
+	require.Less(t, sendRequests(r, start, slow)["0"], 20)
+	require.Greater(t, sendRequests(r, start, slow)["3"], 400) // the other two of the zone share the rest
 	now := start
 	for range 20 {
 		now = now.Add(3 * time.Second)
 		r.Update(laburnumrouter.NewIndex(fleet(9, 1, 1)))
-		shares(r, now, quick)
+		sendRequests(r, now, normalSample)
 	}
-	require.Greater(t, shares(r, now, quick)["0"], 100)
+	require.Greater(t, sendRequests(r, now, normalSample)["0"], 100)
 }
 
-func TestOwnZoneFirstAndOthersWhenItHelps(t *testing.T) {
+func TestOwnZoneIsPreferredUntilOverloaded(t *testing.T) {
 	view := fleet(6, 1, 1) // "0" and "3" are in z0
-	got := shares(newRouter(view), start, quick)
+	got := sendRequests(newRouter(view), start, normalSample)
 	require.Equal(t, 1000, got["0"]+got["3"])
 	view.Backends[0].Report.InFlight = 8
 	view.Backends[3].Report.InFlight = 8
-	got = shares(newRouter(view), start, quick)
+	got = sendRequests(newRouter(view), start, normalSample)
 	require.Zero(t, got["0"]+got["3"])
-	got = shares(newRouter(view), start.Add(20*time.Second), quick) // the report is too old to count
+	got = sendRequests(newRouter(view), start.Add(20*time.Second), normalSample) // the report is too old to count
 	require.Equal(t, 1000, got["0"]+got["3"])
 }
 
--- a/laburnumrouter/server.go
+++ b/laburnumrouter/server.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// freshReport is how long a report counts in full.
-	freshReport = time.Second
-	// staleReport is when it no longer counts.
-	staleReport = 10 * time.Second
-	// sampleWeight of the newest answer in the running mean of the pace.
-	sampleWeight = 0.2
+	// fullWeightAge is how long a report counts in full.
+	fullWeightAge = time.Second
+	// zeroWeightAge is when it no longer counts.
+	zeroWeightAge = 10 * time.Second
+	// tokenTimeWeight of the newest answer in the running mean of the pace.
+	tokenTimeWeight = 0.2
 	// failureWeight of the newest attempt in the share of failures.
 	failureWeight = 0.3
-	// failureCost multiplies the score of a server that fails always.
-	failureCost     = 50
+	// failurePenalty multiplies the score of a server that fails always.
+	failurePenalty  = 50
 	failureHalfLife = 5 * time.Second
-	// probeEvery is how long a server is passed over before it is probed.
-	probeEvery = 2 * time.Second
-	// unknownPace, 50 tokens a second, stands for a server of which nothing is known.
+	// probeInterval is how long a server is passed over before it is probed.
+	probeInterval = 2 * time.Second
+	// defaultTokenTime, 50 tokens a second, stands for a server of which nothing is known.
 	// It is an ordinary one's: a worse figure would keep the server from ever being
 	// tried beside one that has been measured.
-	unknownPace = 0.02
-	// promptDiscount: a prompt's token takes about an eighth of an answer's.
-	promptDiscount = 8
+	defaultTokenTime = 0.02
+	// promptTokensPerAnswerToken: a prompt's token takes about an eighth of an answer's.
+	promptTokensPerAnswerToken = 8
 )
 
 // Sample is how an attempt went.
@@ -47,18 +47,18 @@
 
 // Server is a backend server as this VM's router knows it.
 type Server struct {
-	announcement laburnumlever.Announcement
-	models       []laburnumlever.ModelName
-	generation   uint64
-	local        bool
-	inFlight     int
-	sequence     uint64
-	others       float64 // in flight beyond this VM's own, by the last report
-	reportedAt   time.Time
-	pace         float64 // seconds a token; 0 before the first answer
-	failures     float64 // share of failed attempts
-	failedAt     time.Time
-	lastPick     time.Time
+	announcement   laburnumlever.Announcement
+	models         []laburnumlever.ModelName
+	generation     uint64
+	local          bool
+	inFlight       int
+	sequence       uint64
+	othersInFlight float64 // in flight beyond this VM's own, by the last report
+	reportedAt     time.Time
+	tokenTime      float64 // seconds a token; 0 before the first answer
+	failures       float64 // share of failed attempts
+	failedAt       time.Time
+	lastPick       time.Time
 }
 
 // ID is the backend server's name.
@@ -83,11 +83,11 @@
 		return
 	}
 	if sample.Busy {
-		s.others = max(s.others, s.slots()-float64(s.inFlight))
+		s.othersInFlight = max(s.othersInFlight, s.slots()-float64(s.inFlight))
 		s.reportedAt = now
 		return
 	}
-	s.failures = s.failing(now)
+	s.failures = s.failureShare(now)
 	s.failedAt = now
 	if sample.Failed {
 		// No pace is learnt: a server that fails fast must not look quick.
@@ -95,13 +95,13 @@
 		return
 	}
 	s.failures -= failureWeight * s.failures
-	tokens := float64(sample.Prompt)/promptDiscount + float64(sample.Answer)
-	pace := sample.Took.Seconds() / max(1, tokens)
-	if s.pace == 0 {
-		s.pace = pace
+	tokens := float64(sample.Prompt)/promptTokensPerAnswerToken + float64(sample.Answer)
+	tokenTime := sample.Took.Seconds() / max(1, tokens)
+	if s.tokenTime == 0 {
+		s.tokenTime = tokenTime
 		return
 	}
-	s.pace += sampleWeight * (pace - s.pace)
+	s.tokenTime += tokenTimeWeight * (tokenTime - s.tokenTime)
 }
 
 func (s *Server) update(b *laburnumlever.Backend, zone laburnumlever.ZoneName) (news bool) {
@@ -117,7 +117,7 @@
 		return false
 	}
 	s.sequence = b.Report.Sequence
-	s.others = max(0, float64(b.Report.InFlight+b.Report.Queued-s.inFlight))
+	s.othersInFlight = max(0, float64(b.Report.InFlight+b.Report.Queued-s.inFlight))
 	s.reportedAt = b.ReportedAt
 	return true
 }
@@ -127,14 +127,14 @@
 // load is the number of requests on the server as far as this VM can tell.
 func (s *Server) load(now time.Time) float64 {
 	age := now.Sub(s.reportedAt)
-	fade := 1 - float64(age-freshReport)/float64(staleReport-freshReport)
+	fade := 1 - float64(age-fullWeightAge)/float64(zeroWeightAge-fullWeightAge)
 
-	return float64(s.inFlight) + s.others*min(1, max(0, fade))
+	return float64(s.inFlight) + s.othersInFlight*min(1, max(0, fade))
 }
 
-func (s *Server) hasRoom(now time.Time) bool { return s.load(now) < s.slots() }
+func (s *Server) hasFreeSlot(now time.Time) bool { return s.load(now) < s.slots() }
 
-func (s *Server) failing(now time.Time) float64 {
+func (s *Server) failureShare(now time.Time) float64 {
 	if s.failures == 0 {
 		return 0
 	}
@@ -142,30 +142,30 @@
 }
 
 // score is the lower the better: how long one more request is likely to take.
-func (s *Server) score(now time.Time, usual float64) float64 {
-	pace := s.pace
-	if pace == 0 {
-		pace = s.announcedPace(usual)
+func (s *Server) score(now time.Time, medianTokenTime float64) float64 {
+	tokenTime := s.tokenTime
+	if tokenTime == 0 {
+		tokenTime = s.initialTokenTime(medianTokenTime)
 	}
-	return (s.load(now) + 1) / s.slots() * pace * (1 + failureCost*s.failing(now))
+	return (s.load(now) + 1) / s.slots() * tokenTime * (1 + failurePenalty*s.failureShare(now))
 }
 
-// announcedPace stands in until the first answer has been measured.
-func (s *Server) announcedPace(usual float64) float64 {
-	if usual > 0 {
-		return usual
+// initialTokenTime stands in until the first answer has been measured.
+func (s *Server) initialTokenTime(medianTokenTime float64) float64 {
+	if medianTokenTime > 0 {
+		return medianTokenTime
 	}
 	if s.announcement.TokensPerSecond > 0 {
 		return s.slots() / s.announcement.TokensPerSecond
 	}
-	return unknownPace
+	return defaultTokenTime
 }
 
 // wantsProbe tells whether the server was passed over long enough for what is known
 // of it to be old.
-func (s *Server) wantsProbe(now time.Time, usual float64) bool {
-	doubtful := s.failures > 0 || (usual > 0 && s.pace > 2*usual)
-	return doubtful && s.inFlight == 0 && now.Sub(s.lastPick) >= probeEvery
+func (s *Server) wantsProbe(now time.Time, medianTokenTime float64) bool {
+	doubtful := s.failures > 0 || (medianTokenTime > 0 && s.tokenTime > 2*medianTokenTime)
+	return doubtful && s.inFlight == 0 && now.Sub(s.lastPick) >= probeInterval
 }
 
 func (s *Server) serves(model laburnumlever.ModelName) bool {
