--- a/laburnumrouter/index.go
+++ b/laburnumrouter/index.go
@@ -2,16 +2,16 @@
 
 import "laburnumlever"
 
-// Index lists the backend servers that take work, by what they serve. It is
-// built once for a view, away from any lock, and never changed: a decision then
-// costs the same with three engines as with two thousand.
+// Index lists the backend servers that accept requests, by model and service. It is built
+// once per view, outside any lock, and is immutable, so that the cost of a decision does
+// not depend on the number of engines.
 type Index struct {
 	backends []laburnumlever.Backend
 	models   map[laburnumlever.ModelName][]int
 	services map[laburnumlever.ServiceName][]int
 }
 
-// NewIndex builds the index of a view.
+// NewIndex returns the index of a view.
 func NewIndex(view *laburnumlever.View) *Index {
 	ix := &Index{
 		backends: view.Backends,
--- a/laburnumrouter/prefixes.go
+++ b/laburnumrouter/prefixes.go
@@ -3,18 +3,18 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// prefixSlots bounds the memory of prefixes; two that fall into one slot
-	// replace each other, which costs a cache hit and no more.
+	// prefixSlots bounds the memory for prefixes. A collision replaces the older prefix,
+	// which costs only a cache hit.
 	prefixSlots = 1 << 14
-	// PrefixBytes of a prompt are hashed: a system prompt's length, and less than
-	// any prompt that is worth caching.
+	// PrefixBytes is how many bytes of a prompt are hashed: about the length of a system
+	// prompt, and less than any prompt worth caching.
 	PrefixBytes = 512
-	// reportedPrefixes of each report are taken in, the most recent ones.
+	// reportedPrefixes is how many prefixes of each report are used, most recent first.
 	reportedPrefixes = 32
 )
 
-// PrefixHash is the hash of a prompt's beginning, which engines report as cached. It
-// is 0 for a prompt too short to be worth keeping together.
+// PrefixHash returns the hash of a prompt's first PrefixBytes, by which engines report
+// cached prefixes. It is 0 for shorter prompts, for which affinity is not worthwhile.
 func PrefixHash(prompt string) uint64 {
 	if len(prompt) < PrefixBytes {
 		return 0
@@ -22,7 +22,7 @@
 	return xxhash.Sum64String(prompt[:PrefixBytes])
 }
 
-// prefixes remembers which server was last given a prefix, or reported it.
+// prefixes maps each prefix hash to the server that last got or reported the prefix.
 type prefixes struct{ slots []prefixSlot }
 
 type prefixSlot struct {
@@ -44,8 +44,8 @@
 	p.slots[hash%prefixSlots] = prefixSlot{hash: hash, server: s}
 }
 
-// addReported takes a server's cache events in. Events are late and incomplete, so they
-// only fill what this VM doesn't know from its own sending.
+// addReported adds a server's reported prefixes. Reports are late and incomplete, so they
+// do not replace a known server of the same prefix.
 func (p *prefixes) addReported(s *Server, hashes []uint64) {
 	for _, hash := range hashes[:min(len(hashes), reportedPrefixes)] {
 		slot := &p.slots[hash%prefixSlots]
--- a/laburnumrouter/router.go
+++ b/laburnumrouter/router.go
@@ -9,33 +9,35 @@
 )
 
 const (
-	// otherZoneFactor is how much worse the own zone must be for another to be used.
+	// otherZoneFactor is how much worse the own zone's score must be for another zone to be
+	// used.
 	otherZoneFactor = 3
-	// affinityFactor is how much worse a server with the prefix may be.
+	// affinityFactor is how much worse the score of a server with the prefix may be.
 	affinityFactor = 2
-	// maxSlotScan bounds the search for a free server after two full ones.
+	// maxSlotScan bounds the search for a free slot when the chosen server is full.
 	maxSlotScan = 32
 )
 
-// Query is what a routing decision is made for: a model or a plain service.
+// Query is the input of a routing decision, for either a model or a plain service.
 type Query struct {
 	Model   laburnumlever.ModelName
 	Service laburnumlever.ServiceName
-	// Prefix is the hash of the prompt's beginning; 0 for none.
+	// Prefix is the prompt's PrefixHash; 0 for none.
 	Prefix uint64
-	// Avoid is a backend server that an earlier attempt has used; another is
-	// taken where there is one.
+	// Avoid is the backend server of the previous attempt. Another one is preferred if there
+	// is one.
 	Avoid laburnumlever.BackendID
 }
 
-// group is the servers of one model or service, the own zone's first.
+// group is the servers of one model or service, those in the own zone first.
 type group struct {
 	servers         []*Server
-	local           int     // how many are of the own zone
-	medianTokenTime float64 // middle pace, seconds a token; 0 when none is known
+	local           int     // number of servers in the own zone
+	medianTokenTime float64 // lower median in seconds per token; 0 when none is known
 }
 
-// Router holds what this VM knows of each backend server beyond its reports.
+// Router selects backend servers for the requests of one VM. It measures each server's
+// load, token time and failures.
 type Router struct {
 	zone     laburnumlever.ZoneName
 	rand     *rand.Rand
@@ -43,11 +45,11 @@
 	models   map[laburnumlever.ModelName]*group
 	services map[laburnumlever.ServiceName]*group
 	prefixes *prefixes
-	// generation of the index; a server of an older one has left.
+	// generation counts index updates. A server with an older one serves nothing now.
 	generation uint64
 }
 
-// New returns a router for a VM in the zone. The seed makes runs repeatable.
+// New returns a router for a VM in the zone. The seed makes runs reproducible.
 func New(zone laburnumlever.ZoneName, seed uint64) *Router {
 	return &Router{
 		zone: zone, rand: rand.New(rand.NewPCG(seed, seed)),
@@ -55,7 +57,7 @@
 	}
 }
 
-// Update takes a new index. What is known of servers that are still there stays.
+// Update sets a new index. Measurements of servers of the same incarnation are kept.
 func (r *Router) Update(ix *Index) {
 	servers := make(map[laburnumlever.BackendID]*Server, len(ix.backends))
 	serversByIndex := make([]*Server, len(ix.backends))
@@ -115,17 +117,17 @@
 	return known[(len(known)-1)/2]
 }
 
-// HasRoom tells whether a server of the query's group has a free place.
+// HasFreeSlot reports whether a server for the query has a free slot.
 func (r *Router) HasRoom(q Query, now time.Time) bool {
 	g := r.group(q)
 	return g != nil && r.findFreeSlot(g, q, now) != nil
 }
 
-// Known tells whether any server takes work for the query.
+// HasServer reports whether any server accepts requests for the query.
 func (r *Router) Known(q Query) bool { return r.group(q) != nil }
 
-// Pick chooses a server, if need be one without a free place; false when none takes
-// work for the query.
+// Pick selects a server, preferably one with a free slot. It returns false when no server
+// accepts requests for the query.
 func (r *Router) Pick(q Query, now time.Time) (*Server, bool) {
 	g := r.group(q)
 	if g == nil {
@@ -146,14 +148,14 @@
 	return best, true
 }
 
-// choose draws two of the own zone, and one of another as long as that may help.
+// choose picks a server from the own zone, or from another zone when that is better.
 func (r *Router) choose(g *group, q Query, now time.Time) *Server {
 	if g.local == 0 {
 		return r.pickOfTwo(g, 0, len(g.servers), q, now)
 	}
 	best := r.pickOfTwo(g, 0, g.local, q, now)
 	if g.local == len(g.servers) || best.wantsProbe(now, g.medianTokenTime) {
-		return best // a probe must not go to another zone's server instead
+		return best // another zone's server must not replace a probe
 	}
 	other := r.pickOfTwo(g, g.local, len(g.servers), q, now)
 	if best.ID() == q.Avoid || otherZoneIsBetter(best, other, g.medianTokenTime, now) {
@@ -163,7 +165,7 @@
 }
 
 func otherZoneIsBetter(own, other *Server, medianTokenTime float64, now time.Time) bool {
-	one := other.score(now, medianTokenTime) / (other.load(now) + 1) // what one more request costs there
+	one := other.score(now, medianTokenTime) / (other.load(now) + 1) // the cost of one more request there
 	return own.score(now, medianTokenTime) > otherZoneFactor*other.score(now, medianTokenTime)+one
 }
 
@@ -187,7 +189,8 @@
 	}
 }
 
-// findFreeSlot finds a server with a free place from a drawn start on.
+// findFreeSlot returns a server with a free slot that fails less than half of its requests.
+// The scan starts at a random server.
 func (r *Router) findFreeSlot(g *group, q Query, now time.Time) *Server {
 	start := r.rand.IntN(len(g.servers))
 	for i := range min(maxSlotScan, len(g.servers)) {
@@ -199,7 +202,8 @@
 	return nil
 }
 
-// prefixServer is the server that has the prompt's beginning, if that is worth it.
+// prefixServer returns the server that has the query's prefix cached, nil when there is none
+// or its score is too bad.
 func (r *Router) prefixServer(g *group, q Query, best *Server, now time.Time) *Server {
 	s := r.prefixes.find(q.Prefix)
 	if s == nil || s.ID() == q.Avoid || s.generation != r.generation || !s.serves(q.Model) || !s.hasFreeSlot(now) {
--- a/laburnumrouter/router_test.go
+++ b/laburnumrouter/router_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// fleet is n engines in three zones, each with some of the models.
+// fleet returns a view of n engines in three zones, each with some of the models.
 func fleet(n, models, each int) *laburnumlever.View {
 	view := &laburnumlever.View{}
 	for i := range n {
@@ -37,7 +37,7 @@
 	return r
 }
 
-// sendRequests sends 1000 requests, six at a time.
+// sendRequests sends 1000 requests, six at a time, and returns their number per server.
 func sendRequests(r *laburnumrouter.Router, now time.Time, took func(id laburnumlever.BackendID) laburnumrouter.Sample) map[laburnumlever.BackendID]int {
 	got := map[laburnumlever.BackendID]int{}
 	const atOnce = 6
@@ -71,8 +71,8 @@
 	require.Equal(t, map[laburnumlever.BackendID]int{"2": 1000}, sendRequests(newRouter(view), start, normalSample))
 }
 
-// An engine fails fast. By its in-flight count it looks the least busy, and callers
-// see most of their requests fail. It is passed over, probed, and comes back.
+// Guards against an engine that fails fast attracting most requests because its in-flight
+// count is the lowest. After it recovers, probes must bring it back.
 func TestFailingServerIsAvoidedAndRecovers(t *testing.T) {
 	view := fleet(9, 1, 1)
 	r := newRouter(view)
@@ -101,7 +101,7 @@
 	}
 	sendRequests(r, start, slow)
 	require.Less(t, sendRequests(r, start, slow)["0"], 20)
-	require.Greater(t, sendRequests(r, start, slow)["3"], 400) // the other two of the zone share the rest
+	require.Greater(t, sendRequests(r, start, slow)["3"], 400) // the other two servers of the zone share the rest
 	now := start
 	for range 20 {
 		now = now.Add(3 * time.Second)
@@ -119,12 +119,12 @@
 	view.Backends[3].Report.InFlight = 8
 	got = sendRequests(newRouter(view), start, normalSample)
 	require.Zero(t, got["0"]+got["3"])
-	got = sendRequests(newRouter(view), start.Add(20*time.Second), normalSample) // the report is too old to count
+	got = sendRequests(newRouter(view), start.Add(20*time.Second), normalSample) // the report is too old to have weight
 	require.Equal(t, 1000, got["0"]+got["3"])
 }
 
-// Prompts with one beginning go to the engine that has it cached, but not all of a
-// flood of them: the engine would be the slowest of the fleet while others idle.
+// Guards against prefix affinity overloading one engine: requests with a shared prefix go to
+// the engine that has it cached only until others are clearly less loaded.
 func TestPrefixAffinityIsBounded(t *testing.T) {
 	r := newRouter(fleet(9, 1, 1))
 	q := laburnumrouter.Query{Model: "m0", Prefix: laburnumrouter.PrefixHash(strings.Repeat("carpet ", 100))}
--- a/laburnumrouter/server.go
+++ b/laburnumrouter/server.go
@@ -8,44 +8,44 @@
 )
 
 const (
-	// fullWeightAge is how long a report counts in full.
+	// fullWeightAge is the age up to which a report has full weight.
 	fullWeightAge = time.Second
-	// zeroWeightAge is when it no longer counts.
+	// zeroWeightAge is the age from which a report has no weight.
 	zeroWeightAge = 10 * time.Second
-	// tokenTimeWeight of the newest answer in the running mean of the pace.
+	// tokenTimeWeight is the weight of the newest answer in the average token time.
 	tokenTimeWeight = 0.2
-	// failureWeight of the newest attempt in the share of failures.
+	// failureWeight is the weight of the newest attempt in the share of failures.
 	failureWeight = 0.3
-	// failurePenalty multiplies the score of a server that fails always.
+	// failurePenalty multiplies the score of a server that always fails.
 	failurePenalty  = 50
 	failureHalfLife = 5 * time.Second
-	// probeInterval is how long a server is passed over before it is probed.
+	// probeInterval is how long a server gets no requests before it is probed.
 	probeInterval = 2 * time.Second
-	// defaultTokenTime, 50 tokens a second, stands for a server of which nothing is known.
-	// It is an ordinary one's: a worse figure would keep the server from ever being
-	// tried beside one that has been measured.
+	// defaultTokenTime, 50 tokens per second, is used when nothing is known of a server. It
+	// is a typical value: with a worse one the server would never be tried beside a server
+	// that has been measured.
 	defaultTokenTime = 0.02
-	// promptTokensPerAnswerToken: a prompt's token takes about an eighth of an answer's.
+	// promptTokensPerAnswerToken is how many prompt tokens take as long as one answer token.
 	promptTokensPerAnswerToken = 8
 )
 
-// Sample is how an attempt went.
+// Sample is the result of an attempt.
 type Sample struct {
-	// Took is from the attempt's start to the end of its answer.
+	// Duration is the time from the attempt's start to the end of its answer.
 	Took time.Duration
-	// Prompt and Answer are its tokens; a plain call has 1 and 1.
+	// PromptTokens and AnswerTokens are 1 each for a request to a plain service.
 	Prompt int
 	Answer int
-	// Failed tells that it broke or could not be sent. Cancelled work and an answer
-	// with an error status of a plain service are neither.
+	// Failed means that it could not be sent or its answer broke off. Cancelled requests and
+	// error statuses from plain services are not failures.
 	Failed bool
-	// Busy tells that the server had no room.
+	// Busy means that the server had no free slot.
 	Busy bool
-	// Skipped tells that nothing can be learnt: the caller went away.
+	// Skipped means that the sample is not used, for example because the caller cancelled.
 	Skipped bool
 }
 
-// Server is a backend server as this VM's router knows it.
+// Server is the router's state for one backend server.
 type Server struct {
 	announcement   laburnumlever.Announcement
 	models         []laburnumlever.ModelName
@@ -53,30 +53,30 @@
 	local          bool
 	inFlight       int
 	sequence       uint64
-	othersInFlight float64 // in flight beyond this VM's own, by the last report
+	othersInFlight float64 // requests beyond this VM's own, from the last report
 	reportedAt     time.Time
-	tokenTime      float64 // seconds a token; 0 before the first answer
+	tokenTime      float64 // seconds per token; 0 before the first answer
 	failures       float64 // share of failed attempts
 	failedAt       time.Time
 	lastPick       time.Time
 }
 
-// ID is the backend server's name.
+// ID returns the backend server's ID.
 func (s *Server) ID() laburnumlever.BackendID { return s.announcement.Backend }
 
-// Announcement is the newest that the backend server gave.
+// Announcement returns the backend server's latest announcement.
 func (s *Server) Announcement() laburnumlever.Announcement { return s.announcement }
 
-// InFlight is how many requests of this VM it works on.
+// InFlight returns the number of this VM's requests on the server.
 func (s *Server) InFlight() int { return s.inFlight }
 
-// Begin counts a request as sent to the server.
+// Begin adds a request to the server's requests in flight.
 func (s *Server) Begin(now time.Time) {
 	s.inFlight++
 	s.lastPick = now
 }
 
-// End counts it as over and learns from it.
+// End removes a request from those in flight and applies its sample.
 func (s *Server) End(sample Sample, now time.Time) {
 	s.inFlight--
 	if sample.Skipped {
@@ -90,7 +90,7 @@
 	s.failures = s.failureShare(now)
 	s.failedAt = now
 	if sample.Failed {
-		// No pace is learnt: a server that fails fast must not look quick.
+		// The token time is not updated: a server that fails fast must not look fast.
 		s.failures += failureWeight * (1 - s.failures)
 		return
 	}
@@ -124,7 +124,7 @@
 
 func (s *Server) slots() float64 { return float64(max(1, s.announcement.Slots)) }
 
-// load is the number of requests on the server as far as this VM can tell.
+// load estimates the number of requests on the server.
 func (s *Server) load(now time.Time) float64 {
 	age := now.Sub(s.reportedAt)
 	fade := 1 - float64(age-fullWeightAge)/float64(zeroWeightAge-fullWeightAge)
@@ -141,7 +141,8 @@
 	return s.failures * math.Exp2(-float64(now.Sub(s.failedAt))/float64(failureHalfLife))
 }
 
-// score is the lower the better: how long one more request is likely to take.
+// score estimates how long one more request takes relative to other servers. Lower is
+// better.
 func (s *Server) score(now time.Time, medianTokenTime float64) float64 {
 	tokenTime := s.tokenTime
 	if tokenTime == 0 {
@@ -150,7 +151,7 @@
 	return (s.load(now) + 1) / s.slots() * tokenTime * (1 + failurePenalty*s.failureShare(now))
 }
 
-// initialTokenTime stands in until the first answer has been measured.
+// initialTokenTime is used until the first answer has been measured, in seconds per token.
 func (s *Server) initialTokenTime(medianTokenTime float64) float64 {
 	if medianTokenTime > 0 {
 		return medianTokenTime
@@ -161,8 +162,8 @@
 	return defaultTokenTime
 }
 
-// wantsProbe tells whether the server was passed over long enough for what is known
-// of it to be old.
+// wantsProbe reports whether a slow or failing server has had no requests for so long that
+// its measurements are outdated.
 func (s *Server) wantsProbe(now time.Time, medianTokenTime float64) bool {
 	doubtful := s.failures > 0 || (medianTokenTime > 0 && s.tokenTime > 2*medianTokenTime)
 	return doubtful && s.inFlight == 0 && now.Sub(s.lastPick) >= probeInterval
