--- a/laburnumqueue/queue.go
+++ b/laburnumqueue/queue.go
@@ -11,9 +11,9 @@
 	// DefaultSize bounds what waits on one VM. At the 100 starts a second that one
 	// VM sees on a busy day it is ten seconds' work; more would only expire.
 	DefaultSize = 1024
-	// batchTurn gives every sixteenth place to waiting batch work: enough to move,
+	// batchInterval gives every sixteenth place to waiting batch work: enough to move,
 	// and one part in sixteen of slowness for interactive callers.
-	batchTurn = 16
+	batchInterval = 16
 	// longFactor times the mean cost makes a request long. Prompts differ by a
 	// factor of a hundred; four keeps ordinary ones together.
 	longFactor = 4
@@ -48,28 +48,28 @@
 }
 
 type flow struct {
-	id    flowID
-	start float64 // virtual time that the head counts from, fixed once it is the head
-	items []*Item
-	cost  int
+	id           flowID
+	virtualStart float64 // virtual time that the head counts from, fixed once it is the head
+	items        []*Item
+	cost         int
 }
 
 // Queue holds what waits on one VM.
 type Queue struct {
-	size    int
-	length  int
-	cost    int
-	mean    float64
-	virtual float64
-	pops    int
-	flows   []*flow // with something waiting, in the order that they began to wait
-	byID    map[flowID]*flow
-	owners  map[laburnumlever.OwnerName]int // flows with something waiting
+	size          int
+	length        int
+	cost          int
+	meanCost      float64
+	virtualTime   float64
+	pops          int
+	flows         []*flow // with something waiting, in the order that they began to wait
+	byID          map[flowID]*flow
+	flowsPerOwner map[laburnumlever.OwnerName]int // flows with something waiting
 }
 
 // New returns a queue for at most size requests.
 func New(size int) *Queue {
-	return &Queue{size: size, byID: map[flowID]*flow{}, owners: map[laburnumlever.OwnerName]int{}}
+	return &Queue{size: size, byID: map[flowID]*flow{}, flowsPerOwner: map[laburnumlever.OwnerName]int{}}
 }
 
 // Len is how many requests wait.
@@ -78,7 +78,7 @@
 // Push lets an item wait. When the queue is full it returns the one that is given
 // up for it, which may be the item itself.
 func (q *Queue) Push(item *Item) (evicted *Item) {
-	q.learn(item.Cost)
+	q.updateMeanCost(item.Cost)
 	q.add(item)
 	if q.length <= q.size {
 		return nil
@@ -89,28 +89,28 @@
 	return evicted
 }
 
-func (q *Queue) learn(cost int) {
-	if q.mean == 0 {
-		q.mean = float64(cost)
+func (q *Queue) updateMeanCost(cost int) {
+	if q.meanCost == 0 {
+		q.meanCost = float64(cost)
 	}
-	q.mean += meanWeight * (float64(cost) - q.mean)
+	q.meanCost += meanWeight * (float64(cost) - q.meanCost)
 }
 
-func (q *Queue) idOf(item *Item) flowID {
+func (q *Queue) flowIDOf(item *Item) flowID {
 	return flowID{
 		owner: item.Owner, key: item.Key, entry: item.Entry, priority: item.Priority,
-		long: float64(item.Cost) > longFactor*q.mean,
+		long: float64(item.Cost) > longFactor*q.meanCost,
 	}
 }
 
 func (q *Queue) add(item *Item) {
-	id := q.idOf(item)
+	id := q.flowIDOf(item)
 	f := q.byID[id]
 	if f == nil {
-		f = &flow{id: id, start: q.virtual}
+		f = &flow{id: id, virtualStart: q.virtualTime}
 		q.byID[id] = f
 		q.flows = append(q.flows, f)
-		q.owners[id.owner]++
+		q.flowsPerOwner[id.owner]++
 	}
 	item.flow = f
 	f.items = append(f.items, item)
@@ -134,7 +134,7 @@
 	if len(f.items) == 0 {
 		delete(q.byID, f.id)
 		q.flows = slices.DeleteFunc(q.flows, func(other *flow) bool { return other == f })
-		q.owners[f.id.owner]--
+		q.flowsPerOwner[f.id.owner]--
 	}
 	return true
 }
@@ -159,41 +159,41 @@
 }
 
 // Pop takes out the next item among those that there is room for; nil for none.
-func (q *Queue) Pop(room func(*Item) bool) *Item {
+func (q *Queue) Pop(hasSlot func(*Item) bool) *Item {
 	first, second := laburnumlever.Interactive, laburnumlever.Batch
-	if (q.pops+1)%batchTurn == 0 {
+	if (q.pops+1)%batchInterval == 0 {
 		first, second = second, first
 	}
-	best := q.best(first, room)
+	best := q.nextFlow(first, hasSlot)
 	if best == nil {
-		best = q.best(second, room)
+		best = q.nextFlow(second, hasSlot)
 	}
 	if best == nil {
 		return nil
 	}
 	q.pops++
 	item := best.items[0]
-	q.virtual = max(q.virtual, best.start)
-	best.start = q.finishOf(best)
+	q.virtualTime = max(q.virtualTime, best.virtualStart)
+	best.virtualStart = q.virtualFinish(best)
 	q.remove(item)
 	return item
 }
 
-func (q *Queue) finishOf(f *flow) float64 {
+func (q *Queue) virtualFinish(f *flow) float64 {
 	// A flow's part of its owner's part: the more flows the owner has, the dearer.
-	cost := float64(f.items[0].Cost * q.owners[f.id.owner])
-	return f.start + cost
+	cost := float64(f.items[0].Cost * q.flowsPerOwner[f.id.owner])
+	return f.virtualStart + cost
 }
 
-func (q *Queue) best(priority laburnumlever.Priority, room func(*Item) bool) *flow {
+func (q *Queue) nextFlow(priority laburnumlever.Priority, hasSlot func(*Item) bool) *flow {
 	var best *flow
 	bestFinish := 0.0
 	for _, f := range q.flows {
 		if f.id.priority != priority {
 			continue
 		}
-		finish := q.finishOf(f)
-		if (best == nil || finish < bestFinish) && room(f.items[0]) {
+		finish := q.virtualFinish(f)
+		if (best == nil || finish < bestFinish) && hasSlot(f.items[0]) {
 			best, bestFinish = f, finish
 		}
 	}
@@ -205,7 +205,7 @@
 // waits for the same entry.
 func (q *Queue) Ahead(item *Item) int {
 	own := item.Cost
-	if f := q.byID[q.idOf(item)]; f != nil {
+	if f := q.byID[q.flowIDOf(item)]; f != nil {
 		own += f.cost
 	}
 	waiting := item.Cost
--- a/laburnumqueue/queue_test.go
+++ b/laburnumqueue/queue_test.go
@@ -16,33 +16,33 @@
 	return &laburnumqueue.Item{Owner: "o", Key: key, Entry: "m", Cost: cost, Deadline: start.Add(time.Second)}
 }
 
-func anyRoom(*laburnumqueue.Item) bool { return true }
+func anyItem(*laburnumqueue.Item) bool { return true }
 
 // One caller sends a hundred requests just before another sends one. First come
 // first served, the one would wait for all hundred; it goes second at the latest.
-func TestOneCallerDoesNotCrowdOutAnother(t *testing.T) {
+func TestHeavyCallerDoesNotStarveAnother(t *testing.T) {
 	q := laburnumqueue.New(1000)
 	for range 100 {
 		q.Push(item("heavy", 10))
 	}
 	q.Push(item("light", 10))
-	place := 1
-	for q.Pop(anyRoom).Key != "light" {
-		place++
+	position := 1
+	for q.Pop(anyItem).Key != "light" {
+		position++
 	}
-	require.LessOrEqual(t, place, 2)
+	require.LessOrEqual(t, position, 2)
 }
 
 // A long prompt waits, and short ones keep coming. Shortest first alone would never
 // let it through; it gets its turn after about its own cost in short ones.
-func TestLongIsNeitherStarvedNorStarves(t *testing.T) {
+func TestLongRequestNeitherStarvesNorBlocks(t *testing.T) {
 	q := laburnumqueue.New(1000)
 	for range 50 {
 		q.Push(item("a", 10))
 	}
 	q.Push(item("long", 500))
 	for i := range 500 {
-		got := q.Pop(anyRoom)
+		got := q.Pop(anyItem)
 		if got.Cost == 500 {
 			require.Greater(t, i, 20)
 			require.LessOrEqual(t, i, 51)
@@ -53,7 +53,7 @@
 	t.Fatal("starved")
 }
 
-func TestBatchGivesWayButMoves(t *testing.T) {
+func TestBatchGetsEverySixteenthSlot(t *testing.T) {
 	q := laburnumqueue.New(1000)
 	for range 64 {
 		b := item("a", 10)
@@ -63,7 +63,7 @@
 	}
 	batch := 0
 	for range 64 {
-		if q.Pop(anyRoom).Priority == laburnumlever.Batch {
+		if q.Pop(anyItem).Priority == laburnumlever.Batch {
 			batch++
 		}
 	}
@@ -72,7 +72,7 @@
 
 // The queue is full of one caller's requests when another's comes. Refusing the
 // newcomer would let the first hold the whole queue; the first gives one up.
-func TestFullQueueGivesUpTheMostWaiting(t *testing.T) {
+func TestFullQueueEvictsFromLongestFlow(t *testing.T) {
 	q := laburnumqueue.New(3)
 	for range 3 {
 		require.Nil(t, q.Push(item("heavy", 10)))
@@ -82,5 +82,5 @@
 	require.Same(t, mine, q.Push(mine))
 	require.Equal(t, 3, q.Len())
 	require.Len(t, q.Expire(start.Add(time.Second)), 3)
-	require.Nil(t, q.Pop(anyRoom))
+	require.Nil(t, q.Pop(anyItem))
 }
