--- a/laburnumqueue/queue.go
+++ b/laburnumqueue/queue.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// DefaultSize bounds what waits on one VM. At the 100 starts a second that one
-	// VM sees on a busy day it is ten seconds' work; more would only expire.
+	// DefaultSize is the usual size of a VM's queue. At 100 starts per second, the rate of one
+	// VM on a busy day, it holds ten seconds of work; more requests would only expire.
 	DefaultSize = 1024
-	// batchInterval gives every sixteenth place to waiting batch work: enough to move,
-	// and one part in sixteen of slowness for interactive callers.
+	// batchInterval gives every sixteenth slot to queued batch requests: enough to progress,
+	// at the cost of a sixteenth of the slots for interactive requests.
 	batchInterval = 16
-	// longFactor times the mean cost makes a request long. Prompts differ by a
-	// factor of a hundred; four keeps ordinary ones together.
+	// longFactor times the mean cost is the limit above which a request is long. Prompts
+	// differ by a factor of a hundred; four keeps ordinary ones in the same flow.
 	longFactor = 4
-	// meanWeight is the weight of the newest cost in the running mean.
+	// meanWeight is the weight of the newest cost in the moving average.
 	meanWeight = 0.02
 )
 
-// Item is a waiting request.
+// Item is a queued request.
 type Item struct {
 	Owner laburnumlever.OwnerName
-	// Key is the caller's key for fairness.
+	// Key identifies the caller for fair sharing.
 	Key string
-	// Entry is the model or service, which room is asked for.
+	// Entry is the catalogue entry, a model or service, whose servers have slots.
 	Entry    string
 	Priority laburnumlever.Priority
-	// Cost in tokens, prompt and answer.
+	// Cost is the number of prompt and answer tokens.
 	Cost int
-	// Deadline is when waiting on is of no use.
+	// Deadline is when the item expires.
 	Deadline time.Time
-	// Tag is the owner's own.
+	// Value is for the user of the queue, which does not use it itself.
 	Tag any
 
 	flow *flow
@@ -49,12 +49,12 @@
 
 type flow struct {
 	id           flowID
-	virtualStart float64 // virtual time that the head counts from, fixed once it is the head
+	virtualStart float64 // virtual start time of the head, fixed when it becomes the head
 	items        []*Item
 	cost         int
 }
 
-// Queue holds what waits on one VM.
+// Queue holds the queued requests of one VM.
 type Queue struct {
 	size          int
 	length        int
@@ -62,21 +62,21 @@
 	meanCost      float64
 	virtualTime   float64
 	pops          int
-	flows         []*flow // with something waiting, in the order that they began to wait
+	flows         []*flow // non-empty flows in order of creation
 	byID          map[flowID]*flow
-	flowsPerOwner map[laburnumlever.OwnerName]int // flows with something waiting
+	flowsPerOwner map[laburnumlever.OwnerName]int // number of non-empty flows
 }
 
-// New returns a queue for at most size requests.
+// New returns a queue of at most size requests.
 func New(size int) *Queue {
 	return &Queue{size: size, byID: map[flowID]*flow{}, flowsPerOwner: map[laburnumlever.OwnerName]int{}}
 }
 
-// Len is how many requests wait.
+// Len returns the number of queued requests.
 func (q *Queue) Len() int { return q.length }
 
-// Push lets an item wait. When the queue is full it returns the one that is given
-// up for it, which may be the item itself.
+// Push adds an item. When the queue is full, it returns the item that was evicted, which may
+// be the new one.
 func (q *Queue) Push(item *Item) (evicted *Item) {
 	q.updateMeanCost(item.Cost)
 	q.add(item)
@@ -119,7 +119,7 @@
 	q.cost += item.Cost
 }
 
-// remove takes an item out wherever it stands; one that does not wait is left.
+// remove removes an item at any position. It returns false when the item is not queued.
 func (q *Queue) remove(item *Item) bool {
 	f := item.flow
 	if f == nil {
@@ -139,10 +139,10 @@
 	return true
 }
 
-// Remove takes out an item whose caller is gone.
+// Remove removes an item whose caller is gone. It returns false when the item is not queued.
 func (q *Queue) Remove(item *Item) bool { return q.remove(item) }
 
-// Expire takes out all items whose deadline has passed.
+// Expire removes and returns all items whose deadline has passed.
 func (q *Queue) Expire(now time.Time) []*Item {
 	var late []*Item
 	for _, f := range q.flows {
@@ -158,7 +158,7 @@
 	return late
 }
 
-// Pop takes out the next item among those that there is room for; nil for none.
+// Pop removes and returns the next item for which hasSlot returns true; nil for none.
 func (q *Queue) Pop(hasSlot func(*Item) bool) *Item {
 	first, second := laburnumlever.Interactive, laburnumlever.Batch
 	if (q.pops+1)%batchInterval == 0 {
@@ -180,7 +180,7 @@
 }
 
 func (q *Queue) virtualFinish(f *flow) float64 {
-	// A flow's part of its owner's part: the more flows the owner has, the dearer.
+	// The cost is multiplied by the owner's number of flows, which share the owner's part.
 	cost := float64(f.items[0].Cost * q.flowsPerOwner[f.id.owner])
 	return f.virtualStart + cost
 }
@@ -200,9 +200,9 @@
 	return best
 }
 
-// Ahead estimates the cost, in tokens, of what will be served before an item that
-// comes now, its own included: its flow's part in a fair turn, and at most all that
-// waits for the same entry.
+// CostAhead estimates the cost, in tokens, of the work up to and including an item that is
+// pushed now. Every flow of the same entry counts with its queued cost, but with no more
+// than the item's own flow, because flows share the slots fairly.
 func (q *Queue) Ahead(item *Item) int {
 	own := item.Cost
 	if f := q.byID[q.flowIDOf(item)]; f != nil {
--- a/laburnumqueue/queue_test.go
+++ b/laburnumqueue/queue_test.go
@@ -18,8 +18,8 @@
 
 func anyItem(*laburnumqueue.Item) bool { return true }
 
-// One caller sends a hundred requests just before another sends one. First come
-// first served, the one would wait for all hundred; it goes second at the latest.
+// Guards against one caller's hundred requests delaying another caller's single request,
+// which must be served second at the latest.
 func TestHeavyCallerDoesNotStarveAnother(t *testing.T) {
 	q := laburnumqueue.New(1000)
 	for range 100 {
@@ -33,8 +33,8 @@
 	require.LessOrEqual(t, position, 2)
 }
 
-// A long prompt waits, and short ones keep coming. Shortest first alone would never
-// let it through; it gets its turn after about its own cost in short ones.
+// A long request is queued while short ones keep arriving. Guards against starving it, as
+// shortest first would: it is served after about its own cost in short requests.
 func TestLongRequestNeitherStarvesNorBlocks(t *testing.T) {
 	q := laburnumqueue.New(1000)
 	for range 50 {
@@ -50,7 +50,7 @@
 		}
 		q.Push(item("a", 10))
 	}
-	t.Fatal("starved")
+	t.Fatal("long request was never served")
 }
 
 func TestBatchGetsEverySixteenthSlot(t *testing.T) {
@@ -70,8 +70,8 @@
 	require.Equal(t, 4, batch)
 }
 
-// The queue is full of one caller's requests when another's comes. Refusing the
-// newcomer would let the first hold the whole queue; the first gives one up.
+// Guards against one caller keeping the whole queue: when it is full, a request of another
+// caller evicts one of the longest flow.
 func TestFullQueueEvictsFromLongestFlow(t *testing.T) {
 	q := laburnumqueue.New(3)
 	for range 3 {
