--- a/laburnumorder/errors.go
+++ b/laburnumorder/errors.go
@@ -15,7 +15,7 @@
 }
 
 func (e *LeaseOverError) Error() string {
-	return fmt.Sprintf("order not sent: the lease of zone %q expired %s ago", e.Zone, e.Over)
+	return fmt.Sprintf("the lease of zone %q expired %s ago", e.Zone, e.Over)
 }
 
 // EngineAnswerError is a failed call to an engine. Status is the HTTP status, 0 when there
--- a/laburnumorder/owner_test.go
+++ b/laburnumorder/owner_test.go
@@ -70,7 +70,7 @@
 // The owner's VM is frozen just before it sends an order until after its lease has expired
 // and the other VM has filled the memory. Guards against the first VM's order taking effect
 // when it resumes.
-func TestFrozenOwnerWakesAndSends(t *testing.T) {
+func TestFrozenOwnerResumesAndSends(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		w := newHarness(t, checks)
 		w.catalogue = catalogueOf(2, 60)
