--- a/laburnumorder/engine.go
+++ b/laburnumorder/engine.go
@@ -10,25 +10,25 @@
 	"github.com/go-kit/log/level"
 )
 
-// engine is what the owner keeps of one engine of its zone.
+// engine is the owner's state for one engine of its zone.
 type engine struct {
 	announcement laburnumlever.Announcement
 	gone         bool // down or not announced
-	// known tells that the ledger has its inventory, read under this lease and of
-	// this incarnation, so that it can be ordered.
-	known       bool
+	// orderable means that the ledger has the inventory of this incarnation, read under
+	// the current lease, so that orders may be sent.
+	orderable   bool
 	incarnation uint64
-	count       uint64 // claims and orders numbered under this lease
-	read        uint64 // the read under way, 0 when none
-	reads       uint64
+	count       uint64 // claims and orders numbered under the current lease
+	activeRead  uint64 // number of the read in progress, 0 for none
+	readCount   uint64
 	nextRead    time.Time
-	order       *tracked // the order whose outcome is not known yet
+	order       *trackedOrder // the order in progress, nil for none
 	pauseUntil  time.Time
-	// intents are those recorded in the log and not yet resolved.
+	// intents are proposed to the log and not yet resolved.
 	intents map[laburnumlever.OrderID]laburnumlever.OrderIntent
-	// loading is when each copy that is loading was ordered or first seen.
+	// loading maps each loading copy to when it was ordered or first seen.
 	loading map[string]time.Time
-	// updates are the forms that copies are being changed to in place.
+	// updates maps copies to the size and adapters of the last load order.
 	updates map[string]laburnumlever.Loaded
 }
 
@@ -46,14 +46,14 @@
 	return e
 }
 
-// forget makes an engine be claimed anew, as under a new lease.
-func (e *engine) forget() {
-	e.known = false
+// resetClaim makes the owner claim the engine again, because the lease is new.
+func (e *engine) resetClaim() {
+	e.orderable = false
 	e.count = 0
 	e.nextRead = time.Time{}
 }
 
-// sortedEngines makes the order of work the same in every run.
+// sortedEngines lists the engines in a fixed order, so that runs are reproducible.
 func (o *Owner) sortedEngines() []laburnumlever.BackendID {
 	ids := make([]laburnumlever.BackendID, 0, len(o.engines))
 	for id := range o.engines {
@@ -63,8 +63,8 @@
 	return ids
 }
 
-// watch takes the engines of the zone from the view.
-func (o *Owner) watch(view *laburnumlever.View, now time.Time) {
+// updateEngines updates the engines of the zone from the view.
+func (o *Owner) updateEngines(view *laburnumlever.View, now time.Time) {
 	for _, e := range o.engines {
 		e.gone = true
 	}
@@ -75,20 +75,20 @@
 		e := o.engine(b.Announcement.Backend)
 		e.gone = b.Down
 		e.announcement = b.Announcement
-		if e.known && b.Announcement.Incarnation > e.incarnation {
-			// It restarted: it holds nothing now, and has forgotten its number.
-			e.known = false
+		if e.orderable && b.Announcement.Incarnation > e.incarnation {
+			// It restarted: its memory is empty and its fencing number is lost.
+			e.orderable = false
 			e.nextRead = time.Time{}
 		}
-		if e.known && o.hints(e, b.Report) {
-			e.readBy(now.Add(busyRead))
+		if e.orderable && o.reportDiffers(e, b.Report) {
+			e.readNoLaterThan(now.Add(busyReadPeriod))
 		}
 	}
 }
 
-// hints tells whether a report differs from the ledger. It may be older than the
-// ledger, so it is only a reason to read the inventory.
-func (o *Owner) hints(e *engine, r laburnumlever.LoadReport) bool {
+// reportDiffers reports whether a load report differs from the ledger. The report may be
+// older than the ledger, so a difference only triggers a read of the inventory.
+func (o *Owner) reportDiffers(e *engine, r laburnumlever.LoadReport) bool {
 	if len(e.announcement.Accelerators) != len(o.ledger.Accelerators(e.announcement.Backend)) {
 		return true
 	}
@@ -98,22 +98,22 @@
 	known := o.ledger.Loaded(e.announcement.Backend)
 	return !slices.EqualFunc(known, r.Loaded, func(a, b laburnumlever.Loaded) bool {
 		return a.Ready == b.Ready && a.Draining == b.Draining && a.PartMiB == b.PartMiB &&
-			len(a.Adapters) == len(b.Adapters) && keyOf(a) == keyOf(b)
+			len(a.Adapters) == len(b.Adapters) && copyKey(a) == copyKey(b)
 	})
 }
 
-func (e *engine) readBy(at time.Time) {
+func (e *engine) readNoLaterThan(at time.Time) {
 	if e.nextRead.After(at) {
 		e.nextRead = at
 	}
 }
 
-// readDue claims and reads the engines whose inventory is wanted. A read and an
-// order never run side by side on one engine: the read could miss the order's copy.
-func (o *Owner) readDue(now time.Time) {
+// startDueReads claims the engines whose inventory read is due. A read and an order never
+// run concurrently on one engine: the read could miss the order's copy.
+func (o *Owner) startDueReads(now time.Time) {
 	for _, id := range o.sortedEngines() {
 		e := o.engines[id]
-		if e.gone || e.read != 0 || now.Before(e.nextRead) || e.order != nil && !e.order.is(stateUnknown) {
+		if e.gone || e.activeRead != 0 || now.Before(e.nextRead) || e.order != nil && !e.order.is(stateUnknown) {
 			continue
 		}
 		o.startRead(e, now)
@@ -121,29 +121,29 @@
 }
 
 func (o *Owner) startRead(e *engine, now time.Time) {
-	e.reads++
-	e.read = e.reads
-	e.nextRead = now.Add(retryRead)
+	e.readCount++
+	e.activeRead = e.readCount
+	e.nextRead = now.Add(readRetryDelay)
 	e.count++
 	if e.count >= maxCount {
-		// Numbers have run out: a new grant brings a new lease number.
-		o.giveLeaseBack()
+		// No numbers are left under this lease; the next grant has a new lease number.
+		o.releaseLease()
 		return
 	}
-	read, number, to := e.read, Number(o.lease.fence, e.count), e.announcement
+	read, number, to := e.activeRead, Number(o.lease.fence, e.count), e.announcement
 	o.call(func(ctx context.Context) {
 		began := o.timers.Now()
-		inventory, err := o.link.Claim(ctx, to, number)
+		inventory, err := o.client.Claim(ctx, to, number)
 		o.loop.Post(o, readAnswered{backend: to.Backend, read: read, began: began, number: number, inventory: inventory, err: err})
 	})
 }
 
 func (o *Owner) onRead(ev readAnswered) {
 	e := o.engine(ev.backend)
-	if e.read != ev.read {
+	if e.activeRead != ev.read {
 		return
 	}
-	e.read = 0
+	e.activeRead = 0
 	if LeaseOf(ev.number) != o.lease.fence {
 		return
 	}
@@ -154,12 +154,12 @@
 	}
 	o.ledger.Read(ev.backend, ev.inventory, ev.began)
 	e.incarnation = ev.inventory.Incarnation
-	e.known = e.announcement.ChecksFencing || !ev.began.Before(o.quietUntil)
-	o.settle(e, ev)
-	o.noteLoading(e, now)
+	e.orderable = e.announcement.ChecksFencing || !ev.began.Before(o.earlierOrdersUntil)
+	o.settleOrders(e, ev)
+	o.trackLoads(e, now)
 	e.nextRead = now.Add(o.readPeriod(e))
-	if !e.known {
-		e.readBy(o.quietUntil)
+	if !e.orderable {
+		e.readNoLaterThan(o.earlierOrdersUntil)
 	}
 }
 
@@ -179,14 +179,14 @@
 
 func (o *Owner) checkFence(e *engine, ev readAnswered) error {
 	if ev.inventory.Fence < ev.number {
-		// It says that it checks and does not take the number up: an old order
-		// could still take effect, so it gets none from here either.
-		e.known = false
+		// It announces that it checks fencing numbers but did not adopt this one, so an
+		// old order could still take effect. It gets no orders.
+		e.orderable = false
 		return &FenceIgnoredError{Backend: ev.backend, Claimed: ev.number, Kept: ev.inventory.Fence}
 	}
 	if ev.inventory.Fence > ev.number {
-		// Another owner has claimed it: this one's lease is over.
-		e.known = false
+		// Another owner has claimed it, so this owner's lease has expired.
+		e.orderable = false
 		o.lease.next = time.Time{}
 		return &laburnumlever.StaleNewsError{Backend: ev.backend, Known: ev.inventory.Fence, Given: ev.number}
 	}
@@ -195,29 +195,29 @@
 
 func (o *Owner) readPeriod(e *engine) time.Duration {
 	if len(e.loading) > 0 || len(e.intents) > 0 || e.order != nil || len(o.ledger.Unsettled(e.announcement.Backend)) > 0 {
-		return busyRead
+		return busyReadPeriod
 	}
-	return idleRead
+	return idleReadPeriod
 }
 
-// noteLoading follows which copies use the weight store.
-func (o *Owner) noteLoading(e *engine, now time.Time) {
+// trackLoads updates which copies are loading from the weight store.
+func (o *Owner) trackLoads(e *engine, now time.Time) {
 	seen := make(map[string]bool)
 	for _, c := range o.ledger.Loaded(e.announcement.Backend) {
-		key := keyOf(c)
+		key := copyKey(c)
 		seen[key] = true
 		if _, known := e.loading[key]; !c.Ready && !c.Draining && !known {
 			e.loading[key] = now
 		}
-		if c.Draining || c.Ready && e.hasForm(key, c) {
+		if c.Draining || c.Ready && e.hasOrderedForm(key, c) {
 			delete(e.loading, key)
 		}
 	}
-	e.forgetLoads(seen, now)
+	e.pruneLoads(seen, now)
 }
 
-// forgetLoads ends the loads of copies that have gone or that took too long.
-func (e *engine) forgetLoads(seen map[string]bool, now time.Time) {
+// pruneLoads removes the loads of copies that are gone or that exceed maxLoadTime.
+func (e *engine) pruneLoads(seen map[string]bool, now time.Time) {
 	for key, since := range e.loading {
 		if !seen[key] || now.Sub(since) > maxLoadTime {
 			delete(e.loading, key)
@@ -230,16 +230,16 @@
 	}
 }
 
-// hasForm tells that a copy has the form that was last ordered; one that takes
-// requests may still be changing in place.
-func (e *engine) hasForm(key string, c laburnumlever.Loaded) bool {
+// hasOrderedForm reports whether a copy has the size and adapters of its last load order.
+// A ready copy may still be changing in place.
+func (e *engine) hasOrderedForm(key string, c laburnumlever.Loaded) bool {
 	want, ok := e.updates[key]
 	return !ok || c.PartMiB == want.PartMiB && slices.Equal(c.Adapters, want.Adapters)
 }
 
-// loadsUnderWay counts the zone's loads for its part of the weight store. Loads of an
-// engine that is gone count too: it may only be out of this VM's sight.
-func (o *Owner) loadsUnderWay(now time.Time) int {
+// activeLoads counts the zone's loads against its share of the weight store. Loads of an
+// absent engine count too: it may only be unreachable from this VM.
+func (o *Owner) activeLoads(now time.Time) int {
 	n := 0
 	for _, e := range o.engines {
 		for _, since := range e.loading {
--- a/laburnumorder/ledger.go
+++ b/laburnumorder/ledger.go
@@ -8,8 +8,8 @@
 	"laburnumlever"
 )
 
-// Ledger counts the memory of a zone's accelerators. It is not safe for use by many
-// goroutines: the control thread owns it.
+// Ledger accounts for the memory of a zone's accelerators, in MiB. It is not safe for
+// concurrent use: only the control thread uses it.
 type Ledger struct {
 	accounts map[laburnumlever.BackendID]*account
 }
@@ -17,18 +17,18 @@
 type account struct {
 	accelerators []laburnumlever.Accelerator
 	loaded       []laburnumlever.Loaded
-	open         []Entry
+	pending      []Entry
 }
 
-// Entry is a load order that may yet take effect.
+// PendingOrder is a load order that may still take effect.
 type Entry struct {
 	Order laburnumlever.Order
-	// SettleAfter is when it can't arrive any more. Zero while it is not sent or
-	// its answer is awaited.
+	// SettleAfter is the time from which it can no longer arrive. Zero until it is sent
+	// and answered or its outcome is unknown.
 	SettleAfter time.Time
 }
 
-// NewLedger makes an empty ledger.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{accounts: make(map[laburnumlever.BackendID]*account)} }
 
 func (l *Ledger) account(backend laburnumlever.BackendID) *account {
@@ -40,75 +40,77 @@
 	return a
 }
 
-// Open counts a load order from now on.
+// AddOrder adds a load order. Other orders and known ones are ignored.
 func (l *Ledger) Open(backend laburnumlever.BackendID, order laburnumlever.Order) {
 	a := l.account(backend)
-	if order.Kind != laburnumlever.Load || a.find(order.ID) >= 0 {
+	if order.Kind != laburnumlever.Load || a.indexOf(order.ID) >= 0 {
 		return
 	}
-	a.open = append(a.open, Entry{Order: order})
+	a.pending = append(a.pending, Entry{Order: order})
 }
 
-// Sent notes when an order that has been sent can't arrive any more.
+// SetSettleTime sets the time from which a sent order can no longer arrive.
 func (l *Ledger) Sent(backend laburnumlever.BackendID, id laburnumlever.OrderID, settleAfter time.Time) {
 	a := l.account(backend)
-	if i := a.find(id); i >= 0 {
-		a.open[i].SettleAfter = settleAfter
+	if i := a.indexOf(id); i >= 0 {
+		a.pending[i].SettleAfter = settleAfter
 	}
 }
 
-// Drop takes out an order that surely never left this VM.
+// RemoveOrder removes an order that was certainly never sent.
 func (l *Ledger) Drop(backend laburnumlever.BackendID, id laburnumlever.OrderID) {
 	a := l.account(backend)
-	if i := a.find(id); i >= 0 {
-		a.open = slices.Delete(a.open, i, i+1)
+	if i := a.indexOf(id); i >= 0 {
+		a.pending = slices.Delete(a.pending, i, i+1)
 	}
 }
 
-// Answered replaces the inventory by the one that came with an order's answer.
-// Orders stay counted: a duplicate may still be under way.
+// SetLoaded replaces the loaded copies by those in the answer to an order. Pending orders
+// stay counted: a duplicate may still be in flight.
 func (l *Ledger) Answered(backend laburnumlever.BackendID, loaded []laburnumlever.Loaded) {
 	l.account(backend).loaded = loaded
 }
 
-// Read replaces the inventory by one whose reading began at the given time, and
-// takes out the orders that could not arrive any more by then.
+// ApplyInventory replaces the inventory by one whose read started at began, and removes
+// the orders that could no longer arrive by then.
 func (l *Ledger) Read(backend laburnumlever.BackendID, inventory laburnumlever.Inventory, began time.Time) {
 	a := l.account(backend)
 	a.loaded = inventory.Loaded
 	a.accelerators = inventory.Accelerators
-	a.open = slices.DeleteFunc(a.open, func(e Entry) bool {
+	a.pending = slices.DeleteFunc(a.pending, func(e Entry) bool {
 		return !e.SettleAfter.IsZero() && !began.Before(e.SettleAfter)
 	})
 }
 
-// Counts tells whether an order is still counted.
+// HasOrder reports whether an order is pending.
 func (l *Ledger) Counts(backend laburnumlever.BackendID, id laburnumlever.OrderID) bool {
-	return l.account(backend).find(id) >= 0
+	return l.account(backend).indexOf(id) >= 0
 }
 
-// CountsCopy tells whether an order that loads the copy is still counted, so that
-// unloading it frees no memory yet.
+// HasOrderFor reports whether a load order for the copy is pending, so that unloading the
+// copy frees no memory yet.
 func (l *Ledger) CountsCopy(backend laburnumlever.BackendID, c laburnumlever.Loaded) bool {
-	key := keyOf(c)
-	return slices.ContainsFunc(l.account(backend).open, func(e Entry) bool { return keyOf(e.Order.Copy) == key })
+	key := copyKey(c)
+	return slices.ContainsFunc(l.account(backend).pending, func(e Entry) bool { return copyKey(e.Order.Copy) == key })
 }
 
-// Loaded is the engine's last inventory.
+// Loaded returns the copies in the engine's last inventory.
 func (l *Ledger) Loaded(backend laburnumlever.BackendID) []laburnumlever.Loaded {
 	return l.account(backend).loaded
 }
 
-// Accelerators are those of the engine's last inventory.
+// Accelerators returns the accelerators in the engine's last inventory.
 func (l *Ledger) Accelerators(backend laburnumlever.BackendID) []laburnumlever.Accelerator {
 	return l.account(backend).accelerators
 }
 
-// Unsettled are the engine's orders that are still counted.
-func (l *Ledger) Unsettled(backend laburnumlever.BackendID) []Entry { return l.account(backend).open }
+// PendingOrders returns the engine's pending orders.
+func (l *Ledger) Unsettled(backend laburnumlever.BackendID) []Entry {
+	return l.account(backend).pending
+}
 
-// Fits tells whether the engine has memory for the copy, whatever becomes of the
-// orders that are open.
+// Fits reports whether the engine has memory for the copy even if all pending orders take
+// effect.
 func (l *Ledger) Fits(backend laburnumlever.BackendID, c laburnumlever.Loaded) bool {
 	a := l.account(backend)
 	for _, id := range c.Accelerators {
@@ -120,25 +122,25 @@
 	return len(c.Accelerators) > 0
 }
 
-// Committed is the memory counted on an accelerator, in MiB.
+// Committed returns the memory committed on an accelerator, in MiB.
 func (l *Ledger) Committed(backend laburnumlever.BackendID, id laburnumlever.AcceleratorID) int {
 	return l.account(backend).committed(id, nil)
 }
 
-// committed counts each copy once, at the largest size that any order or the
-// inventory gives it: while a copy changes in place it may have either size.
+// committed counts each copy once, at its largest size in the inventory and the pending
+// orders: while a copy changes in place it may have either size.
 func (a *account) committed(id laburnumlever.AcceleratorID, more *laburnumlever.Loaded) int {
-	sizes := make(map[string]int, len(a.loaded)+len(a.open))
+	sizes := make(map[string]int, len(a.loaded)+len(a.pending))
 	count := func(c laburnumlever.Loaded) {
 		if slices.Contains(c.Accelerators, id) {
-			key := keyOf(c)
+			key := copyKey(c)
 			sizes[key] = max(sizes[key], c.PartMiB)
 		}
 	}
 	for _, c := range a.loaded {
 		count(c)
 	}
-	for _, e := range a.open {
+	for _, e := range a.pending {
 		count(e.Order.Copy)
 	}
 	if more != nil {
@@ -151,13 +153,13 @@
 	return total
 }
 
-func (a *account) find(id laburnumlever.OrderID) int {
-	return slices.IndexFunc(a.open, func(e Entry) bool { return e.Order.ID == id })
+func (a *account) indexOf(id laburnumlever.OrderID) int {
+	return slices.IndexFunc(a.pending, func(e Entry) bool { return e.Order.ID == id })
 }
 
-// keyOf names a copy: an engine holds a version of a model on the same
+// copyKey identifies a copy within an engine: it holds a version of a model on the same
 // accelerators only once.
-func keyOf(c laburnumlever.Loaded) string {
+func copyKey(c laburnumlever.Loaded) string {
 	var b strings.Builder
 	b.WriteString(string(c.Model))
 	b.WriteByte(0)
--- a/laburnumorder/plan.go
+++ b/laburnumorder/plan.go
@@ -7,29 +7,29 @@
 	"laburnumlever/laburnumplacement"
 )
 
-// plan runs one round of the planner over the whole fleet and begins this zone's
-// moves, as far as the engines are free, the ledger has room and the zone's part
-// of the weight store allows.
+// plan runs one planning round over the whole fleet and starts this zone's moves, as far
+// as engines are idle, the ledger has memory and the zone's share of the weight store
+// allows.
 func (o *Owner) plan(view *laburnumlever.View, now time.Time) {
 	if view.Catalogue.Revision == 0 {
-		// Not yet told what the operators want: to unload all would be wrong.
+		// No catalogue has been received yet; planning now would unload all models.
 		return
 	}
 	snapshot := o.snapshot(view, now)
 	plan := o.planner.Plan(snapshot)
 	share := laburnumplacement.ShareOf(view.Catalogue.Deployment, o.self.Zone)
-	if o.paceIsNew {
+	if o.resetPace {
 		o.pace = laburnumplacement.NewPace(now, share)
-		o.paceIsNew = false
+		o.resetPace = false
 	}
 	for _, m := range plan.Moves {
 		if m.Zone != o.self.Zone {
 			continue
 		}
-		if m.Kind == laburnumlever.Load && !o.pace.Ready(now, share, o.loadsUnderWay(now)) {
+		if m.Kind == laburnumlever.Load && !o.pace.Ready(now, share, o.activeLoads(now)) {
 			continue
 		}
-		if o.begin(m, now) && m.Kind == laburnumlever.Load {
+		if o.startMove(m, now) && m.Kind == laburnumlever.Load {
 			o.pace = o.pace.WithLoad(now, share)
 		}
 	}
@@ -49,38 +49,38 @@
 			continue
 		}
 		e := laburnumplacement.EngineOf(b)
-		if now.Sub(b.ReportedAt) > reportAge && e.Zone != o.self.Zone {
+		if now.Sub(b.ReportedAt) > maxReportAge && e.Zone != o.self.Zone {
 			old[e.ID] = true
 		}
 		if own, ok := o.engines[e.ID]; ok && e.Zone == o.self.Zone {
-			o.ownEngine(&e, own, b, now)
+			o.applyLedger(&e, own, b, now)
 		}
 		s.Engines = append(s.Engines, e)
 	}
-	o.ready.mark(s.Engines, old, now)
+	o.readiness.markStable(s.Engines, old, now)
 	s.Fresh = o.versions.fresh(view.Catalogue.Models, now)
 	s.Overdue = o.progress.overdue(s, now)
 	return s
 }
 
-// ownEngine replaces what the engine last reported by what the ledger counts.
-func (o *Owner) ownEngine(e *laburnumplacement.Engine, own *engine, b laburnumlever.Backend, now time.Time) {
-	e.Usable = b.TakesWork() && own.known && o.mayOrder(own, now)
-	if !own.known {
+// applyLedger replaces the engine's reported copies by those in the ledger.
+func (o *Owner) applyLedger(e *laburnumplacement.Engine, own *engine, b laburnumlever.Backend, now time.Time) {
+	e.Usable = b.TakesWork() && own.orderable && o.leasePermits(own, now)
+	if !own.orderable {
 		return
 	}
 	e.Accelerators = o.ledger.Accelerators(e.ID)
 	e.Copies = nil
 	for _, l := range o.ledger.Loaded(e.ID) {
-		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: l, Going: own.unloads(l), Counted: o.ledger.CountsCopy(e.ID, l)})
+		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: l, Going: own.isUnloading(l), Counted: o.ledger.CountsCopy(e.ID, l)})
 	}
-	if coming, ok := own.coming(); ok && !holds(e.Copies, coming) {
+	if coming, ok := own.pendingLoad(); ok && !containsCopy(e.Copies, coming) {
 		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: coming})
 	}
 	for i, c := range e.Copies {
-		if want, ok := own.updates[keyOf(c.Loaded)]; ok {
-			// The planner sees the form that was ordered, or it would order it again
-			// and the engine would begin the load anew each time. What the ledger
+		if want, ok := own.updates[copyKey(c.Loaded)]; ok {
+			// The planner gets the ordered size and adapters. Otherwise it would repeat
+			// the order, and the engine would restart the load each time. What the ledger
 			// counts beyond that is reserved.
 			e.Copies[i].Adapters = want.Adapters
 			e.Copies[i].PartMiB = want.PartMiB
@@ -89,7 +89,8 @@
 	e.Reserved = o.reserved(e)
 }
 
-// reserved is what the ledger counts on each accelerator beside the copies.
+// reserved returns the memory that the ledger commits on each accelerator beyond the
+// copies, in MiB.
 func (o *Owner) reserved(e *laburnumplacement.Engine) []int {
 	list := make([]int, len(e.Accelerators))
 	for i, a := range e.Accelerators {
@@ -106,13 +107,13 @@
 	return list
 }
 
-func (e *engine) unloads(l laburnumlever.Loaded) bool {
-	return e.order != nil && e.order.order.Kind == laburnumlever.Unload && keyOf(e.order.order.Copy) == keyOf(l)
+func (e *engine) isUnloading(l laburnumlever.Loaded) bool {
+	return e.order != nil && e.order.order.Kind == laburnumlever.Unload && copyKey(e.order.order.Copy) == copyKey(l)
 }
 
-// coming is the copy of a load order that is under way. One whose outcome is
-// unknown is not counted on: the model is repaired elsewhere.
-func (e *engine) coming() (laburnumlever.Loaded, bool) {
+// pendingLoad returns the copy of the load order in progress. An order whose outcome is
+// unknown does not count: the model is repaired elsewhere.
+func (e *engine) pendingLoad() (laburnumlever.Loaded, bool) {
 	if e.order == nil || e.order.order.Kind != laburnumlever.Load || e.order.is(stateUnknown) {
 		return laburnumlever.Loaded{}, false
 	}
@@ -121,9 +122,9 @@
 	return c, true
 }
 
-func holds(copies []laburnumplacement.Copy, l laburnumlever.Loaded) bool {
+func containsCopy(copies []laburnumplacement.Copy, l laburnumlever.Loaded) bool {
 	for _, c := range copies {
-		if keyOf(c.Loaded) == keyOf(l) {
+		if copyKey(c.Loaded) == copyKey(l) {
 			return true
 		}
 	}
