--- a/laburnumproxy/flights.go
+++ b/laburnumproxy/active.go
@@ -8,35 +8,35 @@
 	"time"
 )
 
-// flight is a request in flight, as the watch over stalled ones sees it.
-type flight struct {
+// activeRequest is a request in activeRequest, as the watch over stalled ones sees it.
+type activeRequest struct {
 	start    time.Time
 	progress atomic.Int64 // nanoseconds after start
-	// atCaller tells that the request waits for its caller to send or to take.
-	atCaller atomic.Bool
-	control  *http.ResponseController
-	mu       sync.Mutex
-	cancel   context.CancelCauseFunc
+	// waitingForCaller tells that the request waits for its caller to send or to take.
+	waitingForCaller atomic.Bool
+	control          *http.ResponseController
+	mu               sync.Mutex
+	cancel           context.CancelCauseFunc
 }
 
-func (f *flight) moved(now time.Time) { f.progress.Store(int64(now.Sub(f.start))) }
+func (f *activeRequest) markProgress(now time.Time) { f.progress.Store(int64(now.Sub(f.start))) }
 
 // replaceCancel sets what end cancels.
-func (f *flight) replaceCancel(cancel context.CancelCauseFunc) {
+func (f *activeRequest) replaceCancel(cancel context.CancelCauseFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cancel = cancel
 }
 
-// end cuts the request off. A read or write that waits for the caller is freed by
+// abort cuts the request off. A read or write that waits for the caller is freed by
 // past deadlines, which a cancelled context does not do; otherwise the caller's
 // connection stays good, since it is still owed a final answer.
-func (f *flight) end(cause error) {
+func (f *activeRequest) abort(cause error) {
 	f.mu.Lock()
 	cancel := f.cancel
 	f.mu.Unlock()
 	cancel(cause)
-	if !f.atCaller.Load() {
+	if !f.waitingForCaller.Load() {
 		return
 	}
 	past := time.Unix(1, 0)
@@ -44,19 +44,19 @@
 	_ = f.control.SetWriteDeadline(past)
 }
 
-// flights counts what is in flight and refuses new work once draining.
-type flights struct {
+// activeRequests counts what is in flight and refuses new work once draining.
+type activeRequests struct {
 	mu       sync.Mutex
-	all      map[*flight]struct{}
+	all      map[*activeRequest]struct{}
 	draining bool
 	idle     chan struct{} // closed when draining and nothing is in flight
 }
 
-func newFlights() *flights {
-	return &flights{all: map[*flight]struct{}{}, idle: make(chan struct{})}
+func newActiveRequests() *activeRequests {
+	return &activeRequests{all: map[*activeRequest]struct{}{}, idle: make(chan struct{})}
 }
 
-func (fs *flights) enter(f *flight) bool {
+func (fs *activeRequests) add(f *activeRequest) bool {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	if fs.draining {
@@ -66,7 +66,7 @@
 	return true
 }
 
-func (fs *flights) leave(f *flight) {
+func (fs *activeRequests) remove(f *activeRequest) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	delete(fs.all, f)
@@ -75,7 +75,7 @@
 	}
 }
 
-func (fs *flights) drain() {
+func (fs *activeRequests) drain() {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	if fs.draining {
@@ -87,43 +87,43 @@
 	}
 }
 
-func (fs *flights) isDraining() bool {
+func (fs *activeRequests) isDraining() bool {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	return fs.draining
 }
 
-func (fs *flights) count() int {
+func (fs *activeRequests) count() int {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	return len(fs.all)
 }
 
-// endStalled cuts off what has made no progress or has taken too long. It holds the
+// abortStalled cuts off what has made no progress or has taken too long. It holds the
 // lock meanwhile, so that no request that has left is touched.
-func (fs *flights) endStalled(now time.Time, stall, limit time.Duration) {
+func (fs *activeRequests) abortStalled(now time.Time, stall, limit time.Duration) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	for f := range fs.all {
 		age := now.Sub(f.start)
-		still := age - time.Duration(f.progress.Load())
-		if still > stall || age > limit {
-			f.end(&stalledError{Still: still, Age: age})
+		idle := age - time.Duration(f.progress.Load())
+		if idle > stall || age > limit {
+			f.abort(&stalledError{Idle: idle, Age: age})
 		}
 	}
 }
 
-func (fs *flights) cancelAll(cause error) {
+func (fs *activeRequests) abortAll(cause error) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	for f := range fs.all {
-		f.end(cause)
+		f.abort(cause)
 	}
 }
 
 // sweep is run by the timer service.
 func (p *Proxy) sweep(now time.Time) {
-	p.flights.endStalled(now, p.cfg.stall, p.cfg.limit)
+	p.active.abortStalled(now, p.cfg.stallTimeout, p.cfg.requestTimeout)
 	p.refresh(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,14 +131,14 @@
 }
 
 // InFlight is how many requests of callers are being served now.
-func (p *Proxy) InFlight() int { return p.flights.count() }
+func (p *Proxy) InFlight() int { return p.active.count() }
 
 // Drain refuses new work and returns when all that is in flight has ended, or with
 // a *DrainTimeoutError when ctx ends first; what is in flight then goes on.
 func (p *Proxy) Drain(ctx context.Context) error {
-	p.flights.drain()
+	p.active.drain()
 	select {
-	case <-p.flights.idle:
+	case <-p.active.idle:
 		return nil
 	case <-ctx.Done():
 		return &DrainTimeoutError{InFlight: p.InFlight(), Cause: context.Cause(ctx)}
--- a/laburnumproxy/attempt.go
+++ b/laburnumproxy/attempt.go
@@ -23,12 +23,12 @@
 
 // Headers of the wire to backend servers and callers.
 const (
-	headerAttempt  = "X-Attempt-Id"
-	headerOutcome  = "Laburnumlever-Outcome"
-	headerRequest  = "X-Request-Id"
-	headerPriority = "X-Priority"
-	headerResume   = "X-Resume-From"
-	headerKey      = "Idempotency-Key"
+	headerAttemptID      = "X-Attempt-Id"
+	headerOutcome        = "Laburnumlever-Outcome"
+	headerRequestID      = "X-Request-Id"
+	headerPriority       = "X-Priority"
+	headerResumeFrom     = "X-Resume-From"
+	headerIdempotencyKey = "Idempotency-Key"
 )
 
 var attemptChart = laburnumchart.MustLoad("attempt")
@@ -43,14 +43,14 @@
 // a second connection for an attempt that has written on its first is sealed and
 // the attempt cancelled, so no attempt reaches two connections.
 type attempt struct {
-	id      string
-	backend laburnumlever.BackendID
-	cancel  context.CancelFunc
-	mu      sync.Mutex
-	state   string
-	conn    *countedConn
-	base    uint64
-	judged  []chan struct{} // of the connections it had, closed when it is judged
+	id            string
+	backend       laburnumlever.BackendID
+	cancel        context.CancelFunc
+	mu            sync.Mutex
+	state         string
+	conn          *countedConn
+	writesBefore  uint64
+	pendingChecks []chan struct{} // of the connections it had, closed when it is judged
 }
 
 func newAttempt(id string, backend laburnumlever.BackendID, cancel context.CancelFunc) *attempt {
@@ -66,58 +66,58 @@
 	if !ok {
 		return
 	}
-	judged := conn.handOver()
+	checked := conn.acquire()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.judged = append(a.judged, judged)
-	if a.conn != nil && a.conn.count() > a.base {
-		conn.sealUnless(conn.count())
+	a.pendingChecks = append(a.pendingChecks, checked)
+	if a.conn != nil && a.conn.writeCount() > a.writesBefore {
+		conn.sealIfUnwritten(conn.writeCount())
 		a.cancel()
 		return
 	}
 	a.conn = conn
-	a.base = conn.count()
+	a.writesBefore = conn.writeCount()
 }
 
-// failed judges an attempt that brought no whole answer.
-func (a *attempt) failed() {
-	defer a.judge()
+// fail judges an attempt that brought no whole answer.
+func (a *attempt) fail() {
+	defer a.releaseConns()
 	a.mu.Lock()
-	conn, base := a.conn, a.base
+	conn, base := a.conn, a.writesBefore
 	a.mu.Unlock()
-	if conn != nil && conn.sealUnless(base) {
-		a.take(evWriteStarted)
-		a.take(evLost)
+	if conn != nil && conn.sealIfUnwritten(base) {
+		a.apply(evWriteStarted)
+		a.apply(evLost)
 		return
 	}
-	a.take(evGaveUp)
+	a.apply(evGaveUp)
 }
 
-// answered takes the head of an answer. A crossed one closes the connection.
-func (a *attempt) answered(resp *http.Response) error {
-	defer a.judge()
-	a.take(evWriteStarted)
-	got := resp.Header.Get(headerAttempt)
+// checkResponse takes the head of an answer. A crossed one closes the connection.
+func (a *attempt) checkResponse(resp *http.Response) error {
+	defer a.releaseConns()
+	a.apply(evWriteStarted)
+	got := resp.Header.Get(headerAttemptID)
 	if got != a.id {
-		a.take(evCrossed)
+		a.apply(evCrossed)
 		a.closeConn()
 		return &CrossedAnswerError{Want: a.id, Got: got}
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable &&
 		resp.Header.Get(headerOutcome) == laburnumlever.OutcomeNotRun.String() {
-		a.take(evSaidNotRun)
+		a.apply(evSaidNotRun)
 	}
 	return nil
 }
 
-// judge lets the next attempts have the connections.
-func (a *attempt) judge() {
+// releaseConns lets the next attempts have the connections.
+func (a *attempt) releaseConns() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, judged := range a.judged {
-		close(judged)
+	for _, checked := range a.pendingChecks {
+		close(checked)
 	}
-	a.judged = nil
+	a.pendingChecks = nil
 }
 
 func (a *attempt) closeConn() {
@@ -128,8 +128,8 @@
 	}
 }
 
-// take moves the attempt on; an event that its state does not take changes nothing.
-func (a *attempt) take(event string) {
+// apply moves the attempt on; an event that its state does not apply changes nothing.
+func (a *attempt) apply(event string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	next, err := attemptChart.Next(a.state, event)
--- a/laburnumproxy/bench_test.go
+++ b/laburnumproxy/bench_test.go
@@ -21,8 +21,8 @@
 
 const benchBody = `{"model":"quote","prompt":"a carpet for the hall, four by two","max_tokens":4}`
 
-// newRealBench is a proxy on the machine's clock before one engine.
-func newRealBench(b *testing.B, fn http.HandlerFunc) (engine, proxy *httptest.Server) {
+// newBenchmarkServers is a proxy on the machine's clock before one engine.
+func newBenchmarkServers(b *testing.B, fn http.HandlerFunc) (engine, proxy *httptest.Server) {
 	timers := laburnumtimer.New()
 	b.Cleanup(timers.Close)
 	engine = httptest.NewServer(echoing(fn))
@@ -46,7 +46,7 @@
 // BenchmarkLatency is the time of one small answer straight from the fake engine and
 // through the proxy, one at a time; the difference is what the proxy adds.
 func BenchmarkLatency(b *testing.B) {
-	engine, proxy := newRealBench(b, func(w http.ResponseWriter, _ *http.Request) {
+	engine, proxy := newBenchmarkServers(b, func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, `{"choices":[{"text":"t0 t1 t2 t3 "}]}`)
 	})
 	for _, c := range []struct{ name, url string }{{"straight", engine.URL}, {"through", proxy.URL}} {
@@ -55,7 +55,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				start := time.Now()
-				ask(b, c.url)
+				post(b, c.url)
 				require.NoError(b, times.RecordValue(int64(time.Since(start))))
 			}
 			b.ReportMetric(float64(times.ValueAtQuantile(50))/1e3, "p50-µs")
@@ -67,21 +67,21 @@
 // BenchmarkThroughput is many callers at once; the callers and the fake engine share
 // the cores with the proxy.
 func BenchmarkThroughput(b *testing.B) {
-	engine, proxy := newRealBench(b, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{}`) })
+	engine, proxy := newBenchmarkServers(b, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{}`) })
 	http.DefaultTransport.(*http.Transport).MaxIdleConnsPerHost = 256
 	for _, c := range []struct{ name, url string }{{"straight", engine.URL}, {"through", proxy.URL}} {
 		b.Run(c.name, func(b *testing.B) {
 			b.SetParallelism(4)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					ask(b, c.url)
+					post(b, c.url)
 				}
 			})
 		})
 	}
 }
 
-func ask(b *testing.B, url string) {
+func post(b *testing.B, url string) {
 	resp, err := http.Post(url+"/v1/completions", "application/json", strings.NewReader(benchBody))
 	if err != nil {
 		b.Fatal(err)
@@ -97,8 +97,8 @@
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 2_000 // four descriptors each, and a machine may allow 20,000
 	end := make(chan struct{})
-	engine, proxy := newRealBench(b, func(w http.ResponseWriter, r *http.Request) {
-		tokens(w, 0, 1)
+	engine, proxy := newBenchmarkServers(b, func(w http.ResponseWriter, r *http.Request) {
+		writeTokens(w, 0, 1)
 		select {
 		case <-end:
 		case <-r.Context().Done():
@@ -110,12 +110,12 @@
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				before := memory()
+				before := memoryInUse()
 				conns := make([]net.Conn, streams)
 				for i := range conns {
 					conns[i] = openStream(b, c.address)
 				}
-				b.ReportMetric(float64(memory()-before)/streams, "B/stream")
+				b.ReportMetric(float64(memoryInUse()-before)/streams, "B/stream")
 				for _, conn := range conns {
 					conn.Close()
 				}
@@ -139,8 +139,8 @@
 	}
 }
 
-// memory in use by the heap and the goroutines' stacks, in bytes.
-func memory() uint64 {
+// memoryInUse in use by the heap and the goroutines' stacks, in bytes.
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/laburnumproxy/claim.go
+++ b/laburnumproxy/claim.go
@@ -18,33 +18,33 @@
 	claimTimeout = 3 * time.Second
 	// recordTimeout bounds the wait for the log before the answer goes out.
 	recordTimeout = 5 * time.Second
-	// maxKept is the longest answer that is kept for resends, in bytes.
-	maxKept = 64 << 10
+	// maxRecordedBody is the longest answer that is kept for resends, in bytes.
+	maxRecordedBody = 64 << 10
 )
 
 // claimAndRun claims the one run of a call in the replicated state, then runs it
 // and records what became of it. A VM that dies in between leaves the claim
 // without an answer, and a resend is told so and not run.
-func (p *Proxy) claimAndRun(ctx context.Context, q *request, out *answer) error {
+func (p *Proxy) claimAndRun(ctx context.Context, q *request, out *callerResponse) error {
 	result, err := p.claim(ctx, q)
 	if err != nil {
 		return err
 	}
 	if result.Code != laburnumlever.ResultOK {
-		return p.settled(q, out, result)
+		return p.answerResend(q, out, result)
 	}
-	q.trail.add(p.timers.Now(), "claimed under its idempotency key")
+	q.trace.add(p.timers.Now(), "claimed under its idempotency key")
 	recorded := false
-	out.keep = func(whole *laburnumlever.RecordedAnswer) {
+	out.record = func(whole *laburnumlever.RecordedAnswer) {
 		recorded = true
-		if whole != nil && len(whole.Body) > maxKept {
+		if whole != nil && len(whole.Body) > maxRecordedBody {
 			whole = nil
 		}
 		p.record(ctx, q, laburnumlever.OutcomeAnswered, whole)
 	}
 	err = p.run(ctx, q, out)
 	if err != nil && !recorded {
-		p.record(ctx, q, q.outcomeOf(err), nil)
+		p.record(ctx, q, q.failureOutcome(err), nil)
 	}
 	return err
 }
@@ -52,21 +52,21 @@
 // claim proposes the claim. The key is kept apart for each caller's credentials:
 // two callers that use the same key must never get each other's answers.
 func (p *Proxy) claim(ctx context.Context, q *request) (laburnumlever.Result, error) {
-	if !p.gate.allow(p.timers.Now()) {
+	if !p.breaker.allow(p.timers.Now()) {
 		return laburnumlever.Result{}, p.noQuorum(q, "the log has not been in reach since the last try")
 	}
 	limited, cancel := p.withTimeout(ctx, claimTimeout)
 	defer cancel()
-	q.claim = uuid.NewString()
+	q.claimID = uuid.NewString()
 	result, err := p.proposer.Propose(limited, laburnumlever.Command{
 		Kind: laburnumlever.CommandClaimRequest,
 		Claim: &laburnumlever.ClaimRequest{
 			Owner: q.owner, Service: q.service, Key: q.claimKey(), Digest: q.digest(),
-			VM: p.views.View().Self.ID, At: p.timers.Now().UnixMilli(), Claim: q.claim,
+			VM: p.views.View().Self.ID, At: p.timers.Now().UnixMilli(), Claim: q.claimID,
 		},
 	})
 	if ctx.Err() == nil { // a caller that went away says nothing about the log
-		p.gate.note(p.timers.Now(), err == nil)
+		p.breaker.record(p.timers.Now(), err == nil)
 	}
 	if err == nil {
 		return result, nil
@@ -75,7 +75,7 @@
 	// will be under it, so not-run is true.
 	var unknown *laburnumlever.OutcomeUnknownError
 	if errors.As(err, &unknown) {
-		p.abandon(p.recordOf(q, laburnumlever.OutcomeNotRun, nil))
+		p.releaseInBackground(p.recordCommand(q, laburnumlever.OutcomeNotRun, nil))
 	}
 	return result, p.noQuorum(q, err.Error())
 }
@@ -86,7 +86,9 @@
 	return refusal
 }
 
-func (q *request) claimKey() string { return q.credit + "/" + q.header.Get(headerKey) }
+func (q *request) claimKey() string {
+	return q.credentialsHash + "/" + q.header.Get(headerIdempotencyKey)
+}
 
 // digest tells two calls under the same key apart.
 func (q *request) digest() uint64 {
@@ -96,13 +98,13 @@
 	return d.Sum64()
 }
 
-// settled answers a resend from what is recorded.
-func (p *Proxy) settled(q *request, out *answer, result laburnumlever.Result) error {
+// answerResend answers a resend from what is recorded.
+func (p *Proxy) answerResend(q *request, out *callerResponse, result laburnumlever.Result) error {
 	switch result.Code {
 	case laburnumlever.ResultAnswered:
-		return p.replay(q, out, result)
+		return p.writeRecordedAnswer(q, out, result)
 	case laburnumlever.ResultClaimed:
-		return p.inProgress(q, result.Holder)
+		return p.refuseInProgress(q, result.Holder)
 	case laburnumlever.ResultMismatch:
 		return q.refusal(laburnumlever.RefusedKeyMismatch, laburnumlever.OutcomeNotRun, "the key was used before with another call")
 	case laburnumlever.ResultFull:
@@ -112,20 +114,20 @@
 	}
 }
 
-// replay gives the recorded answer.
-func (p *Proxy) replay(q *request, out *answer, result laburnumlever.Result) error {
+// writeRecordedAnswer gives the recorded answer.
+func (p *Proxy) writeRecordedAnswer(q *request, out *callerResponse, result laburnumlever.Result) error {
 	if result.Outcome != laburnumlever.OutcomeAnswered || result.Answer == nil {
 		return q.refusal(laburnumlever.RefusedOutcomeUnknown, laburnumlever.OutcomeUnknown,
 			"the call was sent once and its answer is not known; it is not run again")
 	}
-	q.trail.add(p.timers.Now(), "answered from the record")
+	q.trace.add(p.timers.Now(), "answered from the record")
 	p.counters.fromRecord.Inc(1)
-	return out.giveRecorded(result.Answer)
+	return out.writeRecorded(result.Answer)
 }
 
-// inProgress answers a resend whose first call has no answer yet. If the VM that
+// refuseInProgress answers a resend whose first call has no answer yet. If the VM that
 // runs it is gone, no answer will come: the call may have run.
-func (p *Proxy) inProgress(q *request, holder laburnumlever.VMID) error {
+func (p *Proxy) refuseInProgress(q *request, holder laburnumlever.VMID) error {
 	if holder != "" && !p.isUp(holder) {
 		return q.refusal(laburnumlever.RefusedOutcomeUnknown, laburnumlever.OutcomeUnknown,
 			"the VM that sent the call is gone; it is not run again")
@@ -150,26 +152,26 @@
 	if outcome == laburnumlever.OutcomeAnswered && whole == nil {
 		outcome = laburnumlever.OutcomeUnknown // too long to be kept
 	}
-	_, err := p.proposer.Propose(ctx, p.recordOf(q, outcome, whole))
+	_, err := p.proposer.Propose(ctx, p.recordCommand(q, outcome, whole))
 	if err != nil {
 		p.counters.recordsFailed.Inc(1)
 		_ = level.Warn(p.logger).Log("event", laburnumlever.EventAnswerNotRecorded, "request-id", q.id, "err", err)
 	}
 }
 
-func (p *Proxy) recordOf(q *request, outcome laburnumlever.RequestOutcome, whole *laburnumlever.RecordedAnswer) laburnumlever.Command {
+func (p *Proxy) recordCommand(q *request, outcome laburnumlever.RequestOutcome, whole *laburnumlever.RecordedAnswer) laburnumlever.Command {
 	return laburnumlever.Command{
 		Kind: laburnumlever.CommandRecordAnswer,
 		Answer: &laburnumlever.RecordAnswer{
-			Service: q.service, Owner: q.owner, Key: q.claimKey(), VM: p.views.View().Self.ID, Claim: q.claim,
+			Service: q.service, Owner: q.owner, Key: q.claimKey(), VM: p.views.View().Self.ID, Claim: q.claimID,
 			Outcome: outcome, Answer: whole,
 		},
 	}
 }
 
-// outcomeOf is what may be recorded of a call that failed.
-func (q *request) outcomeOf(err error) laburnumlever.RequestOutcome {
-	if q.touched {
+// failureOutcome is what may be recorded of a call that failed.
+func (q *request) failureOutcome(err error) laburnumlever.RequestOutcome {
+	if q.maybeSent {
 		return laburnumlever.OutcomeUnknown
 	}
 	return q.asRefusal(err).Outcome
@@ -185,10 +187,10 @@
 	}
 }
 
-// giveRecorded gives a kept answer to the caller.
-func (o *answer) giveRecorded(a *laburnumlever.RecordedAnswer) error {
+// writeRecorded gives a kept answer to the caller.
+func (o *callerResponse) writeRecorded(a *laburnumlever.RecordedAnswer) error {
 	o.started = true
-	o.firstAt = o.timers.Now()
+	o.firstByteAt = o.timers.Now()
 	for name, value := range a.Header {
 		o.w.Header().Set(name, value)
 	}
--- a/laburnumproxy/conn.go
+++ b/laburnumproxy/conn.go
@@ -21,26 +21,26 @@
 	mu     sync.Mutex
 	writes uint64
 	sealed bool
-	// judged is closed once the answer to the attempt that has the connection, or
+	// checked is closed once the answer to the attempt that has the connection, or
 	// had it last, was matched with it.
-	judged chan struct{}
+	checked chan struct{}
 }
 
-// handOver gives the connection to another attempt, once the last one's answer has
+// acquire gives the connection to another attempt, once the last one's answer has
 // been matched. An answer without a body puts the connection back into the pool
 // before anyone has looked at whose answer it was: a crossed one's connection would
 // already carry the next request when it is closed. The wait is short, as the last
 // attempt has its answer in hand.
-func (c *countedConn) handOver() (judged chan struct{}) {
+func (c *countedConn) acquire() (checked chan struct{}) {
 	c.mu.Lock()
-	last := c.judged
-	c.judged = make(chan struct{})
-	judged = c.judged
+	last := c.checked
+	c.checked = make(chan struct{})
+	checked = c.checked
 	c.mu.Unlock()
 	if last != nil {
 		<-last
 	}
-	return judged
+	return checked
 }
 
 func (c *countedConn) Write(p []byte) (int, error) {
@@ -60,15 +60,15 @@
 	return n, err
 }
 
-func (c *countedConn) count() uint64 {
+func (c *countedConn) writeCount() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// sealUnless forbids further writes unless there were some since base, and tells
+// sealIfUnwritten forbids further writes unless there were some since base, and tells
 // whether there were.
-func (c *countedConn) sealUnless(base uint64) (written bool) {
+func (c *countedConn) sealIfUnwritten(base uint64) (written bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.writes > base {
--- a/laburnumproxy/demand.go
+++ b/laburnumproxy/demand.go
@@ -20,14 +20,14 @@
 }
 
 type modelCounts struct {
-	requests, promptTokens, answerTokens, refused, answered, inside float64
+	requests, promptTokens, answerTokens, refused, answered, withinTarget float64
 }
 
 func newDemand(now time.Time) *demand {
 	return &demand{since: now, models: map[laburnumlever.ModelName]*modelCounts{}}
 }
 
-func (d *demand) of(model laburnumlever.ModelName) *modelCounts {
+func (d *demand) counts(model laburnumlever.ModelName) *modelCounts {
 	c := d.models[model]
 	if c == nil {
 		c = &modelCounts{}
@@ -36,22 +36,22 @@
 	return c
 }
 
-func (d *demand) asked(q *request) {
+func (d *demand) countRequest(q *request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c := d.of(q.model)
+	c := d.counts(q.model)
 	c.requests++
 	c.promptTokens += float64(q.promptTokens)
 	c.answerTokens += float64(q.answerTokens)
 }
 
-// ended counts how a request went: err is nil for a whole answer.
-func (d *demand) ended(q *request, firstToken time.Duration, err error) {
+// countResult counts how a request went: err is nil for a whole answer.
+func (d *demand) countResult(q *request, firstToken time.Duration, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c := d.of(q.model)
+	c := d.counts(q.model)
 	var refusal *laburnumlever.RefusalError
-	if errors.As(err, &refusal) && wantsCapacity(refusal.Reason) {
+	if errors.As(err, &refusal) && isCapacityRefusal(refusal.Reason) {
 		c.refused++
 		return
 	}
@@ -61,11 +61,11 @@
 	c.answered++
 	target := time.Duration(q.class.FirstToken)
 	if target == 0 || firstToken <= target {
-		c.inside++
+		c.withinTarget++
 	}
 }
 
-func wantsCapacity(reason laburnumlever.RefusalReason) bool {
+func isCapacityRefusal(reason laburnumlever.RefusalReason) bool {
 	switch reason {
 	case laburnumlever.RefusedQueueFull, laburnumlever.RefusedQueueTimeout, laburnumlever.RefusedDeadline,
 		laburnumlever.RefusedNoBackend, laburnumlever.RefusedBackendBusy:
@@ -93,7 +93,7 @@
 			Model: name, VM: p.views.View().Self.ID, Sequence: d.sequence,
 			RequestsPerSecond: c.requests / span, PromptTokens: c.promptTokens / span,
 			AnswerTokens: c.answerTokens / span, Refused: c.refused / span,
-			InsideTarget: share(c.inside, c.answered+c.refused),
+			InsideTarget: ratio(c.withinTarget, c.answered+c.refused),
 		})
 	}
 	slices.SortFunc(out, func(a, b laburnumlever.ModelDemand) int {
@@ -104,7 +104,7 @@
 	return out
 }
 
-func share(part, whole float64) float64 {
+func ratio(part, whole float64) float64 {
 	if whole == 0 {
 		return 1
 	}
--- a/laburnumproxy/errors.go
+++ b/laburnumproxy/errors.go
@@ -70,10 +70,10 @@
 func (e *DrainTimeoutError) Unwrap() error { return e.Cause }
 
 // stalledError is a request that made no progress, or took too long in all.
-type stalledError struct{ Still, Age time.Duration }
+type stalledError struct{ Idle, Age time.Duration }
 
 func (e *stalledError) Error() string {
-	return fmt.Sprintf("no progress for %v, %v in all", e.Still, e.Age)
+	return fmt.Sprintf("no progress for %v, %v in all", e.Idle, e.Age)
 }
 
 // stoppedError is a request cut off because the VM ends at once.
--- a/laburnumproxy/explain.go
+++ b/laburnumproxy/explain.go
@@ -9,36 +9,36 @@
 )
 
 const (
-	// ringSize is how many of the last requests can be explained.
-	ringSize = 4096
-	// maxTrailLines bounds one request's account.
-	maxTrailLines = 32
+	// traceRingSize is how many of the last requests can be explained.
+	traceRingSize = 4096
+	// maxTraceLines bounds one request's account.
+	maxTraceLines = 32
 )
 
-// trail is the account of one request's decisions.
-type trail struct {
+// requestTrace is the account of one request's decisions.
+type requestTrace struct {
 	mu    sync.Mutex
 	id    string
 	start time.Time
-	lines []trailLine
+	lines []traceLine
 }
 
-type trailLine struct {
+type traceLine struct {
 	after  time.Duration
 	format string
 	args   []any
 }
 
 // add notes a decision; the text is only made when an operator asks.
-func (t *trail) add(now time.Time, format string, args ...any) {
+func (t *requestTrace) add(now time.Time, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.lines) < maxTrailLines {
-		t.lines = append(t.lines, trailLine{after: now.Sub(t.start), format: format, args: args})
+	if len(t.lines) < maxTraceLines {
+		t.lines = append(t.lines, traceLine{after: now.Sub(t.start), format: format, args: args})
 	}
 }
 
-func (t *trail) explanation() laburnumlever.Explanation {
+func (t *requestTrace) explanation() laburnumlever.Explanation {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := laburnumlever.Explanation{Subject: "request " + t.id}
@@ -48,28 +48,30 @@
 	return out
 }
 
-// ring keeps the last trails.
-type ring struct {
+// traceRing keeps the last trails.
+type traceRing struct {
 	mu     sync.Mutex
 	next   int
-	trails [ringSize]*trail
-	byID   map[string]*trail
+	traces [traceRingSize]*requestTrace
+	byID   map[string]*requestTrace
 }
 
-func newRing() *ring { return &ring{byID: make(map[string]*trail, ringSize)} }
+func newTraceRing() *traceRing {
+	return &traceRing{byID: make(map[string]*requestTrace, traceRingSize)}
+}
 
-func (r *ring) put(t *trail) {
+func (r *traceRing) put(t *requestTrace) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if old := r.trails[r.next]; old != nil && r.byID[old.id] == old {
+	if old := r.traces[r.next]; old != nil && r.byID[old.id] == old {
 		delete(r.byID, old.id)
 	}
-	r.trails[r.next] = t
+	r.traces[r.next] = t
 	r.byID[t.id] = t
-	r.next = (r.next + 1) % ringSize
+	r.next = (r.next + 1) % traceRingSize
 }
 
-func (r *ring) get(id string) (*trail, bool) {
+func (r *traceRing) get(id string) (*requestTrace, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t, ok := r.byID[id]
@@ -78,7 +80,7 @@
 
 // Explain says what was decided for one of the last requests.
 func (p *Proxy) Explain(requestID string) (laburnumlever.Explanation, bool) {
-	t, ok := p.ring.get(requestID)
+	t, ok := p.traces.get(requestID)
 	if !ok {
 		return laburnumlever.Explanation{}, false
 	}
--- a/laburnumproxy/fakes_test.go
+++ b/laburnumproxy/fakes_test.go
@@ -32,16 +32,16 @@
 // fakeLog is the replicated state of a whole deployment: proxies that share it are
 // VMs of one deployment.
 type fakeLog struct {
-	mu     sync.Mutex
-	err    error
-	claims map[string]*claim
-	steal  laburnumlever.VMID // claims each key just before the caller does
+	mu        sync.Mutex
+	err       error
+	claims    map[string]*fakeClaim
+	claimedBy laburnumlever.VMID // claims each key just before the caller does
 	// held are commands that a cut holds up: their senders get no answer.
-	hold bool
-	held []laburnumlever.Command
+	delay   bool
+	delayed []laburnumlever.Command
 }
 
-type claim struct {
+type fakeClaim struct {
 	id     string
 	digest uint64
 	holder laburnumlever.VMID
@@ -51,22 +51,22 @@
 func (l *fakeLog) Propose(_ context.Context, cmd laburnumlever.Command) (laburnumlever.Result, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.hold {
-		l.held = append(l.held, cmd)
+	if l.delay {
+		l.delayed = append(l.delayed, cmd)
 		return laburnumlever.Result{}, &laburnumlever.OutcomeUnknownError{Detail: "no answer"}
 	}
 	return l.apply(cmd)
 }
 
-// heal lets what was held up arrive, the last first: the worst order.
-func (l *fakeLog) heal() {
+// deliver lets what was held up arrive, the last first: the worst order.
+func (l *fakeLog) deliver() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hold = false
-	for _, cmd := range slices.Backward(l.held) {
+	l.delay = false
+	for _, cmd := range slices.Backward(l.delayed) {
 		_, _ = l.apply(cmd)
 	}
-	l.held = nil
+	l.delayed = nil
 }
 
 func (l *fakeLog) apply(cmd laburnumlever.Command) (laburnumlever.Result, error) {
@@ -88,13 +88,13 @@
 		l.claims[cmd.Answer.Key].record = cmd.Answer
 		return laburnumlever.Result{}, nil
 	}
-	if l.steal != "" {
-		l.claims[cmd.Claim.Key] = &claim{digest: cmd.Claim.Digest, holder: l.steal}
+	if l.claimedBy != "" {
+		l.claims[cmd.Claim.Key] = &fakeClaim{digest: cmd.Claim.Digest, holder: l.claimedBy}
 	}
 	c := l.claims[cmd.Claim.Key]
 	switch {
 	case c == nil:
-		l.claims[cmd.Claim.Key] = &claim{id: cmd.Claim.Claim, digest: cmd.Claim.Digest, holder: cmd.Claim.VM}
+		l.claims[cmd.Claim.Key] = &fakeClaim{id: cmd.Claim.Claim, digest: cmd.Claim.Digest, holder: cmd.Claim.VM}
 		return laburnumlever.Result{Code: laburnumlever.ResultOK}, nil
 	case c.digest != cmd.Claim.Digest:
 		return laburnumlever.Result{Code: laburnumlever.ResultMismatch}, nil
@@ -105,8 +105,8 @@
 	}
 }
 
-// bench is one proxy before some fake backend servers.
-type bench struct {
+// fixture is one proxy before some fake backend servers.
+type fixture struct {
 	t      *testing.T
 	views  *fakeViews
 	log    *fakeLog
@@ -115,12 +115,12 @@
 	server *httptest.Server
 }
 
-func newBench(t *testing.T, log *fakeLog, opts ...laburnumproxy.Option) *bench {
+func newFixture(t *testing.T, log *fakeLog, opts ...laburnumproxy.Option) *fixture {
 	t.Helper()
 	if log == nil {
-		log = &fakeLog{claims: map[string]*claim{}}
+		log = &fakeLog{claims: map[string]*fakeClaim{}}
 	}
-	b := &bench{t: t, views: &fakeViews{}, log: log, timers: laburnumtimer.NewManual(time.Now())}
+	b := &fixture{t: t, views: &fakeViews{}, log: log, timers: laburnumtimer.NewManual(time.Now())}
 	b.views.view.Store(&laburnumlever.View{
 		Self: laburnumlever.VM{ID: "vm-1", Zone: "brest"},
 		VMs:  []laburnumlever.VM{{ID: "vm-1"}, {ID: "vm-2", State: laburnumlever.VMDown}},
@@ -139,7 +139,7 @@
 }
 
 // add puts a backend server into the view.
-func (b *bench) add(change laburnumlever.Announcement) {
+func (b *fixture) add(change laburnumlever.Announcement) {
 	view := *b.views.View()
 	change.Backend = laburnumlever.BackendID(fmt.Sprintf("b%d", len(view.Backends)))
 	change.Slots = 8
@@ -150,7 +150,7 @@
 }
 
 // engine adds an engine with that handler; it echoes attempt ids.
-func (b *bench) engine(canResume bool, fn http.HandlerFunc) *httptest.Server {
+func (b *fixture) engine(canResume bool, fn http.HandlerFunc) *httptest.Server {
 	s := httptest.NewServer(echoing(fn))
 	b.t.Cleanup(s.Close)
 	b.add(laburnumlever.Announcement{Address: s.Listener.Addr().String(), CanResume: canResume})
@@ -158,7 +158,7 @@
 }
 
 // service adds a plain service with that handler.
-func (b *bench) service(fn http.HandlerFunc) *httptest.Server {
+func (b *fixture) service(fn http.HandlerFunc) *httptest.Server {
 	s := httptest.NewServer(echoing(fn))
 	b.t.Cleanup(s.Close)
 	b.add(laburnumlever.Announcement{Kind: laburnumlever.PlainService, Service: "booking", Address: s.Listener.Addr().String()})
@@ -180,7 +180,7 @@
 	err    error
 }
 
-func (b *bench) post(path, body string, headers ...string) reply {
+func (b *fixture) post(path, body string, headers ...string) reply {
 	req, err := http.NewRequest(http.MethodPost, b.server.URL+path, strings.NewReader(body))
 	require.NoError(b.t, err)
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -195,12 +195,12 @@
 	return reply{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
 }
 
-func (b *bench) stream() reply {
+func (b *fixture) stream() reply {
 	return b.post("/v1/completions", `{"model":"quote","prompt":"hall","stream":true,"max_tokens":4}`)
 }
 
-// refused checks a typed refusal.
-func (r reply) refused(t *testing.T, reason, outcome string) {
+// requireRefusal checks a typed refusal.
+func (r reply) requireRefusal(t *testing.T, reason, outcome string) {
 	t.Helper()
 	require.NoError(t, r.err)
 	var body struct {
@@ -217,8 +217,8 @@
 	require.Equal(t, body.Error.ID, r.header.Get("X-Request-Id"))
 }
 
-// tokens writes token events from…to and flushes each.
-func tokens(w http.ResponseWriter, from, to int) {
+// writeTokens writes token events from…to and flushes each.
+func writeTokens(w http.ResponseWriter, from, to int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := from; i < to; i++ {
 		fmt.Fprintf(w, "data: {\"choices\":[{\"text\":\"t%d \",\"finish_reason\":null}]}\n\n", i)
@@ -226,10 +226,10 @@
 	}
 }
 
-func done(w http.ResponseWriter) { io.WriteString(w, "data: [DONE]\n\n") }
+func writeDone(w http.ResponseWriter) { io.WriteString(w, "data: [DONE]\n\n") }
 
-// texts joins the token texts of a stream.
-func texts(body string) string {
+// joinTexts joins the token joinTexts of a stream.
+func joinTexts(body string) string {
 	var out bytes.Buffer
 	for line := range strings.Lines(body) {
 		var c struct{ Choices []struct{ Text string } }
--- a/laburnumproxy/forward.go
+++ b/laburnumproxy/forward.go
@@ -16,57 +16,57 @@
 	"github.com/google/uuid"
 )
 
-// failure is an attempt that brought no whole answer.
-type failure struct {
+// attemptFailure is an attempt that brought no whole answer.
+type attemptFailure struct {
 	refusal   *laburnumlever.RefusalError
 	canResume bool
 }
 
 // run lets the request in and attempts it until it is answered or given up.
-func (p *Proxy) run(ctx context.Context, q *request, out *answer) error {
-	ticket := p.ticket(q)
+func (p *Proxy) run(ctx context.Context, q *request, out *callerResponse) error {
+	ticket := p.newTicket(q)
 	if err := p.admit(ctx, q, out, ticket); err != nil {
 		return err
 	}
-	defer p.leave(q, out, ticket)
+	defer p.settle(q, out, ticket)
 	resume := false
 	for {
-		fail := p.try(ctx, q, out, ticket, resume)
+		fail := p.attemptOnce(ctx, q, out, ticket, resume)
 		if fail == nil {
 			return nil
 		}
 		if fail.refusal.Outcome == laburnumlever.OutcomeUnknown {
-			q.touched = true
+			q.maybeSent = true
 		}
-		reason, again := p.again(ctx, q, out, ticket, fail)
-		if !again {
+		reason, retry := p.retry(ctx, q, out, ticket, fail)
+		if !retry {
 			return fail.refusal
 		}
 		resume = reason == laburnumlever.RetryStreamResumed
 	}
 }
 
-func (p *Proxy) ticket(q *request) *laburnumdispatch.Ticket {
+func (p *Proxy) newTicket(q *request) *laburnumdispatch.Ticket {
 	return &laburnumdispatch.Ticket{Request: laburnumdispatch.Request{
-		Owner: q.owner, OwnerLimits: q.ownerLimits, EntryLimits: q.limits, Key: q.caller,
+		Owner: q.owner, OwnerLimits: q.ownerLimits, EntryLimits: q.limits, Key: q.callerKey,
 		Model: q.model, Service: q.service, Class: q.class, Prefix: q.prefix,
 		Prompt: max(1, q.promptTokens), Answer: max(1, q.answerTokens), Received: q.received,
 	}}
 }
 
 // admit waits until the request has a server.
-func (p *Proxy) admit(ctx context.Context, q *request, out *answer, ticket *laburnumdispatch.Ticket) error {
+func (p *Proxy) admit(ctx context.Context, q *request, out *callerResponse, ticket *laburnumdispatch.Ticket) error {
 	ready := make(chan struct{})
 	ticket.Wake = func() { close(ready) }
 	now := p.timers.Now()
 	waits, err := p.submit(ticket, now)
-	if isReason(err, laburnumlever.RefusedNoBackend) && p.refreshForMissing(now) {
+	if hasReason(err, laburnumlever.RefusedNoBackend) && p.refreshForMissing(now) {
 		waits, err = p.submit(ticket, now)
 	}
 	if err != nil || !waits {
 		return err
 	}
-	q.trail.add(now, "waits for a free place")
+	q.trace.add(now, "waits for a free place")
 	select {
 	case <-ready:
 	case <-ctx.Done():
@@ -74,9 +74,9 @@
 		p.dispatch.EndAttempt(ticket, laburnumrouter.Sample{Skipped: true}, p.timers.Now())
 		p.dispatch.Finish(ticket, 0, p.timers.Now())
 		p.mu.Unlock()
-		return q.refusal(causeOf(ctx), laburnumlever.OutcomeNotRun, "given up while it waited")
+		return q.refusal(reasonFromContext(ctx), laburnumlever.OutcomeNotRun, "given up while it waited")
 	}
-	out.flight.moved(p.timers.Now())
+	out.active.markProgress(p.timers.Now())
 	if ticket.Refusal != nil {
 		return ticket.Refusal
 	}
@@ -90,13 +90,13 @@
 	return err == nil && ticket.Waiting(), err
 }
 
-// leave settles the request's true cost.
-func (p *Proxy) leave(q *request, out *answer, ticket *laburnumdispatch.Ticket) {
+// settle settles the request's true cost.
+func (p *Proxy) settle(q *request, out *callerResponse, ticket *laburnumdispatch.Ticket) {
 	used := 0
 	switch {
-	case out.events:
+	case out.eventStream:
 		used = q.promptTokens + out.tokens
-	case out.started || q.touched:
+	case out.started || q.maybeSent:
 		used = ticket.Request.Prompt + ticket.Request.Answer
 	}
 	p.mu.Lock()
@@ -104,22 +104,22 @@
 	p.dispatch.Finish(ticket, used, p.timers.Now())
 }
 
-// again asks for another attempt.
-func (p *Proxy) again(ctx context.Context, q *request, out *answer, ticket *laburnumdispatch.Ticket, fail *failure) (laburnumlever.RetryReason, bool) {
+// retry asks for another attempt.
+func (p *Proxy) retry(ctx context.Context, q *request, out *callerResponse, ticket *laburnumdispatch.Ticket, fail *attemptFailure) (laburnumlever.RetryReason, bool) {
 	if ctx.Err() != nil {
 		return 0, false
 	}
 	now := p.timers.Now()
 	p.mu.Lock()
 	reason, verdict := p.dispatch.Retry(ticket, laburnumretry.Situation{
-		Reason: fail.refusal.Reason, Outcome: fail.refusal.Outcome, Once: q.once,
-		Started: out.started, Stream: out.events && q.stream, CanResume: fail.canResume,
+		Reason: fail.refusal.Reason, Outcome: fail.refusal.Outcome, Once: q.atMostOnce,
+		Started: out.started, Stream: out.eventStream && q.stream, CanResume: fail.canResume,
 	}, now)
 	p.mu.Unlock()
 	switch verdict {
 	case laburnumretry.Again:
 		p.counters.retries[reason].Inc(1)
-		q.trail.add(now, "attempt again: %s", reason)
+		q.trace.add(now, "attempt again: %s", reason)
 		return reason, true
 	case laburnumretry.OverBudget:
 		fail.refusal.Detail = "retry budget spent after: " + fail.refusal.Detail
@@ -130,16 +130,16 @@
 	}
 }
 
-// try makes one attempt on the ticket's server and frees its place there. A nil
+// attemptOnce makes one attempt on the ticket's server and frees its place there. A nil
 // failure means that the whole answer was passed on.
-func (p *Proxy) try(ctx context.Context, q *request, out *answer, ticket *laburnumdispatch.Ticket, resume bool) *failure {
+func (p *Proxy) attemptOnce(ctx context.Context, q *request, out *callerResponse, ticket *laburnumdispatch.Ticket, resume bool) *attemptFailure {
 	to := ticket.Backend
 	start := p.timers.Now()
 	before := out.tokens
 	fail := p.exchange(ctx, q, out, to, resume)
 	now := p.timers.Now()
 	sample := laburnumrouter.Sample{Took: now.Sub(start), Prompt: max(1, q.promptTokens), Answer: max(1, q.answerTokens)}
-	if out.events {
+	if out.eventStream {
 		sample.Answer = out.tokens - before
 	}
 	if fail != nil {
@@ -155,58 +155,58 @@
 }
 
 // exchange sends the request to one backend server and passes its answer on.
-func (p *Proxy) exchange(ctx context.Context, q *request, out *answer, to laburnumlever.Announcement, resume bool) *failure {
+func (p *Proxy) exchange(ctx context.Context, q *request, out *callerResponse, to laburnumlever.Announcement, resume bool) *attemptFailure {
 	own, cancel := context.WithCancel(ctx)
 	defer cancel() // ends the backend server's work when the answer is not wanted any more
 	a := newAttempt(uuid.NewString(), to.Backend, cancel)
-	q.trail.add(p.timers.Now(), "attempt %s on %s at %s", a.id, to.Backend, to.Address)
-	req := p.outgoing(a.trace(own), q, a, to)
+	q.trace.add(p.timers.Now(), "attempt %s on %s at %s", a.id, to.Backend, to.Address)
+	req := p.newBackendRequest(a.trace(own), q, a, to)
 	if resume {
-		req.Header.Set(headerResume, strconv.Itoa(out.tokens))
+		req.Header.Set(headerResumeFrom, strconv.Itoa(out.tokens))
 	}
-	resp, err := p.transport(q).RoundTrip(req)
+	resp, err := p.transportFor(q).RoundTrip(req)
 	if err != nil {
-		a.failed()
-		return p.failed(q, a, to, causeOf(ctx), err)
+		a.fail()
+		return p.newFailure(q, a, to, reasonFromContext(ctx), err)
 	}
 	defer func() { _ = resp.Body.Close() }() // nothing is left to be read or said
-	if err := a.answered(resp); err != nil {
+	if err := a.checkResponse(resp); err != nil {
 		p.counters.crossed.Inc(1)
 		_ = level.Warn(p.logger).Log("event", laburnumlever.EventCrossedAnswer, "request-id", q.id, "backend", to.Backend, "err", err)
-		return p.failed(q, a, to, laburnumlever.RefusedCrossedAnswer, err)
+		return p.newFailure(q, a, to, laburnumlever.RefusedCrossedAnswer, err)
 	}
 	if a.outcome() == laburnumlever.OutcomeNotRun {
-		return p.failed(q, a, to, laburnumlever.RefusedBackendBusy, &statusError{Status: resp.StatusCode})
+		return p.newFailure(q, a, to, laburnumlever.RefusedBackendBusy, &statusError{Status: resp.StatusCode})
 	}
 	if to.Kind == laburnumlever.Engine && resp.StatusCode >= http.StatusInternalServerError {
-		return p.failed(q, a, to, laburnumlever.RefusedBackendError, &statusError{Status: resp.StatusCode})
+		return p.newFailure(q, a, to, laburnumlever.RefusedBackendError, &statusError{Status: resp.StatusCode})
 	}
-	out.flight.moved(p.timers.Now())
-	out.continued(resume)
-	if err := out.pass(resp); err != nil {
-		a.failed()
-		return p.failed(q, a, to, passReason(ctx, err), err)
+	out.active.markProgress(p.timers.Now())
+	out.prepareContinuation(resume)
+	if err := out.forward(resp); err != nil {
+		a.fail()
+		return p.newFailure(q, a, to, forwardFailureReason(ctx, err), err)
 	}
-	a.take(evAnswerWhole)
+	a.apply(evAnswerWhole)
 	return nil
 }
 
-// passReason classifies an error met while the answer was passed on.
-func passReason(ctx context.Context, err error) laburnumlever.RefusalReason {
+// forwardFailureReason classifies an error met while the answer was passed on.
+func forwardFailureReason(ctx context.Context, err error) laburnumlever.RefusalReason {
 	var gone *CallerGoneError
 	switch {
 	case errors.As(err, &gone):
 		return laburnumlever.RefusedCallerGone
 	case ctx.Err() != nil:
-		return causeOf(ctx)
+		return reasonFromContext(ctx)
 	default:
 		return laburnumlever.RefusedBrokenStream
 	}
 }
 
-func (p *Proxy) failed(q *request, a *attempt, to laburnumlever.Announcement, reason laburnumlever.RefusalReason, err error) *failure {
+func (p *Proxy) newFailure(q *request, a *attempt, to laburnumlever.Announcement, reason laburnumlever.RefusalReason, err error) *attemptFailure {
 	refusal := q.refusal(reason, a.outcome(), err.Error())
-	q.trail.add(p.timers.Now(), "attempt %s: %s, %s: %v", a.id, reason, refusal.Outcome, err)
+	q.trace.add(p.timers.Now(), "attempt %s: %s, %s: %v", a.id, reason, refusal.Outcome, err)
 	var broken *BrokenStreamError
-	return &failure{refusal: refusal, canResume: to.CanResume && errors.As(err, &broken)}
+	return &attemptFailure{refusal: refusal, canResume: to.CanResume && errors.As(err, &broken)}
 }
--- a/laburnumproxy/lookup.go
+++ b/laburnumproxy/lookup.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// rebuildShare bounds what building indexes costs: one part in 200 of a core.
+	// rebuildCostFactor bounds what building indexes costs: one part in 200 of a core.
 	// At the design size reports change the view thousands of times a second.
-	rebuildShare = 200
-	// missingShare bounds it while requests ask for what is not in the index, as they
+	rebuildCostFactor = 200
+	// missingCostFactor bounds it while requests ask for what is not in the index, as they
 	// also do for models that never were.
-	missingShare = 20
-	// rebuildAtMost bounds how old an index gets: a leaving backend server is out
+	missingCostFactor = 20
+	// maxRebuildInterval bounds how old an index gets: a leaving backend server is out
 	// of it well within the 3 s that it is promised.
-	rebuildAtMost = time.Second
+	maxRebuildInterval = time.Second
 )
 
 // lookup is a view's catalogue by name.
@@ -71,12 +71,12 @@
 
 // refresh takes a new view in, unless that would cost too much or is being done.
 func (p *Proxy) refresh(now time.Time) {
-	if p.current() || !p.building.TryLock() {
+	if p.isCurrent() || !p.buildMu.TryLock() {
 		return
 	}
-	defer p.building.Unlock()
-	if !now.Before(p.rebuild) {
-		p.build(now)
+	defer p.buildMu.Unlock()
+	if !now.Before(p.nextRebuild) {
+		p.rebuild(now)
 	}
 }
 
@@ -85,30 +85,30 @@
 // is something new to look at. Without it a request right after a load is refused
 // although the view has an engine for it.
 func (p *Proxy) refreshForMissing(now time.Time) bool {
-	if p.current() {
+	if p.isCurrent() {
 		return false
 	}
-	p.building.Lock()
-	defer p.building.Unlock()
-	if p.current() {
+	p.buildMu.Lock()
+	defer p.buildMu.Unlock()
+	if p.isCurrent() {
 		return true // another request has just done it
 	}
-	if now.Before(p.rebuildMissing) {
+	if now.Before(p.nextMissingRebuild) {
 		return false
 	}
-	cost := p.build(now)
-	p.rebuildMissing = p.timers.Now().Add(missingShare * cost)
+	cost := p.rebuild(now)
+	p.nextMissingRebuild = p.timers.Now().Add(missingCostFactor * cost)
 	return true
 }
 
-// current tells whether the index is of the newest view.
-func (p *Proxy) current() bool {
+// isCurrent tells whether the index is of the newest view.
+func (p *Proxy) isCurrent() bool {
 	l := p.lookup.Load()
 	return l != nil && l.view == p.views.View()
 }
 
-// build takes the newest view in and returns what that cost; the caller holds building.
-func (p *Proxy) build(now time.Time) time.Duration {
+// rebuild takes the newest view in and returns what that cost; the caller holds building.
+func (p *Proxy) rebuild(now time.Time) time.Duration {
 	start := p.timers.Now()
 	view := p.views.View()
 	ix := laburnumrouter.NewIndex(view)
@@ -118,7 +118,7 @@
 	p.mu.Unlock()
 	p.lookup.Store(newLookup(view))
 	end := p.timers.Now()
-	p.rebuild = end.Add(min(rebuildShare*end.Sub(start), rebuildAtMost))
+	p.nextRebuild = end.Add(min(rebuildCostFactor*end.Sub(start), maxRebuildInterval))
 	return end.Sub(start)
 }
 
@@ -133,8 +133,8 @@
 		VMs: view.Catalogue.Deployment.EntryVMs, Known: len(ids), Rank: slices.Index(ids, view.Self.ID),
 	}
 	if s.VMs == 0 {
-		p.mostVMs = max(p.mostVMs, len(ids))
-		s.VMs = p.mostVMs
+		p.maxVMsSeen = max(p.maxVMsSeen, len(ids))
+		s.VMs = p.maxVMsSeen
 	}
 	if s.Rank < 0 {
 		s.Known = 0 // not in its own list yet: no part of what is left over
--- a/laburnumproxy/options.go
+++ b/laburnumproxy/options.go
@@ -18,12 +18,12 @@
 )
 
 type settings struct {
-	logger  log.Logger
-	scope   tally.Scope
-	maxBody int64
-	stall   time.Duration
-	limit   time.Duration
-	seed    uint64
+	logger         log.Logger
+	scope          tally.Scope
+	maxBody        int64
+	stallTimeout   time.Duration
+	requestTimeout time.Duration
+	seed           uint64
 }
 
 // Option changes a Proxy under construction.
@@ -32,7 +32,7 @@
 func newSettings(opts []Option) settings {
 	cfg := settings{
 		logger: log.NewNopLogger(), scope: tally.NoopScope,
-		maxBody: DefaultMaxBody, stall: DefaultStall, limit: DefaultLimit, seed: 1,
+		maxBody: DefaultMaxBody, stallTimeout: DefaultStall, requestTimeout: DefaultLimit, seed: 1,
 	}
 	for _, opt := range opts {
 		opt(&cfg)
@@ -51,10 +51,10 @@
 
 // WithStall bounds how long a request may make no progress: no byte from the
 // caller, from the backend server, or taken by the caller.
-func WithStall(d time.Duration) Option { return func(cfg *settings) { cfg.stall = d } }
+func WithStall(d time.Duration) Option { return func(cfg *settings) { cfg.stallTimeout = d } }
 
 // WithLimit bounds how long a request may take in all.
-func WithLimit(d time.Duration) Option { return func(cfg *settings) { cfg.limit = d } }
+func WithLimit(d time.Duration) Option { return func(cfg *settings) { cfg.requestTimeout = d } }
 
 // WithSeed seeds the random choices, so that a test repeats.
 func WithSeed(seed uint64) Option { return func(cfg *settings) { cfg.seed = seed } }
--- a/laburnumproxy/outgoing.go
+++ b/laburnumproxy/outgoing.go
@@ -11,30 +11,30 @@
 	"laburnumlever"
 )
 
-// hopHeaders belong to one connection and are not passed on (RFC 9110, 7.6.1);
+// hopByHopHeaders belong to one connection and are not passed on (RFC 9110, 7.6.1);
 // nor are ours for attempts.
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
-	"Transfer-Encoding", "Upgrade", headerAttempt, headerResume,
+	"Transfer-Encoding", "Upgrade", headerAttemptID, headerResumeFrom,
 }
 
-// ownHeaders is how many headers outgoing adds.
-const ownHeaders = 4
+// addedHeaders is how many headers outgoing adds.
+const addedHeaders = 4
 
-// transport keeps non-idempotent requests off reused connections: one that the
+// transportFor keeps non-idempotent requests off reused connections: one that the
 // backend server has just closed would take the request's bytes and lose them, and
 // the caller would be told unknown for nothing.
-func (p *Proxy) transport(q *request) *http.Transport {
-	if q.once {
-		return p.single
+func (p *Proxy) transportFor(q *request) *http.Transport {
+	if q.atMostOnce {
+		return p.unpooled
 	}
 	return p.pooled
 }
 
-func (p *Proxy) outgoing(ctx context.Context, q *request, a *attempt, to laburnumlever.Announcement) *http.Request {
-	header := passedHeaders(q.header)
-	header.Set(headerAttempt, a.id)
-	header.Set(headerRequest, q.id)
+func (p *Proxy) newBackendRequest(ctx context.Context, q *request, a *attempt, to laburnumlever.Announcement) *http.Request {
+	header := forwardedHeaders(q.header)
+	header.Set(headerAttemptID, a.id)
+	header.Set(headerRequestID, q.id)
 	header.Set(headerPriority, q.class.Priority.String())
 	url := "http://" + to.Address + q.path
 	req, err := http.NewRequestWithContext(ctx, q.method, url, nil)
@@ -46,7 +46,7 @@
 	if len(q.body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(q.body))
 		req.ContentLength = int64(len(q.body))
-		if !q.once {
+		if !q.atMostOnce {
 			// Lets net/http take another connection when a reused one turns out
 			// closed before anything was written; see attempt for the rest.
 			req.GetBody = func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(q.body)), nil }
@@ -55,22 +55,22 @@
 	return req
 }
 
-func passedHeaders(from http.Header) http.Header {
-	out := make(http.Header, len(from)+ownHeaders)
+func forwardedHeaders(from http.Header) http.Header {
+	out := make(http.Header, len(from)+addedHeaders)
 	for name, values := range from {
 		out[name] = values
 	}
-	dropHopHeaders(out)
+	removeHopByHopHeaders(out)
 	return out
 }
 
-func dropHopHeaders(h http.Header) {
+func removeHopByHopHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			delete(h, textproto.CanonicalMIMEHeaderKey(textproto.TrimString(name)))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(h, name)
 	}
 }
--- a/laburnumproxy/prompt.go
+++ b/laburnumproxy/prompt.go
@@ -17,17 +17,17 @@
 	Text string `json:"text"`
 }
 
-// promptOf is the text that an engine reads: a completion's prompt, or the contents of
+// promptText is the text that an engine reads: a completion's prompt, or the contents of
 // a chat's messages, a line each. Engines report hashes of its beginning as cached, so
 // it must be the text itself and not its JSON. It is empty for prompts given as tokens.
-func promptOf(c *completion) string {
+func promptText(c *completion) string {
 	if len(c.Messages) == 0 {
-		return textOf(c.Prompt)
+		return contentText(c.Prompt)
 	}
 	contents := make([]string, 0, len(c.Messages))
 	length := 0
 	for i := range c.Messages {
-		text := textOf(c.Messages[i].Content)
+		text := contentText(c.Messages[i].Content)
 		contents = append(contents, text)
 		if length += len(text); length >= laburnumrouter.PrefixBytes {
 			break // only the beginning is hashed
@@ -36,7 +36,7 @@
 	return strings.Join(contents, "\n")
 }
 
-func textOf(raw json.RawMessage) string {
+func contentText(raw json.RawMessage) string {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
 		return text
--- a/laburnumproxy/proxy.go
+++ b/laburnumproxy/proxy.go
@@ -25,31 +25,31 @@
 
 // Proxy serves callers. It is an http.Handler.
 type Proxy struct {
-	views    laburnumlever.Views
-	timers   laburnumlever.Timers
-	proposer laburnumlever.Proposer
-	cfg      settings
-	logger   log.Logger
-	scope    tally.Scope
-	counters *counters
-	app      *iris.Application
-	pooled   *http.Transport
-	single   *http.Transport // each request on a connection of its own
-	ring     *ring
-	demand   *demand
-	flights  *flights
-	stop     func()
-	closed   chan struct{}
-	closing  sync.Once
-	gate     quorumGate
-	// abandoned holds a place for each claim that is being freed.
-	abandoned chan struct{}
+	views     laburnumlever.Views
+	timers    laburnumlever.Timers
+	proposer  laburnumlever.Proposer
+	cfg       settings
+	logger    log.Logger
+	scope     tally.Scope
+	counters  *counters
+	app       *iris.Application
+	pooled    *http.Transport
+	unpooled  *http.Transport // each request on a connection of its own
+	traces    *traceRing
+	demand    *demand
+	active    *activeRequests
+	stop      func()
+	closed    chan struct{}
+	closeOnce sync.Once
+	breaker   logBreaker
+	// pendingReleases holds a place for each claim that is being freed.
+	pendingReleases chan struct{}
 
-	lookup         atomic.Pointer[lookup]
-	building       sync.Mutex // held while an index is built
-	rebuild        time.Time  // no sooner than this; guarded by building
-	rebuildMissing time.Time
-	mostVMs        int // ever known; guarded by building
+	lookup             atomic.Pointer[lookup]
+	buildMu            sync.Mutex // held while an index is built
+	nextRebuild        time.Time  // no sooner than this; guarded by building
+	nextMissingRebuild time.Time
+	maxVMsSeen         int // ever known; guarded by building
 
 	mu       sync.Mutex // guards the decisions, which are not safe by themselves
 	dispatch *laburnumdispatch.Dispatcher
@@ -62,12 +62,12 @@
 	p := &Proxy{
 		views: views, timers: timers, proposer: proposer, cfg: cfg,
 		logger: cfg.logger, scope: cfg.scope, counters: newCounters(cfg.scope),
-		pooled: newTransport(true), single: newTransport(false),
-		ring: newRing(), demand: newDemand(timers.Now()), flights: newFlights(),
+		pooled: newTransport(true), unpooled: newTransport(false),
+		traces: newTraceRing(), demand: newDemand(timers.Now()), active: newActiveRequests(),
 		dispatch: laburnumdispatch.New(views.View().Self.Zone, cfg.seed),
 	}
 	p.refresh(timers.Now())
-	p.closed, p.abandoned = make(chan struct{}), make(chan struct{}, maxAbandoned)
+	p.closed, p.pendingReleases = make(chan struct{}), make(chan struct{}, maxPendingReleases)
 	p.app = p.routes()
 	p.stop = timers.Every(sweepPeriod, p.sweep)
 	return p
@@ -85,10 +85,10 @@
 // Close frees the proxy's connections. It cuts off what is still in flight: Drain first.
 func (p *Proxy) Close() error {
 	p.stop()
-	p.closing.Do(func() { close(p.closed) })
-	p.flights.cancelAll(&stoppedError{})
+	p.closeOnce.Do(func() { close(p.closed) })
+	p.active.abortAll(&stoppedError{})
 	p.pooled.CloseIdleConnections()
-	p.single.CloseIdleConnections()
+	p.unpooled.CloseIdleConnections()
 	return nil
 }
 
@@ -96,28 +96,28 @@
 	app := iris.New()
 	app.Logger().SetLevel("disable")
 	app.Configure(iris.WithoutStartupLog, iris.WithoutAutoFireStatusCode, iris.WithoutPathCorrection)
-	app.Post("/v1/chat/completions", adapt(p.serveCompletion))
-	app.Post("/v1/completions", adapt(p.serveCompletion))
-	app.Get("/v1/models", adapt(p.serveModels))
-	app.Any("/services/{rest:path}", adapt(p.serveService))
-	app.Get("/healthz", adapt(p.serveHealth))
-	app.Get("/readyz", adapt(p.serveReady))
+	app.Post("/v1/chat/completions", irisHandler(p.serveCompletion))
+	app.Post("/v1/completions", irisHandler(p.serveCompletion))
+	app.Get("/v1/models", irisHandler(p.serveModels))
+	app.Any("/services/{rest:path}", irisHandler(p.serveService))
+	app.Get("/healthz", irisHandler(p.serveHealth))
+	app.Get("/readyz", irisHandler(p.serveReady))
 	// Iris's own error pages stay off: it would add one to a backend server's
 	// answer that has an error status and no body.
-	app.Any("/{rest:path}", adapt(p.serveNoSuchPath))
+	app.Any("/{rest:path}", irisHandler(p.serveNotFound))
 	if err := app.Build(); err != nil {
 		panic(err) // the routes above are fixed: a clash shows in every test
 	}
 	return app
 }
 
-func adapt(fn http.HandlerFunc) iris.Handler {
+func irisHandler(fn http.HandlerFunc) iris.Handler {
 	return func(ctx iris.Context) { fn(ctx.ResponseWriter(), ctx.Request()) }
 }
 
-// plainWriter is net/http's own writer below iris's, which alone can be given
+// unwrapWriter is net/http's own writer below iris's, which alone can be given
 // deadlines and tells of a failed flush.
-func plainWriter(w http.ResponseWriter) http.ResponseWriter {
+func unwrapWriter(w http.ResponseWriter) http.ResponseWriter {
 	if wrapped, ok := w.(interface{ Naive() http.ResponseWriter }); ok {
 		return wrapped.Naive()
 	}
--- a/laburnumproxy/proxy_test.go
+++ b/laburnumproxy/proxy_test.go
@@ -19,14 +19,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestStreamPassesThroughAsItComes(t *testing.T) {
-	b := newBench(t, nil)
-	goOn := make(chan struct{})
+func TestStreamIsForwardedUnbuffered(t *testing.T) {
+	b := newFixture(t, nil)
+	resume := make(chan struct{})
 	b.engine(false, func(w http.ResponseWriter, _ *http.Request) {
-		tokens(w, 0, 1)
-		<-goOn
-		tokens(w, 1, 4)
-		done(w)
+		writeTokens(w, 0, 1)
+		<-resume
+		writeTokens(w, 1, 4)
+		writeDone(w)
 	})
 	resp, err := http.Post(b.server.URL+"/v1/completions", "application/json", strings.NewReader(`{"model":"quote","stream":true}`))
 	require.NoError(t, err)
@@ -34,29 +34,29 @@
 	reader := bufio.NewReader(resp.Body)
 	first, err := reader.ReadString('\n') // arrives while the engine still works
 	require.NoError(t, err)
-	close(goOn)
+	close(resume)
 	rest, err := io.ReadAll(reader)
 	require.NoError(t, err)
-	require.Equal(t, "t0 t1 t2 t3 ", texts(first+string(rest)))
+	require.Equal(t, "t0 t1 t2 t3 ", joinTexts(first+string(rest)))
 	require.True(t, strings.HasSuffix(string(rest), "data: [DONE]\n\n"))
-	account, ok := b.proxy.Explain(resp.Header.Get("X-Request-Id"))
+	explanation, ok := b.proxy.Explain(resp.Header.Get("X-Request-Id"))
 	require.True(t, ok)
-	require.NotEmpty(t, account.Lines)
+	require.NotEmpty(t, explanation.Lines)
 }
 
 func TestRefusalsAreTyped(t *testing.T) {
-	b := newBench(t, nil)
-	b.post("/v1/completions", `{"model":"quote"}`).refused(t, "no-backend", "not-run")
-	b.post("/v1/completions", `{"model":"other"}`).refused(t, "unknown-model", "not-run")
-	b.post("/v1/completions", `{"model`).refused(t, "bad-request", "not-run")
-	b.post("/services/nothing/x", "").refused(t, "unknown-service", "not-run")
-	b.post("/nowhere", "").refused(t, "bad-request", "not-run")
-	b.post("/services/booking/a/%2e%2e/visits", "").refused(t, "bad-request", "not-run")
-	b.post("/v1/completions", strings.Repeat("x", 17<<20)).refused(t, "too-large", "not-run")
+	b := newFixture(t, nil)
+	b.post("/v1/completions", `{"model":"quote"}`).requireRefusal(t, "no-backend", "not-run")
+	b.post("/v1/completions", `{"model":"other"}`).requireRefusal(t, "unknown-model", "not-run")
+	b.post("/v1/completions", `{"model`).requireRefusal(t, "bad-request", "not-run")
+	b.post("/services/nothing/x", "").requireRefusal(t, "unknown-service", "not-run")
+	b.post("/nowhere", "").requireRefusal(t, "bad-request", "not-run")
+	b.post("/services/booking/a/%2e%2e/visits", "").requireRefusal(t, "bad-request", "not-run")
+	b.post("/v1/completions", strings.Repeat("x", 17<<20)).requireRefusal(t, "too-large", "not-run")
 }
 
 func TestModelsHealthAndServices(t *testing.T) {
-	b := newBench(t, nil)
+	b := newFixture(t, nil)
 	b.service(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.WriteHeader(http.StatusTeapot)
@@ -74,20 +74,20 @@
 	}
 }
 
-// costlyTimers lets each look at the clock take a millisecond, as on a VM whose
+// slowTimers lets each look at the clock take a millisecond, as on a VM whose
 // index is dear to build.
-type costlyTimers struct{ *laburnumtimer.Manual }
+type slowTimers struct{ *laburnumtimer.Manual }
 
-func (t costlyTimers) Now() time.Time {
+func (t slowTimers) Now() time.Time {
 	t.Advance(time.Millisecond)
 	return t.Manual.Now()
 }
 
 // A model has just been loaded, and the view has it, but the index is not due to be
 // built again. The caller would be refused although an engine is ready.
-func TestRequestRightAfterALoad(t *testing.T) {
-	b := newBench(t, nil)
-	proxy := laburnumproxy.New(b.views, costlyTimers{b.timers}, b.log)
+func TestRequestAfterModelLoadRefreshesIndex(t *testing.T) {
+	b := newFixture(t, nil)
+	proxy := laburnumproxy.New(b.views, slowTimers{b.timers}, b.log)
 	t.Cleanup(func() { require.NoError(t, proxy.Close()) })
 	b.engine(false, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "{}") })
 	w := httptest.NewRecorder()
@@ -97,12 +97,12 @@
 
 // An engine reports a prompt's beginning as cached. Hashed in another way than the
 // engines do, the prompt would go to any engine, and be read anew each time.
-func TestReportedPrefixDrawsThePrompt(t *testing.T) {
+func TestPromptIsRoutedToCachedPrefix(t *testing.T) {
 	system := strings.Repeat("You estimate \"carpets\". ", 30)
 	hashes := laburnumstandin.PrefixHashes(laburnumstandin.PromptOf([]string{system, "hall"}))
 	body := `{"model":"quote","messages":[{"role":"system","content":` + strconv.Quote(system) + `},{"role":"user","content":"hall"}]}`
 	for seed := range uint64(8) {
-		b := newBench(t, nil, laburnumproxy.WithSeed(seed))
+		b := newFixture(t, nil, laburnumproxy.WithSeed(seed))
 		var cached atomic.Bool
 		b.engine(false, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "{}") })
 		b.engine(false, func(w http.ResponseWriter, _ *http.Request) { cached.Store(true); io.WriteString(w, "{}") })
--- a/laburnumproxy/waiting_test.go
+++ b/laburnumproxy/queue_test.go
@@ -14,9 +14,9 @@
 // The only engine's eight places are taken, and a ninth caller waits. It must be
 // served as soon as a place is free; be refused, truthfully, at its deadline; and
 // leave nothing behind when it goes away, or the place would be lost for good.
-func TestWaitingForAPlace(t *testing.T) {
-	const places = 8
-	ask := func(ctx context.Context, b *bench) chan reply {
+func TestQueueForSlot(t *testing.T) {
+	const slots = 8
+	ask := func(ctx context.Context, b *fixture) chan reply {
 		got := make(chan reply, 1)
 		go func() {
 			req, _ := http.NewRequestWithContext(ctx, http.MethodPost, b.server.URL+"/v1/completions", strings.NewReader(`{"model":"quote"}`))
@@ -31,41 +31,41 @@
 		}()
 		return got
 	}
-	for name, ninth := range map[string]func(b *bench, got chan reply, hangUp func(), free chan struct{}){
-		"is served": func(_ *bench, got chan reply, _ func(), free chan struct{}) {
-			for range places + 1 {
+	for name, check := range map[string]func(b *fixture, got chan reply, hangUp func(), free chan struct{}){
+		"is served": func(_ *fixture, got chan reply, _ func(), free chan struct{}) {
+			for range slots + 1 {
 				free <- struct{}{}
 			}
 			require.Equal(t, http.StatusOK, (<-got).status)
 		},
-		"is refused at its deadline": func(b *bench, got chan reply, _ func(), _ chan struct{}) {
+		"is refused at its deadline": func(b *fixture, got chan reply, _ func(), _ chan struct{}) {
 			b.timers.Advance(8 * time.Second)
-			(<-got).refused(t, "queue-timeout", "not-run")
+			(<-got).requireRefusal(t, "queue-timeout", "not-run")
 		},
-		"goes away": func(b *bench, got chan reply, hangUp func(), _ chan struct{}) {
+		"goes away": func(b *fixture, got chan reply, hangUp func(), _ chan struct{}) {
 			hangUp()
 			require.Error(t, (<-got).err)
-			require.Eventually(t, func() bool { return b.proxy.InFlight() == places }, 10*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return b.proxy.InFlight() == slots }, 10*time.Second, time.Millisecond)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newFixture(t, nil)
 			started, free := make(chan struct{}, 100), make(chan struct{}, 100)
 			b.engine(false, func(w http.ResponseWriter, _ *http.Request) {
 				started <- struct{}{}
 				<-free
 				io.WriteString(w, "{}")
 			})
-			for range places {
+			for range slots {
 				ask(context.Background(), b)
 				<-started
 			}
 			ctx, hangUp := context.WithCancel(context.Background())
 			defer hangUp()
 			got := ask(ctx, b)
-			require.Eventually(t, func() bool { return b.proxy.InFlight() == places+1 }, 10*time.Second, time.Millisecond)
-			ninth(b, got, hangUp, free)
-			for range places + 2 {
+			require.Eventually(t, func() bool { return b.proxy.InFlight() == slots+1 }, 10*time.Second, time.Millisecond)
+			check(b, got, hangUp, free)
+			for range slots + 2 {
 				free <- struct{}{}
 			}
 			require.Eventually(t, func() bool { return b.proxy.InFlight() == 0 }, 10*time.Second, time.Millisecond)
@@ -75,11 +75,11 @@
 			for len(free) > 0 {
 				<-free
 			}
-			for range places {
+			for range slots {
 				ask(context.Background(), b)
 			}
-			require.Eventually(t, func() bool { return len(started) == places }, 10*time.Second, time.Millisecond, "a place was lost")
-			for range places {
+			require.Eventually(t, func() bool { return len(started) == slots }, 10*time.Second, time.Millisecond, "a place was lost")
+			for range slots {
 				free <- struct{}{}
 			}
 		})
--- a/laburnumproxy/refuse.go
+++ b/laburnumproxy/refuse.go
@@ -13,14 +13,14 @@
 
 const (
 	statusCallerGone = 499
-	hashBase         = 16
+	hexBase          = 16
 	shortRetryAfter  = time.Second
 	// drainRetryAfter lets the balancer find out that this VM is not ready.
 	drainRetryAfter = 2 * time.Second
 )
 
-// statuses of the reasons; any other is 503.
-var statuses = map[laburnumlever.RefusalReason]int{
+// statusByReason of the reasons; any other is 503.
+var statusByReason = map[laburnumlever.RefusalReason]int{
 	laburnumlever.RefusedBadRequest:       http.StatusBadRequest,
 	laburnumlever.RefusedTooLarge:         http.StatusRequestEntityTooLarge,
 	laburnumlever.RefusedUnknownModel:     http.StatusNotFound,
@@ -38,7 +38,7 @@
 }
 
 func statusOf(reason laburnumlever.RefusalReason) int {
-	if status, ok := statuses[reason]; ok {
+	if status, ok := statusByReason[reason]; ok {
 		return status
 	}
 	return http.StatusServiceUnavailable
@@ -80,11 +80,11 @@
 	return text
 }
 
-// refuse answers with a refusal at once.
-func refuse(w http.ResponseWriter, id string, refusal *laburnumlever.RefusalError) {
+// writeRefusal answers with a refusal at once.
+func writeRefusal(w http.ResponseWriter, id string, refusal *laburnumlever.RefusalError) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	h.Set(headerRequest, id)
+	h.Set(headerRequestID, id)
 	h.Set(headerOutcome, refusal.Outcome.String())
 	if refusal.RetryAfter > 0 {
 		seconds := (refusal.RetryAfter + time.Second - 1) / time.Second
@@ -103,4 +103,4 @@
 	return q.refusal(laburnumlever.RefusedOutcomeUnknown, laburnumlever.OutcomeUnknown, err.Error())
 }
 
-func formatHash(n uint64) string { return strconv.FormatUint(n, hashBase) }
+func formatHash(n uint64) string { return strconv.FormatUint(n, hexBase) }
--- a/laburnumproxy/request.go
+++ b/laburnumproxy/request.go
@@ -26,31 +26,31 @@
 
 // request is one caller's request on its way through the proxy.
 type request struct {
-	id          string
-	caller      string // the key for fairness
-	credit      string // hash of Authorization, empty without
-	received    time.Time
-	owner       laburnumlever.OwnerName
-	class       laburnumlever.Class
-	limits      laburnumlever.Limits // of the model or service
-	ownerLimits laburnumlever.Limits
-	model       laburnumlever.ModelName
-	service     laburnumlever.ServiceName
-	method      string
-	path        string // with the query, as the backend server is asked
-	header      http.Header
-	body        []byte
-	stream      bool
-	// once tells that the request may run at most once.
-	once bool
-	// claim names this request's claim on its idempotency key.
-	claim string
-	// touched tells that an attempt may have reached a backend server.
-	touched      bool
+	id              string
+	callerKey       string // the key for fairness
+	credentialsHash string // hash of Authorization, empty without
+	received        time.Time
+	owner           laburnumlever.OwnerName
+	class           laburnumlever.Class
+	limits          laburnumlever.Limits // of the model or service
+	ownerLimits     laburnumlever.Limits
+	model           laburnumlever.ModelName
+	service         laburnumlever.ServiceName
+	method          string
+	path            string // with the query, as the backend server is asked
+	header          http.Header
+	body            []byte
+	stream          bool
+	// atMostOnce tells that the request may run at most atMostOnce.
+	atMostOnce bool
+	// claimID names this request's claimID on its idempotency key.
+	claimID string
+	// maybeSent tells that an attempt may have reached a backend server.
+	maybeSent    bool
 	prefix       uint64 // hash of the prompt's beginning
 	promptTokens int
 	answerTokens int
-	trail        *trail
+	trace        *requestTrace
 }
 
 // subject is the model or service, for refusals and logs.
@@ -71,7 +71,7 @@
 
 func newRequest(r *http.Request, now time.Time) *request {
 	q := &request{
-		id:       r.Header.Get(headerRequest),
+		id:       r.Header.Get(headerRequestID),
 		received: now,
 		method:   r.Method,
 		path:     r.URL.RequestURI(),
@@ -80,7 +80,7 @@
 	if q.id == "" || len(q.id) > maxRequestIDBytes {
 		q.id = uuid.NewString()
 	}
-	q.caller, q.credit = callerKeys(r)
+	q.callerKey, q.credentialsHash = callerKeys(r)
 	return q
 }
 
@@ -100,11 +100,11 @@
 }
 
 // readBody reads the whole body within the bound.
-func (o *answer) readBody(r *http.Request, limit int64) error {
-	o.flight.atCaller.Store(true)
-	defer o.flight.atCaller.Store(false)
+func (o *callerResponse) readBody(r *http.Request, limit int64) error {
+	o.active.waitingForCaller.Store(true)
+	defer o.active.waitingForCaller.Store(false)
 	q := o.q
-	body, err := io.ReadAll(http.MaxBytesReader(plainWriter(o.w), r.Body, limit))
+	body, err := io.ReadAll(http.MaxBytesReader(unwrapWriter(o.w), r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return q.refusal(laburnumlever.RefusedTooLarge, laburnumlever.OutcomeNotRun, tooLarge.Error())
@@ -143,7 +143,7 @@
 	q.limits = model.Limits
 	q.ownerLimits = l.limits(model.Owner)
 	q.stream = c.Stream
-	q.prefix = laburnumrouter.PrefixHash(promptOf(&c))
+	q.prefix = laburnumrouter.PrefixHash(promptText(&c))
 	q.promptTokens = 1 + promptBytes(&c)/bytesPerToken
 	q.answerTokens = max(c.MaxTokens, c.MaxCompletionTokens)
 	if q.answerTokens <= 0 {
--- a/laburnumproxy/serve.go
+++ b/laburnumproxy/serve.go
@@ -14,51 +14,51 @@
 )
 
 // handler serves one request that has been let in.
-type handler func(ctx context.Context, q *request, out *answer, r *http.Request) error
+type handler func(ctx context.Context, q *request, out *callerResponse, r *http.Request) error
 
 // serve does what all requests share: identity, the count of what is in flight,
 // the account for Explain, and one final answer.
 func (p *Proxy) serve(w http.ResponseWriter, r *http.Request, fn handler) {
 	now := p.timers.Now()
 	q := newRequest(r, now)
-	q.trail = &trail{id: q.id, start: now}
-	p.ring.put(q.trail)
+	q.trace = &requestTrace{id: q.id, start: now}
+	p.traces.put(q.trace)
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	f := &flight{start: now, cancel: cancel, control: http.NewResponseController(plainWriter(w))}
-	if !p.flights.enter(f) {
+	f := &activeRequest{start: now, cancel: cancel, control: http.NewResponseController(unwrapWriter(w))}
+	if !p.active.add(f) {
 		p.refuse(w, q, q.refusal(laburnumlever.RefusedDraining, laburnumlever.OutcomeNotRun, "this VM is about to stop"))
 		return
 	}
-	defer p.flights.leave(f)
-	w.Header().Set(headerRequest, q.id)
-	out := newAnswer(w, q, f, p.timers)
+	defer p.active.remove(f)
+	w.Header().Set(headerRequestID, q.id)
+	out := newCallerResponse(w, q, f, p.timers)
 	err := fn(ctx, q, out, r)
 	p.finish(q, out, err)
 }
 
 // finish counts the request and tells the caller of a failure in the way that is
 // still open: a refusal, an error event in a stream, or a cut connection.
-func (p *Proxy) finish(q *request, out *answer, err error) {
+func (p *Proxy) finish(q *request, out *callerResponse, err error) {
 	if q.model != "" && q.promptTokens > 0 {
-		p.demand.ended(q, out.firstToken(), err)
+		p.demand.countResult(q, out.timeToFirstByte(), err)
 	}
 	if err == nil {
 		p.counters.answered.Inc(1)
 		return
 	}
 	refusal := *q.asRefusal(err)
-	if q.touched {
+	if q.maybeSent {
 		refusal.Outcome = laburnumlever.OutcomeUnknown
 	}
 	switch {
 	case !out.started:
 		p.refuse(out.w, q, &refusal)
-	case out.events:
-		p.note(q, &refusal)
-		out.errorEvent(&refusal)
+	case out.eventStream:
+		p.recordRefusal(q, &refusal)
+		out.writeErrorEvent(&refusal)
 	default:
-		p.note(q, &refusal)
+		p.recordRefusal(q, &refusal)
 		// A caller must not take half a body for a whole one: net/http answers
 		// this panic by closing the connection before the body's end.
 		panic(http.ErrAbortHandler)
@@ -66,40 +66,40 @@
 }
 
 func (p *Proxy) refuse(w http.ResponseWriter, q *request, refusal *laburnumlever.RefusalError) {
-	p.note(q, refusal)
-	refuse(w, q.id, refusal)
+	p.recordRefusal(q, refusal)
+	writeRefusal(w, q.id, refusal)
 }
 
-// note counts and logs a refusal.
-func (p *Proxy) note(q *request, refusal *laburnumlever.RefusalError) {
+// recordRefusal counts and logs a refusal.
+func (p *Proxy) recordRefusal(q *request, refusal *laburnumlever.RefusalError) {
 	p.counters.refusals[refusal.Reason].Inc(1)
-	q.trail.add(p.timers.Now(), "refused: %s, %s: %s", refusal.Reason, refusal.Outcome, refusal.Detail)
+	q.trace.add(p.timers.Now(), "refused: %s, %s: %s", refusal.Reason, refusal.Outcome, refusal.Detail)
 	_ = level.Info(p.logger).Log("event", laburnumlever.EventRefused, "request-id", q.id, "reason", refusal.Reason,
 		"outcome", refusal.Outcome, "owner", q.owner, "subject", refusal.Subject, "detail", refusal.Detail)
 }
 
 func (p *Proxy) serveCompletion(w http.ResponseWriter, r *http.Request) { p.serve(w, r, p.complete) }
 
-func (p *Proxy) complete(ctx context.Context, q *request, out *answer, r *http.Request) error {
-	if err := p.ready(q); err != nil {
+func (p *Proxy) complete(ctx context.Context, q *request, out *callerResponse, r *http.Request) error {
+	if err := p.requireCatalogue(q); err != nil {
 		return err
 	}
 	if err := out.readBody(r, p.cfg.maxBody); err != nil {
 		return err
 	}
 	err := q.readCompletion(p.lookup.Load())
-	if isReason(err, laburnumlever.RefusedUnknownModel) && p.refreshForMissing(q.received) {
+	if hasReason(err, laburnumlever.RefusedUnknownModel) && p.refreshForMissing(q.received) {
 		err = q.readCompletion(p.lookup.Load())
 	}
 	if err != nil {
 		return err
 	}
-	p.demand.asked(q)
+	p.demand.countRequest(q)
 	return p.run(ctx, q, out)
 }
 
-// ready takes the newest view in and refuses while there is no catalogue.
-func (p *Proxy) ready(q *request) error {
+// requireCatalogue takes the newest view in and refuses while there is no catalogue.
+func (p *Proxy) requireCatalogue(q *request) error {
 	p.refresh(q.received)
 	none := p.lookup.Load().view.Catalogue.Revision == 0
 	if none && p.refreshForMissing(q.received) {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func isReason(err error, reason laburnumlever.RefusalReason) bool {
+func hasReason(err error, reason laburnumlever.RefusalReason) bool {
 	var refusal *laburnumlever.RefusalError
 	return errors.As(err, &refusal) && refusal.Reason == reason
 }
@@ -145,7 +145,7 @@
 
 func (p *Proxy) serveReady(w http.ResponseWriter, _ *http.Request) {
 	reason := p.views.View().NotReady
-	if p.flights.isDraining() {
+	if p.active.isDraining() {
 		reason = "draining"
 	}
 	if reason != "" {
@@ -156,16 +156,16 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-func (p *Proxy) serveNoSuchPath(w http.ResponseWriter, r *http.Request) {
+func (p *Proxy) serveNotFound(w http.ResponseWriter, r *http.Request) {
 	q := newRequest(r, p.timers.Now())
-	q.trail = &trail{id: q.id, start: q.received}
+	q.trace = &requestTrace{id: q.id, start: q.received}
 	refusal := q.refusal(laburnumlever.RefusedBadRequest, laburnumlever.OutcomeNotRun, "nothing is served at "+r.Method+" "+r.URL.Path)
-	p.note(q, refusal)
-	refuse(w, q.id, refusal)
+	p.recordRefusal(q, refusal)
+	writeRefusal(w, q.id, refusal)
 }
 
-// causeOf tells why an attempt without an answer ended.
-func causeOf(ctx context.Context) laburnumlever.RefusalReason {
+// reasonFromContext tells why an attempt without an answer ended.
+func reasonFromContext(ctx context.Context) laburnumlever.RefusalReason {
 	if ctx.Err() == nil {
 		return laburnumlever.RefusedBackendUnreachable
 	}
@@ -182,4 +182,4 @@
 	}
 }
 
-func (o *answer) firstToken() time.Duration { return o.firstAt.Sub(o.q.received) }
+func (o *callerResponse) timeToFirstByte() time.Duration { return o.firstByteAt.Sub(o.q.received) }
--- a/laburnumproxy/services.go
+++ b/laburnumproxy/services.go
@@ -11,16 +11,16 @@
 
 const servicesPrefix = "/services/"
 
-func (p *Proxy) serveService(w http.ResponseWriter, r *http.Request) { p.serve(w, r, p.call) }
+func (p *Proxy) serveService(w http.ResponseWriter, r *http.Request) { p.serve(w, r, p.callService) }
 
-// call forwards a call to a plain service.
-func (p *Proxy) call(ctx context.Context, q *request, out *answer, r *http.Request) error {
-	if err := p.ready(q); err != nil {
+// callService forwards a callService to a plain service.
+func (p *Proxy) callService(ctx context.Context, q *request, out *callerResponse, r *http.Request) error {
+	if err := p.requireCatalogue(q); err != nil {
 		return err
 	}
 	l := p.lookup.Load()
 	servicePath, err := q.readService(l, r)
-	if isReason(err, laburnumlever.RefusedUnknownService) && p.refreshForMissing(q.received) {
+	if hasReason(err, laburnumlever.RefusedUnknownService) && p.refreshForMissing(q.received) {
 		l = p.lookup.Load()
 		servicePath, err = q.readService(l, r)
 	}
@@ -33,11 +33,11 @@
 	if !l.services[q.service].IsNonIdempotent(q.method, servicePath) {
 		return p.run(ctx, q, out)
 	}
-	q.once = true
+	q.atMostOnce = true
 	// The call goes on when its caller goes away: it may already run, and only
 	// its answer tells what became of it. The flight's end still stops it.
-	ctx = detached(ctx, out.flight)
-	if q.header.Get(headerKey) == "" {
+	ctx = detachContext(ctx, out.active)
+	if q.header.Get(headerIdempotencyKey) == "" {
 		return p.run(ctx, q, out)
 	}
 	return p.claimAndRun(ctx, q, out)
@@ -69,8 +69,8 @@
 	return plain, nil
 }
 
-// detached is a context that only the flight's end cancels.
-func detached(ctx context.Context, f *flight) context.Context {
+// detachContext is a context that only the flight's end cancels.
+func detachContext(ctx context.Context, f *activeRequest) context.Context {
 	free, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	f.replaceCancel(cancel)
 	return free
--- a/laburnumproxy/stream.go
+++ b/laburnumproxy/stream.go
@@ -22,30 +22,30 @@
 var (
 	dataPrefix  = []byte("data:")
 	endOfStream = []byte("[DONE]")
-	readers     = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, streamBuffer) }}
+	readerPool  = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, streamBuffer) }}
 )
 
-// skipping is how a stream that goes on from another is cut to fit: nothing that
+// streamContinuation is how a stream that goes on from another is cut to fit: nothing that
 // the caller has may come twice, nothing may be missing.
-type skipping struct {
-	replay bool // it starts again at the first token
-	bytes  int  // bytes of text to be skipped
-	tail   int  // closing events to be skipped
-	head   bool // opening events are to be skipped
-	digest *xxhash.Digest
+type streamContinuation struct {
+	replay        bool // it starts again at the first token
+	textBytes     int  // bytes of text to be skipped
+	closingEvents int  // closing events to be skipped
+	skipOpening   bool // opening events are to be skipped
+	digest        *xxhash.Digest
 }
 
-// continued prepares for the next stream's beginning.
-func (o *answer) continued(resume bool) {
-	o.skip = skipping{}
+// prepareContinuation prepares for the next stream's beginning.
+func (o *callerResponse) prepareContinuation(resume bool) {
+	o.continuation = streamContinuation{}
 	if !o.started {
 		return
 	}
-	o.skip = skipping{tail: o.tail, head: true}
+	o.continuation = streamContinuation{closingEvents: o.closingEvents, skipOpening: true}
 	if !resume {
-		o.skip.replay = true
-		o.skip.bytes = o.bytes
-		o.skip.digest = xxhash.New()
+		o.continuation.replay = true
+		o.continuation.textBytes = o.textBytes
+		o.continuation.digest = xxhash.New()
 	}
 }
 
@@ -75,7 +75,7 @@
 	return all
 }
 
-func (c *chunk) closing() bool {
+func (c *chunk) isClosing() bool {
 	for i := range c.Choices {
 		if c.Choices[i].FinishReason != nil {
 			return true
@@ -84,18 +84,18 @@
 	return len(c.Usage) > 0 && len(c.Choices) == 0
 }
 
-// passTokens passes a stream of token events on, each as soon as it is whole, and
+// forwardStream passes a stream of token events on, each as soon as it is whole, and
 // the end marker only at the end of a whole answer.
-func (o *answer) passTokens(resp *http.Response) error {
-	reader := readers.Get().(*bufio.Reader) //nolint:forcetypeassert // the pool holds nothing else
+func (o *callerResponse) forwardStream(resp *http.Response) error {
+	reader := readerPool.Get().(*bufio.Reader) //nolint:forcetypeassert // the pool holds nothing else
 	reader.Reset(resp.Body)
 	defer func() {
 		reader.Reset(nil)
-		readers.Put(reader)
+		readerPool.Put(reader)
 	}()
 	if !o.started {
 		o.start(resp)
-		o.events = true
+		o.eventStream = true
 		o.w.Header().Del("Content-Length")
 		o.w.WriteHeader(resp.StatusCode)
 	}
@@ -106,7 +106,7 @@
 		if err != nil {
 			return &BrokenStreamError{Tokens: o.tokens, Cause: err}
 		}
-		done, err := o.passEvent(event)
+		done, err := o.forwardEvent(event)
 		if err != nil || done {
 			return err
 		}
@@ -122,7 +122,7 @@
 			err = nil
 		}
 		if err != nil {
-			return event, noEnd(err)
+			return event, unexpectedEOF(err)
 		}
 		if len(event) > maxEvent {
 			return event, &EventTooLongError{Limit: maxEvent}
@@ -133,18 +133,18 @@
 	}
 }
 
-// noEnd tells a stream that ended early from one that broke.
-func noEnd(err error) error {
+// unexpectedEOF tells a stream that ended early from one that broke.
+func unexpectedEOF(err error) error {
 	if err == io.EOF { //nolint:errorlint // ReadSlice returns it unwrapped, by its contract
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func (o *answer) passEvent(event []byte) (done bool, err error) {
+func (o *callerResponse) forwardEvent(event []byte) (done bool, err error) {
 	data := eventData(event)
 	if bytes.Equal(data, endOfStream) {
-		if o.skip.bytes > 0 {
+		if o.continuation.textBytes > 0 {
 			return false, &ReplayDiffersError{}
 		}
 		return true, o.write(event)
@@ -159,51 +159,51 @@
 		return false, &BrokenStreamError{Tokens: o.tokens, Cause: &engineError{Text: string(c.Error)}}
 	}
 	text := c.text()
-	if skip, err := o.skips(&c, text); skip || err != nil {
+	if skip, err := o.alreadyForwarded(&c, text); skip || err != nil {
 		return false, err
 	}
 	if err := o.write(event); err != nil {
 		return false, err
 	}
-	o.passed(&c, text)
+	o.countForwarded(&c, text)
 	return false, nil
 }
 
-// passed counts what the caller now has.
-func (o *answer) passed(c *chunk, text string) {
+// countForwarded counts what the caller now has.
+func (o *callerResponse) countForwarded(c *chunk, text string) {
 	if text != "" {
 		o.tokens++
-		o.bytes += len(text)
+		o.textBytes += len(text)
 		_, _ = o.digest.WriteString(text) // a hash takes everything
-		o.tail = 0
+		o.closingEvents = 0
 		return
 	}
-	if c.closing() {
-		o.tail++
+	if c.isClosing() {
+		o.closingEvents++
 	}
 }
 
-// skips tells whether the caller has the event already, and checks while a stream
+// alreadyForwarded tells whether the caller has the event already, and checks while a stream
 // is replayed that it starts with what the caller has.
-func (o *answer) skips(c *chunk, text string) (bool, error) {
-	s := &o.skip
-	if text == "" && c.closing() && s.bytes == 0 && s.tail > 0 {
-		s.tail--
+func (o *callerResponse) alreadyForwarded(c *chunk, text string) (bool, error) {
+	s := &o.continuation
+	if text == "" && c.isClosing() && s.textBytes == 0 && s.closingEvents > 0 {
+		s.closingEvents--
 		return true, nil
 	}
 	if text == "" {
-		return s.head && !c.closing(), nil
+		return s.skipOpening && !c.isClosing(), nil
 	}
-	if s.bytes == 0 {
-		s.head = false
+	if s.textBytes == 0 {
+		s.skipOpening = false
 		return false, nil
 	}
-	if len(text) > s.bytes {
+	if len(text) > s.textBytes {
 		return false, &ReplayDiffersError{}
 	}
 	_, _ = s.digest.WriteString(text) // a hash takes everything
-	s.bytes -= len(text)
-	if s.bytes == 0 && s.digest.Sum64() != o.digest.Sum64() {
+	s.textBytes -= len(text)
+	if s.textBytes == 0 && s.digest.Sum64() != o.digest.Sum64() {
 		return false, &ReplayDiffersError{}
 	}
 	return true, nil
--- a/laburnumproxy/stream_test.go
+++ b/laburnumproxy/stream_test.go
@@ -14,76 +14,76 @@
 // with an end marker, take the half for the whole. It is resumed on the engine that
 // can, and the caller sees each token once.
 func TestBrokenStreamIsResumed(t *testing.T) {
-	b := newBench(t, nil)
+	b := newFixture(t, nil)
 	var from atomic.Value
 	b.engine(true, func(w http.ResponseWriter, r *http.Request) {
 		if at := r.Header.Get("X-Resume-From"); at != "" {
 			from.Store(at)
-			tokens(w, 2, 4)
-			done(w)
+			writeTokens(w, 2, 4)
+			writeDone(w)
 			return
 		}
-		tokens(w, 0, 2)
+		writeTokens(w, 0, 2)
 		panic(http.ErrAbortHandler)
 	})
 	got := b.stream()
 	require.NoError(t, got.err)
-	require.Equal(t, "t0 t1 t2 t3 ", texts(got.body))
+	require.Equal(t, "t0 t1 t2 t3 ", joinTexts(got.body))
 	require.Equal(t, "2", from.Load())
 	require.Equal(t, 1, strings.Count(got.body, "[DONE]"))
 }
 
 // As above, on engines that can't resume: another engine starts again at the first
 // token, and what the caller already has is skipped.
-func TestBrokenStreamIsReplayedElsewhere(t *testing.T) {
-	b := newBench(t, nil)
+func TestBrokenStreamIsReplayedOnAnotherEngine(t *testing.T) {
+	b := newFixture(t, nil)
 	var calls atomic.Int32
 	answer := func(w http.ResponseWriter, _ *http.Request) {
 		if calls.Add(1) == 1 {
-			tokens(w, 0, 3)
+			writeTokens(w, 0, 3)
 			panic(http.ErrAbortHandler)
 		}
-		tokens(w, 0, 4)
-		done(w)
+		writeTokens(w, 0, 4)
+		writeDone(w)
 	}
 	b.engine(false, answer)
 	b.engine(false, answer)
 	got := b.stream()
 	require.NoError(t, got.err)
-	require.Equal(t, "t0 t1 t2 t3 ", texts(got.body))
+	require.Equal(t, "t0 t1 t2 t3 ", joinTexts(got.body))
 	require.Contains(t, got.body, "[DONE]")
 }
 
 // As above, but the second engine words its answer in another way. Two halves of
 // different answers would reach the caller as one; it gets a typed error instead.
-func TestReplayThatDiffersIsNotJoined(t *testing.T) {
-	b := newBench(t, nil)
+func TestMismatchedReplayIsNotJoined(t *testing.T) {
+	b := newFixture(t, nil)
 	var calls atomic.Int32
 	answer := func(w http.ResponseWriter, _ *http.Request) {
 		if calls.Add(1) == 1 {
-			tokens(w, 0, 2)
+			writeTokens(w, 0, 2)
 			panic(http.ErrAbortHandler)
 		}
-		tokens(w, 5, 9)
-		done(w)
+		writeTokens(w, 5, 9)
+		writeDone(w)
 	}
 	b.engine(false, answer)
 	b.engine(false, answer)
 	got := b.stream()
 	require.NoError(t, got.err)
-	require.Equal(t, "t0 t1 ", texts(got.body))
+	require.Equal(t, "t0 t1 ", joinTexts(got.body))
 	require.NotContains(t, got.body, "[DONE]")
 	require.Contains(t, got.body, `"type":"broken-stream"`)
 }
 
 // Every engine ends its stream early, politely, without an end marker. The caller
 // must not be given one for a partial answer, nor a second half without a first.
-func TestNoEndMarkerForAPartialAnswer(t *testing.T) {
-	b := newBench(t, nil)
-	b.engine(false, func(w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 2) })
+func TestPartialResponseHasNoEndMarker(t *testing.T) {
+	b := newFixture(t, nil)
+	b.engine(false, func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 2) })
 	got := b.stream()
 	require.NoError(t, got.err)
-	require.Equal(t, "t0 t1 ", texts(got.body))
+	require.Equal(t, "t0 t1 ", joinTexts(got.body))
 	require.NotContains(t, got.body, "[DONE]")
 	require.Contains(t, got.body, "event: error\ndata: {\"error\":")
 }
@@ -94,7 +94,7 @@
 func TestCrossedAnswerIsDropped(t *testing.T) {
 	for name, text := range map[string]string{"with a body": `{"text":"another's quote"}`, "without a body": ""} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, nil)
+			b := newFixture(t, nil)
 			connections := make(chan string, 10)
 			b.engine(false, func(w http.ResponseWriter, r *http.Request) {
 				connections <- r.RemoteAddr
@@ -102,7 +102,7 @@
 				io.WriteString(w, text)
 			})
 			got := b.post("/v1/completions", `{"model":"quote"}`)
-			got.refused(t, "crossed-answer", "unknown")
+			got.requireRefusal(t, "crossed-answer", "unknown")
 			require.NotContains(t, got.body, "another's")
 			close(connections)
 			seen := map[string]bool{}
@@ -117,11 +117,11 @@
 
 // A caller hangs up in the middle of an answer. The engine would go on for
 // nobody, in the place of others' work. Its connection ends, which cancels the work.
-func TestCallerGoneCancelsTheEnginesWork(t *testing.T) {
-	b := newBench(t, nil)
+func TestCallerDisconnectCancelsEngineRequest(t *testing.T) {
+	b := newFixture(t, nil)
 	cancelled := make(chan struct{})
 	b.engine(false, func(w http.ResponseWriter, r *http.Request) {
-		tokens(w, 0, 1)
+		writeTokens(w, 0, 1)
 		<-r.Context().Done()
 		close(cancelled)
 	})
