--- a/laburnumadmission/admission.go
+++ b/laburnumadmission/admission.go
@@ -31,16 +31,16 @@
 // Admission counts what each owner and entry uses on this VM.
 type Admission struct {
 	share   Share
-	owners  map[laburnumlever.OwnerName]*account
-	entries map[string]*account
+	owners  map[laburnumlever.OwnerName]*usage
+	entries map[string]*usage
 }
 
 // New returns an admission of a VM that is alone.
 func New() *Admission {
 	return &Admission{
 		share:   Share{VMs: 1, Known: 1},
-		owners:  map[laburnumlever.OwnerName]*account{},
-		entries: map[string]*account{},
+		owners:  map[laburnumlever.OwnerName]*usage{},
+		entries: map[string]*usage{},
 	}
 }
 
@@ -52,39 +52,39 @@
 
 // Admit lets a request in and counts it, or returns a *laburnumlever.RefusalError.
 func (a *Admission) Admit(now time.Time, q Request) error {
-	owner, entry := a.accounts(now, q)
+	owner, entry := a.usages(now, q)
 	if err := a.check(owner, q.OwnerLimits, q); err != nil {
 		return err
 	}
 	if err := a.check(entry, q.EntryLimits, q); err != nil {
 		return err
 	}
-	owner.take(q.Tokens)
-	entry.take(q.Tokens)
+	owner.charge(q.Tokens)
+	entry.charge(q.Tokens)
 	return nil
 }
 
 // Release counts a request that was let in as over. Used is its true cost in
 // tokens: what was estimated too high or too low is settled.
 func (a *Admission) Release(now time.Time, q Request, used int) {
-	owner, entry := a.accounts(now, q)
+	owner, entry := a.usages(now, q)
 	owner.release(q.Tokens - used)
 	entry.release(q.Tokens - used)
 }
 
-func (a *Admission) accounts(now time.Time, q Request) (owner, entry *account) {
+func (a *Admission) usages(now time.Time, q Request) (owner, entry *usage) {
 	owner = a.owners[q.Owner]
 	if owner == nil {
-		owner = newAccount(now)
+		owner = newUsage(now)
 		a.owners[q.Owner] = owner
 	}
 	entry = a.entries[q.Entry]
 	if entry == nil {
-		entry = newAccount(now)
+		entry = newUsage(now)
 		a.entries[q.Entry] = entry
 	}
-	owner.fill(now, a.rates(q.OwnerLimits))
-	entry.fill(now, a.rates(q.EntryLimits))
+	owner.refill(now, a.rates(q.OwnerLimits))
+	entry.refill(now, a.rates(q.EntryLimits))
 	return owner, entry
 }
 
@@ -93,22 +93,22 @@
 	return rates{requests: l.RequestsPerSecond / n, tokens: l.TokensPerSecond / n}
 }
 
-func (a *Admission) check(acc *account, l laburnumlever.Limits, q Request) error {
+func (a *Admission) check(acc *usage, l laburnumlever.Limits, q Request) error {
 	r := a.rates(l)
 	switch {
-	case l.InFlight > 0 && acc.inFlight >= a.part(l.InFlight):
+	case l.InFlight > 0 && acc.inFlight >= a.integerShare(l.InFlight):
 		return refusal(q, laburnumlever.RefusedOwnerInFlight, time.Second, "in-flight limit")
 	case l.RequestsPerSecond > 0 && acc.requests < 1:
-		return refusal(q, laburnumlever.RefusedOwnerRequestRate, untilZero(1-acc.requests, r.requests), "request rate")
+		return refusal(q, laburnumlever.RefusedOwnerRequestRate, refillTime(1-acc.requests, r.requests), "request rate")
 	case l.TokensPerSecond > 0 && acc.tokens <= 0:
-		return refusal(q, laburnumlever.RefusedOwnerTokenRate, untilZero(1-acc.tokens, r.tokens), "token rate")
+		return refusal(q, laburnumlever.RefusedOwnerTokenRate, refillTime(1-acc.tokens, r.tokens), "token rate")
 	default:
 		return nil
 	}
 }
 
-// part is this VM's part of a limit that is a whole number.
-func (a *Admission) part(limit int) int {
+// integerShare is this VM's integerShare of a limit that is a whole number.
+func (a *Admission) integerShare(limit int) int {
 	part := limit / a.share.VMs
 	if a.share.Known == a.share.VMs && a.share.Rank < limit%a.share.VMs {
 		part++
@@ -116,7 +116,7 @@
 	return part
 }
 
-func untilZero(missing, rate float64) time.Duration {
+func refillTime(missing, rate float64) time.Duration {
 	return time.Duration(missing / rate * float64(time.Second))
 }
 
--- a/laburnumadmission/admission_test.go
+++ b/laburnumadmission/admission_test.go
@@ -16,7 +16,7 @@
 // Zones are cut apart, and an owner's callers press on every VM. With limits that
 // follow demand each side would hand out what the other also hands out, and the
 // owner would get a multiple of its limit. The shares never add up to more.
-func TestSharesNeverAddUpToMoreThanTheLimit(t *testing.T) {
+func TestSharesNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		vms := rapid.IntRange(1, 12).Draw(rt, "vms")
 		limits := laburnumlever.Limits{
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestTokensAreSettled(t *testing.T) {
+func TestTokenCostIsCorrectedOnRelease(t *testing.T) {
 	a := laburnumadmission.New()
 	q := laburnumadmission.Request{Owner: "o", Entry: "m", Tokens: 500, OwnerLimits: laburnumlever.Limits{TokensPerSecond: 100}}
 	require.NoError(t, a.Admit(start, q)) // larger than the bucket, yet it passes
--- a/laburnumadmission/usage.go
+++ b/laburnumadmission/usage.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// burst is how long a bucket fills.
-const burst = time.Second
+// burstWindow is how long a bucket fills.
+const burstWindow = time.Second
 
 // rates are this VM's part of an owner's or entry's rates, a second.
 type rates struct{ requests, tokens float64 }
 
-// account is what one owner or entry uses on this VM.
-type account struct {
+// usage is what one owner or entry uses on this VM.
+type usage struct {
 	at       time.Time
 	started  bool
 	requests float64
@@ -17,13 +17,13 @@
 	inFlight int
 }
 
-func newAccount(now time.Time) *account { return &account{at: now} }
+func newUsage(now time.Time) *usage { return &usage{at: now} }
 
-// fill lets the buckets fill up to now. A part of less than one request a second
+// refill lets the buckets refill up to now. A part of less than one request a second
 // still fills up to one, else nothing could ever pass.
-func (a *account) fill(now time.Time, r rates) {
-	most := max(1, r.requests*burst.Seconds())
-	mostTokens := r.tokens * burst.Seconds()
+func (a *usage) refill(now time.Time, r rates) {
+	most := max(1, r.requests*burstWindow.Seconds())
+	mostTokens := r.tokens * burstWindow.Seconds()
 	if !a.started {
 		a.started = true
 		a.requests, a.tokens = most, mostTokens
@@ -34,13 +34,13 @@
 	a.tokens = min(mostTokens, a.tokens+passed*r.tokens)
 }
 
-func (a *account) take(tokens int) {
+func (a *usage) charge(tokens int) {
 	a.requests--
 	a.tokens -= float64(tokens)
 	a.inFlight++
 }
 
-func (a *account) release(unused int) {
+func (a *usage) release(unused int) {
 	a.inFlight--
 	a.tokens += float64(unused)
 }
