--- a/laburnumproxy/active.go
+++ b/laburnumproxy/active.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// activeRequest is a request in activeRequest, as the watch over stalled ones sees it.
+// activeRequest is a request in flight, watched for lack of progress.
 type activeRequest struct {
 	start    time.Time
 	progress atomic.Int64 // nanoseconds after start
-	// waitingForCaller tells that the request waits for its caller to send or to take.
+	// waitingForCaller is set while a read from or a write to the caller is pending.
 	waitingForCaller atomic.Bool
 	control          *http.ResponseController
 	mu               sync.Mutex
@@ -21,16 +21,16 @@
 
 func (f *activeRequest) markProgress(now time.Time) { f.progress.Store(int64(now.Sub(f.start))) }
 
-// replaceCancel sets what end cancels.
+// replaceCancel sets the function that abort calls.
 func (f *activeRequest) replaceCancel(cancel context.CancelCauseFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cancel = cancel
 }
 
-// abort cuts the request off. A read or write that waits for the caller is freed by
-// past deadlines, which a cancelled context does not do; otherwise the caller's
-// connection stays good, since it is still owed a final answer.
+// abort cancels the request. A cancelled context does not unblock a read from or a write to
+// the caller, so a pending one is given a deadline in the past. Otherwise the caller's
+// connection is left usable: it still has to carry the final response.
 func (f *activeRequest) abort(cause error) {
 	f.mu.Lock()
 	cancel := f.cancel
@@ -40,11 +40,11 @@
 		return
 	}
 	past := time.Unix(1, 0)
-	_ = f.control.SetReadDeadline(past) // a writer without deadlines (in tests) has no connection to free
+	_ = f.control.SetReadDeadline(past) // a writer without deadlines (in tests) has no connection to unblock
 	_ = f.control.SetWriteDeadline(past)
 }
 
-// activeRequests counts what is in flight and refuses new work once draining.
+// activeRequests tracks the requests in flight and refuses new ones while draining.
 type activeRequests struct {
 	mu       sync.Mutex
 	all      map[*activeRequest]struct{}
@@ -99,8 +99,8 @@
 	return len(fs.all)
 }
 
-// abortStalled cuts off what has made no progress or has taken too long. It holds the
-// lock meanwhile, so that no request that has left is touched.
+// abortStalled aborts requests that make no progress for stall or run longer than limit. It
+// holds the lock throughout, so that no finished request is aborted.
 func (fs *activeRequests) abortStalled(now time.Time, stall, limit time.Duration) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
@@ -121,7 +121,8 @@
 	}
 }
 
-// sweep is run by the timer service.
+// sweep runs every sweepPeriod: it aborts stalled requests, refreshes the index and lets
+// queued requests time out.
 func (p *Proxy) sweep(now time.Time) {
 	p.active.abortStalled(now, p.cfg.stallTimeout, p.cfg.requestTimeout)
 	p.refresh(now)
@@ -130,11 +131,11 @@
 	p.dispatch.Tick(now)
 }
 
-// InFlight is how many requests of callers are being served now.
+// InFlight returns the number of callers' requests in flight.
 func (p *Proxy) InFlight() int { return p.active.count() }
 
-// Drain refuses new work and returns when all that is in flight has ended, or with
-// a *DrainTimeoutError when ctx ends first; what is in flight then goes on.
+// Drain refuses new requests and returns once none is in flight. It returns a
+// *DrainTimeoutError if ctx ends first; the requests still in flight continue.
 func (p *Proxy) Drain(ctx context.Context) error {
 	p.active.drain()
 	select {
--- a/laburnumproxy/attempt.go
+++ b/laburnumproxy/attempt.go
@@ -10,7 +10,7 @@
 	"laburnumlever/laburnumchart"
 )
 
-// Events and states of the chart attempt.jsonc.
+// Events and states of the state chart attempt.jsonc.
 const (
 	evWriteStarted = "write-started"
 	evGaveUp       = "gave-up"
@@ -21,7 +21,7 @@
 	stateNotRun    = "not-run"
 )
 
-// Headers of the wire to backend servers and callers.
+// Headers exchanged with backend servers and callers.
 const (
 	headerAttemptID      = "X-Attempt-Id"
 	headerOutcome        = "Laburnumlever-Outcome"
@@ -33,15 +33,15 @@
 
 var attemptChart = laburnumchart.MustLoad("attempt")
 
-// attempt is one try at a request on one backend server.
+// attempt is one try to serve a request on one backend server.
 //
-// It guards against two failures. A request that died is called not run although a
-// byte of it got out: the connection counts writes, and judging an attempt with no
-// write seals the connection in the same step, so that the transport's writer
-// can't send it a moment later. And net/http sends a request again by itself when
-// a reused connection dies (also a POST, if it has an Idempotency-Key header):
-// a second connection for an attempt that has written on its first is sealed and
-// the attempt cancelled, so no attempt reaches two connections.
+// It prevents two failures. The first is reporting not-run although a byte was sent:
+// the connection counts writes, and deciding that nothing was written seals the
+// connection in the same step, so that the transport can't write a moment later. The
+// second is net/http's own retry when a reused connection dies (also for a POST with an
+// Idempotency-Key header): once an attempt has written to its first connection, a
+// second one is sealed and the attempt is cancelled, so that no attempt is written to
+// two connections.
 type attempt struct {
 	id            string
 	backend       laburnumlever.BackendID
@@ -50,7 +50,7 @@
 	state         string
 	conn          *countedConn
 	writesBefore  uint64
-	pendingChecks []chan struct{} // of the connections it had, closed when it is judged
+	pendingChecks []chan struct{} // one for each connection used, closed by releaseConns
 }
 
 func newAttempt(id string, backend laburnumlever.BackendID, cancel context.CancelFunc) *attempt {
@@ -79,7 +79,7 @@
 	a.writesBefore = conn.writeCount()
 }
 
-// fail judges an attempt that brought no whole answer.
+// fail records that the attempt got no complete response.
 func (a *attempt) fail() {
 	defer a.releaseConns()
 	a.mu.Lock()
@@ -93,7 +93,8 @@
 	a.apply(evGaveUp)
 }
 
-// checkResponse takes the head of an answer. A crossed one closes the connection.
+// checkResponse checks the attempt ID in the response header. It closes the connection of a
+// response that belongs to another attempt.
 func (a *attempt) checkResponse(resp *http.Response) error {
 	defer a.releaseConns()
 	a.apply(evWriteStarted)
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// releaseConns lets the next attempts have the connections.
+// releaseConns lets later attempts use the connections.
 func (a *attempt) releaseConns() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -124,11 +125,11 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.conn != nil {
-		_ = a.conn.Close() // it is never used again, whatever closing it says
+		_ = a.conn.Close() // never used again, so the error does not matter
 	}
 }
 
-// apply moves the attempt on; an event that its state does not apply changes nothing.
+// apply applies an event to the state chart; an event without a transition is ignored.
 func (a *attempt) apply(event string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/laburnumproxy/bench_test.go
+++ b/laburnumproxy/bench_test.go
@@ -21,7 +21,7 @@
 
 const benchBody = `{"model":"quote","prompt":"a carpet for the hall, four by two","max_tokens":4}`
 
-// newBenchmarkServers is a proxy on the machine's clock before one engine.
+// newBenchmarkServers starts a fake engine and a proxy in front of it, on real time.
 func newBenchmarkServers(b *testing.B, fn http.HandlerFunc) (engine, proxy *httptest.Server) {
 	timers := laburnumtimer.New()
 	b.Cleanup(timers.Close)
@@ -43,8 +43,8 @@
 	return engine, proxy
 }
 
-// BenchmarkLatency is the time of one small answer straight from the fake engine and
-// through the proxy, one at a time; the difference is what the proxy adds.
+// BenchmarkLatency measures the time of one small response, directly from the fake engine
+// and through the proxy, without concurrency; the difference is the proxy's overhead.
 func BenchmarkLatency(b *testing.B) {
 	engine, proxy := newBenchmarkServers(b, func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, `{"choices":[{"text":"t0 t1 t2 t3 "}]}`)
@@ -64,7 +64,7 @@
 	}
 }
 
-// BenchmarkThroughput is many callers at once; the callers and the fake engine share
+// BenchmarkThroughput measures many concurrent callers; the callers and the fake engine share
 // the cores with the proxy.
 func BenchmarkThroughput(b *testing.B) {
 	engine, proxy := newBenchmarkServers(b, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, `{}`) })
@@ -92,10 +92,10 @@
 	resp.Body.Close()
 }
 
-// BenchmarkOpenStreams is the memory of one process, callers and engine included,
-// with open streams straight and through the proxy; the difference is the proxy's.
+// BenchmarkOpenStreams measures the memory of one process, callers and engine included, with
+// open streams directly to the engine and through the proxy; the difference is the proxy's.
 func BenchmarkOpenStreams(b *testing.B) {
-	const streams = 2_000 // four descriptors each, and a machine may allow 20,000
+	const streams = 2_000 // four file descriptors each, and a machine may allow 20,000
 	end := make(chan struct{})
 	engine, proxy := newBenchmarkServers(b, func(w http.ResponseWriter, r *http.Request) {
 		writeTokens(w, 0, 1)
@@ -139,7 +139,7 @@
 	}
 }
 
-// memoryInUse in use by the heap and the goroutines' stacks, in bytes.
+// memoryInUse returns the memory in use by the heap and the goroutines' stacks, in bytes.
 func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/laburnumproxy/claim.go
+++ b/laburnumproxy/claim.go
@@ -14,17 +14,17 @@
 
 const (
 	// claimTimeout bounds the wait for the log before a call is forwarded: longer
-	// than a change of leader takes, shorter than a caller's patience.
+	// than a leader election takes, shorter than callers usually wait.
 	claimTimeout = 3 * time.Second
-	// recordTimeout bounds the wait for the log before the answer goes out.
+	// recordTimeout bounds the wait for the log before the response is sent.
 	recordTimeout = 5 * time.Second
-	// maxRecordedBody is the longest answer that is kept for resends, in bytes.
+	// maxRecordedBody is the longest response body recorded for resends, in bytes.
 	maxRecordedBody = 64 << 10
 )
 
-// claimAndRun claims the one run of a call in the replicated state, then runs it
-// and records what became of it. A VM that dies in between leaves the claim
-// without an answer, and a resend is told so and not run.
+// claimAndRun claims the call's idempotency key in the replicated state, runs the call and
+// records its outcome. If the VM dies in between, the claim has no recorded response; a
+// resend then gets outcome-unknown and is not run.
 func (p *Proxy) claimAndRun(ctx context.Context, q *request, out *callerResponse) error {
 	result, err := p.claim(ctx, q)
 	if err != nil {
@@ -33,7 +33,7 @@
 	if result.Code != laburnumlever.ResultOK {
 		return p.answerResend(q, out, result)
 	}
-	q.trace.add(p.timers.Now(), "claimed under its idempotency key")
+	q.trace.add(p.timers.Now(), "claimed its idempotency key")
 	recorded := false
 	out.record = func(whole *laburnumlever.RecordedAnswer) {
 		recorded = true
@@ -49,11 +49,11 @@
 	return err
 }
 
-// claim proposes the claim. The key is kept apart for each caller's credentials:
-// two callers that use the same key must never get each other's answers.
+// claim proposes the claim. Keys are scoped to the caller's credentials: two callers
+// that use the same key must never get each other's responses.
 func (p *Proxy) claim(ctx context.Context, q *request) (laburnumlever.Result, error) {
 	if !p.breaker.allow(p.timers.Now()) {
-		return laburnumlever.Result{}, p.noQuorum(q, "the log has not been in reach since the last try")
+		return laburnumlever.Result{}, p.noQuorum(q, "the log was unreachable at the last attempt")
 	}
 	limited, cancel := p.withTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -65,14 +65,14 @@
 			VM: p.views.View().Self.ID, At: p.timers.Now().UnixMilli(), Claim: q.claimID,
 		},
 	})
-	if ctx.Err() == nil { // a caller that went away says nothing about the log
+	if ctx.Err() == nil { // a disconnected caller is no evidence about the log
 		p.breaker.record(p.timers.Now(), err == nil)
 	}
 	if err == nil {
 		return result, nil
 	}
-	// Whatever became of the claim, the call itself was not forwarded and now never
-	// will be under it, so not-run is true.
+	// Even if the claim is applied later, the call was not forwarded and will not be
+	// forwarded under it, so not-run is correct.
 	var unknown *laburnumlever.OutcomeUnknownError
 	if errors.As(err, &unknown) {
 		p.releaseInBackground(p.recordCommand(q, laburnumlever.OutcomeNotRun, nil))
@@ -81,7 +81,7 @@
 }
 
 func (p *Proxy) noQuorum(q *request, why string) error {
-	refusal := q.refusal(laburnumlever.RefusedNoQuorum, laburnumlever.OutcomeNotRun, "the call could not be claimed: "+why)
+	refusal := q.refusal(laburnumlever.RefusedNoQuorum, laburnumlever.OutcomeNotRun, "claiming the idempotency key failed: "+why)
 	refusal.RetryAfter = shortRetryAfter
 	return refusal
 }
@@ -90,15 +90,15 @@
 	return q.credentialsHash + "/" + q.header.Get(headerIdempotencyKey)
 }
 
-// digest tells two calls under the same key apart.
+// digest identifies a call's content, to detect another call under the same key.
 func (q *request) digest() uint64 {
 	d := xxhash.New()
-	_, _ = d.WriteString(q.method + " " + q.path + "\n") // a hash takes everything
+	_, _ = d.WriteString(q.method + " " + q.path + "\n") // writing to a hash never fails
 	_, _ = d.Write(q.body)
 	return d.Sum64()
 }
 
-// answerResend answers a resend from what is recorded.
+// answerResend answers a resend from the state of the existing claim.
 func (p *Proxy) answerResend(q *request, out *callerResponse, result laburnumlever.Result) error {
 	switch result.Code {
 	case laburnumlever.ResultAnswered:
@@ -106,33 +106,33 @@
 	case laburnumlever.ResultClaimed:
 		return p.refuseInProgress(q, result.Holder)
 	case laburnumlever.ResultMismatch:
-		return q.refusal(laburnumlever.RefusedKeyMismatch, laburnumlever.OutcomeNotRun, "the key was used before with another call")
+		return q.refusal(laburnumlever.RefusedKeyMismatch, laburnumlever.OutcomeNotRun, "the idempotency key was already used for a different call")
 	case laburnumlever.ResultFull:
-		return q.refusal(laburnumlever.RefusedQueueFull, laburnumlever.OutcomeNotRun, "no room for another claim")
+		return q.refusal(laburnumlever.RefusedQueueFull, laburnumlever.OutcomeNotRun, "too many claims are held")
 	default:
-		return q.refusal(laburnumlever.RefusedNoQuorum, laburnumlever.OutcomeNotRun, "the claim was refused: "+result.Code.String()+" "+result.Detail)
+		return q.refusal(laburnumlever.RefusedNoQuorum, laburnumlever.OutcomeNotRun, "the claim was rejected: "+result.Code.String()+" "+result.Detail)
 	}
 }
 
-// writeRecordedAnswer gives the recorded answer.
+// writeRecordedAnswer writes the recorded response, or refuses if none was recorded.
 func (p *Proxy) writeRecordedAnswer(q *request, out *callerResponse, result laburnumlever.Result) error {
 	if result.Outcome != laburnumlever.OutcomeAnswered || result.Answer == nil {
 		return q.refusal(laburnumlever.RefusedOutcomeUnknown, laburnumlever.OutcomeUnknown,
-			"the call was sent once and its answer is not known; it is not run again")
+			"the call was sent once and its outcome is unknown; it is not run again")
 	}
-	q.trace.add(p.timers.Now(), "answered from the record")
+	q.trace.add(p.timers.Now(), "answered from the recorded response")
 	p.counters.fromRecord.Inc(1)
 	return out.writeRecorded(result.Answer)
 }
 
-// refuseInProgress answers a resend whose first call has no answer yet. If the VM that
-// runs it is gone, no answer will come: the call may have run.
+// refuseInProgress refuses a resend whose first call has no recorded response yet. If the VM
+// that sent the call is down, none will follow and the outcome is unknown.
 func (p *Proxy) refuseInProgress(q *request, holder laburnumlever.VMID) error {
 	if holder != "" && !p.isUp(holder) {
 		return q.refusal(laburnumlever.RefusedOutcomeUnknown, laburnumlever.OutcomeUnknown,
-			"the VM that sent the call is gone; it is not run again")
+			"the VM that sent the call is down; the call is not run again")
 	}
-	return q.refusal(laburnumlever.RefusedKeyInProgress, laburnumlever.OutcomeUnknown, "the call is being run")
+	return q.refusal(laburnumlever.RefusedKeyInProgress, laburnumlever.OutcomeUnknown, "the call is in progress")
 }
 
 func (p *Proxy) isUp(id laburnumlever.VMID) bool {
@@ -144,13 +144,13 @@
 	return p.views.View().Self.ID == id
 }
 
-// record tells the replicated state what became of a claimed call. A failure to
-// record leaves the claim without an answer, which a resend is told as unknown.
+// record writes the outcome of a claimed call to the replicated state. If that fails, the
+// claim has no recorded response and a resend is refused with an unknown outcome.
 func (p *Proxy) record(ctx context.Context, q *request, outcome laburnumlever.RequestOutcome, whole *laburnumlever.RecordedAnswer) {
 	ctx, cancel := p.withTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
 	if outcome == laburnumlever.OutcomeAnswered && whole == nil {
-		outcome = laburnumlever.OutcomeUnknown // too long to be kept
+		outcome = laburnumlever.OutcomeUnknown // longer than maxRecordedBody
 	}
 	_, err := p.proposer.Propose(ctx, p.recordCommand(q, outcome, whole))
 	if err != nil {
@@ -169,7 +169,7 @@
 	}
 }
 
-// failureOutcome is what may be recorded of a call that failed.
+// failureOutcome returns the outcome to record for a call that failed.
 func (q *request) failureOutcome(err error) laburnumlever.RequestOutcome {
 	if q.maybeSent {
 		return laburnumlever.OutcomeUnknown
@@ -177,7 +177,7 @@
 	return q.asRefusal(err).Outcome
 }
 
-// withTimeout is context.WithTimeout on the timer service.
+// withTimeout is context.WithTimeout with the proxy's timers.
 func (p *Proxy) withTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := p.timers.After(d, func(time.Time) { cancel(context.DeadlineExceeded) })
@@ -187,7 +187,7 @@
 	}
 }
 
-// writeRecorded gives a kept answer to the caller.
+// writeRecorded writes a recorded response to the caller.
 func (o *callerResponse) writeRecorded(a *laburnumlever.RecordedAnswer) error {
 	o.started = true
 	o.firstByteAt = o.timers.Now()
--- a/laburnumproxy/conn.go
+++ b/laburnumproxy/conn.go
@@ -14,23 +14,23 @@
 	idleConnsPerHost = 256
 )
 
-// countedConn counts the writes that may have reached the backend server and can
-// be sealed, after which it writes nothing more.
+// countedConn counts the writes that may have reached the backend server. Once sealed, it
+// refuses further writes.
 type countedConn struct {
 	net.Conn
 	mu     sync.Mutex
 	writes uint64
 	sealed bool
-	// checked is closed once the answer to the attempt that has the connection, or
-	// had it last, was matched with it.
+	// checked is closed once the response to the attempt that holds the connection, or held it
+	// last, has been checked against the attempt's ID.
 	checked chan struct{}
 }
 
-// acquire gives the connection to another attempt, once the last one's answer has
-// been matched. An answer without a body puts the connection back into the pool
-// before anyone has looked at whose answer it was: a crossed one's connection would
-// already carry the next request when it is closed. The wait is short, as the last
-// attempt has its answer in hand.
+// acquire assigns the connection to another attempt once the previous attempt's response
+// has been checked. net/http returns a connection to the pool as soon as a response without
+// a body arrives. Without the wait, the connection of a mismatched response would already
+// carry the next request when it is closed. The wait is short, as the previous attempt
+// already has its response header.
 func (c *countedConn) acquire() (checked chan struct{}) {
 	c.mu.Lock()
 	last := c.checked
@@ -49,7 +49,7 @@
 		c.mu.Unlock()
 		return 0, &sealedError{}
 	}
-	c.writes++ // before the write, so that a judgement made during it says sent
+	c.writes++ // before the write, so that a concurrent check counts it as sent
 	c.mu.Unlock()
 	n, err := c.Conn.Write(p)
 	if n == 0 && err != nil {
@@ -66,7 +66,7 @@
 	return c.writes
 }
 
-// sealIfUnwritten forbids further writes unless there were some since base, and tells
+// sealIfUnwritten refuses further writes unless there were some since base. It reports
 // whether there were.
 func (c *countedConn) sealIfUnwritten(base uint64) (written bool) {
 	c.mu.Lock()
--- a/laburnumproxy/conn_internal_test.go
+++ b/laburnumproxy/conn_internal_test.go
@@ -7,10 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller's time ends while his booking waits for its connection to be written to. It is
-// told to him as not run, and he books again. Were the connection not closed to writes in
-// the same step as the judgement, the first booking would go out a moment later and
-// he would have two.
+// Guards against a request being written after its attempt was reported as not-run. A caller's
+// deadline passes before the transport writes to the connection; a late write would then
+// book a second time when the caller retries.
 func TestSealedConnectionRejectsWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { require.NoError(t, far.Close()) }()
@@ -22,8 +21,8 @@
 	require.ErrorAs(t, err, &sealed)
 }
 
-// The same, but the booking is out: it may have run, and the connection goes on, since its
-// answer may still come.
+// Once a byte is written, the call may have run: the connection must not be sealed, as the
+// response may still arrive.
 func TestWrittenConnectionIsNotSealed(t *testing.T) {
 	near, far := net.Pipe()
 	defer func() { require.NoError(t, far.Close()) }()
--- a/laburnumproxy/counters.go
+++ b/laburnumproxy/counters.go
@@ -6,8 +6,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// counters are made at start, so that each reason shows in the metrics at 0 before it
-// first occurs: an alert on its rate would else miss the first.
+// counters are created at start, so that each reason is exported as 0 before it first
+// occurs: otherwise an alert on its rate would miss the first one.
 type counters struct {
 	refusals      map[laburnumlever.RefusalReason]tally.Counter
 	retries       map[laburnumlever.RetryReason]tally.Counter
--- a/laburnumproxy/demand.go
+++ b/laburnumproxy/demand.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// demand counts what callers ask of each model, for placement.
+// demand counts requests and tokens of each model, as input to placement.
 type demand struct {
 	mu       sync.Mutex
 	since    time.Time
@@ -45,7 +45,7 @@
 	c.answerTokens += float64(q.answerTokens)
 }
 
-// countResult counts how a request went: err is nil for a whole answer.
+// countResult counts a finished request; err is nil for a complete response.
 func (d *demand) countResult(q *request, firstToken time.Duration, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,8 +75,8 @@
 	}
 }
 
-// Demand is what callers asked of each model since the last call, as rates a
-// second. Call it at a fixed interval; models with nothing to tell are left out.
+// Demand returns the demand for each model since the last call, in rates per second. Call
+// it at a fixed interval; models without requests are omitted.
 func (p *Proxy) Demand() []laburnumlever.ModelDemand {
 	d := p.demand
 	now := p.timers.Now()
--- a/laburnumproxy/doc.go
+++ b/laburnumproxy/doc.go
@@ -1,19 +1,19 @@
-// Package laburnumproxy is the caller's path: it takes requests in, sends each to
-// a backend server, passes the answer on as it comes, and tells the truth when
-// there is none.
+// Package laburnumproxy is the HTTP proxy between callers and backend servers. It routes
+// each request to a backend server, streams the response back, retries failed attempts, and
+// reports whether a failed request may have run.
 //
 // # Usage
 //
 //	proxy := laburnumproxy.New(views, timers, proposer, laburnumproxy.WithLogger(logger))
-//	server := proxy.Server() // an http.Server with the bounds set
+//	server := proxy.Server() // an http.Server with limits on headers and idle connections
 //	…
-//	err := proxy.Drain(ctx) // no new work; returns when all in flight is done
+//	err := proxy.Drain(ctx) // refuses new requests; returns once none is in flight
 //
-// # What a caller can rely on
+// # Guarantees
 //
-// An answer is passed on only if the backend server echoed the id of this very
-// attempt. A stream's end marker is passed on only after a whole answer. The word
-// not-run is told only when no byte of the request reached a backend server, or
-// that server said so itself; everything else is unknown. Decisions under load are
-// made by pure packages (see laburnumrouter); this package owns only the sockets.
+// A response is forwarded only if the backend server echoed the ID of the attempt. A
+// stream's end marker is forwarded only after a complete response. The outcome not-run is
+// reported only when no byte of the request was sent to a backend server, or when that
+// server reported it; every other failure is reported as unknown. Packages without I/O
+// decide on routing, queueing and retries (see laburnumrouter); this package does the I/O.
 package laburnumproxy
--- a/laburnumproxy/errors.go
+++ b/laburnumproxy/errors.go
@@ -7,19 +7,23 @@
 	"laburnumlever"
 )
 
-// sealedError is a write on a connection whose attempt has been given up.
+// sealedError reports a write to a connection that was sealed when its attempt failed.
 type sealedError struct{}
 
-func (e *sealedError) Error() string { return "the attempt was given up before it was sent" }
+func (e *sealedError) Error() string {
+	return "connection sealed: the attempt ended before it was sent"
+}
 
-// CrossedAnswerError is an answer that is not to the attempt that waited for it.
+// CrossedAnswerError reports a response that echoes the ID of another attempt: Want is the
+// ID of the attempt that waited, Got the one in the response.
 type CrossedAnswerError struct{ Want, Got string }
 
 func (e *CrossedAnswerError) Error() string {
-	return fmt.Sprintf("the answer is to attempt %q, not to %q", e.Got, e.Want)
+	return fmt.Sprintf("response is for attempt %q, want %q", e.Got, e.Want)
 }
 
-// BrokenStreamError is a stream that ended without its end marker.
+// BrokenStreamError reports a response that ended before it was complete, or a stream that
+// ended without its end marker, after Tokens tokens.
 type BrokenStreamError struct {
 	Backend laburnumlever.BackendID
 	Tokens  int
@@ -27,76 +31,82 @@
 }
 
 func (e *BrokenStreamError) Error() string {
-	return fmt.Sprintf("the stream of %s ended after %d tokens without its end marker: %v", e.Backend, e.Tokens, e.Cause)
+	return fmt.Sprintf("response of backend server %q is incomplete after %d tokens: %v", e.Backend, e.Tokens, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *BrokenStreamError) Unwrap() error { return e.Cause }
 
-// ReplayDiffersError is a replayed stream that does not start with what the
-// caller has already been given.
+// ReplayDiffersError reports a replayed stream that does not start with the tokens that the
+// caller already has.
 type ReplayDiffersError struct{ Backend laburnumlever.BackendID }
 
 func (e *ReplayDiffersError) Error() string {
-	return fmt.Sprintf("the answer of %s differs from what was already passed on", e.Backend)
+	return fmt.Sprintf("replay by backend server %q differs from the tokens already forwarded", e.Backend)
 }
 
-// EventTooLongError is one event of a stream beyond the bound.
+// EventTooLongError reports a stream event longer than Limit bytes.
 type EventTooLongError struct{ Limit int }
 
 func (e *EventTooLongError) Error() string {
-	return fmt.Sprintf("an event of the stream is longer than %d bytes", e.Limit)
+	return fmt.Sprintf("stream event is longer than %d bytes", e.Limit)
 }
 
-// CallerGoneError is a caller that takes no more of its answer.
+// CallerGoneError reports that writing the response to the caller failed.
 type CallerGoneError struct{ Cause error }
 
-func (e *CallerGoneError) Error() string { return fmt.Sprintf("the caller is gone: %v", e.Cause) }
+func (e *CallerGoneError) Error() string {
+	return fmt.Sprintf("writing to the caller failed: %v", e.Cause)
+}
 
 // Unwrap returns the cause.
 func (e *CallerGoneError) Unwrap() error { return e.Cause }
 
-// DrainTimeoutError is a drain that ended with requests still in flight.
+// DrainTimeoutError reports a drain whose context ended with InFlight requests in flight.
 type DrainTimeoutError struct {
 	InFlight int
 	Cause    error
 }
 
 func (e *DrainTimeoutError) Error() string {
-	return fmt.Sprintf("%d requests were still in flight: %v", e.InFlight, e.Cause)
+	return fmt.Sprintf("drain ended with %d requests in flight: %v", e.InFlight, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *DrainTimeoutError) Unwrap() error { return e.Cause }
 
-// stalledError is a request that made no progress, or took too long in all.
+// stalledError aborts a request without progress for Idle, or one that took Age in total.
 type stalledError struct{ Idle, Age time.Duration }
 
 func (e *stalledError) Error() string {
-	return fmt.Sprintf("no progress for %v, %v in all", e.Idle, e.Age)
+	return fmt.Sprintf("no progress for %v, %v in total", e.Idle, e.Age)
 }
 
-// stoppedError is a request cut off because the VM ends at once.
+// stoppedError aborts requests in flight when the proxy is closed.
 type stoppedError struct{}
 
-func (e *stoppedError) Error() string { return "this VM was stopped" }
+func (e *stoppedError) Error() string { return "this VM is shutting down" }
 
-// statusError is an answer with a status that can't be passed on.
+// statusError reports a response status that is not forwarded.
 type statusError struct{ Status int }
 
-func (e *statusError) Error() string { return fmt.Sprintf("the backend server answered %d", e.Status) }
+func (e *statusError) Error() string {
+	return fmt.Sprintf("the backend server answered with status %d", e.Status)
+}
 
-// unmarkedEndError is an answer whose end is only the end of the connection.
-type unmarkedEndError struct{}
+// unframedBodyError reports a response body that only the end of the connection delimits.
+type unframedBodyError struct{}
 
-func (e *unmarkedEndError) Error() string { return "the answer has neither length nor chunks" }
+func (e *unframedBodyError) Error() string {
+	return "response has neither a Content-Length nor chunked encoding"
+}
 
-// notJSONError is an answer of an engine that is not JSON.
+// notJSONError reports an engine's response that is not JSON.
 type notJSONError struct{}
 
-func (e *notJSONError) Error() string { return "the answer is not whole JSON" }
+func (e *notJSONError) Error() string { return "response is not complete JSON" }
 
-// engineError is an error event within an engine's stream.
+// engineError reports an error event in an engine's stream.
 type engineError struct{ Text string }
 
-func (e *engineError) Error() string { return "the engine ended its stream with " + e.Text }
+func (e *engineError) Error() string { return "the engine ended its stream with an error: " + e.Text }
--- a/laburnumproxy/explain.go
+++ b/laburnumproxy/explain.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// traceRingSize is how many of the last requests can be explained.
+	// traceRingSize is the number of recent requests that can be explained.
 	traceRingSize = 4096
-	// maxTraceLines bounds one request's account.
+	// maxTraceLines bounds the trace of one request.
 	maxTraceLines = 32
 )
 
-// requestTrace is the account of one request's decisions.
+// requestTrace lists the decisions made for one request, for Explain.
 type requestTrace struct {
 	mu    sync.Mutex
 	id    string
@@ -29,7 +29,7 @@
 	args   []any
 }
 
-// add notes a decision; the text is only made when an operator asks.
+// add records a decision; the text is formatted only when an operator asks for it.
 func (t *requestTrace) add(now time.Time, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,7 +48,7 @@
 	return out
 }
 
-// traceRing keeps the last trails.
+// traceRing keeps the traces of the last traceRingSize requests.
 type traceRing struct {
 	mu     sync.Mutex
 	next   int
@@ -78,7 +78,7 @@
 	return t, ok
 }
 
-// Explain says what was decided for one of the last requests.
+// Explain returns the decisions made for a recent request, and false if it is not among them.
 func (p *Proxy) Explain(requestID string) (laburnumlever.Explanation, bool) {
 	t, ok := p.traces.get(requestID)
 	if !ok {
--- a/laburnumproxy/fakes_test.go
+++ b/laburnumproxy/fakes_test.go
@@ -22,21 +22,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeViews gives a view that a test can replace.
+// fakeViews returns a view that a test can replace.
 type fakeViews struct {
 	view atomic.Pointer[laburnumlever.View]
 }
 
 func (v *fakeViews) View() *laburnumlever.View { return v.view.Load() }
 
-// fakeLog is the replicated state of a whole deployment: proxies that share it are
-// VMs of one deployment.
+// fakeLog is the replicated state of a deployment: proxies that share one are VMs of the same
+// deployment.
 type fakeLog struct {
 	mu        sync.Mutex
 	err       error
 	claims    map[string]*fakeClaim
-	claimedBy laburnumlever.VMID // claims each key just before the caller does
-	// held are commands that a cut holds up: their senders get no answer.
+	claimedBy laburnumlever.VMID // if set, this VM claims each key just before the caller does
+	// delayed holds commands that a network partition delays: their proposers get no result.
 	delay   bool
 	delayed []laburnumlever.Command
 }
@@ -58,7 +58,7 @@
 	return l.apply(cmd)
 }
 
-// deliver lets what was held up arrive, the last first: the worst order.
+// deliver applies the delayed commands in reverse order, the worst case.
 func (l *fakeLog) deliver() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// fixture is one proxy before some fake backend servers.
+// fixture is one proxy in front of fake backend servers.
 type fixture struct {
 	t      *testing.T
 	views  *fakeViews
@@ -138,7 +138,7 @@
 	return b
 }
 
-// add puts a backend server into the view.
+// add adds a backend server to the view.
 func (b *fixture) add(change laburnumlever.Announcement) {
 	view := *b.views.View()
 	change.Backend = laburnumlever.BackendID(fmt.Sprintf("b%d", len(view.Backends)))
@@ -149,7 +149,7 @@
 	b.views.view.Store(&view)
 }
 
-// engine adds an engine with that handler; it echoes attempt ids.
+// engine adds an engine with the given handler; it echoes attempt IDs.
 func (b *fixture) engine(canResume bool, fn http.HandlerFunc) *httptest.Server {
 	s := httptest.NewServer(echoing(fn))
 	b.t.Cleanup(s.Close)
@@ -157,7 +157,7 @@
 	return s
 }
 
-// service adds a plain service with that handler.
+// service adds a plain service with the given handler; it echoes attempt IDs.
 func (b *fixture) service(fn http.HandlerFunc) *httptest.Server {
 	s := httptest.NewServer(echoing(fn))
 	b.t.Cleanup(s.Close)
@@ -172,7 +172,7 @@
 	}
 }
 
-// reply is a caller's view of an answer.
+// reply is a response as the caller gets it.
 type reply struct {
 	status int
 	header http.Header
@@ -199,7 +199,7 @@
 	return b.post("/v1/completions", `{"model":"quote","prompt":"hall","stream":true,"max_tokens":4}`)
 }
 
-// requireRefusal checks a typed refusal.
+// requireRefusal checks the reason and the outcome of a refusal.
 func (r reply) requireRefusal(t *testing.T, reason, outcome string) {
 	t.Helper()
 	require.NoError(t, r.err)
@@ -217,7 +217,7 @@
 	require.Equal(t, body.Error.ID, r.header.Get("X-Request-Id"))
 }
 
-// writeTokens writes token events from…to and flushes each.
+// writeTokens writes the token events from from up to to, without to, and flushes each.
 func writeTokens(w http.ResponseWriter, from, to int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := from; i < to; i++ {
@@ -228,7 +228,7 @@
 
 func writeDone(w http.ResponseWriter) { io.WriteString(w, "data: [DONE]\n\n") }
 
-// joinTexts joins the token joinTexts of a stream.
+// joinTexts joins the texts of a stream's token events.
 func joinTexts(body string) string {
 	var out bytes.Buffer
 	for line := range strings.Lines(body) {
--- a/laburnumproxy/forward.go
+++ b/laburnumproxy/forward.go
@@ -16,13 +16,13 @@
 	"github.com/google/uuid"
 )
 
-// attemptFailure is an attempt that brought no whole answer.
+// attemptFailure describes an attempt that got no complete response.
 type attemptFailure struct {
 	refusal   *laburnumlever.RefusalError
 	canResume bool
 }
 
-// run lets the request in and attempts it until it is answered or given up.
+// run admits the request and attempts it until it succeeds or may not be retried.
 func (p *Proxy) run(ctx context.Context, q *request, out *callerResponse) error {
 	ticket := p.newTicket(q)
 	if err := p.admit(ctx, q, out, ticket); err != nil {
@@ -54,7 +54,7 @@
 	}}
 }
 
-// admit waits until the request has a server.
+// admit waits until the request has a slot on a backend server.
 func (p *Proxy) admit(ctx context.Context, q *request, out *callerResponse, ticket *laburnumdispatch.Ticket) error {
 	ready := make(chan struct{})
 	ticket.Wake = func() { close(ready) }
@@ -66,7 +66,7 @@
 	if err != nil || !waits {
 		return err
 	}
-	q.trace.add(now, "waits for a free place")
+	q.trace.add(now, "queued for a free slot")
 	select {
 	case <-ready:
 	case <-ctx.Done():
@@ -74,7 +74,7 @@
 		p.dispatch.EndAttempt(ticket, laburnumrouter.Sample{Skipped: true}, p.timers.Now())
 		p.dispatch.Finish(ticket, 0, p.timers.Now())
 		p.mu.Unlock()
-		return q.refusal(reasonFromContext(ctx), laburnumlever.OutcomeNotRun, "given up while it waited")
+		return q.refusal(reasonFromContext(ctx), laburnumlever.OutcomeNotRun, "cancelled while queued")
 	}
 	out.active.markProgress(p.timers.Now())
 	if ticket.Refusal != nil {
@@ -90,7 +90,7 @@
 	return err == nil && ticket.Waiting(), err
 }
 
-// settle settles the request's true cost.
+// settle finishes the ticket with the tokens that the request really used.
 func (p *Proxy) settle(q *request, out *callerResponse, ticket *laburnumdispatch.Ticket) {
 	used := 0
 	switch {
@@ -104,7 +104,7 @@
 	p.dispatch.Finish(ticket, used, p.timers.Now())
 }
 
-// retry asks for another attempt.
+// retry asks the dispatcher for another attempt. It returns false if there is none.
 func (p *Proxy) retry(ctx context.Context, q *request, out *callerResponse, ticket *laburnumdispatch.Ticket, fail *attemptFailure) (laburnumlever.RetryReason, bool) {
 	if ctx.Err() != nil {
 		return 0, false
@@ -119,10 +119,10 @@
 	switch verdict {
 	case laburnumretry.Again:
 		p.counters.retries[reason].Inc(1)
-		q.trace.add(now, "attempt again: %s", reason)
+		q.trace.add(now, "retrying: %s", reason)
 		return reason, true
 	case laburnumretry.OverBudget:
-		fail.refusal.Detail = "retry budget spent after: " + fail.refusal.Detail
+		fail.refusal.Detail = "retry budget exhausted after: " + fail.refusal.Detail
 		fail.refusal.Reason = laburnumlever.RefusedRetryBudget
 		return reason, false
 	default:
@@ -130,8 +130,8 @@
 	}
 }
 
-// attemptOnce makes one attempt on the ticket's server and frees its place there. A nil
-// failure means that the whole answer was passed on.
+// attemptOnce makes one attempt on the ticket's backend server and releases the slot there.
+// It returns nil if the whole response was forwarded.
 func (p *Proxy) attemptOnce(ctx context.Context, q *request, out *callerResponse, ticket *laburnumdispatch.Ticket, resume bool) *attemptFailure {
 	to := ticket.Backend
 	start := p.timers.Now()
@@ -154,10 +154,10 @@
 	return fail
 }
 
-// exchange sends the request to one backend server and passes its answer on.
+// exchange sends the request to one backend server and forwards the response.
 func (p *Proxy) exchange(ctx context.Context, q *request, out *callerResponse, to laburnumlever.Announcement, resume bool) *attemptFailure {
 	own, cancel := context.WithCancel(ctx)
-	defer cancel() // ends the backend server's work when the answer is not wanted any more
+	defer cancel() // cancels the backend server's work when the response is no longer wanted
 	a := newAttempt(uuid.NewString(), to.Backend, cancel)
 	q.trace.add(p.timers.Now(), "attempt %s on %s at %s", a.id, to.Backend, to.Address)
 	req := p.newBackendRequest(a.trace(own), q, a, to)
@@ -169,7 +169,7 @@
 		a.fail()
 		return p.newFailure(q, a, to, reasonFromContext(ctx), err)
 	}
-	defer func() { _ = resp.Body.Close() }() // nothing is left to be read or said
+	defer func() { _ = resp.Body.Close() }() // the response has been forwarded or discarded
 	if err := a.checkResponse(resp); err != nil {
 		p.counters.crossed.Inc(1)
 		_ = level.Warn(p.logger).Log("event", laburnumlever.EventCrossedAnswer, "request-id", q.id, "backend", to.Backend, "err", err)
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// forwardFailureReason classifies an error met while the answer was passed on.
+// forwardFailureReason classifies an error from forwarding the response.
 func forwardFailureReason(ctx context.Context, err error) laburnumlever.RefusalReason {
 	var gone *CallerGoneError
 	switch {
--- a/laburnumproxy/logbreaker.go
+++ b/laburnumproxy/logbreaker.go
@@ -5,21 +5,20 @@
 	"time"
 )
 
-// breakerProbeInterval is how often one claim is tried while the log is out of reach: a caller
-// is refused at once in between, and the first one after the heal waits no longer.
+// breakerProbeInterval is the time between two claims tried while the log is unreachable.
+// It bounds how long claims are still refused after a network partition heals.
 const breakerProbeInterval = time.Second
 
-// logBreaker remembers that the log is out of reach. The load pattern it answers: a
-// zone is cut off and every booking in it would wait out its claim's time limit, with
-// a connection and a goroutine each, only to be refused. One claim a second is let
-// through to find out whether the log is back.
+// logBreaker is a circuit breaker for claims while the log is unreachable. Without it, every
+// claimed call in a partitioned zone would hold a connection and a goroutine until its claim
+// timed out, only to be refused. One claim a second is let through as a probe.
 type logBreaker struct {
 	mu        sync.Mutex
 	open      bool
 	lastProbe time.Time
 }
 
-// allow tells whether a claim may be tried now.
+// allow reports whether a claim may be tried now.
 func (g *logBreaker) allow(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -33,7 +32,7 @@
 	return true
 }
 
-// record takes in how a claim ended.
+// record records whether a claim reached the log.
 func (g *logBreaker) record(now time.Time, reached bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/laburnumproxy/lookup.go
+++ b/laburnumproxy/lookup.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// rebuildCostFactor bounds what building indexes costs: one part in 200 of a core.
-	// At the design size reports change the view thousands of times a second.
+	// rebuildCostFactor bounds the cost of building indexes to 1/200 of a core: the next build
+	// waits 200 times as long as the last one took. At the design size, reports change the
+	// view thousands of times a second.
 	rebuildCostFactor = 200
-	// missingCostFactor bounds it while requests ask for what is not in the index, as they
-	// also do for models that never were.
+	// missingCostFactor is the same bound for builds on behalf of requests whose name is not in
+	// the index, as requests for models that never existed also ask for them.
 	missingCostFactor = 20
-	// maxRebuildInterval bounds how old an index gets: a leaving backend server is out
-	// of it well within the 3 s that it is promised.
+	// maxRebuildInterval bounds the age of an index: a backend server that leaves must be out
+	// of it well within the promised 3 s.
 	maxRebuildInterval = time.Second
 )
 
-// lookup is a view's catalogue by name.
+// lookup indexes a view's catalogue by name.
 type lookup struct {
 	view     *laburnumlever.View
 	models   map[laburnumlever.ModelName]*laburnumlever.Model
@@ -54,7 +55,7 @@
 	return l
 }
 
-// limits of an owner; none if the catalogue doesn't have it.
+// limits returns an owner's limits, or none if the owner is not in the catalogue.
 func (l *lookup) limits(owner laburnumlever.OwnerName) laburnumlever.Limits {
 	if o := l.owners[owner]; o != nil {
 		return o.Limits
@@ -69,7 +70,8 @@
 	return laburnumlever.Class{}
 }
 
-// refresh takes a new view in, unless that would cost too much or is being done.
+// refresh rebuilds the index from the newest view, unless it was rebuilt too recently or a
+// rebuild is running.
 func (p *Proxy) refresh(now time.Time) {
 	if p.isCurrent() || !p.buildMu.TryLock() {
 		return
@@ -80,10 +82,9 @@
 	}
 }
 
-// refreshForMissing takes a new view in at once for a request whose model, service or
-// backend server is not in the index: it may have come since. It tells whether there
-// is something new to look at. Without it a request right after a load is refused
-// although the view has an engine for it.
+// refreshForMissing rebuilds the index at once for a request whose model, service or backend
+// server is not in it, and reports whether the index is new. Without it, a request right
+// after a model load would be refused although the view has an engine for it.
 func (p *Proxy) refreshForMissing(now time.Time) bool {
 	if p.isCurrent() {
 		return false
@@ -91,7 +92,7 @@
 	p.buildMu.Lock()
 	defer p.buildMu.Unlock()
 	if p.isCurrent() {
-		return true // another request has just done it
+		return true // another request has just rebuilt it
 	}
 	if now.Before(p.nextMissingRebuild) {
 		return false
@@ -101,13 +102,14 @@
 	return true
 }
 
-// isCurrent tells whether the index is of the newest view.
+// isCurrent reports whether the index was built from the newest view.
 func (p *Proxy) isCurrent() bool {
 	l := p.lookup.Load()
 	return l != nil && l.view == p.views.View()
 }
 
-// rebuild takes the newest view in and returns what that cost; the caller holds building.
+// rebuild builds the index from the newest view and returns the time that took; the caller
+// holds buildMu.
 func (p *Proxy) rebuild(now time.Time) time.Duration {
 	start := p.timers.Now()
 	view := p.views.View()
@@ -122,7 +124,8 @@
 	return end.Sub(start)
 }
 
-// share is this VM's part of every limit.
+// share returns this VM's share of every limit. Without a configured number of entry VMs it
+// divides by the most VMs ever known; the caller holds buildMu.
 func (p *Proxy) share(view *laburnumlever.View) laburnumadmission.Share {
 	ids := make([]laburnumlever.VMID, 0, len(view.VMs))
 	for i := range view.VMs {
@@ -137,7 +140,7 @@
 		s.VMs = p.maxVMsSeen
 	}
 	if s.Rank < 0 {
-		s.Known = 0 // not in its own list yet: no part of what is left over
+		s.Known = 0 // not in its own list yet: no part of the remainder
 	}
 	return s
 }
--- a/laburnumproxy/options.go
+++ b/laburnumproxy/options.go
@@ -7,13 +7,13 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// The bounds that hold unless an option sets others.
+// Defaults of the options.
 const (
-	// DefaultMaxBody is large enough for room photos in a request, in bytes.
+	// DefaultMaxBody, in bytes, is large enough for room photos in a request.
 	DefaultMaxBody = 16 << 20
-	// DefaultStall is how long a request may make no progress, on either side.
+	// DefaultStallTimeout is how long a request may make no progress on either side.
 	DefaultStall = 30 * time.Second
-	// DefaultLimit is the longest that a request may take in all.
+	// DefaultRequestTimeout is the longest time that a request may take in total.
 	DefaultLimit = 30 * time.Minute
 )
 
@@ -26,7 +26,7 @@
 	seed           uint64
 }
 
-// Option changes a Proxy under construction.
+// Option configures a Proxy.
 type Option func(*settings)
 
 func newSettings(opts []Option) settings {
@@ -40,21 +40,22 @@
 	return cfg
 }
 
-// WithLogger sets where refusals, retries and crossed answers are logged.
+// WithLogger sets the logger for refusals, mismatched responses and outcomes that could not
+// be recorded.
 func WithLogger(logger log.Logger) Option { return func(cfg *settings) { cfg.logger = logger } }
 
-// WithScope sets where requests, refusals and retries are counted.
+// WithScope sets the scope of the metrics on requests, refusals and retries.
 func WithScope(scope tally.Scope) Option { return func(cfg *settings) { cfg.scope = scope } }
 
-// WithMaxBody bounds a request's body, in bytes.
+// WithMaxBody bounds the size of a request's body, in bytes.
 func WithMaxBody(n int64) Option { return func(cfg *settings) { cfg.maxBody = n } }
 
-// WithStall bounds how long a request may make no progress: no byte from the
-// caller, from the backend server, or taken by the caller.
+// WithStallTimeout bounds how long a request may make no progress: no byte from the
+// caller, from the backend server, or accepted by the caller.
 func WithStall(d time.Duration) Option { return func(cfg *settings) { cfg.stallTimeout = d } }
 
-// WithLimit bounds how long a request may take in all.
+// WithRequestTimeout bounds the total time of a request.
 func WithLimit(d time.Duration) Option { return func(cfg *settings) { cfg.requestTimeout = d } }
 
-// WithSeed seeds the random choices, so that a test repeats.
+// WithSeed seeds the random choices, so that a test is repeatable.
 func WithSeed(seed uint64) Option { return func(cfg *settings) { cfg.seed = seed } }
--- a/laburnumproxy/outcome_test.go
+++ b/laburnumproxy/outcome_test.go
@@ -16,14 +16,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func hangUp(w http.ResponseWriter) {
+func closeConnection(w http.ResponseWriter) {
 	conn, _, _ := w.(http.Hijacker).Hijack()
 	conn.Close()
 }
 
-// A booking fails and its caller is told not-run, so it books again; the first had
-// reached the service. Not-run may be told only if no byte went out or the service
-// said so itself.
+// Guards against reporting not-run for a call that reached the service, as the caller would
+// then book twice. Not-run is correct only if no byte was sent or the service reported it.
 func TestNotRunOnlyWhenNothingWasSent(t *testing.T) {
 	for name, c := range map[string]struct {
 		serve   http.HandlerFunc
@@ -31,22 +30,22 @@
 		reason  string
 		outcome string
 	}{
-		"nobody listens":         {closed: true, reason: "backend-unreachable", outcome: "not-run"},
-		"hangs up after reading": {serve: func(w http.ResponseWriter, _ *http.Request) { hangUp(w) }, reason: "backend-unreachable", outcome: "unknown"},
-		"says that it did not": {serve: func(w http.ResponseWriter, _ *http.Request) {
+		"connection refused":              {closed: true, reason: "backend-unreachable", outcome: "not-run"},
+		"connection closed after reading": {serve: func(w http.ResponseWriter, _ *http.Request) { closeConnection(w) }, reason: "backend-unreachable", outcome: "unknown"},
+		"not-run reported": {serve: func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Laburnumlever-Outcome", "not-run")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, reason: "backend-busy", outcome: "not-run"},
-		"breaks off its answer": {serve: func(w http.ResponseWriter, _ *http.Request) {
+		"truncated body": {serve: func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "9")
 			io.WriteString(w, "book")
 		}, reason: "broken-stream", outcome: "unknown"},
-		"answers without an end": {serve: func(w http.ResponseWriter, r *http.Request) {
+		"body ended by connection close": {serve: func(w http.ResponseWriter, r *http.Request) {
 			conn, _, _ := w.(http.Hijacker).Hijack()
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nX-Attempt-Id: "+r.Header.Get("X-Attempt-Id")+"\r\n\r\nbook")
 			conn.Close()
 		}, reason: "broken-stream", outcome: "unknown"},
-		"echoes another's number": {serve: func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Attempt-Id", "7") }, reason: "crossed-answer", outcome: "unknown"},
+		"wrong attempt ID": {serve: func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Attempt-Id", "7") }, reason: "crossed-answer", outcome: "unknown"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newFixture(t, nil)
@@ -59,15 +58,14 @@
 	}
 }
 
-// A request is sent to an engine, which dies while it has it, and then can't be sent
-// to the other. Told of the second alone, the caller would hear not-run. It hears
-// unknown, as the first may have run.
+// Guards against reporting the outcome of the last attempt alone. If the first engine dies
+// with the request and the second is unreachable, the outcome is unknown, not not-run.
 func TestOutcomeCoversAllAttempts(t *testing.T) {
 	reachedAny := false
 	for seed := range uint64(8) {
 		b := newFixture(t, nil, laburnumproxy.WithSeed(seed))
 		var reached atomic.Bool
-		b.engine(false, func(w http.ResponseWriter, _ *http.Request) { reached.Store(true); hangUp(w) })
+		b.engine(false, func(w http.ResponseWriter, _ *http.Request) { reached.Store(true); closeConnection(w) })
 		b.engine(false, nil).Close()
 		got := b.post("/v1/completions", `{"model":"quote"}`)
 		want := map[bool]string{false: "not-run", true: "unknown"}[reached.Load()]
@@ -77,16 +75,16 @@
 	require.True(t, reachedAny)
 }
 
-// A kept-alive connection dies just as a booking is written to it. net/http sends a
-// request with an Idempotency-Key again by itself on another connection, so two vans
-// stand at the door. The call must be run once, and the caller told unknown.
+// Guards against net/http's own retry: if a kept-alive connection dies during the write, it
+// resends a request that has an Idempotency-Key on another connection. The call must be
+// sent once and the outcome reported as unknown.
 func TestTransportDoesNotRetryWrittenRequest(t *testing.T) {
 	b := newFixture(t, nil)
 	var bookings atomic.Int32
 	b.service(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			bookings.Add(1)
-			hangUp(w)
+			closeConnection(w)
 		}
 	})
 	req, _ := http.NewRequest(http.MethodGet, b.server.URL+"/services/booking/slots", nil)
@@ -97,9 +95,9 @@
 	require.EqualValues(t, 1, bookings.Load())
 }
 
-// A caller loses the answer to its booking and sends it again through another VM. A
-// second booking would be made. It gets the first's answer; another caller with the
-// same key gets its own, and other content under the key is refused.
+// Guards against running a call twice when the caller loses the response and resends through
+// another VM. It gets the recorded response; the same key is separate for another caller,
+// and refused with different content.
 func TestResendReturnsRecordedResponse(t *testing.T) {
 	first := newFixture(t, nil)
 	second := newFixture(t, first.log)
@@ -123,20 +121,20 @@
 	require.Equal(t, "for bert", ask(second, "tuesday", "bert").body)
 }
 
-// The VM that sent a booking dies before its answer is recorded. The resend through
-// another VM would book again; it is told unknown, and nothing is run.
+// Guards against running a call twice when the VM that sent it dies before the response is
+// recorded. A resend through another VM is refused with an unknown outcome.
 func TestVMFailureAfterClaimReportsUnknown(t *testing.T) {
 	log := &fakeLog{claims: map[string]*fakeClaim{}}
 	b := newFixture(t, log)
 	b.service(func(http.ResponseWriter, *http.Request) { t.Error("run again") })
 	log.claimedBy = "vm-2"
 	b.post("/services/booking/visits", "", "Idempotency-Key", "k").requireRefusal(t, "outcome-unknown", "unknown")
-	log.claimedBy = "vm-1" // still alive: it may yet answer
+	log.claimedBy = "vm-1" // still alive: it may yet record the response
 	b.post("/services/booking/visits", "", "Idempotency-Key", "l").requireRefusal(t, "key-in-progress", "unknown")
 }
 
-// This zone is cut off from the log. A booking that is run without a claim could be
-// run again elsewhere; it is refused as not run, which is true.
+// Guards against running a call without a claim in a zone that is cut off from the log: it
+// could be run again elsewhere. It is refused as not-run.
 func TestNoQuorumRefusesClaimedCall(t *testing.T) {
 	log := &fakeLog{claims: map[string]*fakeClaim{}, err: &laburnumlever.NoQuorumError{}}
 	b := newFixture(t, log)
@@ -146,8 +144,8 @@
 	require.Equal(t, "1", got.header.Get("Retry-After"))
 }
 
-// A caller hangs up while its booking runs. Cancelled, the booking would be half made
-// and its outcome lost; it runs on, and the resend gets its answer.
+// Guards against cancelling a non-idempotent call when its caller disconnects, which would
+// lose its outcome. The call runs to its end and a resend gets its response.
 func TestNonIdempotentCallSurvivesCallerDisconnect(t *testing.T) {
 	b := newFixture(t, nil)
 	started, resume := make(chan struct{}), make(chan struct{})
@@ -159,21 +157,20 @@
 		case <-r.Context().Done():
 		}
 	})
-	ctx, hangUpCaller := context.WithCancel(context.Background())
+	ctx, disconnectCaller := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, b.server.URL+"/services/booking/visits", nil)
 	req.Header.Set("Idempotency-Key", "k")
 	ended := make(chan struct{})
 	go func() { http.DefaultClient.Do(req); close(ended) }()
 	<-started
-	hangUpCaller()
+	disconnectCaller()
 	<-ended
 	close(resume)
 	require.Eventually(t, func() bool { return b.proxy.InFlight() == 0 }, 10*time.Second, time.Millisecond)
 	require.Equal(t, "booked", b.post("/services/booking/visits", "", "Idempotency-Key", "k").body)
 }
 
-// A service takes a booking and never answers. The caller would wait for ever; it is
-// told unknown at the bound.
+// Guards against waiting forever for a service that accepts a call and never responds.
 func TestSilentBackendTimesOut(t *testing.T) {
 	b := newFixture(t, nil)
 	started := make(chan struct{})
@@ -188,8 +185,8 @@
 	(<-got).requireRefusal(t, "deadline", "unknown")
 }
 
-// A caller stops reading its stream. Buffered here, the answers of many such callers
-// would take all memory; the engine is held back, and cut off at the bound.
+// Guards against buffering the streams of callers that stop reading, which would exhaust
+// memory. The engine is slowed by backpressure, and the request is aborted at the timeout.
 func TestSlowCallerAppliesBackpressure(t *testing.T) {
 	b := newFixture(t, nil)
 	var written atomic.Int64
@@ -215,19 +212,19 @@
 	last := int64(-1)
 	require.Eventually(t, func() bool {
 		if now := written.Load(); now != last {
-			last = now // it still flows: let the sockets fill up
+			last = now // still flowing: let the socket buffers fill up
 			return false
 		}
 		b.timers.Advance(laburnumproxy.DefaultStall + time.Second)
 		return b.proxy.InFlight() == 0
 	}, 30*time.Second, 50*time.Millisecond)
 	<-ended
-	const socketBuffers = 64 << 20 // of the kernel, on both connections
+	const socketBuffers = 64 << 20 // the kernel's, for both connections
 	require.Less(t, written.Load(), int64(socketBuffers))
 }
 
-// A VM is stopped while it streams an answer. The caller would lose the rest; the VM
-// takes no new work, says so, and ends when the stream has.
+// Guards against cutting off streams when a VM is stopped: a draining VM refuses new
+// requests, reports that it is not ready, and waits for its streams to end.
 func TestDrainWaitsForInFlightRequests(t *testing.T) {
 	b := newFixture(t, nil)
 	started, resume := make(chan struct{}), make(chan struct{})
@@ -256,9 +253,9 @@
 	require.Contains(t, (<-got).body, "[DONE]")
 }
 
-// A zone is cut off while a booking is claimed: the claim hangs on its way to the log,
-// so the caller is told not-run. After the heal the claim arrives. The caller sends
-// the booking again, as told: it must run, once, and not be called in progress.
+// Guards against a claim that a network partition delays until after the caller was told
+// not-run. The claim must be released, so that a resend runs once instead of being refused
+// as in progress.
 func TestDelayedClaimIsReleased(t *testing.T) {
 	b := newFixture(t, nil)
 	var runs atomic.Int32
@@ -275,9 +272,9 @@
 	require.EqualValues(t, 1, runs.Load())
 }
 
-// A zone is cut off and its callers send booking after booking. Each would wait for the
-// log in vain; after the first they are refused at once, and the log is tried once a
-// second, so that the first booking after the heal runs.
+// Guards against every call in a partitioned zone waiting for its claim to time out. After
+// the first, calls are refused at once, and one claim a second probes the log, so that
+// calls run again soon after the partition heals.
 func TestClaimsFailFastWhileLogIsUnreachable(t *testing.T) {
 	b := newFixture(t, nil)
 	b.service(func(http.ResponseWriter, *http.Request) {})
--- a/laburnumproxy/outgoing.go
+++ b/laburnumproxy/outgoing.go
@@ -11,19 +11,19 @@
 	"laburnumlever"
 )
 
-// hopByHopHeaders belong to one connection and are not passed on (RFC 9110, 7.6.1);
-// nor are ours for attempts.
+// hopByHopHeaders belong to one connection and are not forwarded (RFC 9110, 7.6.1);
+// neither are the proxy's own headers for attempts.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", headerAttemptID, headerResumeFrom,
 }
 
-// addedHeaders is how many headers outgoing adds.
+// addedHeaders is the number of headers that newBackendRequest adds.
 const addedHeaders = 4
 
-// transportFor keeps non-idempotent requests off reused connections: one that the
-// backend server has just closed would take the request's bytes and lose them, and
-// the caller would be told unknown for nothing.
+// transportFor keeps non-idempotent requests off reused connections. A connection that the
+// backend server has just closed would accept the request's bytes and lose them, and the
+// outcome would be reported as unknown needlessly.
 func (p *Proxy) transportFor(q *request) *http.Transport {
 	if q.atMostOnce {
 		return p.unpooled
@@ -39,7 +39,7 @@
 	url := "http://" + to.Address + q.path
 	req, err := http.NewRequestWithContext(ctx, q.method, url, nil)
 	if err != nil {
-		req = &http.Request{Method: q.method, Host: to.Address} // RoundTrip refuses it unsent: it has no URL
+		req = &http.Request{Method: q.method, Host: to.Address} // it has no URL, so RoundTrip refuses it without sending
 		return req.WithContext(ctx)
 	}
 	req.Header = header
@@ -47,8 +47,8 @@
 		req.Body = io.NopCloser(bytes.NewReader(q.body))
 		req.ContentLength = int64(len(q.body))
 		if !q.atMostOnce {
-			// Lets net/http take another connection when a reused one turns out
-			// closed before anything was written; see attempt for the rest.
+			// Lets net/http use another connection if a reused one turns out to be closed
+			// before anything was written; attempt prevents a retry after a write.
 			req.GetBody = func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(q.body)), nil }
 		}
 	}
--- a/laburnumproxy/prompt.go
+++ b/laburnumproxy/prompt.go
@@ -7,19 +7,19 @@
 	"laburnumlever/laburnumrouter"
 )
 
-// message is the part of a chat's message that its prompt is made of.
+// message is the part of a chat message that makes up the prompt.
 type message struct {
 	Content json.RawMessage `json:"content"`
 }
 
-// contentPart is one part of a content that is a list; images have no text.
+// contentPart is one part of a content list; images have no text.
 type contentPart struct {
 	Text string `json:"text"`
 }
 
-// promptText is the text that an engine reads: a completion's prompt, or the contents of
-// a chat's messages, a line each. Engines report hashes of its beginning as cached, so
-// it must be the text itself and not its JSON. It is empty for prompts given as tokens.
+// promptText returns the prompt as an engine reads it: a completion's prompt, or the contents
+// of a chat's messages joined by newlines. Engines report hashes of cached prefixes of that
+// text, so it must not be the JSON. It is empty for prompts given as tokens.
 func promptText(c *completion) string {
 	if len(c.Messages) == 0 {
 		return contentText(c.Prompt)
@@ -30,7 +30,7 @@
 		text := contentText(c.Messages[i].Content)
 		contents = append(contents, text)
 		if length += len(text); length >= laburnumrouter.PrefixBytes {
-			break // only the beginning is hashed
+			break // only a prefix of this length is hashed
 		}
 	}
 	return strings.Join(contents, "\n")
@@ -51,7 +51,7 @@
 	return text
 }
 
-// promptBytes is the length of the whole prompt as it came.
+// promptBytes returns the length of the encoded prompt, in bytes.
 func promptBytes(c *completion) int {
 	n := len(c.Prompt)
 	for i := range c.Messages {
--- a/laburnumproxy/proxy.go
+++ b/laburnumproxy/proxy.go
@@ -15,15 +15,14 @@
 )
 
 const (
-	// sweepPeriod is how often stalled requests are looked for.
-	sweepPeriod = 100 * time.Millisecond
-	// maxHeaderBytes bounds a request's headers.
+	// sweepPeriod is the interval of sweep.
+	sweepPeriod       = 100 * time.Millisecond
 	maxHeaderBytes    = 64 << 10
 	readHeaderTimeout = 10 * time.Second
 	callerIdleTimeout = 2 * time.Minute
 )
 
-// Proxy serves callers. It is an http.Handler.
+// Proxy serves callers' requests. It is an http.Handler.
 type Proxy struct {
 	views     laburnumlever.Views
 	timers    laburnumlever.Timers
@@ -34,7 +33,7 @@
 	counters  *counters
 	app       *iris.Application
 	pooled    *http.Transport
-	unpooled  *http.Transport // each request on a connection of its own
+	unpooled  *http.Transport // a new connection for each request
 	traces    *traceRing
 	demand    *demand
 	active    *activeRequests
@@ -42,21 +41,21 @@
 	closed    chan struct{}
 	closeOnce sync.Once
 	breaker   logBreaker
-	// pendingReleases holds a place for each claim that is being freed.
+	// pendingReleases is a semaphore for the claims that are being released.
 	pendingReleases chan struct{}
 
 	lookup             atomic.Pointer[lookup]
 	buildMu            sync.Mutex // held while an index is built
-	nextRebuild        time.Time  // no sooner than this; guarded by building
+	nextRebuild        time.Time  // time of the next regular rebuild; guarded by buildMu
 	nextMissingRebuild time.Time
-	maxVMsSeen         int // ever known; guarded by building
+	maxVMsSeen         int // the most ever known; guarded by buildMu
 
-	mu       sync.Mutex // guards the decisions, which are not safe by themselves
+	mu       sync.Mutex // guards dispatch, which is not safe for concurrent use
 	dispatch *laburnumdispatch.Dispatcher
 }
 
-// New returns a proxy that reads the views and claims non-idempotent requests
-// through the proposer. Close ends it.
+// New returns a proxy that reads its configuration and backend servers from views and claims
+// non-idempotent requests through proposer. Call Close to release its resources.
 func New(views laburnumlever.Views, timers laburnumlever.Timers, proposer laburnumlever.Proposer, opts ...Option) *Proxy {
 	cfg := newSettings(opts)
 	p := &Proxy{
@@ -73,8 +72,8 @@
 	return p
 }
 
-// Server returns an HTTP server for the callers' listener with the bounds on
-// headers and idle connections set.
+// Server returns an HTTP server for the callers' listener, with limits on headers and idle
+// connections.
 func (p *Proxy) Server() *http.Server {
 	return &http.Server{
 		Handler: p, MaxHeaderBytes: maxHeaderBytes,
@@ -82,7 +81,8 @@
 	}
 }
 
-// Close frees the proxy's connections. It cuts off what is still in flight: Drain first.
+// Close closes the proxy and its idle connections. It aborts requests in flight: call Drain
+// first.
 func (p *Proxy) Close() error {
 	p.stop()
 	p.closeOnce.Do(func() { close(p.closed) })
@@ -102,11 +102,11 @@
 	app.Any("/services/{rest:path}", irisHandler(p.serveService))
 	app.Get("/healthz", irisHandler(p.serveHealth))
 	app.Get("/readyz", irisHandler(p.serveReady))
-	// Iris's own error pages stay off: it would add one to a backend server's
-	// answer that has an error status and no body.
+	// Iris's own error pages stay off: it would add one to a backend server's response with
+	// an error status and no body.
 	app.Any("/{rest:path}", irisHandler(p.serveNotFound))
 	if err := app.Build(); err != nil {
-		panic(err) // the routes above are fixed: a clash shows in every test
+		panic(err) // the routes are fixed, so a conflict fails every test
 	}
 	return app
 }
@@ -115,8 +115,8 @@
 	return func(ctx iris.Context) { fn(ctx.ResponseWriter(), ctx.Request()) }
 }
 
-// unwrapWriter is net/http's own writer below iris's, which alone can be given
-// deadlines and tells of a failed flush.
+// unwrapWriter returns net/http's writer below iris's: only that one supports deadlines and
+// reports a failed flush.
 func unwrapWriter(w http.ResponseWriter) http.ResponseWriter {
 	if wrapped, ok := w.(interface{ Naive() http.ResponseWriter }); ok {
 		return wrapped.Naive()
--- a/laburnumproxy/proxy_test.go
+++ b/laburnumproxy/proxy_test.go
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	reader := bufio.NewReader(resp.Body)
-	first, err := reader.ReadString('\n') // arrives while the engine still works
+	first, err := reader.ReadString('\n') // arrives while the engine is still generating
 	require.NoError(t, err)
 	close(resume)
 	rest, err := io.ReadAll(reader)
@@ -74,8 +74,8 @@
 	}
 }
 
-// slowTimers lets each look at the clock take a millisecond, as on a VM whose
-// index is dear to build.
+// slowTimers advances the clock by a millisecond on each reading, as on a VM where building
+// an index is slow.
 type slowTimers struct{ *laburnumtimer.Manual }
 
 func (t slowTimers) Now() time.Time {
@@ -83,8 +83,8 @@
 	return t.Manual.Now()
 }
 
-// A model has just been loaded, and the view has it, but the index is not due to be
-// built again. The caller would be refused although an engine is ready.
+// Guards against refusing a request right after a model load, when the view has the engine
+// but the index is not yet due for a rebuild.
 func TestRequestAfterModelLoadRefreshesIndex(t *testing.T) {
 	b := newFixture(t, nil)
 	proxy := laburnumproxy.New(b.views, slowTimers{b.timers}, b.log)
@@ -95,8 +95,8 @@
 	require.Equal(t, http.StatusOK, w.Code, w.Body.String())
 }
 
-// An engine reports a prompt's beginning as cached. Hashed in another way than the
-// engines do, the prompt would go to any engine, and be read anew each time.
+// Guards against hashing prompts differently from the engines: requests would then miss the
+// engine that has the prompt's prefix cached, and the prompt would be computed again.
 func TestPromptIsRoutedToCachedPrefix(t *testing.T) {
 	system := strings.Repeat("You estimate \"carpets\". ", 30)
 	hashes := laburnumstandin.PrefixHashes(laburnumstandin.PromptOf([]string{system, "hall"}))
--- a/laburnumproxy/queue_test.go
+++ b/laburnumproxy/queue_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The only engine's eight places are taken, and a ninth caller waits. It must be
-// served as soon as a place is free; be refused, truthfully, at its deadline; and
-// leave nothing behind when it goes away, or the place would be lost for good.
+// Guards against leaking slots. With all eight slots of the only engine taken, a ninth caller
+// is served once a slot is released, is refused as not-run at its deadline, or disconnects;
+// all eight slots must be usable afterwards.
 func TestQueueForSlot(t *testing.T) {
 	const slots = 8
 	ask := func(ctx context.Context, b *fixture) chan reply {
@@ -31,19 +31,19 @@
 		}()
 		return got
 	}
-	for name, check := range map[string]func(b *fixture, got chan reply, hangUp func(), free chan struct{}){
-		"is served": func(_ *fixture, got chan reply, _ func(), free chan struct{}) {
+	for name, check := range map[string]func(b *fixture, got chan reply, disconnect func(), free chan struct{}){
+		"served when a slot is released": func(_ *fixture, got chan reply, _ func(), free chan struct{}) {
 			for range slots + 1 {
 				free <- struct{}{}
 			}
 			require.Equal(t, http.StatusOK, (<-got).status)
 		},
-		"is refused at its deadline": func(b *fixture, got chan reply, _ func(), _ chan struct{}) {
+		"refused at its deadline": func(b *fixture, got chan reply, _ func(), _ chan struct{}) {
 			b.timers.Advance(8 * time.Second)
 			(<-got).requireRefusal(t, "queue-timeout", "not-run")
 		},
-		"goes away": func(b *fixture, got chan reply, hangUp func(), _ chan struct{}) {
-			hangUp()
+		"caller disconnects": func(b *fixture, got chan reply, disconnect func(), _ chan struct{}) {
+			disconnect()
 			require.Error(t, (<-got).err)
 			require.Eventually(t, func() bool { return b.proxy.InFlight() == slots }, 10*time.Second, time.Millisecond)
 		},
@@ -60,11 +60,11 @@
 				ask(context.Background(), b)
 				<-started
 			}
-			ctx, hangUp := context.WithCancel(context.Background())
-			defer hangUp()
+			ctx, disconnect := context.WithCancel(context.Background())
+			defer disconnect()
 			got := ask(ctx, b)
 			require.Eventually(t, func() bool { return b.proxy.InFlight() == slots+1 }, 10*time.Second, time.Millisecond)
-			check(b, got, hangUp, free)
+			check(b, got, disconnect, free)
 			for range slots + 2 {
 				free <- struct{}{}
 			}
@@ -78,7 +78,7 @@
 			for range slots {
 				ask(context.Background(), b)
 			}
-			require.Eventually(t, func() bool { return len(started) == slots }, 10*time.Second, time.Millisecond, "a place was lost")
+			require.Eventually(t, func() bool { return len(started) == slots }, 10*time.Second, time.Millisecond, "a slot was leaked")
 			for range slots {
 				free <- struct{}{}
 			}
--- a/laburnumproxy/refuse.go
+++ b/laburnumproxy/refuse.go
@@ -15,11 +15,11 @@
 	statusCallerGone = 499
 	hexBase          = 16
 	shortRetryAfter  = time.Second
-	// drainRetryAfter lets the balancer find out that this VM is not ready.
+	// drainRetryAfter gives the load balancer time to see that this VM is not ready.
 	drainRetryAfter = 2 * time.Second
 )
 
-// statusByReason of the reasons; any other is 503.
+// statusByReason maps reasons to HTTP status codes; the default is 503.
 var statusByReason = map[laburnumlever.RefusalReason]int{
 	laburnumlever.RefusedBadRequest:       http.StatusBadRequest,
 	laburnumlever.RefusedTooLarge:         http.StatusRequestEntityTooLarge,
@@ -44,7 +44,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// retryAfter is the default for a reason; 0 when asking again brings nothing.
+// retryAfter returns the default for a reason; 0 if a retry can't help.
 func retryAfter(reason laburnumlever.RefusalReason) time.Duration {
 	switch reason {
 	case laburnumlever.RefusedBadRequest, laburnumlever.RefusedTooLarge, laburnumlever.RefusedUnknownModel,
@@ -58,7 +58,7 @@
 	}
 }
 
-// errorBody is the body of every refusal, and the data of an error event.
+// errorBody is the body of a refusal and the data of an error event.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -75,12 +75,12 @@
 		Type: refusal.Reason.String(), Message: refusal.Detail, Outcome: refusal.Outcome.String(), RequestID: id,
 	}})
 	if err != nil {
-		return []byte(`{"error":{}}`) // not reached: the fields always marshal
+		return []byte(`{"error":{}}`) // unreachable: the fields always marshal
 	}
 	return text
 }
 
-// writeRefusal answers with a refusal at once.
+// writeRefusal writes a refusal as the response.
 func writeRefusal(w http.ResponseWriter, id string, refusal *laburnumlever.RefusalError) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -91,10 +91,10 @@
 		h.Set("Retry-After", strconv.Itoa(int(seconds)))
 	}
 	w.WriteHeader(statusOf(refusal.Reason))
-	_, _ = w.Write(append(newErrorBody(id, refusal), '\n')) // a caller that is gone needs no answer
+	_, _ = w.Write(append(newErrorBody(id, refusal), '\n')) // the caller may have disconnected
 }
 
-// asRefusal finds the refusal in an error; one without is unknown to the caller.
+// asRefusal returns the refusal in err, or one with an unknown outcome if there is none.
 func (q *request) asRefusal(err error) *laburnumlever.RefusalError {
 	var refusal *laburnumlever.RefusalError
 	if errors.As(err, &refusal) {
--- a/laburnumproxy/release.go
+++ b/laburnumproxy/release.go
@@ -10,25 +10,23 @@
 )
 
 const (
-	// claimReleaseTimeout is how long an abandoned claim is looked for: a command that a cut
-	// held up arrives as soon as the network is back, and most cuts are shorter.
+	// claimReleaseTimeout is how long the proxy tries to release a claim: a command delayed by
+	// a network partition arrives once the partition heals, and most last less.
 	claimReleaseTimeout = 10 * time.Minute
-	// The pause between two tries doubles from the first to the last: most claims
-	// arrive, if at all, right after a short cut, and a thousand that never do must
-	// not keep the log busy.
+	// The backoff doubles from the minimum to the maximum: most delayed claims arrive soon
+	// after a short partition, and a thousand that never arrive must not keep the log busy.
 	claimReleaseMinBackoff = time.Second
 	claimReleaseMaxBackoff = 30 * time.Second
-	// maxPendingReleases bounds the claims looked for at once. Beyond it a claim is left
-	// to expire by itself.
+	// maxPendingReleases bounds the claims released at the same time. Beyond it, a claim is
+	// left to expire.
 	maxPendingReleases = 1024
 )
 
-// releaseInBackground frees a claim whose fate is not known and whose call was not run. The
-// failure: a cut holds the claim up on its way to the log, the caller is told
-// not-run, and the claim arrives after the heal; without this a resend of the call
-// finds its key in progress, with nobody running it, until the claim expires. The
-// claim may arrive after a first try to free it, so a try that finds no such claim is
-// repeated. The caller does not wait for any of it.
+// releaseInBackground releases a claim with an unknown outcome whose call was not run. A
+// network partition can delay the claim on its way to the log: the caller is told not-run,
+// and the claim is applied once the partition heals. Without the release, a resend would be
+// refused as in progress until the claim expires. The claim may arrive after the first
+// release, so a release that finds no claim is retried.
 func (p *Proxy) releaseInBackground(release laburnumlever.Command) {
 	select {
 	case p.pendingReleases <- struct{}{}:
@@ -49,7 +47,7 @@
 	}()
 }
 
-// tryRelease tells whether the claim is known to be gone for good.
+// tryRelease reports whether the claim is released for good.
 func (p *Proxy) tryRelease(release laburnumlever.Command) bool {
 	ctx, cancel := p.withTimeout(context.Background(), recordTimeout)
 	defer cancel()
--- a/laburnumproxy/request.go
+++ b/laburnumproxy/request.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// bytesPerToken estimates a prompt's tokens; English text has about four.
+	// bytesPerToken estimates a prompt's tokens; English text has about 4 bytes per token.
 	bytesPerToken = 4
-	// defaultAnswerTokens is the estimate for a request that sets no max_tokens.
+	// defaultAnswerTokens is the estimate for a request without max_tokens.
 	defaultAnswerTokens = 256
 	maxRequestIDBytes   = 128
 )
 
-// request is one caller's request on its way through the proxy.
+// request is one caller's request.
 type request struct {
 	id              string
-	callerKey       string // the key for fairness
-	credentialsHash string // hash of Authorization, empty without
+	callerKey       string // identifies the caller for fair queueing
+	credentialsHash string // hash of Authorization, empty without the header
 	received        time.Time
 	owner           laburnumlever.OwnerName
 	class           laburnumlever.Class
@@ -37,23 +37,23 @@
 	model           laburnumlever.ModelName
 	service         laburnumlever.ServiceName
 	method          string
-	path            string // with the query, as the backend server is asked
+	path            string // with the query, as sent to the backend server
 	header          http.Header
 	body            []byte
 	stream          bool
-	// atMostOnce tells that the request may run at most atMostOnce.
+	// atMostOnce is set for requests that must not run twice.
 	atMostOnce bool
-	// claimID names this request's claimID on its idempotency key.
+	// claimID identifies this request's claim on its idempotency key.
 	claimID string
-	// maybeSent tells that an attempt may have reached a backend server.
+	// maybeSent is set once an attempt may have reached a backend server.
 	maybeSent    bool
-	prefix       uint64 // hash of the prompt's beginning
+	prefix       uint64 // hash of the prompt's prefix
 	promptTokens int
 	answerTokens int
 	trace        *requestTrace
 }
 
-// subject is the model or service, for refusals and logs.
+// subject returns the name of the model or service, for refusals and logs.
 func (q *request) subject() string {
 	if q.model != "" {
 		return string(q.model)
@@ -61,7 +61,7 @@
 	return string(q.service)
 }
 
-// refusal makes the typed refusal of this request.
+// refusal returns a refusal of this request.
 func (q *request) refusal(reason laburnumlever.RefusalReason, outcome laburnumlever.RequestOutcome, detail string) *laburnumlever.RefusalError {
 	return &laburnumlever.RefusalError{
 		Reason: reason, Outcome: outcome, Owner: q.owner, Subject: q.subject(),
@@ -84,9 +84,9 @@
 	return q
 }
 
-// callerKeys are the caller's key for fairness and the hash of its credentials.
-// The address is no part of the second: a caller that resends may come from
-// another address, and must find what it claimed.
+// callerKeys returns the caller's key for fair queueing and the hash of its credentials.
+// The hash leaves out the address: a caller that resends a call may come from another
+// address and must find its claim.
 func callerKeys(r *http.Request) (key, credit string) {
 	if auth := r.Header.Get("Authorization"); auth != "" {
 		credit = formatHash(xxhash.Sum64String(auth))
@@ -99,7 +99,7 @@
 	return host, ""
 }
 
-// readBody reads the whole body within the bound.
+// readBody reads the whole body, up to limit bytes.
 func (o *callerResponse) readBody(r *http.Request, limit int64) error {
 	o.active.waitingForCaller.Store(true)
 	defer o.active.waitingForCaller.Store(false)
@@ -110,13 +110,13 @@
 		return q.refusal(laburnumlever.RefusedTooLarge, laburnumlever.OutcomeNotRun, tooLarge.Error())
 	}
 	if err != nil {
-		return q.refusal(laburnumlever.RefusedBadRequest, laburnumlever.OutcomeNotRun, "the body could not be read: "+err.Error())
+		return q.refusal(laburnumlever.RefusedBadRequest, laburnumlever.OutcomeNotRun, "reading the body failed: "+err.Error())
 	}
 	q.body = body
 	return nil
 }
 
-// completion is the part of an OpenAI request that matters on the way.
+// completion holds the fields of an OpenAI request that the proxy reads.
 type completion struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
@@ -126,7 +126,7 @@
 	Messages            []message       `json:"messages"`
 }
 
-// readCompletion finds model, size and prompt in the body.
+// readCompletion reads model, sizes and prompt prefix from the body.
 func (q *request) readCompletion(l *lookup) error {
 	var c completion
 	if err := json.Unmarshal(q.body, &c); err != nil {
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// findModel also takes "model:adapter", which names an adapter of the model.
+// findModel finds a model by name. It also accepts "model:adapter", for an adapter of the model.
 func (l *lookup) findModel(name string) *laburnumlever.Model {
 	if m := l.models[laburnumlever.ModelName(name)]; m != nil {
 		return m
--- a/laburnumproxy/response.go
+++ b/laburnumproxy/response.go
@@ -14,23 +14,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxBufferedResponse is how much of an answer is held until it is whole, in bytes. A longer
-// one is passed on as it comes, and a break then cuts the caller's connection.
+// maxBufferedResponse is the size up to which a response is buffered until it is complete, in
+// bytes. A longer one is forwarded as it arrives, and if it breaks off, the caller's
+// connection is cut.
 const maxBufferedResponse = 1 << 20
 
-// callerResponse is what the caller has been given so far.
+// callerResponse is the response to the caller and how much of it has been forwarded.
 type callerResponse struct {
 	w      http.ResponseWriter
 	q      *request
 	active *activeRequest
 	timers laburnumlever.Timers
-	// record, if set, is given the whole answer before the caller is; it is nil for
-	// one too long to be kept.
+	// record, if set, is called with the complete response before it is forwarded; with nil
+	// if the response is longer than maxBufferedResponse.
 	record      func(whole *laburnumlever.RecordedAnswer)
 	started     bool
-	eventStream bool // the answer is a stream of events
+	eventStream bool // the response is a stream of token events
 	firstByteAt time.Time
-	// Of a stream of tokens: what the caller has, so that another can go on there.
+	// What has been forwarded of a token stream, so that another stream can continue it.
 	tokens        int
 	textBytes     int
 	closingEvents int // closing events after the last token
@@ -42,7 +43,7 @@
 	return &callerResponse{w: w, q: q, active: f, timers: timers, firstByteAt: q.received, digest: xxhash.New()}
 }
 
-// forward gives a backend server's answer to the caller.
+// forward forwards a backend server's response to the caller.
 func (o *callerResponse) forward(resp *http.Response) error {
 	events := isEventStream(resp)
 	switch {
@@ -57,11 +58,11 @@
 	}
 }
 
-// forwardBuffered holds the answer until it is whole, so that a broken one can still be
-// attempted again or refused.
+// forwardBuffered buffers the response until it is complete, so that a broken one can still
+// be retried or refused.
 func (o *callerResponse) forwardBuffered(resp *http.Response) error {
 	if endsAtConnectionClose(resp) {
-		return &BrokenStreamError{Cause: &unmarkedEndError{}}
+		return &BrokenStreamError{Cause: &unframedBodyError{}}
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse+1))
 	if err != nil {
@@ -85,13 +86,13 @@
 	return o.write(body)
 }
 
-// endsAtConnectionClose tells that the body ends with the connection: a broken connection
-// would look like the end of the answer.
+// endsAtConnectionClose reports whether only the end of the connection delimits the body: a
+// broken connection would look like the end of the response.
 func endsAtConnectionClose(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
 }
 
-// forwardUnbuffered gives the caller what has been read and then the rest as it comes.
+// forwardUnbuffered forwards the bytes already read and then the rest as it arrives.
 func (o *callerResponse) forwardUnbuffered(resp *http.Response, read []byte) error {
 	o.start(resp)
 	o.w.WriteHeader(resp.StatusCode)
@@ -115,7 +116,7 @@
 	}
 }
 
-// start sets the head of the caller's answer.
+// start copies the response headers.
 func (o *callerResponse) start(resp *http.Response) {
 	o.started = true
 	o.firstByteAt = o.timers.Now()
@@ -127,8 +128,8 @@
 	h.Set(headerRequestID, o.q.id)
 }
 
-// write passes bytes on at once: a slow caller holds back the reading of the
-// backend server's answer, and with it the backend server.
+// write forwards bytes at once. A slow caller blocks it, which stops reading from the
+// backend server and so applies backpressure to it.
 func (o *callerResponse) write(p []byte) error {
 	if len(p) == 0 {
 		return nil
@@ -145,13 +146,13 @@
 	return nil
 }
 
-// writeErrorEvent ends a stream that can't be completed. No end marker follows.
+// writeErrorEvent ends a stream that can't be completed, without an end marker.
 func (o *callerResponse) writeErrorEvent(refusal *laburnumlever.RefusalError) {
 	var event bytes.Buffer
 	event.WriteString("event: error\ndata: ")
 	event.Write(newErrorBody(o.q.id, refusal))
 	event.WriteString("\n\n")
-	_ = o.write(event.Bytes()) // a caller that is gone needs no answer
+	_ = o.write(event.Bytes()) // the caller may have disconnected
 }
 
 func isEventStream(resp *http.Response) bool {
--- a/laburnumproxy/serve.go
+++ b/laburnumproxy/serve.go
@@ -13,11 +13,11 @@
 	"github.com/go-kit/log/level"
 )
 
-// handler serves one request that has been let in.
+// handler serves one request that serve has registered.
 type handler func(ctx context.Context, q *request, out *callerResponse, r *http.Request) error
 
-// serve does what all requests share: identity, the count of what is in flight,
-// the account for Explain, and one final answer.
+// serve does what all requests share: it assigns the ID, registers the request in flight,
+// starts the trace for Explain and sends one final response.
 func (p *Proxy) serve(w http.ResponseWriter, r *http.Request, fn handler) {
 	now := p.timers.Now()
 	q := newRequest(r, now)
@@ -27,7 +27,7 @@
 	defer cancel(nil)
 	f := &activeRequest{start: now, cancel: cancel, control: http.NewResponseController(unwrapWriter(w))}
 	if !p.active.add(f) {
-		p.refuse(w, q, q.refusal(laburnumlever.RefusedDraining, laburnumlever.OutcomeNotRun, "this VM is about to stop"))
+		p.refuse(w, q, q.refusal(laburnumlever.RefusedDraining, laburnumlever.OutcomeNotRun, "this VM is draining"))
 		return
 	}
 	defer p.active.remove(f)
@@ -37,8 +37,8 @@
 	p.finish(q, out, err)
 }
 
-// finish counts the request and tells the caller of a failure in the way that is
-// still open: a refusal, an error event in a stream, or a cut connection.
+// finish counts the request and reports a failure in the way still possible: a refusal, an
+// error event in a stream, or a cut connection.
 func (p *Proxy) finish(q *request, out *callerResponse, err error) {
 	if q.model != "" && q.promptTokens > 0 {
 		p.demand.countResult(q, out.timeToFirstByte(), err)
@@ -59,8 +59,8 @@
 		out.writeErrorEvent(&refusal)
 	default:
 		p.recordRefusal(q, &refusal)
-		// A caller must not take half a body for a whole one: net/http answers
-		// this panic by closing the connection before the body's end.
+		// The caller must not take a truncated body for a complete one: net/http handles this
+		// panic by closing the connection before the end of the body.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -70,7 +70,7 @@
 	writeRefusal(w, q.id, refusal)
 }
 
-// recordRefusal counts and logs a refusal.
+// recordRefusal counts, traces and logs a refusal.
 func (p *Proxy) recordRefusal(q *request, refusal *laburnumlever.RefusalError) {
 	p.counters.refusals[refusal.Reason].Inc(1)
 	q.trace.add(p.timers.Now(), "refused: %s, %s: %s", refusal.Reason, refusal.Outcome, refusal.Detail)
@@ -98,7 +98,7 @@
 	return p.run(ctx, q, out)
 }
 
-// requireCatalogue takes the newest view in and refuses while there is no catalogue.
+// requireCatalogue refreshes the index and refuses the request while there is no catalogue.
 func (p *Proxy) requireCatalogue(q *request) error {
 	p.refresh(q.received)
 	none := p.lookup.Load().view.Catalogue.Revision == 0
@@ -124,10 +124,10 @@
 		list.Data = append(list.Data, modelEntry{ID: string(m.Name), Object: "model", OwnedBy: string(m.Owner)})
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(list) // a caller that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(list) // the caller may have disconnected
 }
 
-// modelList is OpenAI's answer to /v1/models, in its spelling.
+// modelList is the body of OpenAI's /v1/models, with OpenAI's field names.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
@@ -140,7 +140,7 @@
 }
 
 func (p *Proxy) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	_, _ = io.WriteString(w, "ok\n") // a prober that is gone needs no answer
+	_, _ = io.WriteString(w, "ok\n") // the prober may have disconnected
 }
 
 func (p *Proxy) serveReady(w http.ResponseWriter, _ *http.Request) {
@@ -159,12 +159,12 @@
 func (p *Proxy) serveNotFound(w http.ResponseWriter, r *http.Request) {
 	q := newRequest(r, p.timers.Now())
 	q.trace = &requestTrace{id: q.id, start: q.received}
-	refusal := q.refusal(laburnumlever.RefusedBadRequest, laburnumlever.OutcomeNotRun, "nothing is served at "+r.Method+" "+r.URL.Path)
+	refusal := q.refusal(laburnumlever.RefusedBadRequest, laburnumlever.OutcomeNotRun, "no route for "+r.Method+" "+r.URL.Path)
 	p.recordRefusal(q, refusal)
 	writeRefusal(w, q.id, refusal)
 }
 
-// reasonFromContext tells why an attempt without an answer ended.
+// reasonFromContext returns the refusal reason for an attempt that ended without a response.
 func reasonFromContext(ctx context.Context) laburnumlever.RefusalReason {
 	if ctx.Err() == nil {
 		return laburnumlever.RefusedBackendUnreachable
--- a/laburnumproxy/services.go
+++ b/laburnumproxy/services.go
@@ -13,7 +13,7 @@
 
 func (p *Proxy) serveService(w http.ResponseWriter, r *http.Request) { p.serve(w, r, p.callService) }
 
-// callService forwards a callService to a plain service.
+// callService forwards a call to a plain service.
 func (p *Proxy) callService(ctx context.Context, q *request, out *callerResponse, r *http.Request) error {
 	if err := p.requireCatalogue(q); err != nil {
 		return err
@@ -34,8 +34,8 @@
 		return p.run(ctx, q, out)
 	}
 	q.atMostOnce = true
-	// The call goes on when its caller goes away: it may already run, and only
-	// its answer tells what became of it. The flight's end still stops it.
+	// The call continues when its caller disconnects: it may already run, and only its
+	// response tells the outcome. abort still cancels it.
 	ctx = detachContext(ctx, out.active)
 	if q.header.Get(headerIdempotencyKey) == "" {
 		return p.run(ctx, q, out)
@@ -43,9 +43,8 @@
 	return p.claimAndRun(ctx, q, out)
 }
 
-// readService finds the service and the path below it. A path that a backend
-// server may read in another way than we do is refused: "/x/../bookings" would
-// pass for a call that may be repeated.
+// readService finds the service and the path below it. It refuses a path that a backend
+// server may resolve differently: "/x/../bookings" would be taken for an idempotent call.
 func (q *request) readService(l *lookup, r *http.Request) (string, error) {
 	name, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, servicesPrefix), "/")
 	q.service = laburnumlever.ServiceName(name)
@@ -59,7 +58,7 @@
 	q.ownerLimits = l.limits(service.Owner)
 	plain := "/" + rest
 	if clean := path.Clean(plain); clean != plain && clean+"/" != plain {
-		return "", q.refusal(laburnumlever.RefusedBadRequest, laburnumlever.OutcomeNotRun, "the path is not in its plain form")
+		return "", q.refusal(laburnumlever.RefusedBadRequest, laburnumlever.OutcomeNotRun, "the path is not in canonical form")
 	}
 	_, escaped, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), servicesPrefix), "/")
 	q.path = "/" + escaped
@@ -69,7 +68,7 @@
 	return plain, nil
 }
 
-// detachContext is a context that only the flight's end cancels.
+// detachContext returns a context that only abort cancels.
 func detachContext(ctx context.Context, f *activeRequest) context.Context {
 	free, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	f.replaceCancel(cancel)
--- a/laburnumproxy/stream.go
+++ b/laburnumproxy/stream.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// streamBuffer is what one open stream holds for reading, in bytes: an event
-	// of one token is a few hundred.
+	// streamBuffer is the read buffer of an open stream, in bytes: a one-token event has a few
+	// hundred.
 	streamBuffer = 4 << 10
-	// maxEvent bounds one event.
+	// maxEvent bounds the size of an event, in bytes.
 	maxEvent = 1 << 20
 )
 
@@ -25,17 +25,17 @@
 	readerPool  = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, streamBuffer) }}
 )
 
-// streamContinuation is how a stream that goes on from another is cut to fit: nothing that
-// the caller has may come twice, nothing may be missing.
+// streamContinuation tracks which events of a resumed or replayed stream to skip, so that the
+// caller gets each token exactly once.
 type streamContinuation struct {
-	replay        bool // it starts again at the first token
-	textBytes     int  // bytes of text to be skipped
-	closingEvents int  // closing events to be skipped
-	skipOpening   bool // opening events are to be skipped
+	replay        bool // the stream starts at the first token
+	textBytes     int  // bytes of text to skip
+	closingEvents int  // closing events to skip
+	skipOpening   bool // skip events before the first token
 	digest        *xxhash.Digest
 }
 
-// prepareContinuation prepares for the next stream's beginning.
+// prepareContinuation sets which events of the next stream to skip.
 func (o *callerResponse) prepareContinuation(resume bool) {
 	o.continuation = streamContinuation{}
 	if !o.started {
@@ -49,7 +49,7 @@
 	}
 }
 
-// chunk is the part of a token event that matters on the way.
+// chunk holds the fields of a token event that the proxy reads.
 type chunk struct {
 	Choices []choice        `json:"choices"`
 	Usage   json.RawMessage `json:"usage"`
@@ -84,8 +84,8 @@
 	return len(c.Usage) > 0 && len(c.Choices) == 0
 }
 
-// forwardStream passes a stream of token events on, each as soon as it is whole, and
-// the end marker only at the end of a whole answer.
+// forwardStream forwards each token event as soon as it is complete, and the end marker only
+// after a complete response.
 func (o *callerResponse) forwardStream(resp *http.Response) error {
 	reader := readerPool.Get().(*bufio.Reader) //nolint:forcetypeassert // the pool holds nothing else
 	reader.Reset(resp.Body)
@@ -113,7 +113,7 @@
 	}
 }
 
-// readEvent reads up to and with the empty line that ends an event.
+// readEvent reads an event, including the empty line that ends it.
 func readEvent(r *bufio.Reader, event []byte) ([]byte, error) {
 	for {
 		line, err := r.ReadSlice('\n')
@@ -133,7 +133,8 @@
 	}
 }
 
-// unexpectedEOF tells a stream that ended early from one that broke.
+// unexpectedEOF turns io.EOF, which here means a missing end marker, into
+// io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if err == io.EOF { //nolint:errorlint // ReadSlice returns it unwrapped, by its contract
 		return io.ErrUnexpectedEOF
@@ -169,12 +170,12 @@
 	return false, nil
 }
 
-// countForwarded counts what the caller now has.
+// countForwarded updates what the caller has received.
 func (o *callerResponse) countForwarded(c *chunk, text string) {
 	if text != "" {
 		o.tokens++
 		o.textBytes += len(text)
-		_, _ = o.digest.WriteString(text) // a hash takes everything
+		_, _ = o.digest.WriteString(text) // writing to a hash never fails
 		o.closingEvents = 0
 		return
 	}
@@ -183,8 +184,8 @@
 	}
 }
 
-// alreadyForwarded tells whether the caller has the event already, and checks while a stream
-// is replayed that it starts with what the caller has.
+// alreadyForwarded reports whether the caller already has the event. For a replayed stream it
+// also checks that the text matches what was forwarded.
 func (o *callerResponse) alreadyForwarded(c *chunk, text string) (bool, error) {
 	s := &o.continuation
 	if text == "" && c.isClosing() && s.textBytes == 0 && s.closingEvents > 0 {
@@ -201,7 +202,7 @@
 	if len(text) > s.textBytes {
 		return false, &ReplayDiffersError{}
 	}
-	_, _ = s.digest.WriteString(text) // a hash takes everything
+	_, _ = s.digest.WriteString(text) // writing to a hash never fails
 	s.textBytes -= len(text)
 	if s.textBytes == 0 && s.digest.Sum64() != o.digest.Sum64() {
 		return false, &ReplayDiffersError{}
@@ -209,7 +210,7 @@
 	return true, nil
 }
 
-// eventData is the data of an event of one data line, nil for one without.
+// eventData returns the content of an event's first data line, or nil if it has none.
 func eventData(event []byte) []byte {
 	for line := range bytes.Lines(event) {
 		if data, ok := bytes.CutPrefix(line, dataPrefix); ok {
--- a/laburnumproxy/stream_test.go
+++ b/laburnumproxy/stream_test.go
@@ -10,9 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An engine dies in the middle of a quote. The caller would see the quote stop and,
-// with an end marker, take the half for the whole. It is resumed on the engine that
-// can, and the caller sees each token once.
+// Guards against truncated responses: when an engine dies mid-stream, the stream is resumed on
+// an engine that supports it, and the caller gets each token once.
 func TestBrokenStreamIsResumed(t *testing.T) {
 	b := newFixture(t, nil)
 	var from atomic.Value
@@ -33,8 +32,8 @@
 	require.Equal(t, 1, strings.Count(got.body, "[DONE]"))
 }
 
-// As above, on engines that can't resume: another engine starts again at the first
-// token, and what the caller already has is skipped.
+// On engines that can't resume, another engine replays the stream from the first token, and
+// the tokens that the caller already has are skipped.
 func TestBrokenStreamIsReplayedOnAnotherEngine(t *testing.T) {
 	b := newFixture(t, nil)
 	var calls atomic.Int32
@@ -54,8 +53,8 @@
 	require.Contains(t, got.body, "[DONE]")
 }
 
-// As above, but the second engine words its answer in another way. Two halves of
-// different answers would reach the caller as one; it gets a typed error instead.
+// Guards against joining two different responses: if the replay differs from the tokens
+// already forwarded, the caller gets an error event.
 func TestMismatchedReplayIsNotJoined(t *testing.T) {
 	b := newFixture(t, nil)
 	var calls atomic.Int32
@@ -76,8 +75,8 @@
 	require.Contains(t, got.body, `"type":"broken-stream"`)
 }
 
-// Every engine ends its stream early, politely, without an end marker. The caller
-// must not be given one for a partial answer, nor a second half without a first.
+// Guards against an end marker on a partial response. Every engine here ends its stream
+// early without an end marker, and no replay gets further than the caller already is.
 func TestPartialResponseHasNoEndMarker(t *testing.T) {
 	b := newFixture(t, nil)
 	b.engine(false, func(w http.ResponseWriter, _ *http.Request) { writeTokens(w, 0, 2) })
@@ -88,9 +87,9 @@
 	require.Contains(t, got.body, "event: error\ndata: {\"error\":")
 }
 
-// A connection holds an answer to an earlier request, which its caller had given
-// up. The next caller on that connection would get another's quote. The echoed id
-// gives it away: the answer is dropped, and the connection is not used again.
+// Guards against forwarding the response to another request, left on a connection whose
+// caller had disconnected. The echoed attempt ID differs, so the response is dropped and
+// the connection is not reused.
 func TestCrossedAnswerIsDropped(t *testing.T) {
 	for name, text := range map[string]string{"with a body": `{"text":"another's quote"}`, "without a body": ""} {
 		t.Run(name, func(t *testing.T) {
@@ -115,8 +114,8 @@
 	}
 }
 
-// A caller hangs up in the middle of an answer. The engine would go on for
-// nobody, in the place of others' work. Its connection ends, which cancels the work.
+// Guards against an engine working on after its caller disconnects, which would hold a slot
+// needlessly: the proxy closes the connection, and this cancels the engine's request.
 func TestCallerDisconnectCancelsEngineRequest(t *testing.T) {
 	b := newFixture(t, nil)
 	cancelled := make(chan struct{})
