--- a/laburnumadmission/admission.go
+++ b/laburnumadmission/admission.go
@@ -7,35 +7,35 @@
 	"laburnumlever"
 )
 
-// Share is this VM's part of every limit.
+// Share is this VM's share of every limit.
 type Share struct {
-	// VMs is how many entry VMs the limits are divided by.
+	// VMs is the number of entry VMs that the limits are divided by.
 	VMs int
-	// Known is how many this VM knows of, itself included.
+	// Known is the number of entry VMs that this VM knows, itself included.
 	Known int
-	// Rank is this VM's place among them by name, from 0.
+	// Rank is this VM's position among the known VMs ordered by name, from 0.
 	Rank int
 }
 
-// Request is what admission needs to know of a request.
+// Request holds the properties of a request that admission depends on.
 type Request struct {
 	Owner       laburnumlever.OwnerName
 	OwnerLimits laburnumlever.Limits
-	// Entry is the model or service.
+	// Entry is the name of the model or service.
 	Entry       string
 	EntryLimits laburnumlever.Limits
-	// Tokens is the estimated cost, prompt and answer.
+	// Tokens is the estimated number of prompt and answer tokens.
 	Tokens int
 }
 
-// Admission counts what each owner and entry uses on this VM.
+// Admission tracks what each owner and each entry uses on this VM.
 type Admission struct {
 	share   Share
 	owners  map[laburnumlever.OwnerName]*usage
 	entries map[string]*usage
 }
 
-// New returns an admission of a VM that is alone.
+// New returns an Admission with the whole of every limit, as for a single VM.
 func New() *Admission {
 	return &Admission{
 		share:   Share{VMs: 1, Known: 1},
@@ -44,13 +44,13 @@
 	}
 }
 
-// SetShare sets this VM's part of every limit.
+// SetShare sets this VM's share of every limit.
 func (a *Admission) SetShare(s Share) {
 	s.VMs = max(1, s.VMs)
 	a.share = s
 }
 
-// Admit lets a request in and counts it, or returns a *laburnumlever.RefusalError.
+// Admit admits a request and charges it, or returns a *laburnumlever.RefusalError.
 func (a *Admission) Admit(now time.Time, q Request) error {
 	owner, entry := a.usages(now, q)
 	if err := a.check(owner, q.OwnerLimits, q); err != nil {
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// Release counts a request that was let in as over. Used is its true cost in
-// tokens: what was estimated too high or too low is settled.
+// Release ends an admitted request. Used is its actual number of tokens; the difference from
+// the estimate is credited or charged.
 func (a *Admission) Release(now time.Time, q Request, used int) {
 	owner, entry := a.usages(now, q)
 	owner.release(q.Tokens - used)
@@ -107,7 +107,7 @@
 	}
 }
 
-// integerShare is this VM's integerShare of a limit that is a whole number.
+// integerShare returns this VM's share of a limit that is a whole number.
 func (a *Admission) integerShare(limit int) int {
 	part := limit / a.share.VMs
 	if a.share.Known == a.share.VMs && a.share.Rank < limit%a.share.VMs {
@@ -123,6 +123,6 @@
 func refusal(q Request, reason laburnumlever.RefusalReason, wait time.Duration, what string) error {
 	return &laburnumlever.RefusalError{
 		Reason: reason, Outcome: laburnumlever.OutcomeNotRun, Owner: q.Owner, Subject: q.Entry,
-		RetryAfter: wait, Detail: fmt.Sprintf("this VM's part of the %s of %s is used up", what, q.Owner),
+		RetryAfter: wait, Detail: fmt.Sprintf("this VM's share of the %s of %s is used up", what, q.Owner),
 	}
 }
--- a/laburnumadmission/admission_test.go
+++ b/laburnumadmission/admission_test.go
@@ -13,9 +13,9 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// Zones are cut apart, and an owner's callers press on every VM. With limits that
-// follow demand each side would hand out what the other also hands out, and the
-// owner would get a multiple of its limit. The shares never add up to more.
+// Guards against owners exceeding their limits during a network partition, as they would if
+// VMs adjusted their shares to demand: each side would hand out the same capacity. The
+// shares must never add up to more than the limit.
 func TestSharesNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		vms := rapid.IntRange(1, 12).Draw(rt, "vms")
@@ -27,7 +27,7 @@
 		const seconds = 10
 		for rank := range vms {
 			a := laburnumadmission.New()
-			// a VM that is cut off knows only a part of the others
+			// a VM that is cut off knows only some of the others
 			known := rapid.IntRange(rank+1, vms).Draw(rt, "known")
 			a.SetShare(laburnumadmission.Share{VMs: vms, Known: known, Rank: rank})
 			q := laburnumadmission.Request{Owner: "o", Entry: "m", OwnerLimits: laburnumlever.Limits{InFlight: limits.InFlight}}
@@ -53,11 +53,11 @@
 func TestTokenCostIsCorrectedOnRelease(t *testing.T) {
 	a := laburnumadmission.New()
 	q := laburnumadmission.Request{Owner: "o", Entry: "m", Tokens: 500, OwnerLimits: laburnumlever.Limits{TokensPerSecond: 100}}
-	require.NoError(t, a.Admit(start, q)) // larger than the bucket, yet it passes
+	require.NoError(t, a.Admit(start, q)) // larger than the bucket, but admitted
 	var refused *laburnumlever.RefusalError
 	require.ErrorAs(t, a.Admit(start, q), &refused)
 	require.Equal(t, laburnumlever.RefusedOwnerTokenRate, refused.Reason)
 	require.InDelta(t, 4.01, refused.RetryAfter.Seconds(), 0.001)
-	a.Release(start, q, 20) // it cost only 20
+	a.Release(start, q, 20) // it used only 20
 	require.NoError(t, a.Admit(start.Add(time.Second), q))
 }
--- a/laburnumadmission/usage.go
+++ b/laburnumadmission/usage.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// burstWindow is how long a bucket fills.
+// burstWindow is the time in which an empty bucket fills; doc.go gives the reason for 1 s.
 const burstWindow = time.Second
 
-// rates are this VM's part of an owner's or entry's rates, a second.
+// rates are this VM's share of an owner's or entry's rates, per second.
 type rates struct{ requests, tokens float64 }
 
-// usage is what one owner or entry uses on this VM.
+// usage holds the token buckets and the in-flight count of one owner or entry on this VM.
 type usage struct {
 	at       time.Time
 	started  bool
@@ -19,8 +19,8 @@
 
 func newUsage(now time.Time) *usage { return &usage{at: now} }
 
-// refill lets the buckets refill up to now. A part of less than one request a second
-// still fills up to one, else nothing could ever pass.
+// refill refills the buckets up to now. A bucket for less than one request a second still
+// holds one request, as otherwise none could ever be admitted.
 func (a *usage) refill(now time.Time, r rates) {
 	most := max(1, r.requests*burstWindow.Seconds())
 	mostTokens := r.tokens * burstWindow.Seconds()
