--- a/laburnumproxy/fakes_test.go
+++ b/laburnumproxy/fakes_test.go
@@ -217,7 +217,7 @@
 	require.Equal(t, body.Error.ID, r.header.Get("X-Request-Id"))
 }
 
-// writeTokens writes the token events from from up to to, without to, and flushes each.
+// writeTokens writes the token events i with from <= i < to and flushes each.
 func writeTokens(w http.ResponseWriter, from, to int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := from; i < to; i++ {
--- a/laburnumproxy/lookup.go
+++ b/laburnumproxy/lookup.go
@@ -11,11 +11,11 @@
 
 const (
 	// rebuildCostFactor bounds the cost of building indexes to 1/200 of a core: the next build
-	// waits 200 times as long as the last one took. At the design size, reports change the
-	// view thousands of times a second.
+	// waits 200 times as long as the last one took, up to maxRebuildInterval. At the design
+	// size, reports change the view thousands of times a second.
 	rebuildCostFactor = 200
-	// missingCostFactor is the same bound for builds on behalf of requests whose name is not in
-	// the index, as requests for models that never existed also ask for them.
+	// missingCostFactor bounds builds for requests whose name is not in the index to 1/20 of a
+	// core: requests for models that never existed cause them too.
 	missingCostFactor = 20
 	// maxRebuildInterval bounds the age of an index: a backend server that leaves must be out
 	// of it well within the promised 3 s.
--- a/laburnumproxy/request.go
+++ b/laburnumproxy/request.go
@@ -87,10 +87,10 @@
 // callerKeys returns the caller's key for fair queueing and the hash of its credentials.
 // The hash leaves out the address: a caller that resends a call may come from another
 // address and must find its claim.
-func callerKeys(r *http.Request) (key, credit string) {
+func callerKeys(r *http.Request) (key, credentialsHash string) {
 	if auth := r.Header.Get("Authorization"); auth != "" {
-		credit = formatHash(xxhash.Sum64String(auth))
-		return credit, credit
+		credentialsHash = formatHash(xxhash.Sum64String(auth))
+		return credentialsHash, credentialsHash
 	}
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
