--- a/laburnumproxy/attempt.go
+++ b/laburnumproxy/attempt.go
@@ -10,7 +10,7 @@
 	"laburnumlever/laburnumchart"
 )
 
-// Events and states of the chart attempt.jsonc.
+// Events and states of the state chart attempt.jsonc.
 const (
 	evWriteStarted = "write-started"
 	evGaveUp       = "gave-up"
@@ -21,36 +21,36 @@
 	stateNotRun    = "not-run"
 )
 
-// Headers of the wire to backend servers and callers.
+// Headers exchanged with backend servers and callers.
 const (
-	headerAttempt  = "X-Attempt-Id"
-	headerOutcome  = "Laburnumlever-Outcome"
-	headerRequest  = "X-Request-Id"
-	headerPriority = "X-Priority"
-	headerResume   = "X-Resume-From"
-	headerKey      = "Idempotency-Key"
+	headerAttemptID      = "X-Attempt-Id"
+	headerOutcome        = "Laburnumlever-Outcome"
+	headerRequestID      = "X-Request-Id"
+	headerPriority       = "X-Priority"
+	headerResumeFrom     = "X-Resume-From"
+	headerIdempotencyKey = "Idempotency-Key"
 )
 
 var attemptChart = laburnumchart.MustLoad("attempt")
 
-// attempt is one try at a request on one backend server.
+// attempt is one try to serve a request on one backend server.
 //
-// It guards against two failures. A request that died is called not run although a
-// byte of it got out: the connection counts writes, and judging an attempt with no
-// write seals the connection in the same step, so that the transport's writer
-// can't send it a moment later. And net/http sends a request again by itself when
-// a reused connection dies (also a POST, if it has an Idempotency-Key header):
-// a second connection for an attempt that has written on its first is sealed and
-// the attempt cancelled, so no attempt reaches two connections.
+// It prevents two failures. The first is reporting not-run although a byte was sent:
+// the connection counts writes, and deciding that nothing was written seals the
+// connection in the same step, so that the transport can't write a moment later. The
+// second is net/http's own retry when a reused connection dies (also for a POST with an
+// Idempotency-Key header): once an attempt has written to its first connection, a
+// second one is sealed and the attempt is cancelled, so that no attempt is written to
+// two connections.
 type attempt struct {
-	id      string
-	backend laburnumlever.BackendID
-	cancel  context.CancelFunc
-	mu      sync.Mutex
-	state   string
-	conn    *countedConn
-	base    uint64
-	judged  []chan struct{} // of the connections it had, closed when it is judged
+	id            string
+	backend       laburnumlever.BackendID
+	cancel        context.CancelFunc
+	mu            sync.Mutex
+	state         string
+	conn          *countedConn
+	writesBefore  uint64
+	pendingChecks []chan struct{} // one for each connection used, closed by releaseConns
 }
 
 func newAttempt(id string, backend laburnumlever.BackendID, cancel context.CancelFunc) *attempt {
@@ -66,70 +66,71 @@
 	if !ok {
 		return
 	}
-	judged := conn.handOver()
+	checked := conn.acquire()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.judged = append(a.judged, judged)
-	if a.conn != nil && a.conn.count() > a.base {
-		conn.sealUnless(conn.count())
+	a.pendingChecks = append(a.pendingChecks, checked)
+	if a.conn != nil && a.conn.writeCount() > a.writesBefore {
+		conn.sealIfUnwritten(conn.writeCount())
 		a.cancel()
 		return
 	}
 	a.conn = conn
-	a.base = conn.count()
+	a.writesBefore = conn.writeCount()
 }
 
-// failed judges an attempt that brought no whole answer.
-func (a *attempt) failed() {
-	defer a.judge()
+// fail records that the attempt got no complete response.
+func (a *attempt) fail() {
+	defer a.releaseConns()
 	a.mu.Lock()
-	conn, base := a.conn, a.base
+	conn, base := a.conn, a.writesBefore
 	a.mu.Unlock()
-	if conn != nil && conn.sealUnless(base) {
-		a.take(evWriteStarted)
-		a.take(evLost)
+	if conn != nil && conn.sealIfUnwritten(base) {
+		a.apply(evWriteStarted)
+		a.apply(evLost)
 		return
 	}
-	a.take(evGaveUp)
+	a.apply(evGaveUp)
 }
 
-// answered takes the head of an answer. A crossed one closes the connection.
-func (a *attempt) answered(resp *http.Response) error {
-	defer a.judge()
-	a.take(evWriteStarted)
-	got := resp.Header.Get(headerAttempt)
+// checkResponse checks the attempt ID in the response header. It closes the connection of a
+// response that belongs to another attempt.
+func (a *attempt) checkResponse(resp *http.Response) error {
+	defer a.releaseConns()
+	a.apply(evWriteStarted)
+	got := resp.Header.Get(headerAttemptID)
 	if got != a.id {
-		a.take(evCrossed)
+		a.apply(evCrossed)
 		a.closeConn()
 		return &CrossedAnswerError{Want: a.id, Got: got}
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable &&
 		resp.Header.Get(headerOutcome) == laburnumlever.OutcomeNotRun.String() {
-		a.take(evSaidNotRun)
+		a.apply(evSaidNotRun)
 	}
 	return nil
 }
 
-// judge lets the next attempts have the connections.
-func (a *attempt) judge() {
+// releaseConns lets later attempts use the connections.
+func (a *attempt) releaseConns() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, judged := range a.judged {
-		close(judged)
+	for _, checked := range a.pendingChecks {
+		close(checked)
 	}
-	a.judged = nil
+	a.pendingChecks = nil
 }
 
 func (a *attempt) closeConn() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.conn != nil {
-		_ = a.conn.Close() // it is never used again, whatever closing it says
+		_ = a.conn.Close() // never used again, so the error does not matter
 	}
 }
 
-// take moves the attempt on; an event that its state does not take changes nothing.
-func (a *attempt) take(event string) {
+// apply applies an event to the state chart; an event without a transition is ignored.
+func (a *attempt) apply(event string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	next, err := attemptChart.Next(a.state, event)
--- a/laburnumproxy/refuse.go
+++ b/laburnumproxy/refuse.go
@@ -13,14 +13,14 @@
 
 const (
 	statusCallerGone = 499
-	hashBase         = 16
+	hexBase          = 16
 	shortRetryAfter  = time.Second
-	// drainRetryAfter lets the balancer find out that this VM is not ready.
+	// drainRetryAfter gives the load balancer time to see that this VM is not ready.
 	drainRetryAfter = 2 * time.Second
 )
 
-// statuses of the reasons; any other is 503.
-var statuses = map[laburnumlever.RefusalReason]int{
+// statusByReason maps reasons to HTTP status codes; the default is 503.
+var statusByReason = map[laburnumlever.RefusalReason]int{
 	laburnumlever.RefusedBadRequest:       http.StatusBadRequest,
 	laburnumlever.RefusedTooLarge:         http.StatusRequestEntityTooLarge,
 	laburnumlever.RefusedUnknownModel:     http.StatusNotFound,
@@ -38,13 +38,13 @@
 }
 
 func statusOf(reason laburnumlever.RefusalReason) int {
-	if status, ok := statuses[reason]; ok {
+	if status, ok := statusByReason[reason]; ok {
 		return status
 	}
 	return http.StatusServiceUnavailable
 }
 
-// retryAfter is the default for a reason; 0 when asking again brings nothing.
+// retryAfter returns the default for a reason; 0 if a retry can't help.
 func retryAfter(reason laburnumlever.RefusalReason) time.Duration {
 	switch reason {
 	case laburnumlever.RefusedBadRequest, laburnumlever.RefusedTooLarge, laburnumlever.RefusedUnknownModel,
@@ -58,7 +58,7 @@
 	}
 }
 
-// errorBody is the body of every refusal, and the data of an error event.
+// errorBody is the body of a refusal and the data of an error event.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -75,26 +75,26 @@
 		Type: refusal.Reason.String(), Message: refusal.Detail, Outcome: refusal.Outcome.String(), RequestID: id,
 	}})
 	if err != nil {
-		return []byte(`{"error":{}}`) // not reached: the fields always marshal
+		return []byte(`{"error":{}}`) // unreachable: the fields always marshal
 	}
 	return text
 }
 
-// refuse answers with a refusal at once.
-func refuse(w http.ResponseWriter, id string, refusal *laburnumlever.RefusalError) {
+// writeRefusal writes a refusal as the response.
+func writeRefusal(w http.ResponseWriter, id string, refusal *laburnumlever.RefusalError) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	h.Set(headerRequest, id)
+	h.Set(headerRequestID, id)
 	h.Set(headerOutcome, refusal.Outcome.String())
 	if refusal.RetryAfter > 0 {
 		seconds := (refusal.RetryAfter + time.Second - 1) / time.Second
 		h.Set("Retry-After", strconv.Itoa(int(seconds)))
 	}
 	w.WriteHeader(statusOf(refusal.Reason))
-	_, _ = w.Write(append(newErrorBody(id, refusal), '\n')) // a caller that is gone needs no answer
+	_, _ = w.Write(append(newErrorBody(id, refusal), '\n')) // the caller may have disconnected
 }
 
-// asRefusal finds the refusal in an error; one without is unknown to the caller.
+// asRefusal returns the refusal in err, or one with an unknown outcome if there is none.
 func (q *request) asRefusal(err error) *laburnumlever.RefusalError {
 	var refusal *laburnumlever.RefusalError
 	if errors.As(err, &refusal) {
@@ -103,4 +103,4 @@
 	return q.refusal(laburnumlever.RefusedOutcomeUnknown, laburnumlever.OutcomeUnknown, err.Error())
 }
 
-func formatHash(n uint64) string { return strconv.FormatUint(n, hashBase) }
+func formatHash(n uint64) string { return strconv.FormatUint(n, hexBase) }
--- /dev/null
+++ b/laburnumproxy/release.go
@@ -0,0 +1,60 @@
+package laburnumproxy
+
+import (
+	"context"
+	"time"
+
+	"laburnumlever/laburnumtimer"
+
+	"laburnumlever"
+)
+
+const (
+	// claimReleaseTimeout is how long the proxy tries to release a claim: a command delayed by
+	// a network partition arrives once the partition heals, and most last less.
+	claimReleaseTimeout = 10 * time.Minute
+	// The backoff doubles from the minimum to the maximum: most delayed claims arrive soon
+	// after a short partition, and a thousand that never arrive must not keep the log busy.
+	claimReleaseMinBackoff = time.Second
+	claimReleaseMaxBackoff = 30 * time.Second
+	// maxPendingReleases bounds the claims released at the same time. Beyond it, a claim is
+	// left to expire.
+	maxPendingReleases = 1024
+)
+
+// releaseInBackground releases a claim with an unknown outcome whose call was not run. A
+// network partition can delay the claim on its way to the log: the caller is told not-run,
+// and the claim is applied once the partition heals. Without the release, a resend would be
+// refused as in progress until the claim expires. The claim may arrive after the first
+// release, so a release that finds no claim is retried.
+func (p *Proxy) releaseInBackground(release laburnumlever.Command) {
+	select {
+	case p.pendingReleases <- struct{}{}:
+	default:
+		p.scope.Counter("claims-not-freed").Inc(1)
+		return
+	}
+	go func() {
+		defer func() { <-p.pendingReleases }()
+		pause := claimReleaseMinBackoff
+		for end := p.timers.Now().Add(claimReleaseTimeout); p.timers.Now().Before(end); {
+			if p.tryRelease(release) || !laburnumtimer.Wait(p.closed, p.timers, pause) {
+				return
+			}
+			pause = min(2*pause, claimReleaseMaxBackoff)
+		}
+		p.scope.Counter("claims-not-freed").Inc(1)
+	}()
+}
+
+// tryRelease reports whether the claim is released for good.
+func (p *Proxy) tryRelease(release laburnumlever.Command) bool {
+	ctx, cancel := p.withTimeout(context.Background(), recordTimeout)
+	defer cancel()
+	result, err := p.proposer.Propose(ctx, release)
+	if err != nil || result.Code == laburnumlever.ResultUnknown {
+		return false
+	}
+	p.scope.Counter("claims-freed").Inc(1)
+	return true
+}
