--- a/laburnumgateway/gateway.go
+++ b/laburnumgateway/gateway.go
@@ -20,14 +20,14 @@
 )
 
 // AdapterLoader loads adapters on demand.
-type Adapters interface {
+type AdapterLoader interface {
 	// EnsureLoaded waits until an adapter is loaded and returns the engines that hold it.
-	Need(ctx context.Context, need laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error)
+	EnsureLoaded(ctx context.Context, need laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error)
 }
 
 // RetryBudget limits the retries of all gateways together. For each service and in any Window they
 // may retry Ratio times the number of its requests, plus Slack retries.
-type Budget struct {
+type RetryBudget struct {
 	Window time.Duration
 	Ratio  float64
 	Slack  float64
@@ -39,8 +39,8 @@
 	dialect        laburnumlever.Dialect
 	timers         laburnumlever.Timers
 	pool           *laburnumupstream.Pool
-	adapters       Adapters
-	retryBudget    Budget
+	adapters       AdapterLoader
+	retryBudget    RetryBudget
 	logger         log.Logger
 	counters       *counters
 	inFlight       atomic.Int64
@@ -64,11 +64,11 @@
 }
 
 // WithAdapterLoader loads adapters on demand; by default only loaded ones are used.
-func WithAdapters(a Adapters) Option { return func(g *Gateway) { g.adapters = a } }
+func WithAdapterLoader(a AdapterLoader) Option { return func(g *Gateway) { g.adapters = a } }
 
 // WithRetryBudget sets the retry budget; by default retries that would be charged to it are
 // not made.
-func WithBudget(b Budget) Option { return func(g *Gateway) { g.retryBudget = b } }
+func WithRetryBudget(b RetryBudget) Option { return func(g *Gateway) { g.retryBudget = b } }
 
 // WithPool sets the pool of connections to backend servers; the default is a new pool.
 func WithPool(pool *laburnumupstream.Pool) Option { return func(g *Gateway) { g.pool = pool } }
--- a/laburnumgateway/gateway_test.go
+++ b/laburnumgateway/gateway_test.go
@@ -441,7 +441,7 @@
 	holder   laburnumlever.BackendID
 }
 
-func (a fakeAdapterLoader) Need(_ context.Context, need laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
+func (a fakeAdapterLoader) EnsureLoaded(_ context.Context, need laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
 	a.requests <- need
 	return []laburnumlever.BackendID{a.holder}, nil
 }
@@ -451,7 +451,7 @@
 func TestRequestForUnreachableAdapterIsRefusedInTime(t *testing.T) {
 	server := newBackend(t, "i-1", func(net.Conn, receivedRequest, int) {})
 	loader := fakeAdapterLoader{requests: make(chan laburnumlever.AdapterNeed, 10_000), holder: "i-9"}
-	b := newUnconfiguredHarness(t, laburnumgateway.WithAdapters(loader))
+	b := newUnconfiguredHarness(t, laburnumgateway.WithAdapterLoader(loader))
 	b.fleet.LearnRoutes(testRoutes())
 	b.fleet.Learn("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{server.heartbeat("quotes", "m0")}})
 	start := time.Now()
--- a/laburnumroles/gateway.go
+++ b/laburnumroles/gateway.go
@@ -40,10 +40,10 @@
 	g.gateway = laburnumgateway.New(g.fleet, dialect, g.timers,
 		laburnumgateway.WithLogger(g.logger), laburnumgateway.WithScope(scope),
 		laburnumgateway.WithPool(laburnumupstream.New(laburnumupstream.WithScope(scope))),
-		laburnumgateway.WithBudget(laburnumgateway.Budget{
+		laburnumgateway.WithRetryBudget(laburnumgateway.RetryBudget{
 			Window: time.Duration(settings.Retry.Window), Ratio: settings.Retry.Ratio, Slack: settings.Retry.Slack,
 		}),
-		laburnumgateway.WithAdapters(g),
+		laburnumgateway.WithAdapterLoader(g),
 	)
 	return g
 }
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// Need asks the director for an adapter.
-func (g *Gateway) Need(ctx context.Context, need laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
+// EnsureLoaded asks the director for an adapter.
+func (g *Gateway) EnsureLoaded(ctx context.Context, need laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
 	address := g.follower.Director()
 	if address == "" {
 		return nil, &laburnumlever.NotFoundError{Kind: "control VM that gives orders", Name: "any"}
