--- a/laburnumgateway/attempt.go
+++ b/laburnumgateway/attempt.go
@@ -30,7 +30,7 @@
 		sample.Failed = sample.Unreachable
 		return &failure{stage: laburnumretry.StageNotSent, reason: laburnumlever.RefusedBackendUnreachable, cause: err}
 	}
-	stop := conn.Guard(ctx)
+	stop := conn.CloseOnDone(ctx)
 	if fail, resp := g.reserve(ctx, q, ticket, conn, &sample); fail != nil { //nolint:bodyclose // its body has been read
 		if stop() && resp != nil {
 			g.pool.Put(conn, resp)
--- a/laburnumupstream/conn.go
+++ b/laburnumupstream/conn.go
@@ -48,7 +48,7 @@
 
 // CloseOnDone closes the connection when ctx is done before stop is called. Stop returns false if
 // that has happened.
-func (c *Conn) Guard(ctx context.Context) (stop func() bool) {
+func (c *Conn) CloseOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, c.Close)
 }
 
--- a/laburnumupstream/errors.go
+++ b/laburnumupstream/errors.go
@@ -27,11 +27,11 @@
 
 // ConnectionLimitError reports that this VM has Limit connections open to Address, the most that
 // it may have. Nothing was sent.
-type FullError struct {
+type ConnectionLimitError struct {
 	Address string
 	Limit   int
 }
 
-func (e *FullError) Error() string {
+func (e *ConnectionLimitError) Error() string {
 	return fmt.Sprintf("all %d connections to %s are in use", e.Limit, e.Address)
 }
--- a/laburnumupstream/pool.go
+++ b/laburnumupstream/pool.go
@@ -72,7 +72,7 @@
 	p.mu.Lock()
 	if limit > 0 && p.open[address] >= limit {
 		p.mu.Unlock()
-		return nil, &FullError{Address: address, Limit: limit}
+		return nil, &ConnectionLimitError{Address: address, Limit: limit}
 	}
 	p.open[address]++
 	p.mu.Unlock()
