--- a/laburnumbalance/balance.go
+++ b/laburnumbalance/balance.go
@@ -91,13 +91,13 @@
 }
 
 // MayBeFull tells whether the server's load is stale, so that it may have no free slot.
-func (ticket *Ticket) Unsure() bool { return ticket.mayBeFull }
+func (ticket *Ticket) MayBeFull() bool { return ticket.mayBeFull }
 
 // Model returns the request's model; it is empty for a plain service.
 func (ticket *Ticket) Model() laburnumlever.ModelName { return ticket.query.Model }
 
 // AttemptResult is what an attempt, or an answer that has not ended yet, tells of a server.
-type Sample struct {
+type AttemptResult struct {
 	// Failed means that there was no answer or an invalid one.
 	Failed bool
 	// Faulty means that the server itself answered with an error, which excludes a network
@@ -113,7 +113,7 @@
 	HasLoad          bool
 	Running, Waiting int
 	// ReservationRefused means that a reservation was refused for lack of a slot.
-	Taken bool
+	ReservationRefused bool
 }
 
 // Table holds the endpoint state of the servers.
@@ -257,7 +257,7 @@
 }
 
 // ModelLoaded records a model or adapter that a server holds before its heartbeat lists it.
-func (t *Table) Added(id laburnumlever.BackendID, model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) {
+func (t *Table) ModelLoaded(id laburnumlever.BackendID, model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) {
 	if s := t.servers[id]; s != nil {
 		s.added = setExpiry(s.added, heldModel{model: model, adapter: adapter}, now.Add(addedTime), now)
 		t.list(s, model)
@@ -278,11 +278,11 @@
 }
 
 // countOutcome adds the result of an attempt to the next report by Outcomes.
-func (t *Table) countOutcome(s *server, sample Sample) {
+func (t *Table) countOutcome(s *server, sample AttemptResult) {
 	switch {
 	case sample.Faulty:
 		t.countFailure(s)
-	case !sample.Failed && !sample.Unreachable && !sample.Full && !sample.Taken:
+	case !sample.Failed && !sample.Unreachable && !sample.Full && !sample.ReservationRefused:
 		s.answered++
 	}
 }
@@ -310,7 +310,7 @@
 func (t *Table) Len(service laburnumlever.ServiceName) int { return len(t.byService[service]) }
 
 // Unavailable returns the servers that hold the query's model but are full or unreachable.
-func (t *Table) Useless(q Query, now time.Time) []laburnumlever.BackendID {
+func (t *Table) Unavailable(q Query, now time.Time) []laburnumlever.BackendID {
 	var useless []laburnumlever.BackendID
 	for _, s := range t.candidates(q) {
 		if s.holds(q.Model, "", now) && (now.Before(s.unreachableUntil) || t.saturated(s, now, q.Queue)) {
@@ -407,7 +407,7 @@
 
 // AnswerStarted records the first part of the answer. It returns the time to the first part and
 // the number of prompt tokens that the server had to read; both are 0 on later calls.
-func (t *Table) Began(ticket *Ticket, now time.Time) (time.Duration, int) {
+func (t *Table) AnswerStarted(ticket *Ticket, now time.Time) (time.Duration, int) {
 	if ticket == nil || ticket.server == nil || ticket.reading == 0 {
 		return 0, 0
 	}
@@ -423,7 +423,7 @@
 }
 
 // End frees the slot and records the result of the attempt. It ignores a nil ticket.
-func (t *Table) End(ticket *Ticket, sample Sample, now time.Time) {
+func (t *Table) End(ticket *Ticket, sample AttemptResult, now time.Time) {
 	if ticket == nil || ticket.server == nil {
 		return
 	}
@@ -432,7 +432,7 @@
 	ticket.server = nil
 	s.own--
 	t.countOutcome(s, sample)
-	t.Learn(s.record.Heartbeat.Backend, sample, now)
+	t.Observe(s.record.Heartbeat.Backend, sample, now)
 	if sample.Absent {
 		key := heldModel{model: ticket.query.Model, adapter: ticket.query.Adapter}
 		s.absent = setExpiry(s.absent, key, now.Add(absentTime), now)
@@ -441,7 +441,7 @@
 }
 
 // Observe updates a server's state from an answer, also while the request is still running.
-func (t *Table) Learn(id laburnumlever.BackendID, sample Sample, now time.Time) {
+func (t *Table) Observe(id laburnumlever.BackendID, sample AttemptResult, now time.Time) {
 	s := t.servers[id]
 	if s == nil {
 		return
@@ -451,7 +451,7 @@
 		s.othersAt = now
 		s.reservationRefused = false
 	}
-	if sample.Taken {
+	if sample.ReservationRefused {
 		s.reservationRefused = true
 		s.others = max(0, float64(s.record.Heartbeat.Slots-s.own))
 		s.othersAt = now
--- a/laburnumbalance/balance_test.go
+++ b/laburnumbalance/balance_test.go
@@ -46,7 +46,7 @@
 	withAdapter.Adapter = "a1"
 	_, verdict = table.Pick(withAdapter, start)
 	require.Equal(t, laburnumbalance.AdapterAbsent, verdict)
-	table.Added("i-1", "m0", "a1", start)
+	table.ModelLoaded("i-1", "m0", "a1", start)
 	_, verdict = table.Pick(withAdapter, start)
 	require.Equal(t, laburnumbalance.Found, verdict)
 	for verdict == laburnumbalance.Found {
@@ -75,11 +75,11 @@
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
 	shared := laburnumlever.PromptPart{ID: 77, Tokens: 900}
 	first, _ := table.Pick(query("m0", shared, laburnumlever.PromptPart{ID: 1, Tokens: 30}), start)
-	table.Began(first, start.Add(40*time.Millisecond))
+	table.AnswerStarted(first, start.Add(40*time.Millisecond))
 	for i := range 3 {
 		next, _ := table.Pick(query("m0", shared, laburnumlever.PromptPart{ID: uint64(10 + i), Tokens: 30}), start)
 		require.Equal(t, first.Backend.Backend, next.Backend.Backend)
-		table.Began(next, start.Add(40*time.Millisecond))
+		table.AnswerStarted(next, start.Add(40*time.Millisecond))
 	}
 }
 
@@ -90,21 +90,21 @@
 	now := start
 	for range 20 {
 		ticket, _ := table.Pick(query("m0"), now)
-		table.End(ticket, laburnumbalance.Sample{Failed: ticket.Backend.Backend == "i-1"}, now)
+		table.End(ticket, laburnumbalance.AttemptResult{Failed: ticket.Backend.Backend == "i-1"}, now)
 		now = now.Add(10 * time.Millisecond)
 	}
 	counts := map[laburnumlever.BackendID]int{}
 	for range 50 {
 		ticket, _ := table.Pick(query("m0"), now)
 		counts[ticket.Backend.Backend]++
-		table.End(ticket, laburnumbalance.Sample{}, now)
+		table.End(ticket, laburnumbalance.AttemptResult{}, now)
 	}
 	require.Equal(t, 50, counts["i-2"])
 	now = now.Add(time.Minute)
 	for range 50 {
 		ticket, _ := table.Pick(query("m0"), now)
 		counts[ticket.Backend.Backend]++
-		table.End(ticket, laburnumbalance.Sample{}, now)
+		table.End(ticket, laburnumbalance.AttemptResult{}, now)
 	}
 	require.Positive(t, counts["i-1"])
 }
@@ -114,7 +114,7 @@
 func TestAbsentModelIsExcludedUntilTheNextHeartbeat(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"))
 	ticket, _ := table.Pick(query("m0"), start)
-	table.End(ticket, laburnumbalance.Sample{Absent: true}, start)
+	table.End(ticket, laburnumbalance.AttemptResult{Absent: true}, start)
 	_, verdict := table.Pick(query("m0"), start.Add(time.Second))
 	require.Equal(t, laburnumbalance.ModelAbsent, verdict)
 	_, verdict = table.Pick(query("m0"), start.Add(2*time.Second))
@@ -130,8 +130,8 @@
 		for range 100 {
 			ticket, _ := table.Pick(query("m0", laburnumlever.PromptPart{ID: uint64(now.UnixNano()), Tokens: 300}), now)
 			now = now.Add(took)
-			table.Began(ticket, now)
-			table.End(ticket, laburnumbalance.Sample{}, now)
+			table.AnswerStarted(ticket, now)
+			table.End(ticket, laburnumbalance.AttemptResult{}, now)
 		}
 		n := 0
 		for i := range uint64(100) {
@@ -183,7 +183,7 @@
 		if faulty {
 			refused++
 		}
-		table.End(ticket, laburnumbalance.Sample{Full: faulty}, now.Add(20*time.Millisecond))
+		table.End(ticket, laburnumbalance.AttemptResult{Full: faulty}, now.Add(20*time.Millisecond))
 	}
 	require.Less(t, refused, 20)
 }
@@ -199,16 +199,16 @@
 		now = now.Add(10 * time.Millisecond)
 		if ticket, verdict := table.Pick(query("m0"), now); verdict == laburnumbalance.Found {
 			tries++
-			table.End(ticket, laburnumbalance.Sample{Unreachable: true, Failed: true}, now)
+			table.End(ticket, laburnumbalance.AttemptResult{Unreachable: true, Failed: true}, now)
 		}
 	}
 	require.LessOrEqual(t, tries, 13)
 	now = now.Add(3 * time.Second)
 	ticket, verdict := table.Pick(query("m0"), now)
 	require.Equal(t, laburnumbalance.Found, verdict)
-	table.End(ticket, laburnumbalance.Sample{}, now)
+	table.End(ticket, laburnumbalance.AttemptResult{}, now)
 	ticket, _ = table.Pick(query("m0"), now)
-	table.End(ticket, laburnumbalance.Sample{Unreachable: true}, now)
+	table.End(ticket, laburnumbalance.AttemptResult{Unreachable: true}, now)
 	_, verdict = table.Pick(query("m0"), now.Add(301*time.Millisecond))
 	require.Equal(t, laburnumbalance.Found, verdict)
 }
@@ -222,6 +222,6 @@
 	now := start
 	for b.Loop() {
 		ticket, _ := table.Pick(query("m0", laburnumlever.PromptPart{ID: 7, Tokens: 500}), now)
-		table.End(ticket, laburnumbalance.Sample{}, now)
+		table.End(ticket, laburnumbalance.AttemptResult{}, now)
 	}
 }
--- a/laburnumbalance/index_test.go
+++ b/laburnumbalance/index_test.go
@@ -26,7 +26,7 @@
 		case 0:
 			table.Set(laburnumregistry.Record{Heartbeat: laburnumlever.Heartbeat{Backend: id}, Gone: true})
 		case 1:
-			table.Added(id, name(), "", now)
+			table.ModelLoaded(id, name(), "", now)
 		case 2:
 			table.SetOverlay(laburnumregistry.Overlay{Backend: id, Fence: sequence, Withdrawn: []laburnumlever.ModelName{name()}}, now)
 		case 3:
@@ -65,7 +65,7 @@
 			q := Query{Service: "quotes", Model: "m1", Prompt: []laburnumlever.PromptPart{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 70}, {ID: 3, Tokens: 540}}}
 			for b.Loop() {
 				ticket, _ := table.Pick(q, now)
-				table.End(ticket, Sample{}, now)
+				table.End(ticket, AttemptResult{}, now)
 			}
 		})
 	}
--- a/laburnumbalance/outliers_test.go
+++ b/laburnumbalance/outliers_test.go
@@ -14,15 +14,15 @@
 // Guards against failures that are not reported to the control VMs, or reported twice.
 func TestFailuresAreReportedOnce(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
-	end := func(sample laburnumbalance.Sample) laburnumlever.BackendID {
+	end := func(sample laburnumbalance.AttemptResult) laburnumlever.BackendID {
 		ticket, verdict := table.Pick(query("m0"), start)
 		require.Equal(t, laburnumbalance.Found, verdict)
 		table.End(ticket, sample, start)
 		return ticket.Backend.Backend
 	}
-	end(laburnumbalance.Sample{})
+	end(laburnumbalance.AttemptResult{})
 	require.Empty(t, table.Outcomes(), "nothing failed")
-	failed := end(laburnumbalance.Sample{Failed: true, Faulty: true})
+	failed := end(laburnumbalance.AttemptResult{Failed: true, Faulty: true})
 	outcomes := table.Outcomes()
 	require.Len(t, outcomes, 1)
 	require.Equal(t, failed, outcomes[0].Backend)
@@ -34,7 +34,7 @@
 func TestUnreachableServersAreNotReported(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"))
 	ticket, _ := table.Pick(query("m0"), start)
-	table.End(ticket, laburnumbalance.Sample{Failed: true, Unreachable: true}, start)
+	table.End(ticket, laburnumbalance.AttemptResult{Failed: true, Unreachable: true}, start)
 	require.Empty(t, table.Outcomes())
 }
 
@@ -49,7 +49,7 @@
 			if ticket.Backend.Backend == "i-1" {
 				n++
 			}
-			table.End(ticket, laburnumbalance.Sample{}, now)
+			table.End(ticket, laburnumbalance.AttemptResult{}, now)
 		}
 		return n
 	}
--- a/laburnumbalance/retry_test.go
+++ b/laburnumbalance/retry_test.go
@@ -17,7 +17,7 @@
 		table.SetGateways(gateways)
 		require.Equal(t, wait, table.RetryTime())
 		ticket, _ := table.Pick(query("m0"), start)
-		table.End(ticket, laburnumbalance.Sample{Taken: true}, start)
+		table.End(ticket, laburnumbalance.AttemptResult{ReservationRefused: true}, start)
 		_, verdict := table.Pick(query("m0"), start.Add(wait-time.Millisecond))
 		require.Equal(t, laburnumbalance.Full, verdict)
 		_, verdict = table.Pick(query("m0"), start.Add(wait))
--- a/laburnumbalance/staleload_test.go
+++ b/laburnumbalance/staleload_test.go
@@ -26,10 +26,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			table := newTable(record(1, "brest", "m0"))
-			table.Learn("i-1", laburnumbalance.Sample{HasLoad: true, Running: c.running}, start)
+			table.Observe("i-1", laburnumbalance.AttemptResult{HasLoad: true, Running: c.running}, start)
 			ticket, verdict := table.Pick(query("m0"), start.Add(c.age))
 			require.Equal(t, laburnumbalance.Found, verdict)
-			require.Equal(t, c.unsure, ticket.Unsure())
+			require.Equal(t, c.unsure, ticket.MayBeFull())
 		})
 	}
 }
@@ -39,19 +39,19 @@
 func TestServerThatRefusedAReservationIsRetried(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"))
 	ticket, _ := table.Pick(query("m0"), start)
-	require.True(t, ticket.Unsure())
-	table.End(ticket, laburnumbalance.Sample{Taken: true}, start)
+	require.True(t, ticket.MayBeFull())
+	table.End(ticket, laburnumbalance.AttemptResult{ReservationRefused: true}, start)
 	_, verdict := table.Pick(query("m0"), start.Add(50*time.Millisecond))
 	require.Equal(t, laburnumbalance.Full, verdict)
 	queued := query("m0")
 	queued.Queue = true
 	ticket, verdict = table.Pick(queued, start.Add(50*time.Millisecond))
 	require.Equal(t, laburnumbalance.Found, verdict, "a request that may queue at the engine is sent there")
-	table.End(ticket, laburnumbalance.Sample{}, start.Add(60*time.Millisecond))
+	table.End(ticket, laburnumbalance.AttemptResult{}, start.Add(60*time.Millisecond))
 	ticket, verdict = table.Pick(query("m0"), start.Add(300*time.Millisecond))
 	require.Equal(t, laburnumbalance.Found, verdict)
-	require.True(t, ticket.Unsure())
-	table.End(ticket, laburnumbalance.Sample{HasLoad: true, Running: 1}, start.Add(310*time.Millisecond))
+	require.True(t, ticket.MayBeFull())
+	table.End(ticket, laburnumbalance.AttemptResult{HasLoad: true, Running: 1}, start.Add(310*time.Millisecond))
 	ticket, _ = table.Pick(query("m0"), start.Add(320*time.Millisecond))
-	require.False(t, ticket.Unsure())
+	require.False(t, ticket.MayBeFull())
 }
--- a/laburnumgateway/answer.go
+++ b/laburnumgateway/answer.go
@@ -74,7 +74,7 @@
 }
 
 // forwardAnswer forwards an answer to the caller. An error answer is stored instead.
-func (g *Gateway) forwardAnswer(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, sample *laburnumbalance.Sample) *failure {
+func (g *Gateway) forwardAnswer(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, sample *laburnumbalance.AttemptResult) *failure {
 	if resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), streamType) {
 		return g.forwardStream(ctx, q, out, ticket, resp, sample)
 	}
@@ -100,7 +100,7 @@
 }
 
 // storeErrorAnswer stores an error answer, which the caller gets if no other attempt succeeds.
-func (g *Gateway) storeErrorAnswer(q *request, stored *bufferedAnswer, sample *laburnumbalance.Sample) *failure {
+func (g *Gateway) storeErrorAnswer(q *request, stored *bufferedAnswer, sample *laburnumbalance.AttemptResult) *failure {
 	sample.Failed, sample.Faulty = true, true
 	if impliesNotRun(stored.status) {
 		// The backend server may have run the request, but this status would tell the caller that
@@ -143,7 +143,7 @@
 
 // forwardStream forwards complete server-sent events only, so that a broken stream can resume after
 // the last one.
-func (g *Gateway) forwardStream(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, sample *laburnumbalance.Sample) *failure {
+func (g *Gateway) forwardStream(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, sample *laburnumbalance.AttemptResult) *failure {
 	if !out.started {
 		copyHeader(out.w.Header(), resp.Header)
 		out.w.WriteHeader(http.StatusOK)
--- a/laburnumgateway/attempt.go
+++ b/laburnumgateway/attempt.go
@@ -21,7 +21,7 @@
 func (g *Gateway) attempt(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket) *failure {
 	q.tries++
 	q.backend = ticket.Backend.Backend
-	sample := laburnumbalance.Sample{}
+	sample := laburnumbalance.AttemptResult{}
 	g.fleet.beginAdapterUse(q)
 	defer func() { g.fleet.release(q, ticket, sample) }()
 	conn, err := g.pool.Get(ctx, ticket.Backend.Address, g.connectionLimit(q))
@@ -63,7 +63,7 @@
 }
 
 // exchange sends the request and forwards the answer.
-func (g *Gateway) exchange(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, conn *laburnumupstream.Conn, sample *laburnumbalance.Sample) (*failure, *http.Response) {
+func (g *Gateway) exchange(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, conn *laburnumupstream.Conn, sample *laburnumbalance.AttemptResult) (*failure, *http.Response) {
 	now := g.timers.Now()
 	if err := conn.SetDeadline(q.deadline.Add(backendTimeoutSlack)); err != nil {
 		return &failure{stage: laburnumretry.StageNotSent, reason: laburnumlever.RefusedBackendUnreachable, cause: err}, nil
@@ -89,7 +89,7 @@
 
 // checkAnswer returns a failure for an answer that must not be forwarded: one to another request, or
 // one which says that the request did not run.
-func (g *Gateway) checkAnswer(q *request, ticket *laburnumbalance.Ticket, resp *http.Response, marks laburnumlever.AnswerMarks, sample *laburnumbalance.Sample) *failure {
+func (g *Gateway) checkAnswer(q *request, ticket *laburnumbalance.Ticket, resp *http.Response, marks laburnumlever.AnswerMarks, sample *laburnumbalance.AttemptResult) *failure {
 	if marks.RequestID != q.caller.ID && (marks.RequestID != "" || !marks.NotRun) {
 		sample.Failed, sample.Faulty = true, true
 		return &failure{
--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -182,13 +182,13 @@
 func (f *Fleet) recordFirstEvent(t *laburnumbalance.Ticket) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	took, tokens := f.balance.Began(t, f.timers.Now())
+	took, tokens := f.balance.AnswerStarted(t, f.timers.Now())
 	f.paces.Add(t.Model(), took, tokens)
 	f.serveQueue()
 }
 
 // release frees the slot of an attempt and records its outcome.
-func (f *Fleet) release(q *request, t *laburnumbalance.Ticket, s laburnumbalance.Sample) {
+func (f *Fleet) release(q *request, t *laburnumbalance.Ticket, s laburnumbalance.AttemptResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.adapters.Ended(q.caller.Model, q.caller.Adapter, f.timers.Now())
@@ -203,7 +203,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.balance.Learn(id, laburnumbalance.Sample{HasLoad: true, Running: marks.Running, Waiting: marks.Waiting}, f.timers.Now())
+	f.balance.Observe(id, laburnumbalance.AttemptResult{HasLoad: true, Running: marks.Running, Waiting: marks.Waiting}, f.timers.Now())
 	f.serveQueue()
 }
 
@@ -224,7 +224,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range ids {
-		f.balance.Added(id, model, adapter, f.timers.Now())
+		f.balance.ModelLoaded(id, model, adapter, f.timers.Now())
 	}
 	f.serveQueue()
 }
@@ -260,7 +260,7 @@
 func (f *Fleet) unusableEngines(q *request) []laburnumlever.BackendID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.balance.Useless(f.query(q), f.timers.Now())
+	return f.balance.Unavailable(f.query(q), f.timers.Now())
 }
 
 // query returns the query for the balancer. The caller must hold mu.
--- a/laburnumsimulation/attempt.go
+++ b/laburnumsimulation/attempt.go
@@ -126,10 +126,10 @@
 func (a *attempt) needAdapter(until time.Time) {
 	sim, g := a.sim(), a.gateway
 	name := sim.models[a.request.model].name
-	need := laburnumlever.AdapterNeed{Service: service, Model: name, Adapter: a.request.adapter, Except: g.table.Useless(a.query(), sim.now())}
+	need := laburnumlever.AdapterNeed{Service: service, Model: name, Adapter: a.request.adapter, Except: g.table.Unavailable(a.query(), sim.now())}
 	sim.control.need(g.zone, need, func(ids []laburnumlever.BackendID) {
 		for _, id := range ids {
-			g.table.Added(id, name, a.request.adapter, sim.now())
+			g.table.ModelLoaded(id, name, a.request.adapter, sim.now())
 		}
 		g.serveQueue()
 		if a.over {
@@ -148,7 +148,7 @@
 	sim, g := a.sim(), a.gateway
 	now := sim.now()
 	if a.over {
-		g.table.End(ticket, laburnumbalance.Sample{}, now)
+		g.table.End(ticket, laburnumbalance.AttemptResult{}, now)
 		return
 	}
 	a.waited += now.Sub(a.waitFrom)
@@ -158,7 +158,7 @@
 	g.uses.Begun(sim.models[a.request.model].name, a.request.adapter)
 	e := sim.byID[ticket.Backend.Backend]
 	link := sim.link(g.zone, e.zone)
-	asks := ticket.Unsure() && !a.queues() && !sim.policy.sendsUnsure
+	asks := ticket.MayBeFull() && !a.queues() && !sim.policy.sendsUnsure
 	sim.after(link, func() {
 		switch {
 		case !e.up && e.hangs:
@@ -189,7 +189,7 @@
 	sim := a.sim()
 	a.taken++
 	a.tries--
-	a.release(laburnumbalance.Sample{Taken: true})
+	a.release(laburnumbalance.AttemptResult{ReservationRefused: true})
 	sim.after(a.gateway.table.RetryTime()+laburnumbalance.RetrySlack, a.gateway.serveQueue)
 	a.place()
 }
@@ -213,7 +213,7 @@
 }
 
 // release frees the slot and learns from the attempt.
-func (a *attempt) release(sample laburnumbalance.Sample) {
+func (a *attempt) release(sample laburnumbalance.AttemptResult) {
 	g, now := a.gateway, a.sim().now()
 	g.uses.Ended(a.sim().models[a.request.model].name, a.request.adapter, now)
 	g.table.End(a.ticket, sample, now)
@@ -225,7 +225,7 @@
 	if a.ticket == nil {
 		return
 	}
-	a.release(laburnumbalance.Sample{Failed: true, Unreachable: true})
+	a.release(laburnumbalance.AttemptResult{Failed: true, Unreachable: true})
 	a.again(laburnumretry.StageNotSent, "unreachable")
 }
 
@@ -234,7 +234,7 @@
 	if a.over || a.run != r {
 		return
 	}
-	a.release(laburnumbalance.Sample{Full: why == full, Absent: why == absent})
+	a.release(laburnumbalance.AttemptResult{Full: why == full, Absent: why == absent})
 	a.again(laburnumretry.StageNotRun, "refused")
 }
 
@@ -244,7 +244,7 @@
 		return
 	}
 	a.keep(r)
-	a.release(laburnumbalance.Sample{Failed: true})
+	a.release(laburnumbalance.AttemptResult{Failed: true})
 	a.touched = true
 	if a.started {
 		a.brokenAt = a.lastAt
@@ -296,9 +296,9 @@
 		return
 	}
 	g, now := a.gateway, a.sim().now()
-	took, tokens := g.table.Began(a.ticket, now)
+	took, tokens := g.table.AnswerStarted(a.ticket, now)
 	g.paces.Add(a.ticket.Model(), took, tokens)
-	g.table.Learn(a.ticket.Backend.Backend, laburnumbalance.Sample{HasLoad: true, Running: running, Waiting: waiting}, now)
+	g.table.Observe(a.ticket.Backend.Backend, laburnumbalance.AttemptResult{HasLoad: true, Running: running, Waiting: waiting}, now)
 	if a.started {
 		a.pause = max(a.pause, now.Sub(a.lastAt))
 	} else {
@@ -314,7 +314,7 @@
 	}
 	a.over = true
 	a.pause = max(a.pause, r.pause)
-	a.release(laburnumbalance.Sample{})
+	a.release(laburnumbalance.AttemptResult{})
 	a.gateway.ended(a.request, true)
 	a.request.served(a)
 }
@@ -345,7 +345,7 @@
 		if a.run != nil {
 			e.drop(a.run)
 		}
-		a.release(laburnumbalance.Sample{Failed: e.hangs})
+		a.release(laburnumbalance.AttemptResult{Failed: e.hangs})
 	}
 	a.gateway.ended(a.request, false)
 	a.request.failed(a, "left")
--- a/laburnumsimulation/hindsight.go
+++ b/laburnumsimulation/hindsight.go
@@ -74,7 +74,7 @@
 func (g *gateway) learnExactly(model int) {
 	for _, e := range g.sim.engines {
 		if _, holds := e.held[model]; holds && e.up {
-			g.table.Learn(e.id, laburnumbalance.Sample{HasLoad: true, Running: e.batch.size(), Waiting: len(e.batch.waiting)}, g.sim.now())
+			g.table.Observe(e.id, laburnumbalance.AttemptResult{HasLoad: true, Running: e.batch.size(), Waiting: len(e.batch.waiting)}, g.sim.now())
 		}
 	}
 }
