--- a/laburnumsimulation/attempt.go
+++ b/laburnumsimulation/attempt.go
@@ -73,9 +73,9 @@
 	if a.waitFrom.IsZero() {
 		a.waitFrom = now
 	}
-	until := sim.policy.terms.WaitUntil(a.times())
+	until := sim.policy.terms.QueueDeadline(a.times())
 	waiting := &laburnumwaiting.Request{
-		Query: a.query(), Priority: a.request.class.Priority, Arrived: a.arrived, FreshUntil: sim.policy.terms.FreshUntil(a.times()),
+		Query: a.query(), Priority: a.request.class.Priority, Arrived: a.arrived, OnTimeUntil: sim.policy.terms.OnTimeUntil(a.times()),
 	}
 	if sim.policy.exactLoads {
 		g.learnExactly(a.request.model)
@@ -323,7 +323,7 @@
 func (a *attempt) turnAway(verdict laburnumbalance.Verdict, why string) {
 	a.over = true
 	a.gateway.ended(a.request, false)
-	after := a.times().RetryAfter(a.sim().policy.terms.Retry(verdict), a.gateway.random.Float64(), a.sim().now())
+	after := a.times().RetryAfter(a.sim().policy.terms.MinRetryAfter(verdict), a.gateway.random.Float64(), a.sim().now())
 	a.request.turnedAway(a, after, why)
 }
 
--- a/laburnumwaiting/policy.go
+++ b/laburnumwaiting/policy.go
@@ -43,7 +43,7 @@
 }
 
 // AbandonGap returns the gap between two parts after which callers abandon a stream.
-func (c Caller) LeaveGap() time.Duration {
+func (c Caller) AbandonGap() time.Duration {
 	return max(minAbandonGap, abandonTargets*c.Target, abandonPauses*c.PauseTarget)
 }
 
@@ -53,7 +53,7 @@
 	if !c.Stream {
 		return whole
 	}
-	return min(whole, c.LeaveGap())
+	return min(whole, c.AbandonGap())
 }
 
 // RetryAfter returns the Retry-After of a refused request: between least and twice least, by a
@@ -72,25 +72,25 @@
 
 // Policy decides how long requests may be queued, as shares of their callers' times, and when
 // refused callers may retry.
-type Terms struct {
+type Policy struct {
 	wait, resume, onTime float64
 	full, absent         time.Duration
 }
 
 // DefaultPolicy returns the policy of gateways.
-func DefaultTerms() Terms {
-	return Terms{wait: queueShare, resume: resumeShare, onTime: onTimeShare, full: fullRetryAfter, absent: absentRetryAfter}
+func DefaultPolicy() Policy {
+	return Policy{wait: queueShare, resume: resumeShare, onTime: onTimeShare, full: fullRetryAfter, absent: absentRetryAfter}
 }
 
 // WithRetryAfter returns the policy with other least values of Retry-After: for full servers, and
 // for an absent model or adapter.
-func (p Terms) WithRetry(full, absent time.Duration) Terms {
+func (p Policy) WithRetryAfter(full, absent time.Duration) Policy {
 	p.full, p.absent = full, absent
 	return p
 }
 
 // MinRetryAfter returns the least delay before a retry of a request refused with the verdict.
-func (p Terms) Retry(verdict laburnumbalance.Verdict) time.Duration {
+func (p Policy) MinRetryAfter(verdict laburnumbalance.Verdict) time.Duration {
 	if verdict == laburnumbalance.Full {
 		return p.full
 	}
@@ -103,24 +103,24 @@
 }
 
 // WithWaitShare returns the policy with another share of the caller's patience.
-func (p Terms) WithWait(share float64) Terms {
+func (p Policy) WithWaitShare(share float64) Policy {
 	p.wait = share
 	return p
 }
 
 // QueueDeadline returns when a queued request times out.
-func (p Terms) WaitUntil(c Caller) time.Time {
+func (p Policy) QueueDeadline(c Caller) time.Time {
 	if c.BrokenAt.IsZero() {
 		return c.Arrived.Add(time.Duration(p.wait * float64(c.Patience())))
 	}
-	return c.BrokenAt.Add(time.Duration(p.resume * float64(c.LeaveGap())))
+	return c.BrokenAt.Add(time.Duration(p.resume * float64(c.AbandonGap())))
 }
 
 // OnTimeUntil returns the latest time at which a slot still lets the answer start in time, or lets
 // a broken answer resume before the caller abandons it.
-func (p Terms) FreshUntil(c Caller) time.Time {
+func (p Policy) OnTimeUntil(c Caller) time.Time {
 	if c.BrokenAt.IsZero() {
 		return c.Arrived.Add(time.Duration(p.onTime * float64(c.Target)))
 	}
-	return p.WaitUntil(c)
+	return p.QueueDeadline(c)
 }
--- a/laburnumwaiting/policy_test.go
+++ b/laburnumwaiting/policy_test.go
@@ -13,7 +13,7 @@
 // the answer, or for the resumption of a broken stream.
 func TestPolicy(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
-	policy := laburnumwaiting.DefaultTerms()
+	policy := laburnumwaiting.DefaultPolicy()
 	plain := laburnumwaiting.Caller{Arrived: start, Deadline: start.Add(time.Second)}
 	stream := laburnumwaiting.Caller{
 		Arrived: start, Deadline: start.Add(10 * time.Second), Stream: true,
@@ -21,10 +21,10 @@
 	}
 	require.Equal(t, time.Second, plain.Patience())
 	require.Equal(t, 2*time.Second, stream.Patience(), "callers abandon a stream after a gap")
-	require.Equal(t, start.Add(400*time.Millisecond), policy.WaitUntil(stream))
-	require.Equal(t, start.Add(300*time.Millisecond), policy.FreshUntil(stream))
-	require.Equal(t, start.Add(time.Second), policy.WithWait(0.5).WaitUntil(stream))
+	require.Equal(t, start.Add(400*time.Millisecond), policy.QueueDeadline(stream))
+	require.Equal(t, start.Add(300*time.Millisecond), policy.OnTimeUntil(stream))
+	require.Equal(t, start.Add(time.Second), policy.WithWaitShare(0.5).QueueDeadline(stream))
 	stream.BrokenAt = start.Add(3 * time.Second)
-	require.Equal(t, stream.BrokenAt.Add(1320*time.Millisecond), policy.WaitUntil(stream), "counted from the break")
-	require.Equal(t, policy.WaitUntil(stream), policy.FreshUntil(stream))
+	require.Equal(t, stream.BrokenAt.Add(1320*time.Millisecond), policy.QueueDeadline(stream), "counted from the break")
+	require.Equal(t, policy.QueueDeadline(stream), policy.OnTimeUntil(stream))
 }
--- a/laburnumwaiting/queue.go
+++ b/laburnumwaiting/queue.go
@@ -19,7 +19,7 @@
 	Priority int
 	Arrived  time.Time
 	// OnTimeUntil is the latest time at which a slot still lets the answer start in time.
-	FreshUntil time.Time
+	OnTimeUntil time.Time
 	// Admit is called at most once, by Queue.Serve, with the reserved slot.
 	Admit    func(*laburnumbalance.Ticket)
 	admitted bool
@@ -70,7 +70,7 @@
 // time.
 func (q *Queue) Serve(now time.Time, reserve ReserveFunc) {
 	full := map[target]bool{}
-	onTime := func(r *Request) bool { return q.InOrder || !now.After(r.FreshUntil) }
+	onTime := func(r *Request) bool { return q.InOrder || !now.After(r.OnTimeUntil) }
 	admitted := q.admit(full, reserve, onTime)
 	admitted += q.admit(full, reserve, func(r *Request) bool { return !onTime(r) })
 	if admitted > 0 {
--- a/laburnumwaiting/queue_test.go
+++ b/laburnumwaiting/queue_test.go
@@ -31,7 +31,7 @@
 		if !now.Before(nextRequest) {
 			nextRequest = nextRequest.Add(asked)
 			r := &laburnumwaiting.Request{
-				Query: laburnumbalance.Query{Model: "m0"}, Priority: priorities[n%len(priorities)], Arrived: now, FreshUntil: now.Add(testOnTime),
+				Query: laburnumbalance.Query{Model: "m0"}, Priority: priorities[n%len(priorities)], Arrived: now, OnTimeUntil: now.Add(testOnTime),
 			}
 			r.Admit = func(*laburnumbalance.Ticket) { admitted[r] = true }
 			require.True(t, w.Push(r))
@@ -58,7 +58,7 @@
 		for _, n := range before {
 			switch {
 			case !admitted[n]:
-			case now.After(n.FreshUntil):
+			case now.After(n.OnTimeUntil):
 				late[n.Priority]++
 			default:
 				inTime[n.Priority]++
