--- a/laburnumdispatch/dispatcher.go
+++ b/laburnumdispatch/dispatcher.go
@@ -262,10 +262,10 @@
 
 // Retry asks for another attempt after a failure: verdict Again means that it
 // is placed. A stream is resumed on the server that has it, which needs no new place.
-func (d *Dispatcher) Retry(t *Ticket, s laburnumretry.Situation, now time.Time) (laburnumlever.RetryReason, laburnumretry.Verdict) {
+func (d *Dispatcher) Retry(t *Ticket, s laburnumretry.FailedRequest, now time.Time) (laburnumlever.RetryReason, laburnumretry.Decision) {
 	s.Attempts = t.Attempts
 	reason, verdict := d.budget.Decide(s)
-	if verdict != laburnumretry.Again {
+	if verdict != laburnumretry.Retry {
 		return reason, verdict
 	}
 	if reason == laburnumlever.RetryStreamResumed {
--- a/laburnumgateway/forward.go
+++ b/laburnumgateway/forward.go
@@ -88,8 +88,8 @@
 		return 0, false
 	}
 	reason, paid, ok := laburnumretry.Attempt{
-		Stage: fail.stage, Touched: q.mayHaveRun, Started: out.started, Repeatable: q.route.Repeatable(),
-		Resumable: q.route.Resumable, Sends: q.sends, Tries: q.tries, MaxSends: q.route.MaxAttempts,
+		Stage: fail.stage, MayHaveRun: q.mayHaveRun, Started: out.started, Idempotent: q.route.Repeatable(),
+		Resumable: q.route.Resumable, Sent: q.sends, Tries: q.tries, MaxSent: q.route.MaxAttempts,
 	}.Next()
 	if ok && paid && !g.chargeRetry(q) {
 		fail.reason = laburnumlever.RefusedRetryBudget
--- a/laburnumgateway/gateway.go
+++ b/laburnumgateway/gateway.go
@@ -153,7 +153,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.retryWindow(q.service.Name).Request(g.timers.Now())
+	g.retryWindow(q.service.Name).CountRequest(g.timers.Now())
 }
 
 // chargeRetry charges a retry to the budget and tells whether it was within the budget.
@@ -164,7 +164,7 @@
 	gateways := g.fleet.Gateways()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.retryWindow(q.service.Name).Repeat(g.timers.Now(), gateways)
+	return g.retryWindow(q.service.Name).AllowRetry(g.timers.Now(), gateways)
 }
 
 // finishUnanswered ends a request without a complete answer: it answers with the backend server's
--- a/laburnumretry/attempt.go
+++ b/laburnumretry/attempt.go
@@ -35,15 +35,15 @@
 	// Stage is how far the last attempt got.
 	Stage Stage
 	// MayHaveRun tells that an earlier attempt may have run.
-	Touched bool
+	MayHaveRun bool
 	// Started tells that the caller has received a part of the answer.
 	Started bool
 	// Idempotent and Resumable are properties of the route.
-	Repeatable, Resumable bool
+	Idempotent, Resumable bool
 	// Sent counts the attempts that were sent, Tries also those that failed to connect.
-	Sends, Tries int
+	Sent, Tries int
 	// MaxSent is the route's limit of Sent.
-	MaxSends int
+	MaxSent int
 }
 
 // Next tells whether another attempt is safe and allowed, and whether it is charged to the
@@ -64,10 +64,10 @@
 }
 
 // neverSent tells whether no backend server has received the request yet.
-func (a Attempt) neverSent() bool { return a.Stage == StageNotSent && !a.Touched && a.Sends == 0 }
+func (a Attempt) neverSent() bool { return a.Stage == StageNotSent && !a.MayHaveRun && a.Sent == 0 }
 
 func (a Attempt) forbidden() bool {
-	mayHaveRun := a.Touched || a.Stage == StageUnknown
-	return a.Tries >= maxTries || a.Sends >= max(1, a.MaxSends) && !a.neverSent() ||
-		a.Started && !a.Resumable || mayHaveRun && !a.Repeatable
+	mayHaveRun := a.MayHaveRun || a.Stage == StageUnknown
+	return a.Tries >= maxTries || a.Sent >= max(1, a.MaxSent) && !a.neverSent() ||
+		a.Started && !a.Resumable || mayHaveRun && !a.Idempotent
 }
--- a/laburnumretry/attempt_test.go
+++ b/laburnumretry/attempt_test.go
@@ -18,15 +18,15 @@
 		wantCharged bool
 		wantOK      bool
 	}{
-		{"never sent: free of charge", Attempt{Stage: StageNotSent, Tries: 1, MaxSends: 1}, laburnumlever.RetryNotSent, false, true},
-		{"four connections failed", Attempt{Stage: StageNotSent, Tries: 4, MaxSends: 2}, 0, false, false},
-		{"non-idempotent request may have run", Attempt{Stage: StageUnknown, Sends: 1, Tries: 1, MaxSends: 3}, 0, false, false},
-		{"earlier attempt of a non-idempotent request may have run", Attempt{Stage: StageNotSent, Touched: true, Sends: 1, Tries: 2, MaxSends: 3}, 0, false, false},
-		{"non-idempotent request was refused", Attempt{Stage: StageNotRun, Sends: 1, Tries: 1, MaxSends: 2}, laburnumlever.RetryBackendSaidNotRun, true, true},
-		{"route allows one attempt", Attempt{Stage: StageNotRun, Sends: 1, Tries: 1, MaxSends: 1}, 0, false, false},
-		{"idempotent request may have run", Attempt{Stage: StageUnknown, Repeatable: true, Sends: 1, Tries: 1, MaxSends: 2}, laburnumlever.RetryIdempotentAfterSend, true, true},
-		{"resumable stream broke", Attempt{Stage: StageUnknown, Started: true, Repeatable: true, Resumable: true, Sends: 1, Tries: 1, MaxSends: 2}, laburnumlever.RetryStreamResumed, true, true},
-		{"started answer that can't be resumed", Attempt{Stage: StageUnknown, Started: true, Repeatable: true, Sends: 1, Tries: 1, MaxSends: 2}, 0, false, false},
+		{"never sent: free of charge", Attempt{Stage: StageNotSent, Tries: 1, MaxSent: 1}, laburnumlever.RetryNotSent, false, true},
+		{"four connections failed", Attempt{Stage: StageNotSent, Tries: 4, MaxSent: 2}, 0, false, false},
+		{"non-idempotent request may have run", Attempt{Stage: StageUnknown, Sent: 1, Tries: 1, MaxSent: 3}, 0, false, false},
+		{"earlier attempt of a non-idempotent request may have run", Attempt{Stage: StageNotSent, MayHaveRun: true, Sent: 1, Tries: 2, MaxSent: 3}, 0, false, false},
+		{"non-idempotent request was refused", Attempt{Stage: StageNotRun, Sent: 1, Tries: 1, MaxSent: 2}, laburnumlever.RetryBackendSaidNotRun, true, true},
+		{"route allows one attempt", Attempt{Stage: StageNotRun, Sent: 1, Tries: 1, MaxSent: 1}, 0, false, false},
+		{"idempotent request may have run", Attempt{Stage: StageUnknown, Idempotent: true, Sent: 1, Tries: 1, MaxSent: 2}, laburnumlever.RetryIdempotentAfterSend, true, true},
+		{"resumable stream broke", Attempt{Stage: StageUnknown, Started: true, Idempotent: true, Resumable: true, Sent: 1, Tries: 1, MaxSent: 2}, laburnumlever.RetryStreamResumed, true, true},
+		{"started answer that can't be resumed", Attempt{Stage: StageUnknown, Started: true, Idempotent: true, Sent: 1, Tries: 1, MaxSent: 2}, 0, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			reason, charged, ok := tt.give.Next()
@@ -61,9 +61,9 @@
 			if i%600 > 300 && (i+g)%10 != 0 {
 				continue // the load drops to a tenth
 			}
-			w.Request(now)
+			w.CountRequest(now)
 			n++
-			if w.Repeat(now, gateways) {
+			if w.AllowRetry(now, gateways) {
 				m++
 			}
 		}
@@ -87,7 +87,7 @@
 	granted := 0
 	for i := range 100 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
-		if w.Repeat(now, 1) {
+		if w.AllowRetry(now, 1) {
 			granted++
 		}
 	}
--- a/laburnumretry/budget.go
+++ b/laburnumretry/budget.go
@@ -29,26 +29,26 @@
 )
 
 // Decision is what to do after a failed attempt.
-type Verdict int
+type Decision int
 
 // The decisions.
 const (
 	// GiveUp means that another attempt is not allowed or would not help.
-	GiveUp Verdict = iota
+	GiveUp Decision = iota
 	// Retry means that another attempt may be made; it has been charged to the budget.
-	Again
+	Retry
 	// OverBudget means that another attempt would be allowed, but the budget is used up.
 	OverBudget
 )
 
 // FailedRequest describes a request whose last attempt has failed.
-type Situation struct {
+type FailedRequest struct {
 	// Reason is why the last attempt failed.
 	Reason laburnumlever.RefusalReason
 	// Outcome tells whether the request may have run.
 	Outcome laburnumlever.RequestOutcome
 	// AtMostOnce tells that the request may run at most once.
-	Once bool
+	AtMostOnce bool
 	// Started tells that the caller has received a part of the answer.
 	Started bool
 	// Stream tells that the answer is a stream of tokens, which can be resumed.
@@ -69,7 +69,7 @@
 func (b *Budget) FirstAttempt() { b.balance = min(maxBalance, b.balance+earnedPerRequest) }
 
 // Decide tells whether to retry the request and why, and charges the retry to the budget.
-func (b *Budget) Decide(s Situation) (laburnumlever.RetryReason, Verdict) {
+func (b *Budget) Decide(s FailedRequest) (laburnumlever.RetryReason, Decision) {
 	reason, ok := allowed(s)
 	if !ok || s.Attempts >= maxAttempts {
 		return reason, GiveUp
@@ -78,11 +78,11 @@
 		return reason, OverBudget
 	}
 	b.balance--
-	return reason, Again
+	return reason, Retry
 }
 
 // allowed tells whether another attempt is safe and may help, and the reason for the retry.
-func allowed(s Situation) (laburnumlever.RetryReason, bool) {
+func allowed(s FailedRequest) (laburnumlever.RetryReason, bool) {
 	if !retryable(s.Reason) {
 		return 0, false
 	}
@@ -98,7 +98,7 @@
 	case s.Outcome == laburnumlever.OutcomeNotRun:
 		return laburnumlever.RetryNotSent, true
 	default:
-		return laburnumlever.RetryIdempotentAfterSend, !s.Once
+		return laburnumlever.RetryIdempotentAfterSend, !s.AtMostOnce
 	}
 }
 
--- a/laburnumretry/budget_test.go
+++ b/laburnumretry/budget_test.go
@@ -11,35 +11,35 @@
 
 func TestDecide(t *testing.T) {
 	for name, c := range map[string]struct {
-		s       laburnumretry.Situation
+		s       laburnumretry.FailedRequest
 		reason  laburnumlever.RetryReason
-		verdict laburnumretry.Verdict
+		verdict laburnumretry.Decision
 	}{
 		"not sent": {
-			laburnumretry.Situation{Reason: laburnumlever.RefusedBackendUnreachable, Once: true, Attempts: 1},
-			laburnumlever.RetryNotSent, laburnumretry.Again,
+			laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendUnreachable, AtMostOnce: true, Attempts: 1},
+			laburnumlever.RetryNotSent, laburnumretry.Retry,
 		},
 		"sent, may run once": {
-			laburnumretry.Situation{Reason: laburnumlever.RefusedBackendUnreachable, Outcome: laburnumlever.OutcomeUnknown, Once: true, Attempts: 1},
+			laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendUnreachable, Outcome: laburnumlever.OutcomeUnknown, AtMostOnce: true, Attempts: 1},
 			laburnumlever.RetryIdempotentAfterSend, laburnumretry.GiveUp,
 		},
 		"sent, idempotent": {
-			laburnumretry.Situation{Reason: laburnumlever.RefusedBackendError, Outcome: laburnumlever.OutcomeUnknown, Attempts: 1},
-			laburnumlever.RetryIdempotentAfterSend, laburnumretry.Again,
+			laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendError, Outcome: laburnumlever.OutcomeUnknown, Attempts: 1},
+			laburnumlever.RetryIdempotentAfterSend, laburnumretry.Retry,
 		},
 		"third attempt": {
-			laburnumretry.Situation{Reason: laburnumlever.RefusedBackendUnreachable, Attempts: 3},
+			laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendUnreachable, Attempts: 3},
 			laburnumlever.RetryNotSent, laburnumretry.GiveUp,
 		},
 		"started answer that is not a stream": {
-			laburnumretry.Situation{Reason: laburnumlever.RefusedBackendUnreachable, Outcome: laburnumlever.OutcomeUnknown, Started: true, Attempts: 1},
+			laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendUnreachable, Outcome: laburnumlever.OutcomeUnknown, Started: true, Attempts: 1},
 			0, laburnumretry.GiveUp,
 		},
 		"stream on an engine that resumes": {
-			laburnumretry.Situation{Reason: laburnumlever.RefusedBrokenStream, Started: true, Stream: true, CanResume: true, Attempts: 1},
-			laburnumlever.RetryStreamResumed, laburnumretry.Again,
+			laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBrokenStream, Started: true, Stream: true, CanResume: true, Attempts: 1},
+			laburnumlever.RetryStreamResumed, laburnumretry.Retry,
 		},
-		"caller gone": {laburnumretry.Situation{Reason: laburnumlever.RefusedCallerGone, Attempts: 1}, 0, laburnumretry.GiveUp},
+		"caller gone": {laburnumretry.FailedRequest{Reason: laburnumlever.RefusedCallerGone, Attempts: 1}, 0, laburnumretry.GiveUp},
 	} {
 		t.Run(name, func(t *testing.T) {
 			reason, verdict := laburnumretry.NewBudget().Decide(c.s)
@@ -58,8 +58,8 @@
 	for range requests {
 		budget.FirstAttempt()
 		for attempts := 1; ; attempts++ {
-			_, verdict := budget.Decide(laburnumretry.Situation{Reason: laburnumlever.RefusedBackendBusy, Attempts: attempts})
-			if verdict != laburnumretry.Again {
+			_, verdict := budget.Decide(laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendBusy, Attempts: attempts})
+			if verdict != laburnumretry.Retry {
 				break
 			}
 			retries++
--- a/laburnumretry/window.go
+++ b/laburnumretry/window.go
@@ -42,11 +42,11 @@
 }
 
 // CountRequest counts a first attempt.
-func (w *Window) Request(now time.Time) { w.bucketAt(now).requests++ }
+func (w *Window) CountRequest(now time.Time) { w.bucketAt(now).requests++ }
 
 // AllowRetry tells whether a retry is allowed, and counts it if so. The slack is split among the
 // given number of gateways.
-func (w *Window) Repeat(now time.Time, gateways int) bool {
+func (w *Window) AllowRetry(now time.Time, gateways int) bool {
 	last := w.bucketAt(now)
 	requests, retries := 0, 0
 	for _, b := range w.buckets {
--- a/laburnumsimulation/attempt.go
+++ b/laburnumsimulation/attempt.go
@@ -265,13 +265,13 @@
 	c := a.request.class
 	a.avoid = append(a.avoid, a.lastBackend())
 	next := laburnumretry.Attempt{
-		Stage: stage, Touched: a.touched, Started: a.started, Repeatable: c.Resumable, Resumable: c.Resumable,
-		Sends: a.sends, Tries: a.tries, MaxSends: max(1, c.Attempts),
+		Stage: stage, MayHaveRun: a.touched, Started: a.started, Idempotent: c.Resumable, Resumable: c.Resumable,
+		Sent: a.sends, Tries: a.tries, MaxSent: max(1, c.Attempts),
 	}
 	_, paid, ok := next.Next()
 	now := a.sim().now()
 	if ok && paid {
-		ok = a.gateway.window.Repeat(now, len(a.sim().gateways))
+		ok = a.gateway.window.AllowRetry(now, len(a.sim().gateways))
 	}
 	switch {
 	case ok:
