--- a/laburnumdemand/adapteruses.go
+++ b/laburnumdemand/adapteruses.go
@@ -35,7 +35,7 @@
 
 // RequestStarted records that a request that uses the adapter has got a slot. An empty adapter is
 // ignored.
-func (a *AdapterUses) Begun(model laburnumlever.ModelName, adapter laburnumlever.AdapterName) {
+func (a *AdapterUses) RequestStarted(model laburnumlever.ModelName, adapter laburnumlever.AdapterName) {
 	if adapter == "" {
 		return
 	}
@@ -50,7 +50,7 @@
 }
 
 // RequestEnded records that such a request has ended.
-func (a *AdapterUses) Ended(model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) {
+func (a *AdapterUses) RequestEnded(model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) {
 	if u := a.uses[adapterKey{model: model, adapter: adapter}]; u != nil {
 		u.running--
 		u.endedAt = now
--- a/laburnumdemand/counter.go
+++ b/laburnumdemand/counter.go
@@ -55,7 +55,7 @@
 
 // Received counts a request on arrival. Counted at its end, a shift of demand would be seen only
 // after the time that an answer takes.
-func (c *Counter) Asked(r Request) { c.addWeighted(r, 1) }
+func (c *Counter) Received(r Request) { c.addWeighted(r, 1) }
 
 // Refused records that a request counted by Received was refused, and lowers its weight to
 // refusedWeight.
@@ -82,7 +82,7 @@
 
 // Take returns the rates since its last report, sorted by model. It returns nil within
 // demandReportInterval of that report, since rates over a few requests are too noisy.
-func (c *Counter) Take(now time.Time, times Paces) []laburnumlever.ModelDemand {
+func (c *Counter) Take(now time.Time, times ReadTimes) []laburnumlever.ModelDemand {
 	if c.since.IsZero() {
 		c.since = now
 	}
--- a/laburnumdemand/counter_test.go
+++ b/laburnumdemand/counter_test.go
@@ -17,14 +17,14 @@
 	require.Empty(t, counter.Take(start, nil))
 	r := laburnumdemand.Request{Model: "m1", PromptTokens: 700, AnswerTokens: 200}
 	for range 4 {
-		counter.Asked(r)
+		counter.Received(r)
 	}
 	rows := counter.Take(start.Add(time.Second), nil)
 	require.Len(t, rows, 1)
 	require.InDelta(t, 4, rows[0].RequestsPerSecond, 1e-9)
 	require.InDelta(t, 2800, rows[0].PromptTokens, 1e-9)
 
-	counter.Asked(r)
+	counter.Received(r)
 	counter.Refused(r)
 	rows = counter.Take(start.Add(2*time.Second), nil)
 	require.InDelta(t, 0.5, rows[0].RequestsPerSecond, 1e-9, "the caller of a refused request retries and is counted again")
--- a/laburnumdemand/readtimes.go
+++ b/laburnumdemand/readtimes.go
@@ -28,7 +28,7 @@
 // ReadTimes measures how long engines take to read (prefill) a prompt token with each model. Engines
 // do not report it. Models of the same size on disk differ tenfold in it, so that without it the
 // placement leader would give a fast model engines that a slow one needs.
-type Paces map[laburnumlever.ModelName]*sampleRing
+type ReadTimes map[laburnumlever.ModelName]*sampleRing
 
 // sampleRing is a ring buffer of the latest samples of a model, per token.
 type sampleRing struct {
@@ -40,7 +40,7 @@
 
 // Add adds a sample: the time from sending a prompt to the start of its answer, and the number of
 // tokens that the engine had to read for it.
-func (t Paces) Add(model laburnumlever.ModelName, latency time.Duration, tokens int) {
+func (t ReadTimes) Add(model laburnumlever.ModelName, latency time.Duration, tokens int) {
 	if tokens < minPromptTokens {
 		return
 	}
@@ -71,7 +71,7 @@
 
 // Of returns the model's read time of a token on an engine with little other load, or 0 if it is
 // unknown.
-func (t Paces) Of(model laburnumlever.ModelName) time.Duration {
+func (t ReadTimes) Of(model laburnumlever.ModelName) time.Duration {
 	if r := t[model]; r != nil {
 		return r.estimate
 	}
--- a/laburnumdemand/readtimes_internal_test.go
+++ b/laburnumdemand/readtimes_internal_test.go
@@ -11,7 +11,7 @@
 // models of equal size that read at different speeds would look alike, and the fast one would be
 // placed on engines that the slow one needs.
 func TestReadTimeExcludesQueueingAtBusyEngines(t *testing.T) {
-	times := Paces{}
+	times := ReadTimes{}
 	for i := range 60 {
 		wait := time.Duration(i%7) * 15 * time.Millisecond
 		times.Add("quick", startOverhead+wait+1000*3*time.Microsecond, 1000)
@@ -24,7 +24,7 @@
 // Guards against estimates from too few or too short prompts, which mostly measure the network
 // delay.
 func TestReadTimeIsUnknownWithoutEnoughSamples(t *testing.T) {
-	times := Paces{}
+	times := ReadTimes{}
 	times.Add("m0", 30*time.Millisecond, 1000)
 	require.Zero(t, times.Of("m0"))
 	for range 40 {
--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -34,7 +34,7 @@
 	demand   *laburnumdemand.Counter
 	adapters laburnumdemand.AdapterUses
 	queue    laburnumwaiting.Queue
-	paces    laburnumdemand.Paces
+	paces    laburnumdemand.ReadTimes
 	// replaced lists backend servers whose address now belongs to another one and that have not
 	// been reported yet.
 	replaced []laburnumlever.BackendID
@@ -55,7 +55,7 @@
 	f := &Fleet{
 		timers: timers, logger: log.NewNopLogger(), registry: laburnumregistry.New(period),
 		balance: laburnumbalance.New(vm.Zone, seed), demand: laburnumdemand.NewCounter(vm.ID),
-		gateways: 1, paces: laburnumdemand.Paces{}, routesLoaded: make(chan struct{}),
+		gateways: 1, paces: laburnumdemand.ReadTimes{}, routesLoaded: make(chan struct{}),
 	}
 	for _, opt := range opts {
 		opt(f)
@@ -175,7 +175,7 @@
 func (f *Fleet) beginAdapterUse(q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.adapters.Begun(q.caller.Model, q.caller.Adapter)
+	f.adapters.RequestStarted(q.caller.Model, q.caller.Adapter)
 }
 
 // recordFirstEvent records the time to the first event of an answer.
@@ -191,7 +191,7 @@
 func (f *Fleet) release(q *request, t *laburnumbalance.Ticket, s laburnumbalance.AttemptResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.adapters.Ended(q.caller.Model, q.caller.Adapter, f.timers.Now())
+	f.adapters.RequestEnded(q.caller.Model, q.caller.Adapter, f.timers.Now())
 	f.balance.End(t, s, f.timers.Now())
 	f.serveQueue()
 }
@@ -246,7 +246,7 @@
 func (f *Fleet) countDemand(q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.demand.Asked(laburnumdemand.RequestOf(q.caller))
+	f.demand.Received(laburnumdemand.RequestOf(q.caller))
 }
 
 // countRefusedDemand adds a refused request to the demand for its model.
--- a/laburnumsimulation/attempt.go
+++ b/laburnumsimulation/attempt.go
@@ -155,7 +155,7 @@
 	a.waitFrom = time.Time{}
 	a.ticket = ticket
 	a.tries++
-	g.uses.Begun(sim.models[a.request.model].name, a.request.adapter)
+	g.uses.RequestStarted(sim.models[a.request.model].name, a.request.adapter)
 	e := sim.byID[ticket.Backend.Backend]
 	link := sim.link(g.zone, e.zone)
 	asks := ticket.MayBeFull() && !a.queues() && !sim.policy.sendsUnsure
@@ -215,7 +215,7 @@
 // release frees the slot and learns from the attempt.
 func (a *attempt) release(sample laburnumbalance.AttemptResult) {
 	g, now := a.gateway, a.sim().now()
-	g.uses.Ended(a.sim().models[a.request.model].name, a.request.adapter, now)
+	g.uses.RequestEnded(a.sim().models[a.request.model].name, a.request.adapter, now)
 	g.table.End(a.ticket, sample, now)
 	a.ticket = nil
 	g.serveQueue()
--- a/laburnumsimulation/gateway.go
+++ b/laburnumsimulation/gateway.go
@@ -33,7 +33,7 @@
 	queue   laburnumwaiting.Queue
 	counter *laburnumdemand.Counter
 	uses    laburnumdemand.AdapterUses
-	paces   laburnumdemand.Paces
+	paces   laburnumdemand.ReadTimes
 	window  *laburnumretry.Window
 	random  *rand.Rand
 }
@@ -41,7 +41,7 @@
 func newGateway(sim *simulation, id laburnumlever.VMID, zone laburnumlever.ZoneName, seed uint64) *gateway {
 	g := &gateway{
 		sim: sim, id: id, zone: zone, table: laburnumbalance.New(zone, seed, sim.policy.balance...),
-		counter: laburnumdemand.NewCounter(id), paces: laburnumdemand.Paces{},
+		counter: laburnumdemand.NewCounter(id), paces: laburnumdemand.ReadTimes{},
 		window: laburnumretry.NewWindow(budgetWindow, budgetRatio, budgetSlack*float64(len(sim.gateways)+1)),
 		random: rand.New(rand.NewPCG(seed, 2)), //nolint:gosec // repeatable
 	}
@@ -91,13 +91,13 @@
 // asked and ended count a request when it comes, or at its end by a policy that does so.
 func (g *gateway) asked(q *request) {
 	if !g.sim.policy.countsEnds {
-		g.counter.Asked(g.demand(q))
+		g.counter.Received(g.demand(q))
 	}
 }
 
 func (g *gateway) ended(q *request, served bool) {
 	if g.sim.policy.countsEnds {
-		g.counter.Asked(g.demand(q))
+		g.counter.Received(g.demand(q))
 	}
 	if !served {
 		g.counter.Refused(g.demand(q))
