--- a/laburnumdirector/director.go
+++ b/laburnumdirector/director.go
@@ -295,7 +295,7 @@
 	for _, e := range changed {
 		e.changed = false
 		if d.engines.get(e.heartbeat.Backend) == e {
-			d.onOverlay(e.overlay(d.lease.fence, d.outliers.Count(e.heartbeat.Backend)))
+			d.onOverlay(e.overlay(d.lease.fence, d.outliers.Detections(e.heartbeat.Backend)))
 		}
 	}
 }
--- a/laburnumoutlier/detector.go
+++ b/laburnumoutlier/detector.go
@@ -60,7 +60,7 @@
 }
 
 // Detections returns how often a server has been detected as an outlier.
-func (d *Detector) Count(id laburnumlever.BackendID) uint64 {
+func (d *Detector) Detections(id laburnumlever.BackendID) uint64 {
 	if s := d.servers[id]; s != nil {
 		return s.detections
 	}
