--- a/laburnumdirector/adapters.go
+++ b/laburnumdirector/adapters.go
@@ -25,12 +25,12 @@
 	key     adapterKey
 	except  []laburnumlever.BackendID
 	since   time.Time
-	reply   NeedFunc
+	reply   AdapterFunc
 }
 
 // AdapterFunc receives the engines that hold an adapter. Errors: *NotDirectorError,
 // *NoAdapterSlotError.
-type NeedFunc func(backends []laburnumlever.BackendID, err error)
+type AdapterFunc func(backends []laburnumlever.BackendID, err error)
 
 type adapterAnswer struct {
 	backends []laburnumlever.BackendID
@@ -39,7 +39,7 @@
 
 // EnsureAdapterAsync requests an adapter, which is loaded if no engine holds it. It calls reply
 // once, on the control thread.
-func (d *Director) Ask(request laburnumlever.AdapterNeed, reply NeedFunc) {
+func (d *Director) EnsureAdapterAsync(request laburnumlever.AdapterNeed, reply AdapterFunc) {
 	d.loop.Post(d, adapterRequested{request: &adapterRequest{
 		service: request.Service, key: adapterKey{model: request.Model, adapter: request.Adapter}, except: request.Except,
 		since: d.timers.Now(), reply: reply,
@@ -48,9 +48,9 @@
 
 // EnsureAdapter requests an adapter, which is loaded if no engine holds it, and returns the engines
 // that hold it. Errors: those of AdapterFunc, *ClosedError, and that of ctx.
-func (d *Director) Need(ctx context.Context, request laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
+func (d *Director) EnsureAdapter(ctx context.Context, request laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
 	answer := make(chan adapterAnswer, 1)
-	d.Ask(request, func(backends []laburnumlever.BackendID, err error) {
+	d.EnsureAdapterAsync(request, func(backends []laburnumlever.BackendID, err error) {
 		answer <- adapterAnswer{backends: backends, err: err}
 	})
 	select {
@@ -81,7 +81,7 @@
 			continue
 		}
 		if now.Sub(n.since) > adapterRequestTimeout {
-			n.reply(nil, &NoAdapterPlaceError{Model: n.key.model, Adapter: n.key.adapter, Detail: "no slot became free in time"})
+			n.reply(nil, &NoAdapterSlotError{Model: n.key.model, Adapter: n.key.adapter, Detail: "no slot became free in time"})
 			continue
 		}
 		pending = append(pending, n)
--- a/laburnumdirector/bench_test.go
+++ b/laburnumdirector/bench_test.go
@@ -25,7 +25,7 @@
 				for g := range size.gateways {
 					vm := laburnumlever.VMID(fmt.Sprintf("10.0.1.%d", g))
 					for part := range 4 {
-						d.SetNews(vm, gatewayReport(vm, g, part, size.models))
+						d.SetGatewayReport(vm, gatewayReport(vm, g, part, size.models))
 					}
 				}
 				w.advance(time.Second)
--- a/laburnumdirector/cluster_test.go
+++ b/laburnumdirector/cluster_test.go
@@ -135,7 +135,7 @@
 		laburnumdirector.WithLease(leaseTime), laburnumdirector.WithStore(5*time.Second, 1.1),
 		laburnumdirector.WithClock(func() time.Duration { return time.Duration(w.timers.Now().UnixNano()) }),
 		laburnumdirector.WithSpawn(n.spawn), laburnumdirector.WithCompute(n.compute))
-	n.director.OnLeads(func() bool { return n.isLeader })
+	n.director.SetLeaderCheck(func() bool { return n.isLeader })
 	n.director.OnOverlay(func(o laburnumregistry.Overlay) { n.overlays[o.Backend] = o })
 	n.director.SetRoutes(laburnumlever.RouteTable{Version: 1, Services: []laburnumlever.RoutedService{{Name: "quotes", Engine: &w.class}}})
 	n.director.Start()
@@ -228,14 +228,14 @@
 		if n.registry.Take(h, e.w.timers.Now()) && !e.losesRecords {
 			n.director.SetRecord(laburnumregistry.Record{Heartbeat: h})
 		} else {
-			n.director.SetHeard(h)
+			n.director.SetHeartbeat(h)
 		}
 	}
 }
 
 func (w *cluster) setDemand(model int, perSecond float64) {
 	for _, n := range w.directors {
-		n.director.SetNews("gateway", laburnumlever.GatewayNews{Demand: []laburnumlever.ModelDemand{{
+		n.director.SetGatewayReport("gateway", laburnumlever.GatewayNews{Demand: []laburnumlever.ModelDemand{{
 			Model: modelName(model), VM: "gateway", RequestsPerSecond: perSecond, PromptTokens: perSecond * 700, AnswerTokens: perSecond * 280,
 		}}})
 	}
--- a/laburnumdirector/director.go
+++ b/laburnumdirector/director.go
@@ -93,7 +93,7 @@
 }
 
 // SetLeaderCheck sets the function that tells whether this VM leads the log. Call it before Start.
-func (d *Director) OnLeads(leads func() bool) { d.isLeader = leads }
+func (d *Director) SetLeaderCheck(leads func() bool) { d.isLeader = leads }
 
 // OnOverlay sets the callback for changes of an engine that its heartbeats do not show yet. The
 // callback runs on the control thread.
@@ -101,11 +101,11 @@
 
 // OnLeaseChange sets the callback for gaining and losing the placement lease. The callback runs on
 // the control thread.
-func (d *Director) OnDirecting(fn func(directs bool)) { d.onLeaseChange = fn }
+func (d *Director) OnLeaseChange(fn func(directs bool)) { d.onLeaseChange = fn }
 
 // OnReplaced sets the callback for an engine at whose address another engine answers. The callback
 // runs on the control thread.
-func (d *Director) OnGone(fn func(laburnumlever.BackendID)) { d.onReplaced = fn }
+func (d *Director) OnReplaced(fn func(laburnumlever.BackendID)) { d.onReplaced = fn }
 
 // Start starts the director's timer.
 func (d *Director) Start() {
@@ -126,7 +126,7 @@
 func (d *Director) SetRecord(r laburnumregistry.Record) { d.loop.Post(d, recordUpdated{record: r}) }
 
 // SetHeartbeat records a heartbeat that brings no change. It is safe for concurrent use.
-func (d *Director) SetHeard(h laburnumlever.Heartbeat) {
+func (d *Director) SetHeartbeat(h laburnumlever.Heartbeat) {
 	d.loop.Post(d, heartbeatReceived{heartbeat: h})
 }
 
@@ -135,7 +135,7 @@
 
 // SetGatewayReport applies a gateway's report on demand, adapter use, outcomes and unreachable
 // backend servers. It is safe for concurrent use.
-func (d *Director) SetNews(vm laburnumlever.VMID, report laburnumlever.GatewayNews) {
+func (d *Director) SetGatewayReport(vm laburnumlever.VMID, report laburnumlever.GatewayNews) {
 	d.loop.Post(d, gatewayReported{vm: vm, report: report})
 }
 
--- a/laburnumdirector/errors.go
+++ b/laburnumdirector/errors.go
@@ -14,13 +14,13 @@
 }
 
 // NoAdapterSlotError reports an adapter that no engine has a slot for.
-type NoAdapterPlaceError struct {
+type NoAdapterSlotError struct {
 	Model   laburnumlever.ModelName
 	Adapter laburnumlever.AdapterName
 	Detail  string
 }
 
-func (e *NoAdapterPlaceError) Error() string {
+func (e *NoAdapterSlotError) Error() string {
 	return fmt.Sprintf("no engine can load adapter %s/%s: %s", e.Model, e.Adapter, e.Detail)
 }
 
--- a/laburnumdirector/outliers_test.go
+++ b/laburnumdirector/outliers_test.go
@@ -20,10 +20,10 @@
 	w.advance(8 * time.Second)
 	for _, id := range []laburnumlever.BackendID{"plain-1", "i-1"} {
 		report := laburnumlever.GatewayNews{Outcomes: []laburnumlever.BackendOutcome{{Backend: id, Failed: 1}}}
-		n.director.SetNews("gateway-1", report)
+		n.director.SetGatewayReport("gateway-1", report)
 		w.advance(100 * time.Millisecond)
 		require.Zero(t, n.overlays[id].Outliers, "a single failure may be caused by the request")
-		n.director.SetNews("gateway-2", report)
+		n.director.SetGatewayReport("gateway-2", report)
 		w.advance(100 * time.Millisecond)
 		require.EqualValues(t, 1, n.overlays[id].Outliers)
 	}
--- a/laburnumroles/control.go
+++ b/laburnumroles/control.go
@@ -95,10 +95,10 @@
 		laburnumdirector.WithStore(time.Duration(c.settings.StoreWindow), c.settings.StoreOvershoot),
 		laburnumdirector.WithLogger(c.logger),
 		laburnumdirector.WithScope(c.metrics.Scope()))
-	d.OnLeads(func() bool { return c.voter.Status().Role == laburnumlog.Leader.String() })
+	d.SetLeaderCheck(func() bool { return c.voter.Status().Role == laburnumlog.Leader.String() })
 	d.OnOverlay(c.source.SetOverlay)
-	d.OnDirecting(c.directing)
-	d.OnGone(c.gone)
+	d.OnLeaseChange(c.directing)
+	d.OnReplaced(c.gone)
 	c.source.OnNews(c.news)
 	c.peers.Handle(methodNeed, c.handleNeed)
 	c.director = d
@@ -110,7 +110,7 @@
 	for _, id := range news.Replaced {
 		c.gone(id)
 	}
-	c.director.SetNews(vm, news)
+	c.director.SetGatewayReport(vm, news)
 }
 
 // gone records that an engine's address belongs to another one now.
@@ -134,7 +134,7 @@
 	if err := json.Unmarshal(params, &q); err != nil {
 		return nil, &laburnumfeed.MessageError{Method: methodNeed, Cause: err}
 	}
-	backends, err := c.director.Need(ctx, q)
+	backends, err := c.director.EnsureAdapter(ctx, q)
 	return needAnswer{Backends: backends}, err
 }
 
@@ -265,7 +265,7 @@
 		c.offer(h.Backend)
 		return true
 	}
-	c.director.SetHeard(h)
+	c.director.SetHeartbeat(h)
 	return false
 }
 
@@ -276,7 +276,7 @@
 	if c.registry.Alive(a.Backend, a.Born, a.Sequence, c.timers.Now()) {
 		c.offer(a.Backend)
 	}
-	c.director.SetHeard(laburnumlever.Heartbeat{Backend: a.Backend, Born: a.Born, Sequence: a.Sequence})
+	c.director.SetHeartbeat(laburnumlever.Heartbeat{Backend: a.Backend, Born: a.Born, Sequence: a.Sequence})
 }
 
 func (c *Control) remove(backend laburnumlever.BackendID) {
--- a/laburnumsimulation/control.go
+++ b/laburnumsimulation/control.go
@@ -86,7 +86,7 @@
 		laburnumdirector.WithSpawn(later(time.Duration(sim.scenario.Links.Far))), laburnumdirector.WithCompute(later(planTime)),
 	}, sim.policy.director(sim)...)
 	c.director = laburnumdirector.New(c.loop, drainingTimers{Timers: sim.timers, loop: c.loop}, c, engineCalls{sim: sim}, laburnumlever.VM{ID: "control", Incarnation: 1}, opts...)
-	c.director.OnLeads(func() bool { return !c.cut })
+	c.director.SetLeaderCheck(func() bool { return !c.cut })
 	c.director.OnOverlay(c.overlay)
 	c.director.SetRoutes(laburnumlever.RouteTable{Version: 1, Services: []laburnumlever.RoutedService{{Name: service, Engine: sim.class()}}})
 	c.director.Start()
@@ -107,7 +107,7 @@
 	if c.registry.Take(h, c.sim.now()) {
 		c.offer(h.Backend)
 	} else {
-		c.director.SetHeard(h)
+		c.director.SetHeartbeat(h)
 	}
 	c.loop.Drain()
 }
@@ -161,7 +161,7 @@
 }
 
 func (c *control) news(vm laburnumlever.VMID, news laburnumlever.GatewayNews) {
-	c.director.SetNews(vm, news)
+	c.director.SetGatewayReport(vm, news)
 	c.loop.Drain()
 }
 
@@ -169,7 +169,7 @@
 func (c *control) need(zone laburnumlever.ZoneName, need laburnumlever.AdapterNeed, reply func(ids []laburnumlever.BackendID)) {
 	link := c.sim.link(zone, "")
 	c.sim.after(link, func() {
-		c.director.Ask(need, func(ids []laburnumlever.BackendID, _ error) {
+		c.director.EnsureAdapterAsync(need, func(ids []laburnumlever.BackendID, _ error) {
 			c.sim.after(link, func() { reply(ids) })
 		})
 		c.loop.Drain()
