--- a/laburnumdirector/director.go
+++ b/laburnumdirector/director.go
@@ -74,7 +74,7 @@
 	cfg := config{
 		lease: defaultLease, heartbeat: defaultHeartbeat, logger: log.NewNopLogger(), scope: tally.NoopScope, clock: bootClock,
 		spawn: func(call func()) { go call() }, compute: func(work func()) { go work() },
-		planner: laburnumresidency.Next, rise: riseTime, fall: fallTime, quiet: quietTime,
+		planner: laburnumresidency.NextSteps, rise: riseTime, fall: fallTime, quiet: quietTime,
 	}
 	for _, opt := range opts {
 		opt(&cfg)
--- a/laburnumdirector/engine.go
+++ b/laburnumdirector/engine.go
@@ -292,14 +292,14 @@
 			p.Unloading = name
 		}
 		if now.Sub(h.since) < minCopyAge {
-			p.Young = append(p.Young, name)
+			p.RecentlyLoaded = append(p.RecentlyLoaded, name)
 		}
 	}
 	slices.SortFunc(p.Held, func(a, b laburnumlever.HeldModel) int {
 		return compareNames(a.Name, b.Name)
 	})
 	if e.activeModel != "" && e.activeKind == laburnumlever.Load {
-		p.Loading, p.FreeIn = e.activeModel, e.remainingSeconds(now)
+		p.Loading, p.IdleInSeconds = e.activeModel, e.remainingSeconds(now)
 	}
 	if e.activeModel != "" && e.activeKind == laburnumlever.Unload {
 		p.Unloading = e.activeModel
--- a/laburnumdirector/layout.go
+++ b/laburnumdirector/layout.go
@@ -26,7 +26,7 @@
 	largest := largestModel(class)
 	withRoom := 0
 	for i := range engines {
-		if engines[i].HasRoom(class, largest) {
+		if engines[i].HasMemoryFor(class, largest) {
 			withRoom++
 		}
 	}
--- a/laburnumresidency/golden_test.go
+++ b/laburnumresidency/golden_test.go
@@ -24,7 +24,7 @@
 	for seed := range uint64(fleets) {
 		f := randomFleet(seed)
 		fmt.Fprintf(&got, "fleet %d: %d engines, %d models\n", seed, len(f.engines), len(f.class.Models))
-		for _, s := range Next(f.class, f.engines, f.demand, f.adapters, append(f.options, WithPolicy(DefaultPolicy().WithMinGain(minSpareGain).WithDisplacement(false)))...) {
+		for _, s := range NextSteps(f.class, f.engines, f.demand, f.adapters, append(f.options, WithPolicy(DefaultPolicy().WithMinGain(minSpareGain).WithDisplacement(false)))...) {
 			fmt.Fprintf(&got, "  %s %s %s from-store=%t: %s\n", s.Engine, s.Kind, s.Model, s.FromStore, s.Reason)
 		}
 	}
@@ -82,18 +82,18 @@
 	}
 	for _, name := range some(3) {
 		m, _ := class.Model(name)
-		if !e.Holds(name) && e.HasRoom(class, m) {
+		if !e.Holds(name) && e.HasMemoryFor(class, m) {
 			e.Held = append(e.Held, laburnumlever.HeldModel{Name: name, Adapters: make([]laburnumlever.AdapterName, r.IntN(3))})
 		}
 	}
 	e.InMemory, e.OnDisk = some(2), some(6)
 	if len(e.Held) > 0 && r.IntN(6) == 0 {
-		e.Young = append(e.Young, e.Held[r.IntN(len(e.Held))].Name)
+		e.RecentlyLoaded = append(e.RecentlyLoaded, e.Held[r.IntN(len(e.Held))].Name)
 	}
 	if len(e.Held) > 0 && !e.Idle {
 		name := e.Held[r.IntN(len(e.Held))].Name
 		if r.IntN(2) == 0 {
-			e.Loading, e.FreeIn = name, 5*r.Float64()
+			e.Loading, e.IdleInSeconds = name, 5*r.Float64()
 		} else {
 			e.Unloading = name
 		}
--- a/laburnumresidency/planner.go
+++ b/laburnumresidency/planner.go
@@ -81,7 +81,7 @@
 //
 // Each round computes the target layout anew from the current one, with orders in progress counted
 // as complete. A change of several steps is thereby found again in each round until it is complete.
-func Next(class *laburnumlever.EngineClass, engines []Engine, demand Demand, adapters map[laburnumlever.ModelName]int, opts ...Option) []Step {
+func NextSteps(class *laburnumlever.EngineClass, engines []Engine, demand Demand, adapters map[laburnumlever.ModelName]int, opts ...Option) []Step {
 	p := newPlanner(class, engines, demand, adapters, opts)
 	p.placeMissing()
 	p.rebalance()
--- a/laburnumresidency/planner_test.go
+++ b/laburnumresidency/planner_test.go
@@ -33,13 +33,13 @@
 func TestMissingModelIsRestored(t *testing.T) {
 	class := testClass(5)
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m0", "m2"), testEngine(3, "m0", "m3")}
-	steps := Next(class, engines, Demand{"m0": 0.04}, nil)
+	steps := NextSteps(class, engines, Demand{"m0": 0.04}, nil)
 	require.Len(t, steps, 1)
 	require.Equal(t, laburnumlever.Unload, steps[0].Kind)
 	require.Equal(t, laburnumlever.ModelName("m0"), steps[0].Model)
 
 	engines = []Engine{testEngine(1, "m1"), testEngine(2, "m0", "m2"), testEngine(3, "m0", "m3")}
-	steps = Next(class, engines, Demand{"m0": 0.04}, nil)
+	steps = NextSteps(class, engines, Demand{"m0": 0.04}, nil)
 	require.Equal(t, []Step{{
 		Engine: "e1", Kind: laburnumlever.Load, Model: "m4", FromStore: true, Reason: "no engine holds the model",
 	}}, steps)
@@ -50,7 +50,7 @@
 func TestLoadsPreferTheLocalDisk(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0"), testEngine(2, "m0")}
 	engines[1].OnDisk = []laburnumlever.ModelName{"m1"}
-	steps := Next(testClass(2), engines, Demand{}, nil)
+	steps := NextSteps(testClass(2), engines, Demand{}, nil)
 	require.Len(t, steps, 1)
 	require.Equal(t, laburnumlever.BackendID("e2"), steps[0].Engine)
 	require.False(t, steps[0].FromStore)
@@ -60,7 +60,7 @@
 // further copies, in place of models that have more than one and no demand.
 func TestBusyModelGetsCopies(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3, "m2", "m0")}
-	steps := Next(testClass(3), engines, Demand{"m1": 0.9}, nil)
+	steps := NextSteps(testClass(3), engines, Demand{"m1": 0.9}, nil)
 	require.NotEmpty(t, steps)
 	for _, step := range steps {
 		require.Equal(t, laburnumlever.Unload, step.Kind)
@@ -68,7 +68,7 @@
 	}
 
 	engines[1] = testEngine(2, "m2")
-	steps = Next(testClass(3), engines, Demand{"m1": 0.9}, nil)
+	steps = NextSteps(testClass(3), engines, Demand{"m1": 0.9}, nil)
 	require.Equal(t, laburnumlever.ModelName("m1"), steps[0].Model)
 	require.Equal(t, laburnumlever.BackendID("e2"), steps[0].Engine)
 }
@@ -79,10 +79,10 @@
 func TestStableFleetNeedsNoSteps(t *testing.T) {
 	demand := Demand{"m0": 0.2, "m1": 0.2, "m2": 0.15}
 	full := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3, "m1", "m2")}
-	require.Empty(t, Next(testClass(3), full, demand, nil))
+	require.Empty(t, NextSteps(testClass(3), full, demand, nil))
 	roomy := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3)}
-	require.Empty(t, Next(testClass(3), roomy, Demand{"m0": 0.04, "m1": 0.04, "m2": 0.04}, nil))
-	require.Empty(t, Next(testClass(3), full, Demand{}, nil), "no requests yet")
+	require.Empty(t, NextSteps(testClass(3), roomy, Demand{"m0": 0.04, "m1": 0.04, "m2": 0.04}, nil))
+	require.Empty(t, NextSteps(testClass(3), full, Demand{}, nil), "no requests yet")
 }
 
 // Guards against free memory that stays unused until demand has moved and callers are refused, when
@@ -93,7 +93,7 @@
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3)}
 	var loaded []string
 	for range 2 {
-		steps := Next(testClass(3), engines, demand, nil)
+		steps := NextSteps(testClass(3), engines, demand, nil)
 		require.Len(t, steps, 1)
 		require.Equal(t, laburnumlever.Load, steps[0].Kind)
 		require.Equal(t, laburnumlever.BackendID("e3"), steps[0].Engine)
@@ -101,14 +101,14 @@
 		engines[2] = testEngine(3, loaded...)
 	}
 	require.Equal(t, []string{"m1", "m2"}, loaded)
-	require.Empty(t, Next(testClass(3), engines, demand, nil))
+	require.Empty(t, NextSteps(testClass(3), engines, demand, nil))
 }
 
 // Guards against free memory that stays unused after a start, before any requests. Models that were
 // initially placed on more than one engine are loaded.
 func TestFillBeforeDemandFollowsInitialCopies(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3)}
-	steps := Next(testClass(3), engines, Demand{}, nil)
+	steps := NextSteps(testClass(3), engines, Demand{}, nil)
 	require.Len(t, steps, 1)
 	require.Equal(t, laburnumlever.ModelName("m0"), steps[0].Model)
 }
@@ -120,7 +120,7 @@
 	demand := Demand{}
 	for round := range 200 {
 		demand[laburnumlever.ModelName(fmt.Sprintf("m%d", round%9))] = float64(round%30) / 25
-		for _, step := range Next(class, engines, demand, nil) {
+		for _, step := range NextSteps(class, engines, demand, nil) {
 			for i := range engines {
 				e := &engines[i]
 				if e.ID != step.Engine {
@@ -157,20 +157,20 @@
 // engine has eight slots. The model must get a second copy, though the engine has little work.
 func TestAdapterSlotShortageAddsACopy(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2")}
-	steps := Next(testClass(3), engines, Demand{"m0": 0.04}, map[laburnumlever.ModelName]int{"m0": 12})
+	steps := NextSteps(testClass(3), engines, Demand{"m0": 0.04}, map[laburnumlever.ModelName]int{"m0": 12})
 	require.Len(t, steps, 1)
 	require.Equal(t, laburnumlever.ModelName("m0"), steps[0].Model)
 	require.Equal(t, laburnumlever.BackendID("e2"), steps[0].Engine)
-	require.Empty(t, Next(testClass(3), engines, Demand{"m0": 0.04}, map[laburnumlever.ModelName]int{"m0": 8}))
+	require.Empty(t, NextSteps(testClass(3), engines, Demand{"m0": 0.04}, map[laburnumlever.ModelName]int{"m0": 8}))
 }
 
 // Guards against eviction of a copy that was just loaded: with alternating demand, the same two
 // models would be loaded in turns.
 func TestRecentCopyIsNotEvicted(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3, "m2", "m0")}
-	engines[1].Young = []laburnumlever.ModelName{"m2", "m0"}
-	engines[2].Young = []laburnumlever.ModelName{"m2", "m0"}
-	require.Empty(t, Next(testClass(3), engines, Demand{"m1": 0.9}, nil))
+	engines[1].RecentlyLoaded = []laburnumlever.ModelName{"m2", "m0"}
+	engines[2].RecentlyLoaded = []laburnumlever.ModelName{"m2", "m0"}
+	require.Empty(t, NextSteps(testClass(3), engines, Demand{"m1": 0.9}, nil))
 }
 
 // Guards against eviction of a model's only ready copy while its second copy is loading: until the
@@ -178,7 +178,7 @@
 func TestLoadingCopyDoesNotCountAsReady(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m1"), testEngine(3, "m3", "m2")}
 	engines[1].Loading, engines[1].Idle = "m1", false
-	for _, step := range Next(testClass(5), engines, Demand{"m4": 1, "m1": 0.1}, nil) {
+	for _, step := range NextSteps(testClass(5), engines, Demand{"m4": 1, "m1": 0.1}, nil) {
 		require.NotEqual(t, laburnumlever.ModelName("m1"), step.Model)
 	}
 }
@@ -198,7 +198,7 @@
 				}
 			}
 			for b.Loop() {
-				Next(class, engines, demand, nil)
+				NextSteps(class, engines, demand, nil)
 			}
 		})
 	}
@@ -216,16 +216,16 @@
 		rates[name], demand[name] = 0.5, 0.01
 	}
 	keeps := WithPolicy(DefaultPolicy().WithDisplacement(false))
-	steps := Next(testClass(7), engines, demand, nil, WithRequests(rates), keeps)
+	steps := NextSteps(testClass(7), engines, demand, nil, WithRequests(rates), keeps)
 	require.Len(t, steps, 1)
 	require.Equal(t, laburnumlever.Unload, steps[0].Kind)
 
 	engines[0] = testEngine(1, "m2")
-	steps = Next(testClass(7), engines, demand, nil, WithRequests(rates), keeps)
+	steps = NextSteps(testClass(7), engines, demand, nil, WithRequests(rates), keeps)
 	require.Equal(t, []Step{{Engine: "e1", Kind: laburnumlever.Load, Model: "m0", FromStore: true, Reason: "no engine holds the model"}}, steps)
 
 	engines[0] = testEngine(1, "m0", "m2")
-	require.Empty(t, Next(testClass(7), engines, demand, nil, WithRequests(rates), keeps), "the missing model waits: no other has fewer requests")
+	require.Empty(t, NextSteps(testClass(7), engines, demand, nil, WithRequests(rates), keeps), "the missing model waits: no other has fewer requests")
 }
 
 // Guards against a model with the work of several engines that stays on one, while the others hold
@@ -239,7 +239,7 @@
 	}
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m3"), testEngine(3, "m4", "m5")}
 	unloads := func() int {
-		steps := Next(testClass(6), engines, demand, nil, WithRequests(rates))
+		steps := NextSteps(testClass(6), engines, demand, nil, WithRequests(rates))
 		for _, s := range steps {
 			require.Equal(t, laburnumlever.Unload, s.Kind)
 			require.NotEqual(t, laburnumlever.ModelName("m0"), s.Model)
@@ -259,19 +259,19 @@
 	quiet := map[laburnumlever.ModelName]bool{"m2": true, "m3": true}
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m3")}
 	rates := map[laburnumlever.ModelName]float64{"m0": 30, "m1": 1}
-	steps := Next(testClass(4), engines, Demand{"m0": 0.9}, nil, WithRequests(rates), WithQuiet(quiet))
+	steps := NextSteps(testClass(4), engines, Demand{"m0": 0.9}, nil, WithRequests(rates), WithQuiet(quiet))
 	require.Len(t, steps, 1)
 	require.Equal(t, laburnumlever.Unload, steps[0].Kind)
 	require.Equal(t, laburnumlever.BackendID("e2"), steps[0].Engine)
 
 	engines[1] = testEngine(2, "m0", "m3")
-	require.Empty(t, Next(testClass(4), engines, Demand{"m0": 0.4}, nil, WithRequests(rates), WithQuiet(quiet)), "m2 waits for free memory")
+	require.Empty(t, NextSteps(testClass(4), engines, Demand{"m0": 0.4}, nil, WithRequests(rates), WithQuiet(quiet)), "m2 waits for free memory")
 	engines = append(engines, testEngine(3))
-	steps = Next(testClass(4), engines, Demand{"m0": 0.4}, nil, WithRequests(rates), WithQuiet(quiet))
+	steps = NextSteps(testClass(4), engines, Demand{"m0": 0.4}, nil, WithRequests(rates), WithQuiet(quiet))
 	require.Contains(t, steps, Step{Engine: "e3", Kind: laburnumlever.Load, Model: "m2", FromStore: true, Reason: "no engine holds the model"})
 
 	rates["m2"] = 1
-	steps = Next(testClass(4), engines[:2], Demand{"m0": 0.4}, nil, WithRequests(rates), WithQuiet(map[laburnumlever.ModelName]bool{"m3": true}))
+	steps = NextSteps(testClass(4), engines[:2], Demand{"m0": 0.4}, nil, WithRequests(rates), WithQuiet(map[laburnumlever.ModelName]bool{"m3": true}))
 	require.Equal(t, []Step{{Engine: "e2", Kind: laburnumlever.Unload, Model: "m3", Reason: "frees memory for a load: no engine holds the model"}}, steps, "m2 has requests")
 }
 
@@ -280,12 +280,12 @@
 // whose load takes four more seconds.
 func TestMissingModelLoadsWhereSoonest(t *testing.T) {
 	engines := []Engine{testEngine(1, "m1"), testEngine(2, "m1", "m2"), testEngine(3, "m2", "m3")}
-	engines[0].Idle, engines[0].Loading, engines[0].FreeIn = false, "m1", 4
+	engines[0].Idle, engines[0].Loading, engines[0].IdleInSeconds = false, "m1", 4
 	engines[0].Held = nil
 	engines[1].OnDisk = []laburnumlever.ModelName{"m0"}
 	engines[2].Held = append(engines[2].Held[:0], laburnumlever.HeldModel{Name: "m3"}, laburnumlever.HeldModel{Name: "m2"})
 	rates := map[laburnumlever.ModelName]float64{"m0": 50, "m1": 1, "m2": 1, "m3": 1}
-	steps := Next(testClass(4), engines, Demand{"m0": 1}, nil, WithRequests(rates))
+	steps := NextSteps(testClass(4), engines, Demand{"m0": 1}, nil, WithRequests(rates))
 	require.NotEmpty(t, steps)
 	require.Equal(t, laburnumlever.BackendID("e2"), steps[0].Engine)
 	require.Equal(t, laburnumlever.ModelName("m2"), steps[0].Model)
@@ -296,7 +296,7 @@
 func TestStoreLoadsHighestDemandFirst(t *testing.T) {
 	engines := []Engine{testEngine(1), testEngine(2)}
 	rates := map[laburnumlever.ModelName]float64{"m0": 0.5, "m1": 40}
-	steps := Next(testClass(2), engines, Demand{"m1": 0.4}, nil, WithRequests(rates))
+	steps := NextSteps(testClass(2), engines, Demand{"m1": 0.4}, nil, WithRequests(rates))
 	require.Len(t, steps, 2)
 	require.Equal(t, laburnumlever.ModelName("m1"), steps[0].Model)
 }
@@ -306,7 +306,7 @@
 func TestModelWithMostRequestsGetsASecondCopy(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2")}
 	rates := map[laburnumlever.ModelName]float64{"m0": 60, "m1": 1, "m2": 1}
-	steps := Next(testClass(3), engines, Demand{"m0": 0.1}, nil, WithRequests(rates))
+	steps := NextSteps(testClass(3), engines, Demand{"m0": 0.1}, nil, WithRequests(rates))
 	require.Equal(t, []Step{{Engine: "e2", Kind: laburnumlever.Load, Model: "m0", FromStore: true, Reason: "relieves a busy engine"}}, steps)
 }
 
@@ -321,7 +321,7 @@
 	rates := map[laburnumlever.ModelName]float64{"m0": 90, "m1": 0.5, "m2": 0.5, "m3": 0.5, "m4": 0.5}
 	kinds := func(work float64) map[laburnumlever.OrderKind]int {
 		counts := map[laburnumlever.OrderKind]int{}
-		for _, s := range Next(class, engines, Demand{"m0": work}, nil, WithRequests(rates), WithPolicy(DefaultPolicy().WithDisplacement(false))) {
+		for _, s := range NextSteps(class, engines, Demand{"m0": work}, nil, WithRequests(rates), WithPolicy(DefaultPolicy().WithDisplacement(false))) {
 			counts[s.Kind]++
 		}
 		return counts
@@ -337,10 +337,10 @@
 	class.LoadsPerSecond = 0.8
 	rates := map[laburnumlever.ModelName]float64{"m4": 9, "m5": 5, "m0": 1}
 	engines := []Engine{testEngine(1), testEngine(2), testEngine(3), testEngine(4), testEngine(5)}
-	engines[0].Idle, engines[0].Loading, engines[0].FreeIn = false, "m3", 2
+	engines[0].Idle, engines[0].Loading, engines[0].IdleInSeconds = false, "m3", 2
 	engines[0].Held = []laburnumlever.HeldModel{{Name: "m3"}}
 	engines[4].OnDisk = []laburnumlever.ModelName{"m0"}
-	steps := Next(class, engines, Demand{"m4": 0.4, "m5": 0.2}, nil, WithRequests(rates))
+	steps := NextSteps(class, engines, Demand{"m4": 0.4, "m5": 0.2}, nil, WithRequests(rates))
 	var fromStore []laburnumlever.ModelName
 	for _, s := range steps {
 		if s.FromStore {
@@ -355,7 +355,7 @@
 func TestFillWaitsForLoadsInProgress(t *testing.T) {
 	engines := []Engine{testEngine(1, "m0", "m1"), testEngine(2, "m2", "m0"), testEngine(3)}
 	demand := Demand{"m0": 0.2, "m1": 0.2, "m2": 0.15}
-	require.NotEmpty(t, Next(testClass(3), engines, demand, nil))
+	require.NotEmpty(t, NextSteps(testClass(3), engines, demand, nil))
 	engines[1].Idle, engines[1].Loading = false, "m0"
-	require.Empty(t, Next(testClass(3), engines, demand, nil))
+	require.Empty(t, NextSteps(testClass(3), engines, demand, nil))
 }
--- a/laburnumresidency/rebalance.go
+++ b/laburnumresidency/rebalance.go
@@ -179,7 +179,7 @@
 // displaced if the policy allows that.
 func (p *planner) planEviction(e, v, m int, c change) (eviction, bool) {
 	evicted := eviction{model: v, to: none}
-	if slices.Contains(p.engines[e].Young, p.class.Models[v].Name) {
+	if slices.Contains(p.engines[e].RecentlyLoaded, p.class.Models[v].Name) {
 		return evicted, false
 	}
 	// Without this limit, models with similar work would evict each other in turns.
--- a/laburnumresidency/values.go
+++ b/laburnumresidency/values.go
@@ -16,10 +16,10 @@
 	// Idle tells that the engine accepts an order.
 	Idle bool
 	// IdleInSeconds is the time until the order in progress ends; 0 if unknown.
-	FreeIn           float64
+	IdleInSeconds    float64
 	InMemory, OnDisk []laburnumlever.ModelName
 	// RecentlyLoaded are the models loaded too recently to be evicted.
-	Young []laburnumlever.ModelName
+	RecentlyLoaded []laburnumlever.ModelName
 }
 
 // Demand is the work of each model, as a share of an engine's capacity.
@@ -52,7 +52,7 @@
 }
 
 // HasMemoryFor tells whether the model fits into the engine's free memory.
-func (e *Engine) HasRoom(class *laburnumlever.EngineClass, m laburnumlever.ResidentClass) bool {
+func (e *Engine) HasMemoryFor(class *laburnumlever.EngineClass, m laburnumlever.ResidentClass) bool {
 	return e.usedMB(class)+size(m) <= class.WeightsMB
 }
 
@@ -69,8 +69,8 @@
 	switch {
 	case e.Idle:
 		return 0
-	case e.FreeIn > 0:
-		return e.FreeIn
+	case e.IdleInSeconds > 0:
+		return e.IdleInSeconds
 	default:
 		return unknownWait
 	}
--- a/laburnumsimulation/hindsight.go
+++ b/laburnumsimulation/hindsight.go
@@ -31,7 +31,7 @@
 // planKnowing plans for demand as it will be.
 func (sim *simulation) planKnowing(class *laburnumlever.EngineClass, engines []laburnumresidency.Engine, demand laburnumresidency.Demand, adapters map[laburnumlever.ModelName]int, opts ...laburnumresidency.Option) []laburnumresidency.Step {
 	if sim.began.IsZero() {
-		return laburnumresidency.Next(class, engines, demand, adapters, opts...)
+		return laburnumresidency.NextSteps(class, engines, demand, adapters, opts...)
 	}
 	at := min(sim.elapsed()+foresight, time.Duration(sim.scenario.Length)-1)
 	work, requests := laburnumresidency.Demand{}, map[laburnumlever.ModelName]float64{}
@@ -44,7 +44,7 @@
 			requests[name] += perSecond
 		})
 	}
-	return laburnumresidency.Next(class, engines, work, adapters, append(opts, laburnumresidency.WithRequests(requests))...)
+	return laburnumresidency.NextSteps(class, engines, work, adapters, append(opts, laburnumresidency.WithRequests(requests))...)
 }
 
 // expect tells the requests a second for each model of a class at a time.
--- a/laburnumsimulation/proportional.go
+++ b/laburnumsimulation/proportional.go
@@ -30,7 +30,7 @@
 		if !ok {
 			continue
 		}
-		if e.HasRoom(class, p.models[lacking]) {
+		if e.HasMemoryFor(class, p.models[lacking]) {
 			steps = append(steps, laburnumresidency.Step{
 				Engine: e.ID, Kind: laburnumlever.Load, Model: lacking, FromStore: !slices.Contains(e.InMemory, lacking) && !slices.Contains(e.OnDisk, lacking),
 			})
