--- a/laburnumorder/owner.go
+++ b/laburnumorder/owner.go
@@ -35,7 +35,7 @@
 	engines     map[laburnumlever.BackendID]*engine
 	ledger      *Ledger
 	orders      uint64
-	pace        laburnumplacement.Pace
+	pace        laburnumplacement.LoadLimiter
 	paceIsNew   bool
 	nextPlan    time.Time
 	nextObserve time.Time
--- a/laburnumorder/plan.go
+++ b/laburnumorder/plan.go
@@ -17,9 +17,9 @@
 	}
 	snapshot := o.snapshot(view, now)
 	plan := o.planner.Plan(snapshot)
-	share := laburnumplacement.ShareOf(view.Catalogue.Deployment, o.self.Zone)
+	share := laburnumplacement.LoadQuotaOf(view.Catalogue.Deployment, o.self.Zone)
 	if o.paceIsNew {
-		o.pace = laburnumplacement.NewPace(now, share)
+		o.pace = laburnumplacement.NewLoadLimiter(now, share)
 		o.paceIsNew = false
 	}
 	for _, m := range plan.Moves {
@@ -30,7 +30,7 @@
 			continue
 		}
 		if o.begin(m, now) && m.Kind == laburnumlever.Load {
-			o.pace = o.pace.WithLoad(now, share)
+			o.pace = o.pace.AfterLoad(now, share)
 		}
 	}
 	o.publish(snapshot, plan, now)
@@ -58,21 +58,21 @@
 		s.Engines = append(s.Engines, e)
 	}
 	o.ready.mark(s.Engines, old, now)
-	s.Fresh = o.versions.fresh(view.Catalogue.Models, now)
+	s.RecentlyChanged = o.versions.fresh(view.Catalogue.Models, now)
 	s.Overdue = o.progress.overdue(s, now)
 	return s
 }
 
 // ownEngine replaces what the engine last reported by what the ledger counts.
 func (o *Owner) ownEngine(e *laburnumplacement.Engine, own *engine, b laburnumlever.Backend, now time.Time) {
-	e.Usable = b.TakesWork() && own.known && o.mayOrder(own, now)
+	e.AcceptsOrders = b.TakesWork() && own.known && o.mayOrder(own, now)
 	if !own.known {
 		return
 	}
 	e.Accelerators = o.ledger.Accelerators(e.ID)
 	e.Copies = nil
 	for _, l := range o.ledger.Loaded(e.ID) {
-		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: l, Going: own.unloads(l), Counted: o.ledger.CountsCopy(e.ID, l)})
+		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: l, Unloading: own.unloads(l), StaysReserved: o.ledger.CountsCopy(e.ID, l)})
 	}
 	if coming, ok := own.coming(); ok && !holds(e.Copies, coming) {
 		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: coming})
--- a/laburnumorder/readiness.go
+++ b/laburnumorder/readiness.go
@@ -82,7 +82,7 @@
 	}
 	for _, e := range s.Engines {
 		for _, c := range e.Copies {
-			if e.Serving && !c.Going && !c.Draining {
+			if e.Serving && !c.Unloading && !c.Draining {
 				delete(missing, c.Model)
 			}
 		}
--- a/laburnumplacement/allocation.go
+++ b/laburnumplacement/allocation.go
@@ -58,7 +58,7 @@
 	}
 	slices.SortStableFunc(models, func(a, b int) int {
 		return cmp.Or(
-			cmp.Compare(f.models[b].demand.Hold.Requests, f.models[a].demand.Hold.Requests),
+			cmp.Compare(f.models[b].demand.Peak.Requests, f.models[a].demand.Peak.Requests),
 			cmp.Compare(f.models[a].Name, f.models[b].Name))
 	})
 	return models
--- a/laburnumplacement/bench_test.go
+++ b/laburnumplacement/bench_test.go
@@ -18,12 +18,12 @@
 		m.WeightsMiB = 8000 + 1500*(i%20)
 		m.Accelerators = 1 + i%2
 		rates := laburnumplacement.Rates{Requests: float64(1 + i%40), PromptTokens: 300 * float64(1+i%40), AnswerTokens: 200 * float64(1+i%40)}
-		s.Demand[m.Name] = laburnumplacement.Demand{Now: rates, Hold: rates}
+		s.Demand[m.Name] = laburnumplacement.Demand{Now: rates, Peak: rates}
 	}
 	for i := range engines {
 		e := laburnumplacement.Engine{
 			ID: laburnumlever.BackendID(fmt.Sprintf("e%04d", i)), Zone: laburnumlever.ZoneName(fmt.Sprintf("z%d", i%7)),
-			Serving: true, Usable: true, TokensPerSecond: 2000 + 3000*float64(i%2), PrefillTokensPerSecond: 20000 + 30000*float64(i%2),
+			Serving: true, AcceptsOrders: true, TokensPerSecond: 2000 + 3000*float64(i%2), PrefillTokensPerSecond: 20000 + 30000*float64(i%2),
 		}
 		for a := range 8 {
 			e.Accelerators = append(e.Accelerators, laburnumlever.Accelerator{
--- a/laburnumplacement/estimator.go
+++ b/laburnumplacement/estimator.go
@@ -150,12 +150,12 @@
 	for name, total := range totals {
 		d := next[name]
 		if first {
-			next[name] = Demand{Now: total, Hold: total}
+			next[name] = Demand{Now: total, Peak: total}
 			continue
 		}
 		d.Now = d.Now.smoothTowards(total, elapsed)
-		d.Hold = d.Hold.scaledBy(math.Exp(-elapsed.Seconds() / peakTimeConstant.Seconds())).atLeast(d.Now)
-		if d.Hold.Requests > 0 || total.Requests > 0 {
+		d.Peak = d.Peak.scaledBy(math.Exp(-elapsed.Seconds() / peakTimeConstant.Seconds())).atLeast(d.Now)
+		if d.Peak.Requests > 0 || total.Requests > 0 {
 			next[name] = d
 		}
 	}
--- a/laburnumplacement/estimator_test.go
+++ b/laburnumplacement/estimator_test.go
@@ -28,5 +28,5 @@
 	d := e.Demand()["m"]
 	require.Less(t, d.Now.Requests, 7.3)
 	require.Greater(t, d.Now.Requests, 1.0)
-	require.Greater(t, d.Hold.Requests, 9.5, "the peak decays over half an hour")
+	require.Greater(t, d.Peak.Requests, 9.5, "the peak decays over half an hour")
 }
--- a/laburnumplacement/explain.go
+++ b/laburnumplacement/explain.go
@@ -32,7 +32,7 @@
 	f.allocate()
 	lines := []string{fmt.Sprintf(
 		"needs %d MiB on each of %d accelerators; current demand %.2f requests/s, peak demand %.2f requests/s; minimum gain of a move %.2f requests/s",
-		mod.partMiB, mod.span, mod.demand.Now.Requests, mod.demand.Hold.Requests, f.minMoveGain())}
+		mod.partMiB, mod.span, mod.demand.Now.Requests, mod.demand.Peak.Requests, f.minMoveGain())}
 	for _, p := range mod.copies {
 		lines = append(lines, f.explainCopy(m, p))
 	}
@@ -56,7 +56,7 @@
 	switch {
 	case !e.Serving:
 		state = "engine unreachable"
-	case p.Going || p.Draining:
+	case p.Unloading || p.Draining:
 		state = "being unloaded"
 	case p.Ready:
 		state = "ready"
--- a/laburnumplacement/fits.go
+++ b/laburnumplacement/fits.go
@@ -40,7 +40,7 @@
 	a := b.Announcement
 	e := Engine{
 		ID: a.Backend, Zone: a.Zone, Accelerators: a.Accelerators,
-		Serving: !b.Down, Leaving: b.Leaving, Usable: b.TakesWork(),
+		Serving: !b.Down, Leaving: b.Leaving, AcceptsOrders: b.TakesWork(),
 		TokensPerSecond: a.TokensPerSecond, PrefillTokensPerSecond: a.PrefillTokensPerSecond,
 	}
 	if b.Report.Incarnation != a.Incarnation {
@@ -164,7 +164,7 @@
 		switch {
 		case !slices.Contains(d.Zones, zone):
 			warnings = append(warnings, fmt.Sprintf("zone %s has engines but is not among the deployment's zones: nothing can be loaded there", zone))
-		case ShareOf(d, zone).Parallel == 0:
+		case LoadQuotaOf(d, zone).ParallelLoads == 0:
 			warnings = append(warnings, fmt.Sprintf("the weight store's %d parallel loads leave none for zone %s: nothing can be loaded there", d.WeightStore.ParallelLoads, zone))
 		}
 	}
--- a/laburnumplacement/fleet.go
+++ b/laburnumplacement/fleet.go
@@ -118,7 +118,7 @@
 // active reports whether the copy is loaded or loading on a serving engine and is not being
 // unloaded.
 func (f *fleet) active(p *placement) bool {
-	return f.engines[p.engine].Serving && !p.Going && !p.Draining
+	return f.engines[p.engine].Serving && !p.Unloading && !p.Draining
 }
 
 // resident reports whether the copy is active on an engine that is not leaving.
@@ -141,7 +141,7 @@
 // accelerators, those with the least free memory that is enough.
 func (f *fleet) fitOn(at, partMiB, span int) (fit, bool) {
 	e := &f.engines[at]
-	if !e.Usable || len(e.free) < span || span > maxSpan || e.maxFree < partMiB {
+	if !e.AcceptsOrders || len(e.free) < span || span > maxSpan || e.maxFree < partMiB {
 		return fit{}, false
 	}
 	var tightest [maxSpan]int
@@ -225,7 +225,7 @@
 // planUnload adds an unload to the plan. It does nothing on an engine that takes no orders.
 func (f *fleet) planUnload(p *placement, reason MoveReason, move Move) {
 	e := &f.engines[p.engine]
-	if !e.Usable {
+	if !e.AcceptsOrders {
 		return
 	}
 	move.Kind = laburnumlever.Unload
@@ -234,7 +234,7 @@
 	move.Copy = p.Loaded
 	move.Reason = reason
 	f.moves = append(f.moves, move)
-	p.Going = true
+	p.Unloading = true
 	e.unloading = true
 }
 
--- a/laburnumplacement/makeroom.go
+++ b/laburnumplacement/makeroom.go
@@ -36,7 +36,9 @@
 // previous version. To that owner, copies of the version before it are the old ones: it may unload
 // its copy of that version because of a copy of the previous version here, while this zone unloads
 // the latter because of the former, and the model would be lost.
-func (f *fleet) versionRecentlyChanged(m int) bool { return f.snapshot.Fresh[f.models[m].Name] }
+func (f *fleet) versionRecentlyChanged(m int) bool {
+	return f.snapshot.RecentlyChanged[f.models[m].Name]
+}
 
 // precedes reports whether zone a comes before zone b in the model's order of zones.
 func (f *fleet) precedes(m int, a, b laburnumlever.ZoneName) bool {
@@ -77,11 +79,11 @@
 		if !allowed(at) {
 			continue
 		}
-		c, ok := f.evictionOn(at, m, func(p *placement) bool { return p.Going || p.Draining || f.canEvict(p) }, f.demandPerCopy)
+		c, ok := f.evictionOn(at, m, func(p *placement) bool { return p.Unloading || p.Draining || f.canEvict(p) }, f.demandPerCopy)
 		if !ok {
 			continue
 		}
-		c.victims = slices.DeleteFunc(c.victims, func(p *placement) bool { return p.Going || p.Draining })
+		c.victims = slices.DeleteFunc(c.victims, func(p *placement) bool { return p.Unloading || p.Draining })
 		if !found || c.cheaperThan(best) {
 			best, found = c, true
 		}
@@ -105,13 +107,13 @@
 func (f *fleet) evictionOn(at, m int, evictable func(p *placement) bool, cost func(p *placement) float64) (eviction, bool) {
 	e := &f.engines[at]
 	mod := &f.models[m]
-	if !e.Usable || len(e.free) < mod.span {
+	if !e.AcceptsOrders || len(e.free) < mod.span {
 		return eviction{}, false
 	}
 	free := slices.Clone(e.free)
 	var candidates []evictionCandidate
 	for _, p := range e.copies {
-		if !p.planned && !p.Counted && p.model != m && evictable(p) {
+		if !p.planned && !p.StaysReserved && p.model != m && evictable(p) {
 			candidates = append(candidates, evictionCandidate{copy: p, cost: cost(p)})
 		}
 	}
@@ -147,10 +149,10 @@
 // demandPerCopy returns the model's peak demand divided by its copies; 0 for a copy that is already
 // being unloaded.
 func (f *fleet) demandPerCopy(p *placement) float64 {
-	if p.model < 0 || p.Going || p.Draining {
+	if p.model < 0 || p.Unloading || p.Draining {
 		return 0
 	}
-	return f.models[p.model].demand.Hold.Requests / float64(len(f.models[p.model].copies))
+	return f.models[p.model].demand.Peak.Requests / float64(len(f.models[p.model].copies))
 }
 
 // relocate moves the only copy of another model away: it is loaded where it fits now, and unloaded
--- a/laburnumplacement/measures_test.go
+++ b/laburnumplacement/measures_test.go
@@ -108,7 +108,7 @@
 	}
 	for _, e := range p.s.Engines { // old versions, once a new copy is ready
 		for _, c := range e.Copies {
-			if c.Model == m.Name && c.Version != m.Version && e.Usable && !c.Draining {
+			if c.Model == m.Name && c.Version != m.Version && e.AcceptsOrders && !c.Draining {
 				p.moves = append(p.moves, laburnumplacement.Move{Kind: laburnumlever.Unload, Engine: e.ID, Zone: e.Zone, Copy: c.Loaded})
 			}
 		}
@@ -121,7 +121,7 @@
 		return
 	}
 	for i, e := range p.s.Engines {
-		if !e.Usable || slices.ContainsFunc(list, func(l laburnumplacement.Move) bool { return l.Engine == e.ID }) {
+		if !e.AcceptsOrders || slices.ContainsFunc(list, func(l laburnumplacement.Move) bool { return l.Engine == e.ID }) {
 			continue
 		}
 		var ids []laburnumlever.AcceleratorID
--- a/laburnumplacement/planner_test.go
+++ b/laburnumplacement/planner_test.go
@@ -15,7 +15,7 @@
 // engineIn returns an engine with two accelerators of mib MiB each.
 func engineIn(id, zone string, mib int) laburnumplacement.Engine {
 	return laburnumplacement.Engine{
-		ID: laburnumlever.BackendID(id), Zone: laburnumlever.ZoneName(zone), Serving: true, Usable: true,
+		ID: laburnumlever.BackendID(id), Zone: laburnumlever.ZoneName(zone), Serving: true, AcceptsOrders: true,
 		TokensPerSecond: 1000, PrefillTokensPerSecond: 10000,
 		Accelerators: []laburnumlever.Accelerator{{ID: "a0", MemoryMiB: mib}, {ID: "a1", MemoryMiB: mib}},
 	}
@@ -126,8 +126,8 @@
 		engineIn("e1", "a", 100), engineIn("e2", "a", 100), engineIn("e3", "b", 100), engineIn("e4", "b", 100),
 	}}
 	converge(t, &s)
-	s.Engines[0].Serving, s.Engines[0].Usable = false, false
-	s.Engines[2].Serving, s.Engines[2].Usable = false, false
+	s.Engines[0].Serving, s.Engines[0].AcceptsOrders = false, false
+	s.Engines[2].Serving, s.Engines[2].AcceptsOrders = false, false
 	converge(t, &s)
 	for _, m := range s.Catalogue.Models {
 		require.NotEmpty(t, zonesOf(s, m.Name), m.Name)
@@ -141,7 +141,7 @@
 		engineIn("e1", "a", 100), engineIn("e2", "b", 100), engineIn("e3", "b", 100),
 	}}
 	converge(t, &s)
-	s.Engines[0].Leaving, s.Engines[0].Usable = true, false
+	s.Engines[0].Leaving, s.Engines[0].AcceptsOrders = true, false
 	for _, m := range converge(t, &s) {
 		require.NotEqual(t, laburnumlever.BackendID("e1"), m.Engine)
 	}
@@ -163,7 +163,7 @@
 		s.Catalogue.Deployment.MoveCost = c.price
 		converge(t, &s)
 		rates := laburnumplacement.Rates{Requests: 40, AnswerTokens: 4000}
-		s.Demand = map[laburnumlever.ModelName]laburnumplacement.Demand{"m00": {Now: rates, Hold: rates}}
+		s.Demand = map[laburnumlever.ModelName]laburnumplacement.Demand{"m00": {Now: rates, Peak: rates}}
 		require.Len(t, converge(t, &s), c.loads)
 	}
 }
@@ -201,17 +201,17 @@
 	}
 	parallel, rate := 0, 0.0
 	for _, zone := range d.Zones {
-		quota := laburnumplacement.ShareOf(d, zone)
-		require.Positive(t, quota.Parallel)
-		parallel += quota.Parallel
+		quota := laburnumplacement.LoadQuotaOf(d, zone)
+		require.Positive(t, quota.ParallelLoads)
+		parallel += quota.ParallelLoads
 		rate += float64(time.Second) / float64(quota.Interval)
 	}
 	require.Equal(t, 7, parallel)
 	require.InDelta(t, 1.5, rate, 1e-6)
-	require.Zero(t, laburnumplacement.ShareOf(d, "elsewhere").Parallel)
+	require.Zero(t, laburnumplacement.LoadQuotaOf(d, "elsewhere").ParallelLoads)
 	now := time.Unix(0, 0)
-	quota := laburnumplacement.ShareOf(d, "a")
-	limiter := laburnumplacement.NewPace(now, quota)
+	quota := laburnumplacement.LoadQuotaOf(d, "a")
+	limiter := laburnumplacement.NewLoadLimiter(now, quota)
 	require.False(t, limiter.Ready(now, quota, 0))
 	require.True(t, limiter.Ready(now.Add(quota.Interval), quota, 1))
 	require.False(t, limiter.Ready(now.Add(quota.Interval), quota, 2))
@@ -225,8 +225,8 @@
 	converge(t, &s)
 	reserved := engineIn("e1", "a", 100)
 	reserved.Copies = []laburnumplacement.Copy{
-		{Loaded: s.Engines[0].Copies[0].Loaded, Stable: true, Counted: true},
-		{Loaded: s.Engines[0].Copies[1].Loaded, Stable: true, Counted: true},
+		{Loaded: s.Engines[0].Copies[0].Loaded, Stable: true, StaysReserved: true},
+		{Loaded: s.Engines[0].Copies[1].Loaded, Stable: true, StaysReserved: true},
 	}
 	s.Engines = []laburnumplacement.Engine{reserved, s.Engines[0]}
 	s.Catalogue.Models = append(s.Catalogue.Models, laburnumlever.Model{Name: "new", Version: "v1", WeightsMiB: 70})
@@ -235,7 +235,7 @@
 		require.NotEqual(t, laburnumlever.BackendID("e1"), m.Engine)
 	}
 	for i := range reserved.Copies {
-		s.Engines[0].Copies[i].Counted = false
+		s.Engines[0].Copies[i].StaysReserved = false
 	}
 	converge(t, &s)
 	isNewModel := func(c laburnumplacement.Copy) bool { return c.Model == "new" }
@@ -247,7 +247,7 @@
 func TestOnlyCopiesOnLeavingEngineAreReplaced(t *testing.T) {
 	s := laburnumplacement.Snapshot{Catalogue: catalogueOf(4, 40), Engines: []laburnumplacement.Engine{engineIn("e1", "a", 100)}}
 	converge(t, &s)
-	s.Engines[0].Leaving, s.Engines[0].Usable = true, false
+	s.Engines[0].Leaving, s.Engines[0].AcceptsOrders = true, false
 	s.Engines = append(s.Engines, engineIn("e2", "a", 100))
 	converge(t, &s)
 	require.Len(t, s.Engines[1].Copies, len(s.Catalogue.Models))
--- a/laburnumplacement/replicas.go
+++ b/laburnumplacement/replicas.go
@@ -114,7 +114,7 @@
 func (f *fleet) gainAt(at, m int) float64 {
 	e := &f.engines[at]
 	cost := f.models[m].demand.Now.utilization(e)
-	if !e.Usable || cost <= 0 {
+	if !e.AcceptsOrders || cost <= 0 {
 		return 0
 	}
 	spare := max(0, maxUtilization-e.utilization) / cost
@@ -150,7 +150,7 @@
 func (f *fleet) gainAfterEviction(at, m int, victims []*placement) float64 {
 	e := &f.engines[at]
 	cost := f.models[m].demand.Now.utilization(e)
-	if !e.Usable || cost <= 0 {
+	if !e.AcceptsOrders || cost <= 0 {
 		return 0
 	}
 	load := e.utilization
@@ -202,14 +202,14 @@
 			continue
 		}
 		e := &f.engines[other.engine]
-		cost := mod.demand.Hold.utilization(e)
+		cost := mod.demand.Peak.utilization(e)
 		if cost <= 0 {
 			return 0
 		}
 		own := other.demandShare * mod.demand.Now.utilization(e)
 		capacity += max(0, maxUtilization-e.utilization+own) / cost
 	}
-	return max(0, 1-capacity) * mod.demand.Hold.Requests
+	return max(0, 1-capacity) * mod.demand.Peak.Requests
 }
 
 // planReplica plans the load, or the unloads that must come first. In that case the load follows in
--- a/laburnumplacement/residency.go
+++ b/laburnumplacement/residency.go
@@ -82,7 +82,7 @@
 func (f *fleet) usableZones() int {
 	seen := make(map[laburnumlever.ZoneName]bool)
 	for i := range f.engines {
-		if f.engines[i].Usable {
+		if f.engines[i].AcceptsOrders {
 			seen[f.engines[i].Zone] = true
 		}
 	}
@@ -154,7 +154,7 @@
 	if slices.Contains(zones, e.Zone) {
 		r.sameZone = 1
 	}
-	r.utilization = int((f.expectedUtilization(s.engine) + f.models[m].demand.Hold.utilization(e)) * utilizationSteps)
+	r.utilization = int((f.expectedUtilization(s.engine) + f.models[m].demand.Peak.utilization(e)) * utilizationSteps)
 	return r
 }
 
@@ -164,10 +164,10 @@
 	e := &f.engines[at]
 	total := 0.0
 	for _, p := range e.copies {
-		if p.model < 0 || p.Going {
+		if p.model < 0 || p.Unloading {
 			continue
 		}
-		total += f.models[p.model].demand.Hold.utilization(e) / float64(len(f.models[p.model].copies))
+		total += f.models[p.model].demand.Peak.utilization(e) / float64(len(f.models[p.model].copies))
 	}
 	return total
 }
--- a/laburnumplacement/simulation_test.go
+++ b/laburnumplacement/simulation_test.go
@@ -55,7 +55,7 @@
 type partition struct {
 	zones      []laburnumlever.ZoneName
 	estimator  *laburnumplacement.Estimator
-	limiters   map[laburnumlever.ZoneName]laburnumplacement.Pace
+	limiters   map[laburnumlever.ZoneName]laburnumplacement.LoadLimiter
 	readySince map[copyKey]time.Time
 	policy     policy
 	signals    [][]laburnumlever.ModelDemand
@@ -140,9 +140,9 @@
 }
 
 func (w *simulation) newPartition(zones []laburnumlever.ZoneName, p policy) *partition {
-	s := &partition{zones: zones, policy: p, estimator: laburnumplacement.NewEstimator(), readySince: make(map[copyKey]time.Time), limiters: make(map[laburnumlever.ZoneName]laburnumplacement.Pace)}
+	s := &partition{zones: zones, policy: p, estimator: laburnumplacement.NewEstimator(), readySince: make(map[copyKey]time.Time), limiters: make(map[laburnumlever.ZoneName]laburnumplacement.LoadLimiter)}
 	for _, zone := range zones {
-		s.limiters[zone] = laburnumplacement.NewPace(w.timers.Now(), laburnumplacement.ShareOf(w.catalogue.Deployment, zone))
+		s.limiters[zone] = laburnumplacement.NewLoadLimiter(w.timers.Now(), laburnumplacement.LoadQuotaOf(w.catalogue.Deployment, zone))
 	}
 	return s
 }
@@ -303,7 +303,7 @@
 		snapshot.Engines = append(snapshot.Engines, w.observe(s, i, e, inFlight))
 	}
 	for _, m := range s.policy(snapshot) {
-		quota := laburnumplacement.ShareOf(w.catalogue.Deployment, m.Zone)
+		quota := laburnumplacement.LoadQuotaOf(w.catalogue.Deployment, m.Zone)
 		if m.Kind == laburnumlever.Load && !s.limiters[m.Zone].Ready(now, quota, inFlight[m.Zone]) {
 			continue
 		}
@@ -313,7 +313,7 @@
 		if m.Kind == laburnumlever.Load {
 			w.moves++
 			inFlight[m.Zone]++
-			s.limiters[m.Zone] = s.limiters[m.Zone].WithLoad(now, quota)
+			s.limiters[m.Zone] = s.limiters[m.Zone].AfterLoad(now, quota)
 		}
 	}
 }
--- a/laburnumplacement/spread.go
+++ b/laburnumplacement/spread.go
@@ -59,7 +59,7 @@
 }
 
 // spreadGain returns the value of a second zone for the model, in requests per second.
-func (f *fleet) spreadGain(m int) float64 { return spreadWeight * f.models[m].demand.Hold.Requests }
+func (f *fleet) spreadGain(m int) float64 { return spreadWeight * f.models[m].demand.Peak.Requests }
 
 // spread adds a copy of a model in a second zone, or else on a second engine, in free memory or in
 // place of surplus copies.
@@ -126,4 +126,4 @@
 	return false
 }
 
-func unloading(p *placement) bool { return p.Going || p.Draining }
+func unloading(p *placement) bool { return p.Unloading || p.Draining }
--- a/laburnumplacement/switchversion.go
+++ b/laburnumplacement/switchversion.go
@@ -73,7 +73,7 @@
 // switchOneByOne handles a model without room for a new copy beside the old ones. It unloads one
 // old copy if another one stays stable, and otherwise makes room at the expense of other models.
 func (f *fleet) switchOneByOne(m int, old []*placement) {
-	if slices.ContainsFunc(f.models[m].copies, func(p *placement) bool { return p.Going || p.Draining }) {
+	if slices.ContainsFunc(f.models[m].copies, func(p *placement) bool { return p.Unloading || p.Draining }) {
 		return
 	}
 	i := slices.IndexFunc(old, f.canEvict)
--- a/laburnumplacement/values.go
+++ b/laburnumplacement/values.go
@@ -32,7 +32,7 @@
 	Overdue map[laburnumlever.ModelName]bool
 	// RecentlyChanged holds the models whose version changed recently. The owner of another
 	// zone may still act on the previous version, so its copies are not relied on.
-	Fresh map[laburnumlever.ModelName]bool
+	RecentlyChanged map[laburnumlever.ModelName]bool
 }
 
 // Engine is the state of one model engine as the planning VM knows it.
@@ -50,7 +50,7 @@
 	Leaving bool
 	// AcceptsOrders reports whether the engine may be sent orders. An engine whose inventory is not
 	// known yet, or that must not receive orders without a quorum, keeps its copies.
-	Usable                 bool
+	AcceptsOrders          bool
 	TokensPerSecond        float64
 	PrefillTokensPerSecond float64
 }
@@ -62,16 +62,16 @@
 	// unloaded because of it.
 	Stable bool
 	// Unloading reports whether an unload of the copy is in flight.
-	Going bool
+	Unloading bool
 	// StaysReserved reports whether its memory stays reserved after an unload, because the order
 	// that loaded it may still be delivered again.
-	Counted bool
+	StaysReserved bool
 }
 
 // Demand is the demand for one model, summed over all VMs.
 type Demand struct {
 	// Now follows a rise within seconds; Peak is the decaying peak of about the last half hour.
-	Now, Hold Rates
+	Now, Peak Rates
 }
 
 // Rates are per second.
