--- a/laburnumlog/doc.go
+++ b/laburnumlog/doc.go
@@ -25,4 +25,4 @@
 // out.Committed in order.
 package laburnumlog
 
-//go:generate go tool -modfile=../tools/go.mod enumer -type=MessageKind,EntryKind,Role,Ballot -transform=kebab -text -json -output=enums_gen.go
+//go:generate go tool -modfile=../tools/go.mod enumer -type=MessageKind,EntryKind,Role,VoteResponse -transform=kebab -text -json -output=enums_gen.go
--- a/laburnumlog/election.go
+++ b/laburnumlog/election.go
@@ -232,8 +232,8 @@
 	}
 }
 
-// Ballot returns a member's response to this replica's last vote request.
-func (l *Log) Ballot(id ReplicaID) Ballot {
+// VoteResponse returns a member's response to this replica's last vote request.
+func (l *Log) VoteResponse(id ReplicaID) VoteResponse {
 	granted, answered := l.votes[id]
 	switch {
 	case granted:
--- a/laburnumlog/exhaustive_test.go
+++ b/laburnumlog/exhaustive_test.go
@@ -93,7 +93,7 @@
 		for _, w := range r.unsynced {
 			text = append(text, byte(w.Hard.Term), byte(len(w.Entries)), '|')
 			text = append(text, w.Hard.Vote...)
-			for _, m := range w.After {
+			for _, m := range w.DeferredMessages {
 				text = append(text, m.Digest()...)
 			}
 		}
--- a/laburnumlog/follower.go
+++ b/laburnumlog/follower.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		if e.Index <= l.commit {
-			l.out.Fault = &ContradictionError{Index: e.Index, Held: e.Term, Committed: l.termAt(e.Index)}
+			l.out.Fault = &CommittedConflictError{Index: e.Index, LeaderTerm: e.Term, CommittedTerm: l.termAt(e.Index)}
 			return
 		}
 		if e.Index <= l.LastIndex() {
@@ -58,7 +58,7 @@
 		e := m.Entries[0]
 		held := l.termAt(e.Index)
 		if held != 0 && held != e.Term {
-			l.out.Fault = &ContradictionError{Index: e.Index, Held: e.Term, Committed: held}
+			l.out.Fault = &CommittedConflictError{Index: e.Index, LeaderTerm: e.Term, CommittedTerm: held}
 		}
 		m.Entries = m.Entries[1:]
 	}
--- a/laburnumlog/loss_tolerance_test.go
+++ b/laburnumlog/loss_tolerance_test.go
@@ -41,7 +41,7 @@
 	var steps []string
 	for f.untilMembersChange() {
 		leader := f.replicas[f.leader()].log
-		require.Positive(t, leader.Configuration().Spare(func(laburnumlog.Member) bool { return true }))
+		require.Positive(t, leader.Configuration().MajorityMargin(func(laburnumlog.Member) bool { return true }))
 		steps = append(steps, memberList(leader.Configuration()))
 	}
 	require.Equal(t, []string{
--- a/laburnumlog/message_fuzz_test.go
+++ b/laburnumlog/message_fuzz_test.go
@@ -96,7 +96,7 @@
 	out := log.Step(ev)
 	messages := out.Messages
 	for out.Write != nil {
-		messages = append(messages, out.Write.After...)
+		messages = append(messages, out.Write.DeferredMessages...)
 		out = log.Step(laburnumlog.Written{Seq: out.Write.Seq})
 		messages = append(messages, out.Messages...)
 	}
--- a/laburnumlog/regression_test.go
+++ b/laburnumlog/regression_test.go
@@ -85,7 +85,7 @@
 	refusal := laburnumlog.Message{Kind: laburnumlog.MessageAppendAnswer, From: b.id, To: a.id, Term: a.log.Term(), Boot: laburnumlog.Boot(1, 0), Reject: true, Index: a.log.LastIndex(), Hint: 1, Commit: 1}
 	s.step(a, laburnumlog.Receive{Message: refusal})
 	p, _ := a.log.Progress(b.id)
-	require.False(t, p.Lost)
+	require.False(t, p.DataLost)
 	b.disk = old
 	s.restart(b)
 	s.propose(a, 1)
@@ -94,7 +94,7 @@
 		s.run(never, a, b, c)
 	}
 	p, _ = a.log.Progress(b.id)
-	require.True(t, p.Lost)
+	require.True(t, p.DataLost)
 	require.Equal(t, a.log.LastIndex(), a.log.Commit(), "a and c still commit")
 }
 
--- a/laburnumlog/replication.go
+++ b/laburnumlog/replication.go
@@ -53,10 +53,10 @@
 	Boot uint64
 	// ConflictingBoot is a boot that answered after Boot but is not later, or 0. It is either a
 	// delayed message or a disk that was rolled back; only the member can tell which.
-	Older uint64
+	ConflictingBoot uint64
 	// DataLost is set when the member, after a restart, lacks entries that it had acknowledged
 	// before: its disk was rolled back to an older state.
-	Lost bool
+	DataLost bool
 }
 
 // Progress returns the leader's view of the member, false if there is none. Only a leader has
@@ -67,17 +67,17 @@
 		return MemberProgress{Match: l.stable}, true
 	}
 	return MemberProgress{
-		Match: p.match, SilentTicks: p.silentTicks, BehindTicks: p.behindTicks, Boot: p.boot, Older: p.conflictingBoot, Lost: p.dataLost,
+		Match: p.match, SilentTicks: p.silentTicks, BehindTicks: p.behindTicks, Boot: p.boot, ConflictingBoot: p.conflictingBoot, DataLost: p.dataLost,
 	}, ok
 }
 
-// LossesBorne returns how many more voters may be lost permanently, including their disks,
+// ToleratedLosses returns how many more voters may be lost permanently, including their disks,
 // while the rest still form a majority. A leader counts only voters that answer; other
 // replicas count all voters. It is negative when there is no majority already.
-func (l *Log) LossesBorne() int {
-	return l.Configuration().Spare(func(m Member) bool {
+func (l *Log) ToleratedLosses() int {
+	return l.Configuration().MajorityMargin(func(m Member) bool {
 		p, ok := l.Progress(m.ID)
-		return !ok || !p.Lost && p.SilentTicks < electionTicks
+		return !ok || !p.DataLost && p.SilentTicks < electionTicks
 	})
 }
 
--- a/laburnumlog/schedule_test.go
+++ b/laburnumlog/schedule_test.go
@@ -53,7 +53,7 @@
 	case kind < 95:
 		s.compact(r)
 	case kind < 96:
-		s.step(s.currentLeader(r), laburnumlog.HandOver{})
+		s.step(s.currentLeader(r), laburnumlog.TransferLeadership{})
 	default:
 		s.deliverAll(1 + which%3)
 	}
--- a/laburnumlog/simulation_test.go
+++ b/laburnumlog/simulation_test.go
@@ -171,7 +171,7 @@
 	r.unsynced = r.unsynced[1:]
 	save(&r.disk, w)
 	s.step(r, laburnumlog.Written{Seq: w.Seq})
-	s.network = append(s.network, w.After...)
+	s.network = append(s.network, w.DeferredMessages...)
 }
 
 // save applies a write to the simulated disk as the data folder does.
--- a/laburnumlog/step.go
+++ b/laburnumlog/step.go
@@ -22,19 +22,19 @@
 	Compact struct{ Snapshot Snapshot }
 	// Bootstrap gives an empty replica its first configuration.
 	Bootstrap struct{ Configuration Configuration }
-	// HandOver asks the leader to transfer leadership to the most up-to-date voter.
-	HandOver struct{}
+	// TransferLeadership asks the leader to transfer leadership to the most up-to-date voter.
+	TransferLeadership struct{}
 )
 
-func (Resume) isEvent()        {}
-func (Tick) isEvent()          {}
-func (Receive) isEvent()       {}
-func (Propose) isEvent()       {}
-func (ChangeMembers) isEvent() {}
-func (Written) isEvent()       {}
-func (Compact) isEvent()       {}
-func (Bootstrap) isEvent()     {}
-func (HandOver) isEvent()      {}
+func (Resume) isEvent()             {}
+func (Tick) isEvent()               {}
+func (Receive) isEvent()            {}
+func (Propose) isEvent()            {}
+func (ChangeMembers) isEvent()      {}
+func (Written) isEvent()            {}
+func (Compact) isEvent()            {}
+func (Bootstrap) isEvent()          {}
+func (TransferLeadership) isEvent() {}
 
 // Write is the state to make durable: writes in the order of Seq, the snapshot of each first.
 // Entries replace all stored entries with the same or a higher index.
@@ -47,7 +47,7 @@
 	// longer part of the log.
 	Reset bool
 	// DeferredMessages are messages that may be sent only once this write is durable.
-	After []Message
+	DeferredMessages []Message
 	// Empty is set when there is nothing to write and DeferredMessages only wait for earlier
 	// writes.
 	Empty bool
@@ -89,7 +89,7 @@
 		l.compact(ev.Snapshot)
 	case Bootstrap:
 		l.bootstrap(ev.Configuration)
-	case HandOver:
+	case TransferLeadership:
 		l.startTransfer()
 	}
 	l.advanceCommit()
@@ -135,7 +135,7 @@
 		return
 	}
 	l.seq++
-	w := &Write{Seq: l.seq, Hard: l.hard, Entries: entries, After: l.after, Empty: !changed, Reset: l.reset}
+	w := &Write{Seq: l.seq, Hard: l.hard, Entries: entries, DeferredMessages: l.after, Empty: !changed, Reset: l.reset}
 	if l.newSnapshot {
 		snapshot := l.snapshot
 		w.Snapshot = &snapshot
--- a/laburnumlog/values.go
+++ b/laburnumlog/values.go
@@ -126,12 +126,12 @@
 	Leader
 )
 
-// Ballot is a member's response to a vote request.
-type Ballot int
+// VoteResponse is a member's response to a vote request.
+type VoteResponse int
 
 // The responses to a vote request.
 const (
-	Unanswered Ballot = iota
+	Unanswered VoteResponse = iota
 	Granted
 	Refused
 )
@@ -173,9 +173,9 @@
 	}
 }
 
-// Spare returns how many agreeing voters exceed a majority, in a joint configuration the
+// MajorityMargin returns how many agreeing voters exceed a majority, in a joint configuration the
 // smaller number of both voter sets. It is negative when there is no majority.
-func (c Configuration) Spare(agrees func(Member) bool) int {
+func (c Configuration) MajorityMargin(agrees func(Member) bool) int {
 	spare := len(c.Members)
 	for _, voters := range c.voterSets() {
 		n := 0
@@ -190,7 +190,9 @@
 }
 
 // HasMajority reports whether a majority agrees, in a joint configuration one of each voter set.
-func (c Configuration) HasMajority(agrees func(Member) bool) bool { return c.Spare(agrees) >= 0 }
+func (c Configuration) HasMajority(agrees func(Member) bool) bool {
+	return c.MajorityMargin(agrees) >= 0
+}
 
 func majority(voters int) int { return voters/2 + 1 }
 
--- a/laburnumquorum/policy.go
+++ b/laburnumquorum/policy.go
@@ -132,7 +132,7 @@
 		return Change{Event: laburnumlever.EventLearnerRemoved, Cause: cause, Member: m, To: v.Configuration.Without(m.ID)}, true
 	}
 	switch {
-	case progress.Lost:
+	case progress.DataLost:
 		return remove(CauseLearnerWentBack)
 	case progress.SilentTicks > p.ReplaceTicks:
 		return remove(CauseLearnerSilent)
--- a/laburnumvoter/bench_test.go
+++ b/laburnumvoter/bench_test.go
@@ -151,7 +151,7 @@
 		network = append(network, out.Messages...)
 		if out.Write != nil {
 			network = append(network, l.Step(laburnumlog.Written{Seq: out.Write.Seq}).Messages...)
-			network = append(network, out.Write.After...)
+			network = append(network, out.Write.DeferredMessages...)
 		}
 	}
 	for i, m := range configuration.Members {
--- a/laburnumvoter/lead.go
+++ b/laburnumvoter/lead.go
@@ -110,5 +110,5 @@
 		return
 	}
 	v.handOvers = append(v.handOvers, ev.done)
-	v.step(laburnumlog.HandOver{})
+	v.step(laburnumlog.TransferLeadership{})
 }
--- a/laburnumvoter/members.go
+++ b/laburnumvoter/members.go
@@ -158,10 +158,10 @@
 func (v *Voter) notifySuperseded() {
 	for _, m := range v.log.Configuration().Members {
 		p, ok := v.log.Progress(m.ID)
-		if ok && p.Older != 0 {
-			v.peers.Notify(m.Address, methodSuperseded, supersededMessage{ID: m.ID, Boot: p.Older})
+		if ok && p.ConflictingBoot != 0 {
+			v.peers.Notify(m.Address, methodSuperseded, supersededMessage{ID: m.ID, Boot: p.ConflictingBoot})
 		}
-		if ok && p.Lost {
+		if ok && p.DataLost {
 			_ = level.Error(v.cfg.logger).Log("event", laburnumlever.EventReplicaWentBack, "replica", m.ID)
 			v.peers.Notify(m.Address, methodSuperseded, supersededMessage{ID: m.ID, Boot: p.Boot})
 		}
--- a/laburnumvoter/propose.go
+++ b/laburnumvoter/propose.go
@@ -186,7 +186,7 @@
 		return false
 	}
 	committed := v.log.ConfigurationAt(v.log.Commit())
-	bears := committed.Spare(func(laburnumlog.Member) bool { return true })
+	bears := committed.MajorityMargin(func(laburnumlog.Member) bool { return true })
 	return bears < v.cfg.firstChangeTolerance && v.timers.Now().Sub(v.startedAt) < v.cfg.firstChangeTimeout
 }
 
--- a/laburnumvoter/report.go
+++ b/laburnumvoter/report.go
@@ -101,7 +101,7 @@
 			continue
 		}
 		j, hello := v.joiners[m.VM]
-		switch ballot := v.log.Ballot(m.ID); {
+		switch ballot := v.log.VoteResponse(m.ID); {
 		case ballot == laburnumlog.Granted:
 		case hello && j.hello.Member.ID != m.ID:
 			missing = append(missing, string(m.ID)+" (its VM now runs another instance)")
@@ -116,7 +116,7 @@
 
 // reportTolerance updates the gauge of how many disks can be lost without losing the log.
 func (v *Voter) reportTolerance() {
-	borne := v.log.LossesBorne()
+	borne := v.log.ToleratedLosses()
 	if v.log.Leader() == "" {
 		borne = noLeader
 	}
--- a/laburnumvoter/step.go
+++ b/laburnumvoter/step.go
@@ -32,9 +32,9 @@
 		v.transmit(m)
 	}
 	if out.Write != nil {
-		v.pendingAfter = append(v.pendingAfter, laburnumlog.Write{Seq: out.Write.Seq, After: out.Write.After})
+		v.pendingAfter = append(v.pendingAfter, laburnumlog.Write{Seq: out.Write.Seq, DeferredMessages: out.Write.DeferredMessages})
 		write := *out.Write
-		write.After = nil
+		write.DeferredMessages = nil
 		v.writer.add(write)
 	}
 	if out.Install != nil {
@@ -65,7 +65,7 @@
 	}
 	v.step(laburnumlog.Written{Seq: ev.seq})
 	for len(v.pendingAfter) > 0 && v.pendingAfter[0].Seq <= ev.seq {
-		for _, m := range v.pendingAfter[0].After {
+		for _, m := range v.pendingAfter[0].DeferredMessages {
 			v.transmit(m)
 		}
 		v.pendingAfter = v.pendingAfter[1:]
