--- a/laburnumlog/fleet_test.go
+++ b/laburnumlog/fleet_test.go
@@ -41,7 +41,7 @@
 	faults []vmFaults
 	// target is the number of voters that the policy aims at. Each VM has its own planner.
 	target   int
-	planners []laburnumquorum.Keeper
+	planners []laburnumquorum.Planner
 	// losses is how many disks may be lost at once, lossesUsed how many have been lost since the
 	// log last had all its voters.
 	losses, lossesUsed int
@@ -86,8 +86,8 @@
 	return f
 }
 
-func (f *fleet) newPlanner() laburnumquorum.Keeper {
-	return laburnumquorum.NewKeeper(laburnumquorum.Policy{Target: f.target, ReplaceTicks: replaceTicks})
+func (f *fleet) newPlanner() laburnumquorum.Planner {
+	return laburnumquorum.NewPlanner(laburnumquorum.Policy{Target: f.target, ReplaceTicks: replaceTicks})
 }
 
 func (f *fleet) clone() *fleet {
--- a/laburnumquorum/policy.go
+++ b/laburnumquorum/policy.go
@@ -72,20 +72,20 @@
 	To laburnumlog.Configuration
 }
 
-// Keeper plans membership changes by a policy, and remembers VMs whose learner was removed.
-type Keeper struct {
+// Planner plans membership changes by a policy, and remembers VMs whose learner was removed.
+type Planner struct {
 	policy Policy
 	// failedVMs are the VMs whose learner was removed, the latest last.
 	failedVMs []laburnumlever.VMID
 }
 
-// NewKeeper returns a planner for the policy.
-func NewKeeper(policy Policy) Keeper { return Keeper{policy: policy} }
+// NewPlanner returns a planner for the policy.
+func NewPlanner(policy Policy) Planner { return Planner{policy: policy} }
 
 // Next returns the next membership change, if one is due. A learner is added, catches up and
 // then replaces a voter in a single change. A VM whose learner was removed is tried last the
 // next time; otherwise a VM with a stalled disk would block all others.
-func (k *Keeper) Next(v View) (Change, bool) {
+func (k *Planner) Next(v View) (Change, bool) {
 	v.Joiners = k.sortJoiners(v.Joiners)
 	change, due := k.policy.next(v)
 	if due && change.Event == laburnumlever.EventLearnerRemoved {
@@ -96,7 +96,7 @@
 }
 
 // sortJoiners returns the joiners sorted by VM, with failedVMs last.
-func (k *Keeper) sortJoiners(joiners []laburnumlog.Member) []laburnumlog.Member {
+func (k *Planner) sortJoiners(joiners []laburnumlog.Member) []laburnumlog.Member {
 	joiners = slices.Clone(joiners)
 	slices.SortFunc(joiners, func(a, b laburnumlog.Member) int {
 		byTurn := slices.Index(k.failedVMs, a.VM) - slices.Index(k.failedVMs, b.VM)
