--- a/laburnumroles/control.go
+++ b/laburnumroles/control.go
@@ -142,7 +142,7 @@
 	opts := []laburnumvoter.Option{
 		laburnumvoter.WithDataFolder(c.settings.DataFolder),
 		laburnumvoter.WithVoterTarget(voterTarget(c.settings.ControlLosses)),
-		laburnumvoter.WithFirstChange(c.settings.ControlLosses, growTimeout),
+		laburnumvoter.WithFirstChangeTolerance(c.settings.ControlLosses, growTimeout),
 		laburnumvoter.WithContacts(c.contacts),
 		laburnumvoter.WithReplaceAfter(time.Duration(replaceShare * float64(c.settings.Times.CatchUp))),
 		laburnumvoter.WithProposalTimeout(proposalLimit),
--- a/laburnumvoter/options.go
+++ b/laburnumvoter/options.go
@@ -102,11 +102,11 @@
 // initial voters. A log that started with fewer voters grows to the target.
 func WithVoterTarget(n int) Option { return func(c *config) { c.voterTarget = n } }
 
-// WithFirstChange rejects an operator's first change until the committed voters tolerate
+// WithFirstChangeTolerance rejects an operator's first change until the committed voters tolerate
 // the loss of that many disks, since a log starts with fewer voters than its target. A deployment
 // with too few VMs accepts the change after the timeout, measured from the start of the leader's
 // process.
-func WithFirstChange(losses int, within time.Duration) Option {
+func WithFirstChangeTolerance(losses int, within time.Duration) Option {
 	return func(c *config) { c.firstChangeTolerance, c.firstChangeTimeout = losses, within }
 }
 
@@ -134,9 +134,9 @@
 	return func(c *config) { c.proposalTimeout = d }
 }
 
-// WithLeaderlessPatience sets how long a voter must be without a leader before Propose fails once it
+// WithLeaderlessTimeout sets how long a voter must be without a leader before Propose fails once it
 // has asked all known VMs, instead of retrying until its timeout.
-func WithLeaderlessPatience(d time.Duration) Option {
+func WithLeaderlessTimeout(d time.Duration) Option {
 	return func(c *config) { c.leaderlessTimeout = d }
 }
 
--- a/laburnumvoter/report_test.go
+++ b/laburnumvoter/report_test.go
@@ -52,7 +52,7 @@
 // missing vote, and that its VM now runs another instance.
 func TestNoLeaderLogNamesMissingVotes(t *testing.T) {
 	f := newFleet(t, []string{"a", "b"}, laburnumvoter.WithProposalTimeout(time.Hour),
-		laburnumvoter.WithLeaderlessPatience(20*tick))
+		laburnumvoter.WithLeaderlessTimeout(20*tick))
 	logs := &logRecorder{}
 	f.start("a", f.folder("a"), laburnumvoter.WithLogger(logs))
 	f.start("b", f.folder("b"))
--- a/laburnumvoter/voter_test.go
+++ b/laburnumvoter/voter_test.go
@@ -290,7 +290,7 @@
 // Guards against a first change that is committed by too few voters to tolerate the configured
 // losses.
 func TestFirstChangeWaitsForTheVoters(t *testing.T) {
-	f := newFleet(t, []string{"a", "b", "c"}, laburnumvoter.WithVoterTarget(5), laburnumvoter.WithFirstChange(2, time.Hour))
+	f := newFleet(t, []string{"a", "b", "c"}, laburnumvoter.WithVoterTarget(5), laburnumvoter.WithFirstChangeTolerance(2, time.Hour))
 	f.startAll()
 	f.leader()
 	short, cancel := context.WithTimeout(context.Background(), 40*tick)
