--- a/laburnumdisk/crash_test.go
+++ b/laburnumdisk/crash_test.go
@@ -201,7 +201,7 @@
 			}
 			failed = acknowledged < len(writes)
 			files.untilFailure = -1
-			require.NoError(t, s.Rewind())
+			require.NoError(t, s.DiscardUnsynced())
 			_, found := open(t, "data", opts(files)...)
 			requireAcknowledged(t, found, writes, acknowledged)
 			files.restart()
--- a/laburnumdisk/quarantine.go
+++ b/laburnumdisk/quarantine.go
@@ -7,10 +7,10 @@
 
 const quarantinePrefix = "damaged-"
 
-// SetAside renames all files of a damaged folder, so that Open treats it as empty and
+// Quarantine renames all files of a damaged folder, so that Open treats it as empty and
 // creates a new identity. Only the latest damaged state is kept for inspection: files that
 // were quarantined earlier are removed. An error is an *IOError.
-func SetAside(folder string, opts ...Option) error {
+func Quarantine(folder string, opts ...Option) error {
 	s := &Store{files: OSFiles(), folder: folder}
 	for _, opt := range opts {
 		opt(s)
--- a/laburnumdisk/store.go
+++ b/laburnumdisk/store.go
@@ -197,11 +197,11 @@
 	return nil
 }
 
-// Rewind truncates the log of a store whose Write has failed to the data that is known to be
+// DiscardUnsynced truncates the log of a store whose Write has failed to the data that is known to be
 // durable, so that the folder can be opened again. A failed write or fsync may leave bytes that
 // can be read but are not on the disk: Open would count them as durable, and a power loss could
 // remove them after they were acknowledged.
-func (s *Store) Rewind() error {
+func (s *Store) DiscardUnsynced() error {
 	current := s.segments[len(s.segments)-1]
 	return s.truncateSegment(current.name, current.size)
 }
--- a/laburnumdisk/store_test.go
+++ b/laburnumdisk/store_test.go
@@ -151,7 +151,7 @@
 			require.NoError(t, os.WriteFile(name, good, 0o600))
 		}
 	}
-	require.NoError(t, laburnumdisk.SetAside(folder))
+	require.NoError(t, laburnumdisk.Quarantine(folder))
 	s, r := open(t, folder)
 	require.NoError(t, s.Close())
 	require.Empty(t, r.Entries)
--- a/laburnumvoter/replica.go
+++ b/laburnumvoter/replica.go
@@ -31,7 +31,7 @@
 	var damaged *laburnumdisk.DamagedError
 	if errors.As(err, &damaged) {
 		_ = level.Error(cfg.logger).Log("event", laburnumlever.EventDataFolderDamaged, "err", err)
-		if err := laburnumdisk.SetAside(cfg.folder, cfg.diskOptions...); err != nil {
+		if err := laburnumdisk.Quarantine(cfg.folder, cfg.diskOptions...); err != nil {
 			return nil, err
 		}
 		store, recovered, err = laburnumdisk.Open(cfg.folder, cfg.diskOptions...)
@@ -116,7 +116,7 @@
 
 // recreateReplica quarantines the folder's files and opens a new instance in it.
 func recreateReplica(cfg config, self laburnumlever.VM) (*replica, error) {
-	if err := laburnumdisk.SetAside(cfg.folder, cfg.diskOptions...); err != nil {
+	if err := laburnumdisk.Quarantine(cfg.folder, cfg.diskOptions...); err != nil {
 		return nil, err
 	}
 	return openReplica(cfg, self)
@@ -126,7 +126,7 @@
 // that was durable.
 func reopenReplica(cfg config, self laburnumlever.VM, old *writer) (*replica, error) {
 	<-old.done
-	if err := old.store.Rewind(); err != nil {
+	if err := old.store.DiscardUnsynced(); err != nil {
 		return nil, err
 	}
 	return openReplica(cfg, self)
