--- a/laburnumbalance/balance.go
+++ b/laburnumbalance/balance.go
@@ -278,11 +278,11 @@
 }
 
 // countOutcome adds the result of an attempt to the next report by Outcomes.
-func (t *Table) countOutcome(s *server, sample AttemptResult) {
+func (t *Table) countOutcome(s *server, result AttemptResult) {
 	switch {
-	case sample.Faulty:
+	case result.Faulty:
 		t.countFailure(s)
-	case !sample.Failed && !sample.Unreachable && !sample.Full && !sample.ReservationRefused:
+	case !result.Failed && !result.Unreachable && !result.Full && !result.ReservationRefused:
 		s.answered++
 	}
 }
@@ -311,13 +311,13 @@
 
 // Unavailable returns the servers that hold the query's model but are full or unreachable.
 func (t *Table) Unavailable(q Query, now time.Time) []laburnumlever.BackendID {
-	var useless []laburnumlever.BackendID
+	var unavailable []laburnumlever.BackendID
 	for _, s := range t.candidates(q) {
 		if s.holds(q.Model, "", now) && (now.Before(s.unreachableUntil) || t.saturated(s, now, q.Queue)) {
-			useless = append(useless, s.record.Heartbeat.Backend)
+			unavailable = append(unavailable, s.record.Heartbeat.Backend)
 		}
 	}
-	return useless
+	return unavailable
 }
 
 // Pick chooses the server with the lowest score and occupies a slot there.
@@ -423,7 +423,7 @@
 }
 
 // End frees the slot and records the result of the attempt. It ignores a nil ticket.
-func (t *Table) End(ticket *Ticket, sample AttemptResult, now time.Time) {
+func (t *Table) End(ticket *Ticket, result AttemptResult, now time.Time) {
 	if ticket == nil || ticket.server == nil {
 		return
 	}
@@ -431,9 +431,9 @@
 	ticket.promptRead()
 	ticket.server = nil
 	s.own--
-	t.countOutcome(s, sample)
-	t.Observe(s.record.Heartbeat.Backend, sample, now)
-	if sample.Absent {
+	t.countOutcome(s, result)
+	t.Observe(s.record.Heartbeat.Backend, result, now)
+	if result.Absent {
 		key := heldModel{model: ticket.query.Model, adapter: ticket.query.Adapter}
 		s.absent = setExpiry(s.absent, key, now.Add(absentTime), now)
 		delete(s.added, key)
@@ -441,22 +441,22 @@
 }
 
 // Observe updates a server's state from an answer, also while the request is still running.
-func (t *Table) Observe(id laburnumlever.BackendID, sample AttemptResult, now time.Time) {
+func (t *Table) Observe(id laburnumlever.BackendID, result AttemptResult, now time.Time) {
 	s := t.servers[id]
 	if s == nil {
 		return
 	}
-	if sample.HasLoad {
-		s.others = float64(max(0, sample.Running+sample.Waiting-s.own))
+	if result.HasLoad {
+		s.others = float64(max(0, result.Running+result.Waiting-s.own))
 		s.othersAt = now
 		s.reservationRefused = false
 	}
-	if sample.ReservationRefused {
+	if result.ReservationRefused {
 		s.reservationRefused = true
 		s.others = max(0, float64(s.record.Heartbeat.Slots-s.own))
 		s.othersAt = now
 	}
-	if sample.Full {
+	if result.Full {
 		s.fullUntil = now.Add(fullTime)
 		// A server that refuses requests while it has free slots is failing, even if its health
 		// checks pass.
@@ -465,13 +465,13 @@
 			t.countFailure(s)
 		}
 	}
-	if sample.Failed {
+	if result.Failed {
 		s.fail(now)
 	}
-	if sample.Unreachable {
+	if result.Unreachable {
 		s.backOff(now)
 		t.unreachable[id] = struct{}{}
-	} else if !sample.Failed {
+	} else if !result.Failed {
 		s.unreachableTime = 0
 	}
 }
--- a/laburnumbalance/outliers_test.go
+++ b/laburnumbalance/outliers_test.go
@@ -14,10 +14,10 @@
 // Guards against failures that are not reported to the control VMs, or reported twice.
 func TestFailuresAreReportedOnce(t *testing.T) {
 	table := newTable(record(1, "brest", "m0"), record(2, "brest", "m0"))
-	end := func(sample laburnumbalance.AttemptResult) laburnumlever.BackendID {
+	end := func(result laburnumbalance.AttemptResult) laburnumlever.BackendID {
 		ticket, verdict := table.Pick(query("m0"), start)
 		require.Equal(t, laburnumbalance.Found, verdict)
-		table.End(ticket, sample, start)
+		table.End(ticket, result, start)
 		return ticket.Backend.Backend
 	}
 	end(laburnumbalance.AttemptResult{})
--- a/laburnumbalance/staleload_test.go
+++ b/laburnumbalance/staleload_test.go
@@ -14,10 +14,10 @@
 // idle one.
 func TestServerMayBeFullOnceItsLoadIsStale(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		running int
-		age     time.Duration
-		unsure  bool
+		name      string
+		running   int
+		age       time.Duration
+		mayBeFull bool
 	}{
 		{"fresh report of a busy engine", 6, 100 * time.Millisecond, false},
 		{"old report of a busy engine", 6, 500 * time.Millisecond, true},
@@ -29,7 +29,7 @@
 			table.Observe("i-1", laburnumbalance.AttemptResult{HasLoad: true, Running: c.running}, start)
 			ticket, verdict := table.Pick(query("m0"), start.Add(c.age))
 			require.Equal(t, laburnumbalance.Found, verdict)
-			require.Equal(t, c.unsure, ticket.MayBeFull())
+			require.Equal(t, c.mayBeFull, ticket.MayBeFull())
 		})
 	}
 }
--- a/laburnumdispatch/dispatcher.go
+++ b/laburnumdispatch/dispatcher.go
@@ -260,24 +260,24 @@
 	d.start(now)
 }
 
-// Retry asks for another attempt after a failure: verdict Again means that it
+// Retry asks for another attempt after a failure: decision Retry means that it
 // is placed. A stream is resumed on the server that has it, which needs no new place.
 func (d *Dispatcher) Retry(t *Ticket, s laburnumretry.FailedRequest, now time.Time) (laburnumlever.RetryReason, laburnumretry.Decision) {
 	s.Attempts = t.Attempts
-	reason, verdict := d.budget.Decide(s)
-	if verdict != laburnumretry.Retry {
-		return reason, verdict
+	reason, decision := d.budget.Decide(s)
+	if decision != laburnumretry.Retry {
+		return reason, decision
 	}
 	if reason == laburnumlever.RetryStreamResumed {
 		t.last.Begin(now)
 		t.place(t.last)
 		t.Attempts++
-		return reason, verdict
+		return reason, decision
 	}
 	if !d.send(t, now) {
 		return reason, laburnumretry.GiveUp
 	}
-	return reason, verdict
+	return reason, decision
 }
 
 // Finish ends a request that Submit let in; used is its true cost in tokens. One
--- a/laburnumdispatch/policies_test.go
+++ b/laburnumdispatch/policies_test.go
@@ -60,8 +60,8 @@
 func (v *dispatching) busy(c *call, _ *engine) {
 	t := c.ticket.(*laburnumdispatch.Ticket)
 	v.d.EndAttempt(t, laburnumrouter.Sample{Busy: true}, v.p.now)
-	_, verdict := v.d.Retry(t, laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendBusy}, v.p.now)
-	if verdict == laburnumretry.Retry {
+	_, decision := v.d.Retry(t, laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendBusy}, v.p.now)
+	if decision == laburnumretry.Retry {
 		v.send(c, t)
 		return
 	}
--- a/laburnumgateway/answer.go
+++ b/laburnumgateway/answer.go
@@ -74,13 +74,13 @@
 }
 
 // forwardAnswer forwards an answer to the caller. An error answer is stored instead.
-func (g *Gateway) forwardAnswer(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, sample *laburnumbalance.AttemptResult) *failure {
+func (g *Gateway) forwardAnswer(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, result *laburnumbalance.AttemptResult) *failure {
 	if resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), streamType) {
-		return g.forwardStream(ctx, q, out, ticket, resp, sample)
+		return g.forwardStream(ctx, q, out, ticket, resp, result)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBuffered+1))
 	if err != nil {
-		sample.Failed = ctx.Err() == nil
+		result.Failed = ctx.Err() == nil
 		return &failure{stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedBackendError, cause: &BrokenAnswerError{Cause: err}}
 	}
 	if out.started {
@@ -91,7 +91,7 @@
 	}
 	stored := &bufferedAnswer{status: resp.StatusCode, header: resp.Header, body: body}
 	if resp.StatusCode >= http.StatusInternalServerError {
-		return g.storeErrorAnswer(q, stored, sample)
+		return g.storeErrorAnswer(q, stored, result)
 	}
 	out.started = true
 	out.recordPart(g.timers.Now())
@@ -100,8 +100,8 @@
 }
 
 // storeErrorAnswer stores an error answer, which the caller gets if no other attempt succeeds.
-func (g *Gateway) storeErrorAnswer(q *request, stored *bufferedAnswer, sample *laburnumbalance.AttemptResult) *failure {
-	sample.Failed, sample.Faulty = true, true
+func (g *Gateway) storeErrorAnswer(q *request, stored *bufferedAnswer, result *laburnumbalance.AttemptResult) *failure {
+	result.Failed, result.Faulty = true, true
 	if impliesNotRun(stored.status) {
 		// The backend server may have run the request, but this status would tell the caller that
 		// it did not.
@@ -143,7 +143,7 @@
 
 // forwardStream forwards complete server-sent events only, so that a broken stream can resume after
 // the last one.
-func (g *Gateway) forwardStream(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, sample *laburnumbalance.AttemptResult) *failure {
+func (g *Gateway) forwardStream(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, resp *http.Response, result *laburnumbalance.AttemptResult) *failure {
 	if !out.started {
 		copyHeader(out.w.Header(), resp.Header)
 		out.w.WriteHeader(http.StatusOK)
@@ -157,7 +157,7 @@
 		var err error
 		event, err = readEvent(r, event[:0])
 		if err != nil && (!errors.Is(err, io.EOF) || len(event) > 0) {
-			sample.Failed = ctx.Err() == nil
+			result.Failed = ctx.Err() == nil
 			return brokenAnswer(ctx, err)
 		}
 		if err != nil {
@@ -168,7 +168,7 @@
 			g.fleet.recordFirstEvent(ticket)
 		}
 		if fail := g.checkEventID(q, event); fail != nil {
-			sample.Failed, sample.Faulty = true, true
+			result.Failed, result.Faulty = true, true
 			return fail
 		}
 		if _, err := out.w.Write(event); err != nil {
--- a/laburnumgateway/attempt.go
+++ b/laburnumgateway/attempt.go
@@ -21,17 +21,17 @@
 func (g *Gateway) attempt(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket) *failure {
 	q.tries++
 	q.backend = ticket.Backend.Backend
-	sample := laburnumbalance.AttemptResult{}
+	result := laburnumbalance.AttemptResult{}
 	g.fleet.beginAdapterUse(q)
-	defer func() { g.fleet.release(q, ticket, sample) }()
+	defer func() { g.fleet.release(q, ticket, result) }()
 	conn, err := g.pool.Get(ctx, ticket.Backend.Address, g.connectionLimit(q))
 	if err != nil {
-		sample.Unreachable = ctx.Err() == nil && isDialError(err)
-		sample.Failed = sample.Unreachable
+		result.Unreachable = ctx.Err() == nil && isDialError(err)
+		result.Failed = result.Unreachable
 		return &failure{stage: laburnumretry.StageNotSent, reason: laburnumlever.RefusedBackendUnreachable, cause: err}
 	}
 	stop := conn.CloseOnDone(ctx)
-	if fail, resp := g.reserve(ctx, q, ticket, conn, &sample); fail != nil { //nolint:bodyclose // its body has been read
+	if fail, resp := g.reserve(ctx, q, ticket, conn, &result); fail != nil { //nolint:bodyclose // its body has been read
 		if stop() && resp != nil {
 			g.pool.Put(conn, resp)
 		} else {
@@ -40,7 +40,7 @@
 		return fail
 	}
 	fail, resp := g.exchange( //nolint:bodyclose // the connection is closed or reused as a whole
-		ctx, q, out, ticket, conn, &sample)
+		ctx, q, out, ticket, conn, &result)
 	if stop() && fail == nil {
 		g.pool.Put(conn, resp)
 	} else {
@@ -63,7 +63,7 @@
 }
 
 // exchange sends the request and forwards the answer.
-func (g *Gateway) exchange(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, conn *laburnumupstream.Conn, sample *laburnumbalance.AttemptResult) (*failure, *http.Response) {
+func (g *Gateway) exchange(ctx context.Context, q *request, out *answer, ticket *laburnumbalance.Ticket, conn *laburnumupstream.Conn, result *laburnumbalance.AttemptResult) (*failure, *http.Response) {
 	now := g.timers.Now()
 	if err := conn.SetDeadline(q.deadline.Add(backendTimeoutSlack)); err != nil {
 		return &failure{stage: laburnumretry.StageNotSent, reason: laburnumlever.RefusedBackendUnreachable, cause: err}, nil
@@ -76,22 +76,22 @@
 		}),
 	})
 	if err != nil {
-		sample.Failed = ctx.Err() == nil
+		result.Failed = ctx.Err() == nil
 		return &failure{stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedBackendError, cause: err}, nil
 	}
 	marks := g.dialect.Answer(resp.StatusCode, resp.Header)
 	g.fleet.updateLoad(ticket.Backend.Backend, marks)
-	if fail := g.checkAnswer(q, ticket, resp, marks, sample); fail != nil {
+	if fail := g.checkAnswer(q, ticket, resp, marks, result); fail != nil {
 		return fail, resp
 	}
-	return g.forwardAnswer(ctx, q, out, ticket, resp, sample), resp
+	return g.forwardAnswer(ctx, q, out, ticket, resp, result), resp
 }
 
 // checkAnswer returns a failure for an answer that must not be forwarded: one to another request, or
 // one which says that the request did not run.
-func (g *Gateway) checkAnswer(q *request, ticket *laburnumbalance.Ticket, resp *http.Response, marks laburnumlever.AnswerMarks, sample *laburnumbalance.AttemptResult) *failure {
+func (g *Gateway) checkAnswer(q *request, ticket *laburnumbalance.Ticket, resp *http.Response, marks laburnumlever.AnswerMarks, result *laburnumbalance.AttemptResult) *failure {
 	if marks.RequestID != q.caller.ID && (marks.RequestID != "" || !marks.NotRun) {
-		sample.Failed, sample.Faulty = true, true
+		result.Failed, result.Faulty = true, true
 		return &failure{
 			stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedCrossedAnswer,
 			cause: &CrossedAnswerError{Want: q.caller.ID, Got: marks.RequestID},
@@ -105,10 +105,10 @@
 		if marks.Backend != "" && marks.Backend != ticket.Backend.Backend {
 			g.fleet.removeReplaced(ticket.Backend.Backend)
 		} else {
-			sample.Absent = true
+			result.Absent = true
 		}
 		return &failure{stage: laburnumretry.StageNotRun, reason: laburnumlever.RefusedNoBackend, cause: cause}
 	}
-	sample.Full = true
+	result.Full = true
 	return &failure{stage: laburnumretry.StageNotRun, reason: laburnumlever.RefusedBackendBusy, cause: cause}
 }
--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -28,13 +28,13 @@
 	// routesLoaded is closed when the first route table arrives.
 	routesLoaded chan struct{}
 
-	mu       sync.Mutex
-	registry *laburnumregistry.Table
-	balance  *laburnumbalance.Table
-	demand   *laburnumdemand.Counter
-	adapters laburnumdemand.AdapterUses
-	queue    laburnumwaiting.Queue
-	paces    laburnumdemand.ReadTimes
+	mu        sync.Mutex
+	registry  *laburnumregistry.Table
+	balance   *laburnumbalance.Table
+	demand    *laburnumdemand.Counter
+	adapters  laburnumdemand.AdapterUses
+	queue     laburnumwaiting.Queue
+	readTimes laburnumdemand.ReadTimes
 	// replaced lists backend servers whose address now belongs to another one and that have not
 	// been reported yet.
 	replaced []laburnumlever.BackendID
@@ -55,7 +55,7 @@
 	f := &Fleet{
 		timers: timers, logger: log.NewNopLogger(), registry: laburnumregistry.New(period),
 		balance: laburnumbalance.New(vm.Zone, seed), demand: laburnumdemand.NewCounter(vm.ID),
-		gateways: 1, paces: laburnumdemand.ReadTimes{}, routesLoaded: make(chan struct{}),
+		gateways: 1, readTimes: laburnumdemand.ReadTimes{}, routesLoaded: make(chan struct{}),
 	}
 	for _, opt := range opts {
 		opt(f)
@@ -136,7 +136,7 @@
 	replaced := f.replaced
 	f.replaced = nil
 	return laburnumlever.GatewayNews{
-		Demand: f.demand.Take(now, f.paces), Adapters: f.adapters.Take(now), Unreachable: f.balance.Unreachable(now), Replaced: replaced,
+		Demand: f.demand.Take(now, f.readTimes), Adapters: f.adapters.Take(now), Unreachable: f.balance.Unreachable(now), Replaced: replaced,
 		Outcomes: f.balance.Outcomes(),
 	}
 }
@@ -183,7 +183,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	took, tokens := f.balance.AnswerStarted(t, f.timers.Now())
-	f.paces.Add(t.Model(), took, tokens)
+	f.readTimes.Add(t.Model(), took, tokens)
 	f.serveQueue()
 }
 
@@ -266,7 +266,7 @@
 // query returns the query for the balancer. The caller must hold mu.
 func (f *Fleet) query(q *request) laburnumbalance.Query {
 	query := q.query()
-	query.ReadTime = f.paces.Of(q.caller.Model)
+	query.ReadTime = f.readTimes.Of(q.caller.Model)
 	return query
 }
 
--- a/laburnumgateway/forward.go
+++ b/laburnumgateway/forward.go
@@ -71,7 +71,7 @@
 	if ctx.Err() != nil && !deadlineExceeded(ctx) {
 		return &CallerGoneError{Cause: ctx.Err()}
 	}
-	refusal := &laburnumlever.RefusalError{Reason: fail.reason, RetryAfter: waitTerms.MinRetryAfter(laburnumbalance.Full), Detail: fail.cause.Error()}
+	refusal := &laburnumlever.RefusalError{Reason: fail.reason, RetryAfter: waitPolicy.MinRetryAfter(laburnumbalance.Full), Detail: fail.cause.Error()}
 	if deadlineExceeded(ctx) {
 		refusal.Reason, refusal.RetryAfter = laburnumlever.RefusedDeadline, 0
 	}
@@ -102,7 +102,7 @@
 // request.
 func (g *Gateway) acquire(ctx context.Context, q *request) (*laburnumbalance.Ticket, error) {
 	start := g.timers.Now()
-	until := waitTerms.QueueDeadline(q.queueTimes())
+	until := waitPolicy.QueueDeadline(q.queueTimes())
 	backoff := laburnumwaiting.AdapterBackoff()
 	defer func() { q.waited += g.timers.Now().Sub(start) }()
 	for {
@@ -134,13 +134,13 @@
 }
 
 func noBackendRefusal(verdict laburnumbalance.Verdict, detail string) error {
-	return newRefusal(laburnumlever.RefusedNoBackend, waitTerms.MinRetryAfter(verdict), detail)
+	return newRefusal(laburnumlever.RefusedNoBackend, waitPolicy.MinRetryAfter(verdict), detail)
 }
 
 func noSlotRefusal(verdict laburnumbalance.Verdict) error {
 	switch verdict {
 	case laburnumbalance.Full:
-		return newRefusal(laburnumlever.RefusedQueueFull, waitTerms.MinRetryAfter(verdict), "all backend servers that could serve the request are full")
+		return newRefusal(laburnumlever.RefusedQueueFull, waitPolicy.MinRetryAfter(verdict), "all backend servers that could serve the request are full")
 	case laburnumbalance.NoServer:
 		return noBackendRefusal(verdict, "no backend server of the service accepts requests")
 	case laburnumbalance.AdapterAbsent:
--- a/laburnumgateway/reserve.go
+++ b/laburnumgateway/reserve.go
@@ -31,14 +31,14 @@
 // Load pattern: many gateways send to engines with few slots, and each gets the load of an engine
 // only every few seconds. Without reservations requests queue at a full engine while others have
 // free slots.
-func (g *Gateway) reserve(ctx context.Context, q *request, ticket *laburnumbalance.Ticket, conn *laburnumupstream.Conn, sample *laburnumbalance.AttemptResult) (fail *failure, resp *http.Response) {
+func (g *Gateway) reserve(ctx context.Context, q *request, ticket *laburnumbalance.Ticket, conn *laburnumupstream.Conn, result *laburnumbalance.AttemptResult) (fail *failure, resp *http.Response) {
 	q.reservation = ""
 	if !ticket.MayBeFull() || q.queuesAtEngine() || q.service.Engine == nil || q.service.Engine.ReserveLimit == 0 {
 		return nil, nil
 	}
 	resp, body, err := g.sendReservation(q, ticket, conn)
 	if err != nil {
-		sample.Failed = ctx.Err() == nil
+		result.Failed = ctx.Err() == nil
 		g.counters.reservations[reserveUnanswered].Inc(1)
 		return &failure{stage: laburnumretry.StageNotSent, reason: laburnumlever.RefusedBackendUnreachable, cause: err}, nil
 	}
@@ -53,7 +53,7 @@
 		q.reservation = id
 	default:
 		g.counters.reservations[reserveTaken].Inc(1)
-		sample.ReservationRefused = true
+		result.ReservationRefused = true
 		q.refusedReservations++
 		return &failure{stage: laburnumretry.StageNotSent, reason: laburnumlever.RefusedBackendBusy, cause: &AnswerStatusError{Status: resp.StatusCode}, slotRefused: true}, resp
 	}
--- a/laburnumgateway/waiting.go
+++ b/laburnumgateway/waiting.go
@@ -9,8 +9,8 @@
 	"laburnumlever/laburnumwaiting"
 )
 
-// waitTerms limit how long requests wait for a slot.
-var waitTerms = laburnumwaiting.DefaultPolicy()
+// waitPolicy limits how long requests wait for a slot.
+var waitPolicy = laburnumwaiting.DefaultPolicy()
 
 // awaitSlot reserves a slot for a request. If none is free, it queues the request at most until the
 // given time.
@@ -18,7 +18,7 @@
 	now := f.timers.Now()
 	admitted := make(chan *laburnumbalance.Ticket, 1)
 	queued := &laburnumwaiting.Request{
-		Priority: q.route.Priority, Arrived: q.arrived, OnTimeUntil: waitTerms.OnTimeUntil(q.queueTimes()),
+		Priority: q.route.Priority, Arrived: q.arrived, OnTimeUntil: waitPolicy.OnTimeUntil(q.queueTimes()),
 		Admit: func(ticket *laburnumbalance.Ticket) { admitted <- ticket },
 	}
 	f.mu.Lock()
--- a/laburnumorder/lease.go
+++ b/laburnumorder/lease.go
@@ -97,7 +97,7 @@
 	o.granted.Store(o.lease.fence)
 	o.owns.Store(true)
 	o.quietUntil = now.Add(o.ttl + o.underWay)
-	o.paceIsNew = true
+	o.limiterIsNew = true
 	for _, e := range o.engines {
 		e.forget()
 	}
--- a/laburnumorder/owner.go
+++ b/laburnumorder/owner.go
@@ -30,21 +30,21 @@
 	tickPeriod  time.Duration
 	run         func(work func())
 
-	lease       lease
-	quietUntil  time.Time
-	engines     map[laburnumlever.BackendID]*engine
-	ledger      *Ledger
-	orders      uint64
-	pace        laburnumplacement.LoadLimiter
-	paceIsNew   bool
-	nextPlan    time.Time
-	nextObserve time.Time
-	planner     *laburnumplacement.Planner
-	estimator   *laburnumplacement.Estimator
-	ready       readiness
-	progress    progress
-	versions    versions
-	history     []record
+	lease        lease
+	quietUntil   time.Time
+	engines      map[laburnumlever.BackendID]*engine
+	ledger       *Ledger
+	orders       uint64
+	limiter      laburnumplacement.LoadLimiter
+	limiterIsNew bool
+	nextPlan     time.Time
+	nextObserve  time.Time
+	planner      *laburnumplacement.Planner
+	estimator    *laburnumplacement.Estimator
+	ready        readiness
+	progress     progress
+	versions     versions
+	history      []record
 
 	owns      atomic.Bool
 	granted   atomic.Uint64 // the lease's number, for Close
--- a/laburnumorder/plan.go
+++ b/laburnumorder/plan.go
@@ -17,20 +17,20 @@
 	}
 	snapshot := o.snapshot(view, now)
 	plan := o.planner.Plan(snapshot)
-	share := laburnumplacement.LoadQuotaOf(view.Catalogue.Deployment, o.self.Zone)
-	if o.paceIsNew {
-		o.pace = laburnumplacement.NewLoadLimiter(now, share)
-		o.paceIsNew = false
+	quota := laburnumplacement.LoadQuotaOf(view.Catalogue.Deployment, o.self.Zone)
+	if o.limiterIsNew {
+		o.limiter = laburnumplacement.NewLoadLimiter(now, quota)
+		o.limiterIsNew = false
 	}
 	for _, m := range plan.Moves {
 		if m.Zone != o.self.Zone {
 			continue
 		}
-		if m.Kind == laburnumlever.Load && !o.pace.Ready(now, share, o.loadsUnderWay(now)) {
+		if m.Kind == laburnumlever.Load && !o.limiter.Ready(now, quota, o.loadsUnderWay(now)) {
 			continue
 		}
 		if o.begin(m, now) && m.Kind == laburnumlever.Load {
-			o.pace = o.pace.AfterLoad(now, share)
+			o.limiter = o.limiter.AfterLoad(now, quota)
 		}
 	}
 	o.publish(snapshot, plan, now)
@@ -58,7 +58,7 @@
 		s.Engines = append(s.Engines, e)
 	}
 	o.ready.mark(s.Engines, old, now)
-	s.RecentlyChanged = o.versions.fresh(view.Catalogue.Models, now)
+	s.RecentlyChanged = o.versions.recentlyChanged(view.Catalogue.Models, now)
 	s.Overdue = o.progress.overdue(s, now)
 	return s
 }
--- a/laburnumorder/readiness.go
+++ b/laburnumorder/readiness.go
@@ -105,8 +105,8 @@
 	since   time.Time
 }
 
-// fresh lists the models whose version changed a moment ago.
-func (v versions) fresh(models []laburnumlever.Model, now time.Time) map[laburnumlever.ModelName]bool {
+// recentlyChanged lists the models whose version changed a moment ago.
+func (v versions) recentlyChanged(models []laburnumlever.Model, now time.Time) map[laburnumlever.ModelName]bool {
 	list := make(map[laburnumlever.ModelName]bool)
 	for _, m := range models {
 		known, ok := v[m.Name]
--- a/laburnumquorum/policy.go
+++ b/laburnumquorum/policy.go
@@ -85,21 +85,21 @@
 // Next returns the next membership change, if one is due. A learner is added, catches up and
 // then replaces a voter in a single change. A VM whose learner was removed is tried last the
 // next time; otherwise a VM with a stalled disk would block all others.
-func (k *Planner) Next(v View) (Change, bool) {
-	v.Joiners = k.sortJoiners(v.Joiners)
-	change, due := k.policy.next(v)
+func (p *Planner) Next(v View) (Change, bool) {
+	v.Joiners = p.sortJoiners(v.Joiners)
+	change, due := p.policy.next(v)
 	if due && change.Event == laburnumlever.EventLearnerRemoved {
 		vm := change.Member.VM
-		k.failedVMs = append(slices.DeleteFunc(slices.Clone(k.failedVMs), func(id laburnumlever.VMID) bool { return id == vm }), vm)
+		p.failedVMs = append(slices.DeleteFunc(slices.Clone(p.failedVMs), func(id laburnumlever.VMID) bool { return id == vm }), vm)
 	}
 	return change, due
 }
 
 // sortJoiners returns the joiners sorted by VM, with failedVMs last.
-func (k *Planner) sortJoiners(joiners []laburnumlog.Member) []laburnumlog.Member {
+func (p *Planner) sortJoiners(joiners []laburnumlog.Member) []laburnumlog.Member {
 	joiners = slices.Clone(joiners)
 	slices.SortFunc(joiners, func(a, b laburnumlog.Member) int {
-		byTurn := slices.Index(k.failedVMs, a.VM) - slices.Index(k.failedVMs, b.VM)
+		byTurn := slices.Index(p.failedVMs, a.VM) - slices.Index(p.failedVMs, b.VM)
 		return cmp.Or(byTurn, strings.Compare(string(a.VM), string(b.VM)))
 	})
 	return joiners
--- a/laburnumretry/budget_test.go
+++ b/laburnumretry/budget_test.go
@@ -11,9 +11,9 @@
 
 func TestDecide(t *testing.T) {
 	for name, c := range map[string]struct {
-		s       laburnumretry.FailedRequest
-		reason  laburnumlever.RetryReason
-		verdict laburnumretry.Decision
+		s        laburnumretry.FailedRequest
+		reason   laburnumlever.RetryReason
+		decision laburnumretry.Decision
 	}{
 		"not sent": {
 			laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendUnreachable, AtMostOnce: true, Attempts: 1},
@@ -42,8 +42,8 @@
 		"caller gone": {laburnumretry.FailedRequest{Reason: laburnumlever.RefusedCallerGone, Attempts: 1}, 0, laburnumretry.GiveUp},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reason, verdict := laburnumretry.NewBudget().Decide(c.s)
-			require.Equal(t, c.verdict, verdict)
+			reason, decision := laburnumretry.NewBudget().Decide(c.s)
+			require.Equal(t, c.decision, decision)
 			require.Equal(t, c.reason, reason)
 		})
 	}
@@ -58,8 +58,8 @@
 	for range requests {
 		budget.FirstAttempt()
 		for attempts := 1; ; attempts++ {
-			_, verdict := budget.Decide(laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendBusy, Attempts: attempts})
-			if verdict != laburnumretry.Retry {
+			_, decision := budget.Decide(laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendBusy, Attempts: attempts})
+			if decision != laburnumretry.Retry {
 				break
 			}
 			retries++
--- a/laburnumsimulation/attempt.go
+++ b/laburnumsimulation/attempt.go
@@ -11,26 +11,26 @@
 
 // attempt is one try of a caller, at one gateway, as laburnumgateway makes it.
 type attempt struct {
-	request  *request
-	gateway  *gateway
-	arrived  time.Time
-	brokenAt time.Time
-	sends    int
-	tries    int
-	taken    int
-	touched  bool
-	started  bool
-	over     bool
-	avoid    []laburnumlever.BackendID
-	ticket   *laburnumbalance.Ticket
-	run      *run
-	written  int // tokens that the caller has
-	lastAt   time.Time
-	pause    time.Duration
-	firstAt  time.Time
-	waited   time.Duration
-	waitFrom time.Time
-	backoff  laburnumretry.Backoff // of requests for an adapter
+	request    *request
+	gateway    *gateway
+	arrived    time.Time
+	brokenAt   time.Time
+	sends      int
+	tries      int
+	taken      int
+	mayHaveRun bool
+	started    bool
+	over       bool
+	avoid      []laburnumlever.BackendID
+	ticket     *laburnumbalance.Ticket
+	run        *run
+	written    int // tokens that the caller has
+	lastAt     time.Time
+	pause      time.Duration
+	firstAt    time.Time
+	waited     time.Duration
+	waitFrom   time.Time
+	backoff    laburnumretry.Backoff // of requests for an adapter
 }
 
 func (a *attempt) sim() *simulation { return a.gateway.sim }
@@ -47,7 +47,7 @@
 	q := a.request
 	return laburnumbalance.Query{
 		Service: service, Model: a.sim().models[q.model].name, Adapter: q.adapter, Prompt: q.prompt, Target: time.Duration(q.class.Target),
-		ReadTime: a.gateway.paces.Of(a.sim().models[q.model].name), Queue: a.queues(), Avoid: a.avoid,
+		ReadTime: a.gateway.readTimes.Of(a.sim().models[q.model].name), Queue: a.queues(), Avoid: a.avoid,
 	}
 }
 
@@ -73,9 +73,9 @@
 	if a.waitFrom.IsZero() {
 		a.waitFrom = now
 	}
-	until := sim.policy.terms.QueueDeadline(a.times())
+	until := sim.policy.waitPolicy.QueueDeadline(a.times())
 	waiting := &laburnumwaiting.Request{
-		Query: a.query(), Priority: a.request.class.Priority, Arrived: a.arrived, OnTimeUntil: sim.policy.terms.OnTimeUntil(a.times()),
+		Query: a.query(), Priority: a.request.class.Priority, Arrived: a.arrived, OnTimeUntil: sim.policy.waitPolicy.OnTimeUntil(a.times()),
 	}
 	if sim.policy.exactLoads {
 		g.learnExactly(a.request.model)
@@ -213,10 +213,10 @@
 }
 
 // release frees the slot and learns from the attempt.
-func (a *attempt) release(sample laburnumbalance.AttemptResult) {
+func (a *attempt) release(result laburnumbalance.AttemptResult) {
 	g, now := a.gateway, a.sim().now()
 	g.uses.RequestEnded(a.sim().models[a.request.model].name, a.request.adapter, now)
-	g.table.End(a.ticket, sample, now)
+	g.table.End(a.ticket, result, now)
 	a.ticket = nil
 	g.serveQueue()
 }
@@ -245,7 +245,7 @@
 	}
 	a.keep(r)
 	a.release(laburnumbalance.AttemptResult{Failed: true})
-	a.touched = true
+	a.mayHaveRun = true
 	if a.started {
 		a.brokenAt = a.lastAt
 	}
@@ -265,7 +265,7 @@
 	c := a.request.class
 	a.avoid = append(a.avoid, a.lastBackend())
 	next := laburnumretry.Attempt{
-		Stage: stage, MayHaveRun: a.touched, Started: a.started, Idempotent: c.Resumable, Resumable: c.Resumable,
+		Stage: stage, MayHaveRun: a.mayHaveRun, Started: a.started, Idempotent: c.Resumable, Resumable: c.Resumable,
 		Sent: a.sends, Tries: a.tries, MaxSent: max(1, c.Attempts),
 	}
 	_, paid, ok := next.Next()
@@ -297,7 +297,7 @@
 	}
 	g, now := a.gateway, a.sim().now()
 	took, tokens := g.table.AnswerStarted(a.ticket, now)
-	g.paces.Add(a.ticket.Model(), took, tokens)
+	g.readTimes.Add(a.ticket.Model(), took, tokens)
 	g.table.Observe(a.ticket.Backend.Backend, laburnumbalance.AttemptResult{HasLoad: true, Running: running, Waiting: waiting}, now)
 	if a.started {
 		a.pause = max(a.pause, now.Sub(a.lastAt))
@@ -323,7 +323,7 @@
 func (a *attempt) turnAway(verdict laburnumbalance.Verdict, why string) {
 	a.over = true
 	a.gateway.ended(a.request, false)
-	after := a.times().RetryAfter(a.sim().policy.terms.MinRetryAfter(verdict), a.gateway.random.Float64(), a.sim().now())
+	after := a.times().RetryAfter(a.sim().policy.waitPolicy.MinRetryAfter(verdict), a.gateway.random.Float64(), a.sim().now())
 	a.request.turnedAway(a, after, why)
 }
 
--- a/laburnumsimulation/gateway.go
+++ b/laburnumsimulation/gateway.go
@@ -26,22 +26,22 @@
 
 // gateway is one gateway VM with what it knows.
 type gateway struct {
-	sim     *simulation
-	id      laburnumlever.VMID
-	zone    laburnumlever.ZoneName
-	table   *laburnumbalance.Table
-	queue   laburnumwaiting.Queue
-	counter *laburnumdemand.Counter
-	uses    laburnumdemand.AdapterUses
-	paces   laburnumdemand.ReadTimes
-	window  *laburnumretry.Window
-	random  *rand.Rand
+	sim       *simulation
+	id        laburnumlever.VMID
+	zone      laburnumlever.ZoneName
+	table     *laburnumbalance.Table
+	queue     laburnumwaiting.Queue
+	counter   *laburnumdemand.Counter
+	uses      laburnumdemand.AdapterUses
+	readTimes laburnumdemand.ReadTimes
+	window    *laburnumretry.Window
+	random    *rand.Rand
 }
 
 func newGateway(sim *simulation, id laburnumlever.VMID, zone laburnumlever.ZoneName, seed uint64) *gateway {
 	g := &gateway{
 		sim: sim, id: id, zone: zone, table: laburnumbalance.New(zone, seed, sim.policy.balance...),
-		counter: laburnumdemand.NewCounter(id), paces: laburnumdemand.ReadTimes{},
+		counter: laburnumdemand.NewCounter(id), readTimes: laburnumdemand.ReadTimes{},
 		window: laburnumretry.NewWindow(budgetWindow, budgetRatio, budgetSlack*float64(len(sim.gateways)+1)),
 		random: rand.New(rand.NewPCG(seed, 2)), //nolint:gosec // repeatable
 	}
@@ -64,7 +64,7 @@
 func (g *gateway) tell() {
 	now := g.sim.now()
 	news := laburnumlever.GatewayNews{
-		Demand: g.counter.Take(now, g.paces), Adapters: g.uses.Take(now), Unreachable: g.table.Unreachable(now),
+		Demand: g.counter.Take(now, g.readTimes), Adapters: g.uses.Take(now), Unreachable: g.table.Unreachable(now),
 		Outcomes: g.table.Outcomes(),
 	}
 	if !news.IsZero() {
--- a/laburnumvoter/members.go
+++ b/laburnumvoter/members.go
@@ -187,7 +187,7 @@
 // also when a replica sends a hello or a learner may have caught up, since until the change the
 // log tolerates the loss of one disk less.
 func (v *Voter) reconcileMembers() {
-	change, due := v.keeper.Next(laburnumquorum.View{
+	change, due := v.planner.Next(laburnumquorum.View{
 		Configuration: v.log.Configuration(), Pending: v.log.ChangePending(), Commit: v.log.Commit(),
 		Progress: v.log.Progress, Joiners: v.allowedJoiners(),
 	})
--- a/laburnumvoter/report.go
+++ b/laburnumvoter/report.go
@@ -101,11 +101,11 @@
 			continue
 		}
 		j, hello := v.joiners[m.VM]
-		switch ballot := v.log.VoteResponse(m.ID); {
-		case ballot == laburnumlog.Granted:
+		switch response := v.log.VoteResponse(m.ID); {
+		case response == laburnumlog.Granted:
 		case hello && j.hello.Member.ID != m.ID:
 			missing = append(missing, string(m.ID)+" (its VM now runs another instance)")
-		case ballot == laburnumlog.Refused:
+		case response == laburnumlog.Refused:
 			missing = append(missing, string(m.ID)+" (refused)")
 		default:
 			missing = append(missing, string(m.ID)+" (no answer)")
@@ -116,11 +116,11 @@
 
 // reportTolerance updates the gauge of how many disks can be lost without losing the log.
 func (v *Voter) reportTolerance() {
-	borne := v.log.ToleratedLosses()
+	tolerated := v.log.ToleratedLosses()
 	if v.log.Leader() == "" {
-		borne = noLeader
+		tolerated = noLeader
 	}
-	v.cfg.scope.Gauge("losses_borne").Update(float64(borne))
+	v.cfg.scope.Gauge("losses_borne").Update(float64(tolerated))
 }
 
 // notLeaderReason returns why this VM rejects commands.
--- a/laburnumvoter/voter.go
+++ b/laburnumvoter/voter.go
@@ -31,7 +31,7 @@
 	waiters          map[uint64]waiter
 	addresses        map[laburnumlog.ReplicaID]string
 	joiners          map[laburnumlever.VMID]joiner
-	keeper           laburnumquorum.Planner
+	planner          laburnumquorum.Planner
 	renewals         map[string]renewal
 	onCatalogue      func(laburnumlever.Catalogue)
 	onRoutes         func(laburnumlever.RouteTable)
@@ -81,7 +81,7 @@
 		onRoutes: func(laburnumlever.RouteTable) {},
 		done:     make(chan struct{}), startedAt: timers.Now(),
 	}
-	v.keeper = laburnumquorum.NewPlanner(v.cfg.policy())
+	v.planner = laburnumquorum.NewPlanner(v.cfg.policy())
 	v.known.set(v.cfg.voters)
 	if v.cfg.folder != "" {
 		r, err := openReplica(v.cfg, self)
