--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -12,8 +12,8 @@
 	"laburnumlever/laburnumfeed"
 	"laburnumlever/laburnumregistry"
 	"laburnumlever/laburnumroutes"
+	"laburnumlever/laburnumslotqueue"
 	"laburnumlever/laburnumtimer"
-	"laburnumlever/laburnumwaiting"
 
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
@@ -33,7 +33,7 @@
 	balance   *laburnumbalance.Table
 	demand    *laburnumdemand.Counter
 	adapters  laburnumdemand.AdapterUses
-	queue     laburnumwaiting.Queue
+	queue     laburnumslotqueue.Queue
 	readTimes laburnumdemand.ReadTimes
 	// replaced lists backend servers whose address now belongs to another one and that have not
 	// been reported yet.
--- a/laburnumgateway/forward.go
+++ b/laburnumgateway/forward.go
@@ -7,8 +7,8 @@
 	"laburnumlever"
 	"laburnumlever/laburnumbalance"
 	"laburnumlever/laburnumretry"
+	"laburnumlever/laburnumslotqueue"
 	"laburnumlever/laburnumtimer"
-	"laburnumlever/laburnumwaiting"
 
 	"github.com/cockroachdb/errors"
 	"github.com/go-kit/log/level"
@@ -103,7 +103,7 @@
 func (g *Gateway) acquire(ctx context.Context, q *request) (*laburnumbalance.Ticket, error) {
 	start := g.timers.Now()
 	until := waitPolicy.QueueDeadline(q.queueTimes())
-	backoff := laburnumwaiting.AdapterBackoff()
+	backoff := laburnumslotqueue.AdapterBackoff()
 	defer func() { q.waited += g.timers.Now().Sub(start) }()
 	for {
 		ticket, verdict := g.fleet.awaitSlot(ctx, q, until)
--- a/laburnumgateway/request.go
+++ b/laburnumgateway/request.go
@@ -11,7 +11,7 @@
 	"laburnumlever"
 	"laburnumlever/laburnumbalance"
 	"laburnumlever/laburnumroutes"
-	"laburnumlever/laburnumwaiting"
+	"laburnumlever/laburnumslotqueue"
 
 	"github.com/cockroachdb/errors"
 )
@@ -113,8 +113,8 @@
 }
 
 // queueTimes returns the times that decide how long the request may be queued.
-func (q *request) queueTimes() laburnumwaiting.Caller {
-	c := laburnumwaiting.Caller{Arrived: q.arrived, Deadline: q.deadline, BrokenAt: q.brokenAt}
+func (q *request) queueTimes() laburnumslotqueue.Caller {
+	c := laburnumslotqueue.Caller{Arrived: q.arrived, Deadline: q.deadline, BrokenAt: q.brokenAt}
 	if q.route != nil {
 		c.Stream = q.route.Kind == laburnumlever.KindStream
 		c.Target, c.PauseTarget = time.Duration(q.route.Target), time.Duration(q.route.PauseTarget)
--- a/laburnumgateway/waiting.go
+++ b/laburnumgateway/waiting.go
@@ -5,19 +5,19 @@
 	"time"
 
 	"laburnumlever/laburnumbalance"
+	"laburnumlever/laburnumslotqueue"
 	"laburnumlever/laburnumtimer"
-	"laburnumlever/laburnumwaiting"
 )
 
 // waitPolicy limits how long requests wait for a slot.
-var waitPolicy = laburnumwaiting.DefaultPolicy()
+var waitPolicy = laburnumslotqueue.DefaultPolicy()
 
 // awaitSlot reserves a slot for a request. If none is free, it queues the request at most until the
 // given time.
 func (f *Fleet) awaitSlot(ctx context.Context, q *request, until time.Time) (*laburnumbalance.Ticket, laburnumbalance.Verdict) {
 	now := f.timers.Now()
 	admitted := make(chan *laburnumbalance.Ticket, 1)
-	queued := &laburnumwaiting.Request{
+	queued := &laburnumslotqueue.Request{
 		Priority: q.route.Priority, Arrived: q.arrived, OnTimeUntil: waitPolicy.OnTimeUntil(q.queueTimes()),
 		Admit: func(ticket *laburnumbalance.Ticket) { admitted <- ticket },
 	}
@@ -42,7 +42,7 @@
 
 // leaveQueue removes a request from the queue. If it was admitted in the meantime, it returns the
 // ticket of its slot.
-func (f *Fleet) leaveQueue(n *laburnumwaiting.Request, admitted <-chan *laburnumbalance.Ticket, verdict laburnumbalance.Verdict) (*laburnumbalance.Ticket, laburnumbalance.Verdict) {
+func (f *Fleet) leaveQueue(n *laburnumslotqueue.Request, admitted <-chan *laburnumbalance.Ticket, verdict laburnumbalance.Verdict) (*laburnumbalance.Ticket, laburnumbalance.Verdict) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.queue.Remove(n)
--- a/laburnumsimulation/attempt.go
+++ b/laburnumsimulation/attempt.go
@@ -6,7 +6,7 @@
 	"laburnumlever"
 	"laburnumlever/laburnumbalance"
 	"laburnumlever/laburnumretry"
-	"laburnumlever/laburnumwaiting"
+	"laburnumlever/laburnumslotqueue"
 )
 
 // attempt is one try of a caller, at one gateway, as laburnumgateway makes it.
@@ -35,9 +35,9 @@
 
 func (a *attempt) sim() *simulation { return a.gateway.sim }
 
-func (a *attempt) times() laburnumwaiting.Caller {
+func (a *attempt) times() laburnumslotqueue.Caller {
 	c := a.request.class
-	return laburnumwaiting.Caller{
+	return laburnumslotqueue.Caller{
 		Arrived: a.arrived, Deadline: a.request.deadline, Stream: true, Target: time.Duration(c.Target),
 		PauseTarget: time.Duration(c.PauseTarget), BrokenAt: a.brokenAt,
 	}
@@ -74,7 +74,7 @@
 		a.waitFrom = now
 	}
 	until := sim.policy.waitPolicy.QueueDeadline(a.times())
-	waiting := &laburnumwaiting.Request{
+	waiting := &laburnumslotqueue.Request{
 		Query: a.query(), Priority: a.request.class.Priority, Arrived: a.arrived, OnTimeUntil: sim.policy.waitPolicy.OnTimeUntil(a.times()),
 	}
 	if sim.policy.exactLoads {
--- a/laburnumsimulation/callers.go
+++ b/laburnumsimulation/callers.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 
 	"laburnumlever"
-	"laburnumlever/laburnumwaiting"
+	"laburnumlever/laburnumslotqueue"
 )
 
 // request is what one caller wants, over all of its tries.
@@ -52,7 +52,7 @@
 	gateways := q.sim.byZone[q.zone]
 	g := gateways[q.sim.callers.random.IntN(len(gateways))]
 	q.sim.after(q.sim.callerLink(), func() {
-		a := &attempt{request: q, gateway: g, arrived: q.sim.now(), backoff: laburnumwaiting.AdapterBackoff()}
+		a := &attempt{request: q, gateway: g, arrived: q.sim.now(), backoff: laburnumslotqueue.AdapterBackoff()}
 		g.asked(q)
 		a.place()
 		q.sim.after(a.times().Patience(), func() {
--- a/laburnumsimulation/doc.go
+++ b/laburnumsimulation/doc.go
@@ -2,7 +2,7 @@
 // policies of placement, balancing and queueing without a network.
 //
 // It drives the parts that decide in production: laburnumdirector with
-// laburnumresidency, laburnumbalance, laburnumwaiting, laburnumretry and laburnumdemand, each
+// laburnumresidency, laburnumbalance, laburnumslotqueue, laburnumretry and laburnumdemand, each
 // gateway with its own partial and late knowledge. Engines, the weight store, callers and
 // faults are models.
 //
--- a/laburnumsimulation/gateway.go
+++ b/laburnumsimulation/gateway.go
@@ -9,7 +9,7 @@
 	"laburnumlever/laburnumdemand"
 	"laburnumlever/laburnumregistry"
 	"laburnumlever/laburnumretry"
-	"laburnumlever/laburnumwaiting"
+	"laburnumlever/laburnumslotqueue"
 )
 
 const (
@@ -30,7 +30,7 @@
 	id        laburnumlever.VMID
 	zone      laburnumlever.ZoneName
 	table     *laburnumbalance.Table
-	queue     laburnumwaiting.Queue
+	queue     laburnumslotqueue.Queue
 	counter   *laburnumdemand.Counter
 	uses      laburnumdemand.AdapterUses
 	readTimes laburnumdemand.ReadTimes
--- a/laburnumsimulation/policy.go
+++ b/laburnumsimulation/policy.go
@@ -7,7 +7,7 @@
 	"laburnumlever/laburnumbalance"
 	"laburnumlever/laburnumdirector"
 	"laburnumlever/laburnumresidency"
-	"laburnumlever/laburnumwaiting"
+	"laburnumlever/laburnumslotqueue"
 )
 
 // Policy is a way to place, balance and queue.
@@ -15,7 +15,7 @@
 	// Name and Summary are for operators.
 	Name, Summary string
 	balance       []laburnumbalance.Option
-	waitPolicy    laburnumwaiting.Policy
+	waitPolicy    laburnumslotqueue.Policy
 	director      func(sim *simulation) []laburnumdirector.Option
 	// inTurn serves queues strictly in turn.
 	inTurn bool
@@ -34,7 +34,7 @@
 // today is the policy in production.
 func today() Policy {
 	return Policy{
-		Name: "today", Summary: "the policy in production", waitPolicy: laburnumwaiting.DefaultPolicy(), director: noOptions,
+		Name: "today", Summary: "the policy in production", waitPolicy: laburnumslotqueue.DefaultPolicy(), director: noOptions,
 	}
 }
 
@@ -53,7 +53,7 @@
 	return p
 }
 
-func (p Policy) withWaitPolicy(policy laburnumwaiting.Policy) Policy {
+func (p Policy) withWaitPolicy(policy laburnumslotqueue.Policy) Policy {
 	p.waitPolicy = policy
 	return p
 }
@@ -81,9 +81,9 @@
 			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithEvictShare(largeShare))),
 		today().named("slow-demand", "demand is followed within 1.5 s up and 6 s down").withDirector(laburnumdirector.WithDemandTimes(usualTime, slowTime)),
 		today().named("fast-demand", "demand is followed within 0.5 s up and 0.75 s down").withDirector(laburnumdirector.WithDemandTimes(fastRise, fastFall)),
-		today().named("long-wait", "requests wait for three quarters of their callers' patience").withWaitPolicy(laburnumwaiting.DefaultPolicy().WithWaitShare(longWait)),
+		today().named("long-wait", "requests wait for three quarters of their callers' patience").withWaitPolicy(laburnumslotqueue.DefaultPolicy().WithWaitShare(longWait)),
 		today().named("soon", "refused callers are told to come back after half a second, or a second if no engine holds the model").
-			withWaitPolicy(laburnumwaiting.DefaultPolicy().WithRetryAfter(soonFull, soonAbsent)),
+			withWaitPolicy(laburnumslotqueue.DefaultPolicy().WithRetryAfter(soonFull, soonAbsent)),
 		today().named("engine-queue", "requests queue at engines up to a fifth of their slots, without reservations").
 			with(func(p *Policy) { p.sendsUnsure = true }).withBalance(laburnumbalance.WithFreeShare(-engineQueue)),
 		today().named("no-reservations", "requests are sent to engines with stale loads").with(func(p *Policy) { p.sendsUnsure = true }),
--- a/laburnumwaiting/doc.go
+++ b/laburnumslotqueue/doc.go
@@ -1,4 +1,4 @@
-// Package laburnumwaiting is a priority queue of requests that wait for a slot on a backend
+// Package laburnumslotqueue is a priority queue of requests that wait for a slot on a backend
 // server. It does no I/O and reads no clock.
 //
 // Load pattern: for a few seconds more requests arrive for a model than its engines can serve. In
@@ -13,4 +13,4 @@
 //	queue.Serve(now, reserve) // whenever a slot may be free
 //
 // A Queue is not safe for concurrent use.
-package laburnumwaiting
+package laburnumslotqueue
--- a/laburnumwaiting/policy_test.go
+++ b/laburnumslotqueue/policy_test.go
@@ -1,4 +1,4 @@
-package laburnumwaiting_test
+package laburnumslotqueue_test
 
 import (
 	"testing"
@@ -6,16 +6,16 @@
 
 	"github.com/stretchr/testify/require"
 
-	"laburnumlever/laburnumwaiting"
+	"laburnumlever/laburnumslotqueue"
 )
 
 // Guards against requests queued for so long that the rest of the caller's time is too short for
 // the answer, or for the resumption of a broken stream.
 func TestPolicy(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
-	policy := laburnumwaiting.DefaultPolicy()
-	plain := laburnumwaiting.Caller{Arrived: start, Deadline: start.Add(time.Second)}
-	stream := laburnumwaiting.Caller{
+	policy := laburnumslotqueue.DefaultPolicy()
+	plain := laburnumslotqueue.Caller{Arrived: start, Deadline: start.Add(time.Second)}
+	stream := laburnumslotqueue.Caller{
 		Arrived: start, Deadline: start.Add(10 * time.Second), Stream: true,
 		Target: 400 * time.Millisecond, PauseTarget: 250 * time.Millisecond,
 	}
--- a/laburnumwaiting/queue.go
+++ b/laburnumslotqueue/queue.go
@@ -1,4 +1,4 @@
-package laburnumwaiting
+package laburnumslotqueue
 
 import (
 	"cmp"
--- a/laburnumwaiting/queue_test.go
+++ b/laburnumslotqueue/queue_test.go
@@ -1,4 +1,4 @@
-package laburnumwaiting_test
+package laburnumslotqueue_test
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 
 	"laburnumlever"
 	"laburnumlever/laburnumbalance"
-	"laburnumlever/laburnumwaiting"
+	"laburnumlever/laburnumslotqueue"
 )
 
 const (
@@ -21,8 +21,8 @@
 // the requests admitted in time and late, by priority.
 func overload(t *testing.T, priorities []int, asked, slots, length time.Duration) (inTime, late map[int]int) {
 	t.Helper()
-	w := &laburnumwaiting.Queue{}
-	admitted := map[*laburnumwaiting.Request]bool{}
+	w := &laburnumslotqueue.Queue{}
+	admitted := map[*laburnumslotqueue.Request]bool{}
 	inTime, late = map[int]int{}, map[int]int{}
 	start := time.Unix(1_000_000, 0)
 	nextRequest, nextSlot := start, start
@@ -30,7 +30,7 @@
 	for now := start; now.Before(start.Add(length)); now = now.Add(time.Millisecond) {
 		if !now.Before(nextRequest) {
 			nextRequest = nextRequest.Add(asked)
-			r := &laburnumwaiting.Request{
+			r := &laburnumslotqueue.Request{
 				Query: laburnumbalance.Query{Model: "m0"}, Priority: priorities[n%len(priorities)], Arrived: now, OnTimeUntil: now.Add(testOnTime),
 			}
 			r.Admit = func(*laburnumbalance.Ticket) { admitted[r] = true }
