--- a/laburnumbalance/balance.go
+++ b/laburnumbalance/balance.go
@@ -91,13 +91,13 @@
 }
 
 // MayBeFull tells whether the server's load is stale, so that it may have no free slot.
-func (ticket *Ticket) Unsure() bool { return ticket.mayBeFull }
+func (ticket *Ticket) MayBeFull() bool { return ticket.mayBeFull }
 
 // Model returns the request's model; it is empty for a plain service.
 func (ticket *Ticket) Model() laburnumlever.ModelName { return ticket.query.Model }
 
 // AttemptResult is what an attempt, or an answer that has not ended yet, tells of a server.
-type Sample struct {
+type AttemptResult struct {
 	// Failed means that there was no answer or an invalid one.
 	Failed bool
 	// Faulty means that the server itself answered with an error, which excludes a network
@@ -113,7 +113,7 @@
 	HasLoad          bool
 	Running, Waiting int
 	// ReservationRefused means that a reservation was refused for lack of a slot.
-	Taken bool
+	ReservationRefused bool
 }
 
 // Table holds the endpoint state of the servers.
@@ -257,7 +257,7 @@
 }
 
 // ModelLoaded records a model or adapter that a server holds before its heartbeat lists it.
-func (t *Table) Added(id laburnumlever.BackendID, model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) {
+func (t *Table) ModelLoaded(id laburnumlever.BackendID, model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) {
 	if s := t.servers[id]; s != nil {
 		s.added = setExpiry(s.added, heldModel{model: model, adapter: adapter}, now.Add(addedTime), now)
 		t.list(s, model)
@@ -278,11 +278,11 @@
 }
 
 // countOutcome adds the result of an attempt to the next report by Outcomes.
-func (t *Table) countOutcome(s *server, sample Sample) {
+func (t *Table) countOutcome(s *server, result AttemptResult) {
 	switch {
-	case sample.Faulty:
+	case result.Faulty:
 		t.countFailure(s)
-	case !sample.Failed && !sample.Unreachable && !sample.Full && !sample.Taken:
+	case !result.Failed && !result.Unreachable && !result.Full && !result.ReservationRefused:
 		s.answered++
 	}
 }
@@ -310,14 +310,14 @@
 func (t *Table) Len(service laburnumlever.ServiceName) int { return len(t.byService[service]) }
 
 // Unavailable returns the servers that hold the query's model but are full or unreachable.
-func (t *Table) Useless(q Query, now time.Time) []laburnumlever.BackendID {
-	var useless []laburnumlever.BackendID
+func (t *Table) Unavailable(q Query, now time.Time) []laburnumlever.BackendID {
+	var unavailable []laburnumlever.BackendID
 	for _, s := range t.candidates(q) {
 		if s.holds(q.Model, "", now) && (now.Before(s.unreachableUntil) || t.saturated(s, now, q.Queue)) {
-			useless = append(useless, s.record.Heartbeat.Backend)
+			unavailable = append(unavailable, s.record.Heartbeat.Backend)
 		}
 	}
-	return useless
+	return unavailable
 }
 
 // Pick chooses the server with the lowest score and occupies a slot there.
@@ -407,7 +407,7 @@
 
 // AnswerStarted records the first part of the answer. It returns the time to the first part and
 // the number of prompt tokens that the server had to read; both are 0 on later calls.
-func (t *Table) Began(ticket *Ticket, now time.Time) (time.Duration, int) {
+func (t *Table) AnswerStarted(ticket *Ticket, now time.Time) (time.Duration, int) {
 	if ticket == nil || ticket.server == nil || ticket.reading == 0 {
 		return 0, 0
 	}
@@ -423,7 +423,7 @@
 }
 
 // End frees the slot and records the result of the attempt. It ignores a nil ticket.
-func (t *Table) End(ticket *Ticket, sample Sample, now time.Time) {
+func (t *Table) End(ticket *Ticket, result AttemptResult, now time.Time) {
 	if ticket == nil || ticket.server == nil {
 		return
 	}
@@ -431,9 +431,9 @@
 	ticket.promptRead()
 	ticket.server = nil
 	s.own--
-	t.countOutcome(s, sample)
-	t.Learn(s.record.Heartbeat.Backend, sample, now)
-	if sample.Absent {
+	t.countOutcome(s, result)
+	t.Observe(s.record.Heartbeat.Backend, result, now)
+	if result.Absent {
 		key := heldModel{model: ticket.query.Model, adapter: ticket.query.Adapter}
 		s.absent = setExpiry(s.absent, key, now.Add(absentTime), now)
 		delete(s.added, key)
@@ -441,22 +441,22 @@
 }
 
 // Observe updates a server's state from an answer, also while the request is still running.
-func (t *Table) Learn(id laburnumlever.BackendID, sample Sample, now time.Time) {
+func (t *Table) Observe(id laburnumlever.BackendID, result AttemptResult, now time.Time) {
 	s := t.servers[id]
 	if s == nil {
 		return
 	}
-	if sample.HasLoad {
-		s.others = float64(max(0, sample.Running+sample.Waiting-s.own))
+	if result.HasLoad {
+		s.others = float64(max(0, result.Running+result.Waiting-s.own))
 		s.othersAt = now
 		s.reservationRefused = false
 	}
-	if sample.Taken {
+	if result.ReservationRefused {
 		s.reservationRefused = true
 		s.others = max(0, float64(s.record.Heartbeat.Slots-s.own))
 		s.othersAt = now
 	}
-	if sample.Full {
+	if result.Full {
 		s.fullUntil = now.Add(fullTime)
 		// A server that refuses requests while it has free slots is failing, even if its health
 		// checks pass.
@@ -465,13 +465,13 @@
 			t.countFailure(s)
 		}
 	}
-	if sample.Failed {
+	if result.Failed {
 		s.fail(now)
 	}
-	if sample.Unreachable {
+	if result.Unreachable {
 		s.backOff(now)
 		t.unreachable[id] = struct{}{}
-	} else if !sample.Failed {
+	} else if !result.Failed {
 		s.unreachableTime = 0
 	}
 }
--- a/laburnumdispatch/dispatcher.go
+++ b/laburnumdispatch/dispatcher.go
@@ -266,10 +266,10 @@
 // Retry decides on another attempt after a failure. With the verdict Again the request is
 // assigned to a server. A stream is resumed on its last server even if that has no free
 // slot.
-func (d *Dispatcher) Retry(t *Ticket, s laburnumretry.Situation, now time.Time) (laburnumlever.RetryReason, laburnumretry.Verdict) {
+func (d *Dispatcher) Retry(t *Ticket, s laburnumretry.FailedRequest, now time.Time) (laburnumlever.RetryReason, laburnumretry.Decision) {
 	s.Attempts = t.Attempts
 	reason, verdict := d.budget.Decide(s)
-	if verdict != laburnumretry.Again {
+	if verdict != laburnumretry.Retry {
 		return reason, verdict
 	}
 	if reason == laburnumlever.RetryStreamResumed {
--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -12,8 +12,8 @@
 	"laburnumlever/laburnumfeed"
 	"laburnumlever/laburnumregistry"
 	"laburnumlever/laburnumroutes"
+	"laburnumlever/laburnumslotqueue"
 	"laburnumlever/laburnumtimer"
-	"laburnumlever/laburnumwaiting"
 
 	"github.com/go-kit/log"
 	"github.com/go-kit/log/level"
@@ -28,13 +28,13 @@
 	// routesLoaded is closed when the first route table arrives.
 	routesLoaded chan struct{}
 
-	mu       sync.Mutex
-	registry *laburnumregistry.Table
-	balance  *laburnumbalance.Table
-	demand   *laburnumdemand.Counter
-	adapters laburnumdemand.AdapterUses
-	queue    laburnumwaiting.Queue
-	paces    laburnumdemand.Paces
+	mu        sync.Mutex
+	registry  *laburnumregistry.Table
+	balance   *laburnumbalance.Table
+	demand    *laburnumdemand.Counter
+	adapters  laburnumdemand.AdapterUses
+	queue     laburnumslotqueue.Queue
+	readTimes laburnumdemand.ReadTimes
 	// replaced lists backend servers whose address now belongs to another one and that have not
 	// been reported yet.
 	replaced []laburnumlever.BackendID
@@ -55,7 +55,7 @@
 	f := &Fleet{
 		timers: timers, logger: log.NewNopLogger(), registry: laburnumregistry.New(period),
 		balance: laburnumbalance.New(vm.Zone, seed), demand: laburnumdemand.NewCounter(vm.ID),
-		gateways: 1, paces: laburnumdemand.Paces{}, routesLoaded: make(chan struct{}),
+		gateways: 1, readTimes: laburnumdemand.ReadTimes{}, routesLoaded: make(chan struct{}),
 	}
 	for _, opt := range opts {
 		opt(f)
@@ -136,7 +136,7 @@
 	replaced := f.replaced
 	f.replaced = nil
 	return laburnumlever.GatewayNews{
-		Demand: f.demand.Take(now, f.paces), Adapters: f.adapters.Take(now), Unreachable: f.balance.Unreachable(now), Replaced: replaced,
+		Demand: f.demand.Take(now, f.readTimes), Adapters: f.adapters.Take(now), Unreachable: f.balance.Unreachable(now), Replaced: replaced,
 		Outcomes: f.balance.Outcomes(),
 	}
 }
@@ -175,23 +175,23 @@
 func (f *Fleet) beginAdapterUse(q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.adapters.Begun(q.caller.Model, q.caller.Adapter)
+	f.adapters.RequestStarted(q.caller.Model, q.caller.Adapter)
 }
 
 // recordFirstEvent records the time to the first event of an answer.
 func (f *Fleet) recordFirstEvent(t *laburnumbalance.Ticket) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	took, tokens := f.balance.Began(t, f.timers.Now())
-	f.paces.Add(t.Model(), took, tokens)
+	took, tokens := f.balance.AnswerStarted(t, f.timers.Now())
+	f.readTimes.Add(t.Model(), took, tokens)
 	f.serveQueue()
 }
 
 // release frees the slot of an attempt and records its outcome.
-func (f *Fleet) release(q *request, t *laburnumbalance.Ticket, s laburnumbalance.Sample) {
+func (f *Fleet) release(q *request, t *laburnumbalance.Ticket, s laburnumbalance.AttemptResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.adapters.Ended(q.caller.Model, q.caller.Adapter, f.timers.Now())
+	f.adapters.RequestEnded(q.caller.Model, q.caller.Adapter, f.timers.Now())
 	f.balance.End(t, s, f.timers.Now())
 	f.serveQueue()
 }
@@ -203,7 +203,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.balance.Learn(id, laburnumbalance.Sample{HasLoad: true, Running: marks.Running, Waiting: marks.Waiting}, f.timers.Now())
+	f.balance.Observe(id, laburnumbalance.AttemptResult{HasLoad: true, Running: marks.Running, Waiting: marks.Waiting}, f.timers.Now())
 	f.serveQueue()
 }
 
@@ -224,7 +224,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range ids {
-		f.balance.Added(id, model, adapter, f.timers.Now())
+		f.balance.ModelLoaded(id, model, adapter, f.timers.Now())
 	}
 	f.serveQueue()
 }
@@ -246,7 +246,7 @@
 func (f *Fleet) countDemand(q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.demand.Asked(laburnumdemand.RequestOf(q.caller))
+	f.demand.Received(laburnumdemand.RequestOf(q.caller))
 }
 
 // countRefusedDemand adds a refused request to the demand for its model.
@@ -260,13 +260,13 @@
 func (f *Fleet) unusableEngines(q *request) []laburnumlever.BackendID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.balance.Useless(f.query(q), f.timers.Now())
+	return f.balance.Unavailable(f.query(q), f.timers.Now())
 }
 
 // query returns the query for the balancer. The caller must hold mu.
 func (f *Fleet) query(q *request) laburnumbalance.Query {
 	query := q.query()
-	query.ReadTime = f.paces.Of(q.caller.Model)
+	query.ReadTime = f.readTimes.Of(q.caller.Model)
 	return query
 }
 
--- a/laburnumgateway/forward.go
+++ b/laburnumgateway/forward.go
@@ -7,8 +7,8 @@
 	"laburnumlever"
 	"laburnumlever/laburnumbalance"
 	"laburnumlever/laburnumretry"
+	"laburnumlever/laburnumslotqueue"
 	"laburnumlever/laburnumtimer"
-	"laburnumlever/laburnumwaiting"
 
 	"github.com/cockroachdb/errors"
 	"github.com/go-kit/log/level"
@@ -71,7 +71,7 @@
 	if ctx.Err() != nil && !deadlineExceeded(ctx) {
 		return &CallerGoneError{Cause: ctx.Err()}
 	}
-	refusal := &laburnumlever.RefusalError{Reason: fail.reason, RetryAfter: waitTerms.Retry(laburnumbalance.Full), Detail: fail.cause.Error()}
+	refusal := &laburnumlever.RefusalError{Reason: fail.reason, RetryAfter: waitPolicy.MinRetryAfter(laburnumbalance.Full), Detail: fail.cause.Error()}
 	if deadlineExceeded(ctx) {
 		refusal.Reason, refusal.RetryAfter = laburnumlever.RefusedDeadline, 0
 	}
@@ -88,8 +88,8 @@
 		return 0, false
 	}
 	reason, paid, ok := laburnumretry.Attempt{
-		Stage: fail.stage, Touched: q.mayHaveRun, Started: out.started, Repeatable: q.route.Repeatable(),
-		Resumable: q.route.Resumable, Sends: q.sends, Tries: q.tries, MaxSends: q.route.MaxAttempts,
+		Stage: fail.stage, MayHaveRun: q.mayHaveRun, Started: out.started, Idempotent: q.route.Repeatable(),
+		Resumable: q.route.Resumable, Sent: q.sends, Tries: q.tries, MaxSent: q.route.MaxAttempts,
 	}.Next()
 	if ok && paid && !g.chargeRetry(q) {
 		fail.reason = laburnumlever.RefusedRetryBudget
@@ -102,8 +102,8 @@
 // request.
 func (g *Gateway) acquire(ctx context.Context, q *request) (*laburnumbalance.Ticket, error) {
 	start := g.timers.Now()
-	until := waitTerms.WaitUntil(q.queueTimes())
-	backoff := laburnumwaiting.AdapterBackoff()
+	until := waitPolicy.QueueDeadline(q.queueTimes())
+	backoff := laburnumslotqueue.AdapterBackoff()
 	defer func() { q.waited += g.timers.Now().Sub(start) }()
 	for {
 		ticket, verdict := g.fleet.awaitSlot(ctx, q, until)
@@ -134,13 +134,13 @@
 }
 
 func noBackendRefusal(verdict laburnumbalance.Verdict, detail string) error {
-	return newRefusal(laburnumlever.RefusedNoBackend, waitTerms.Retry(verdict), detail)
+	return newRefusal(laburnumlever.RefusedNoBackend, waitPolicy.MinRetryAfter(verdict), detail)
 }
 
 func noSlotRefusal(verdict laburnumbalance.Verdict) error {
 	switch verdict {
 	case laburnumbalance.Full:
-		return newRefusal(laburnumlever.RefusedQueueFull, waitTerms.Retry(verdict), "all backend servers that could serve the request are full")
+		return newRefusal(laburnumlever.RefusedQueueFull, waitPolicy.MinRetryAfter(verdict), "all backend servers that could serve the request are full")
 	case laburnumbalance.NoServer:
 		return noBackendRefusal(verdict, "no backend server of the service accepts requests")
 	case laburnumbalance.AdapterAbsent:
@@ -153,7 +153,7 @@
 func (g *Gateway) loadAdapter(ctx context.Context, q *request) error {
 	ctx, cancel := context.WithTimeout(ctx, adapterLoadTimeout)
 	defer cancel()
-	ids, err := g.adapters.Need(ctx, laburnumlever.AdapterNeed{
+	ids, err := g.adapters.EnsureLoaded(ctx, laburnumlever.AdapterNeed{
 		Service: q.service.Name, Model: q.caller.Model, Adapter: q.caller.Adapter, Except: g.fleet.unusableEngines(q),
 	})
 	if err != nil {
--- a/laburnumproxy/forward.go
+++ b/laburnumproxy/forward.go
@@ -111,13 +111,13 @@
 	}
 	now := p.timers.Now()
 	p.mu.Lock()
-	reason, verdict := p.dispatch.Retry(ticket, laburnumretry.Situation{
-		Reason: fail.refusal.Reason, Outcome: fail.refusal.Outcome, Once: q.atMostOnce,
+	reason, verdict := p.dispatch.Retry(ticket, laburnumretry.FailedRequest{
+		Reason: fail.refusal.Reason, Outcome: fail.refusal.Outcome, AtMostOnce: q.atMostOnce,
 		Started: out.started, Stream: out.eventStream && q.stream, CanResume: fail.canResume,
 	}, now)
 	p.mu.Unlock()
 	switch verdict {
-	case laburnumretry.Again:
+	case laburnumretry.Retry:
 		p.counters.retries[reason].Inc(1)
 		q.trace.add(now, "retrying: %s", reason)
 		return reason, true
--- a/laburnumquorum/policy.go
+++ b/laburnumquorum/policy.go
@@ -72,34 +72,34 @@
 	To laburnumlog.Configuration
 }
 
-// Keeper plans membership changes by a policy, and remembers VMs whose learner was removed.
-type Keeper struct {
+// Planner plans membership changes by a policy, and remembers VMs whose learner was removed.
+type Planner struct {
 	policy Policy
 	// failedVMs are the VMs whose learner was removed, the latest last.
 	failedVMs []laburnumlever.VMID
 }
 
-// NewKeeper returns a planner for the policy.
-func NewKeeper(policy Policy) Keeper { return Keeper{policy: policy} }
+// NewPlanner returns a planner for the policy.
+func NewPlanner(policy Policy) Planner { return Planner{policy: policy} }
 
 // Next returns the next membership change, if one is due. A learner is added, catches up and
 // then replaces a voter in a single change. A VM whose learner was removed is tried last the
 // next time; otherwise a VM with a stalled disk would block all others.
-func (k *Keeper) Next(v View) (Change, bool) {
-	v.Joiners = k.sortJoiners(v.Joiners)
-	change, due := k.policy.next(v)
+func (p *Planner) Next(v View) (Change, bool) {
+	v.Joiners = p.sortJoiners(v.Joiners)
+	change, due := p.policy.next(v)
 	if due && change.Event == laburnumlever.EventLearnerRemoved {
 		vm := change.Member.VM
-		k.failedVMs = append(slices.DeleteFunc(slices.Clone(k.failedVMs), func(id laburnumlever.VMID) bool { return id == vm }), vm)
+		p.failedVMs = append(slices.DeleteFunc(slices.Clone(p.failedVMs), func(id laburnumlever.VMID) bool { return id == vm }), vm)
 	}
 	return change, due
 }
 
 // sortJoiners returns the joiners sorted by VM, with failedVMs last.
-func (k *Keeper) sortJoiners(joiners []laburnumlog.Member) []laburnumlog.Member {
+func (p *Planner) sortJoiners(joiners []laburnumlog.Member) []laburnumlog.Member {
 	joiners = slices.Clone(joiners)
 	slices.SortFunc(joiners, func(a, b laburnumlog.Member) int {
-		byTurn := slices.Index(k.failedVMs, a.VM) - slices.Index(k.failedVMs, b.VM)
+		byTurn := slices.Index(p.failedVMs, a.VM) - slices.Index(p.failedVMs, b.VM)
 		return cmp.Or(byTurn, strings.Compare(string(a.VM), string(b.VM)))
 	})
 	return joiners
@@ -132,7 +132,7 @@
 		return Change{Event: laburnumlever.EventLearnerRemoved, Cause: cause, Member: m, To: v.Configuration.Without(m.ID)}, true
 	}
 	switch {
-	case progress.Lost:
+	case progress.DataLost:
 		return remove(CauseLearnerWentBack)
 	case progress.SilentTicks > p.ReplaceTicks:
 		return remove(CauseLearnerSilent)
--- a/laburnumretry/budget_test.go
+++ b/laburnumretry/budget_test.go
@@ -11,39 +11,39 @@
 
 func TestDecide(t *testing.T) {
 	for name, c := range map[string]struct {
-		s       laburnumretry.Situation
-		reason  laburnumlever.RetryReason
-		verdict laburnumretry.Verdict
+		s        laburnumretry.FailedRequest
+		reason   laburnumlever.RetryReason
+		decision laburnumretry.Decision
 	}{
 		"not sent": {
-			laburnumretry.Situation{Reason: laburnumlever.RefusedBackendUnreachable, Once: true, Attempts: 1},
-			laburnumlever.RetryNotSent, laburnumretry.Again,
+			laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendUnreachable, AtMostOnce: true, Attempts: 1},
+			laburnumlever.RetryNotSent, laburnumretry.Retry,
 		},
 		"sent, may run once": {
-			laburnumretry.Situation{Reason: laburnumlever.RefusedBackendUnreachable, Outcome: laburnumlever.OutcomeUnknown, Once: true, Attempts: 1},
+			laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendUnreachable, Outcome: laburnumlever.OutcomeUnknown, AtMostOnce: true, Attempts: 1},
 			laburnumlever.RetryIdempotentAfterSend, laburnumretry.GiveUp,
 		},
 		"sent, idempotent": {
-			laburnumretry.Situation{Reason: laburnumlever.RefusedBackendError, Outcome: laburnumlever.OutcomeUnknown, Attempts: 1},
-			laburnumlever.RetryIdempotentAfterSend, laburnumretry.Again,
+			laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendError, Outcome: laburnumlever.OutcomeUnknown, Attempts: 1},
+			laburnumlever.RetryIdempotentAfterSend, laburnumretry.Retry,
 		},
 		"third attempt": {
-			laburnumretry.Situation{Reason: laburnumlever.RefusedBackendUnreachable, Attempts: 3},
+			laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendUnreachable, Attempts: 3},
 			laburnumlever.RetryNotSent, laburnumretry.GiveUp,
 		},
 		"started answer that is not a stream": {
-			laburnumretry.Situation{Reason: laburnumlever.RefusedBackendUnreachable, Outcome: laburnumlever.OutcomeUnknown, Started: true, Attempts: 1},
+			laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendUnreachable, Outcome: laburnumlever.OutcomeUnknown, Started: true, Attempts: 1},
 			0, laburnumretry.GiveUp,
 		},
 		"stream on an engine that resumes": {
-			laburnumretry.Situation{Reason: laburnumlever.RefusedBrokenStream, Started: true, Stream: true, CanResume: true, Attempts: 1},
-			laburnumlever.RetryStreamResumed, laburnumretry.Again,
+			laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBrokenStream, Started: true, Stream: true, CanResume: true, Attempts: 1},
+			laburnumlever.RetryStreamResumed, laburnumretry.Retry,
 		},
-		"caller gone": {laburnumretry.Situation{Reason: laburnumlever.RefusedCallerGone, Attempts: 1}, 0, laburnumretry.GiveUp},
+		"caller gone": {laburnumretry.FailedRequest{Reason: laburnumlever.RefusedCallerGone, Attempts: 1}, 0, laburnumretry.GiveUp},
 	} {
 		t.Run(name, func(t *testing.T) {
-			reason, verdict := laburnumretry.NewBudget().Decide(c.s)
-			require.Equal(t, c.verdict, verdict)
+			reason, decision := laburnumretry.NewBudget().Decide(c.s)
+			require.Equal(t, c.decision, decision)
 			require.Equal(t, c.reason, reason)
 		})
 	}
@@ -58,8 +58,8 @@
 	for range requests {
 		budget.FirstAttempt()
 		for attempts := 1; ; attempts++ {
-			_, verdict := budget.Decide(laburnumretry.Situation{Reason: laburnumlever.RefusedBackendBusy, Attempts: attempts})
-			if verdict != laburnumretry.Again {
+			_, decision := budget.Decide(laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendBusy, Attempts: attempts})
+			if decision != laburnumretry.Retry {
 				break
 			}
 			retries++
--- a/laburnumsimulation/attempt.go
+++ b/laburnumsimulation/attempt.go
@@ -6,38 +6,38 @@
 	"laburnumlever"
 	"laburnumlever/laburnumbalance"
 	"laburnumlever/laburnumretry"
-	"laburnumlever/laburnumwaiting"
+	"laburnumlever/laburnumslotqueue"
 )
 
 // attempt is one try of a caller, at one gateway, as laburnumgateway makes it.
 type attempt struct {
-	request  *request
-	gateway  *gateway
-	arrived  time.Time
-	brokenAt time.Time
-	sends    int
-	tries    int
-	taken    int
-	touched  bool
-	started  bool
-	over     bool
-	avoid    []laburnumlever.BackendID
-	ticket   *laburnumbalance.Ticket
-	run      *run
-	written  int // tokens that the caller has
-	lastAt   time.Time
-	pause    time.Duration
-	firstAt  time.Time
-	waited   time.Duration
-	waitFrom time.Time
-	backoff  laburnumretry.Backoff // of requests for an adapter
+	request    *request
+	gateway    *gateway
+	arrived    time.Time
+	brokenAt   time.Time
+	sends      int
+	tries      int
+	taken      int
+	mayHaveRun bool
+	started    bool
+	over       bool
+	avoid      []laburnumlever.BackendID
+	ticket     *laburnumbalance.Ticket
+	run        *run
+	written    int // tokens that the caller has
+	lastAt     time.Time
+	pause      time.Duration
+	firstAt    time.Time
+	waited     time.Duration
+	waitFrom   time.Time
+	backoff    laburnumretry.Backoff // of requests for an adapter
 }
 
 func (a *attempt) sim() *simulation { return a.gateway.sim }
 
-func (a *attempt) times() laburnumwaiting.Caller {
+func (a *attempt) times() laburnumslotqueue.Caller {
 	c := a.request.class
-	return laburnumwaiting.Caller{
+	return laburnumslotqueue.Caller{
 		Arrived: a.arrived, Deadline: a.request.deadline, Stream: true, Target: time.Duration(c.Target),
 		PauseTarget: time.Duration(c.PauseTarget), BrokenAt: a.brokenAt,
 	}
@@ -47,7 +47,7 @@
 	q := a.request
 	return laburnumbalance.Query{
 		Service: service, Model: a.sim().models[q.model].name, Adapter: q.adapter, Prompt: q.prompt, Target: time.Duration(q.class.Target),
-		ReadTime: a.gateway.paces.Of(a.sim().models[q.model].name), Queue: a.queues(), Avoid: a.avoid,
+		ReadTime: a.gateway.readTimes.Of(a.sim().models[q.model].name), Queue: a.queues(), Avoid: a.avoid,
 	}
 }
 
@@ -73,9 +73,9 @@
 	if a.waitFrom.IsZero() {
 		a.waitFrom = now
 	}
-	until := sim.policy.terms.WaitUntil(a.times())
-	waiting := &laburnumwaiting.Request{
-		Query: a.query(), Priority: a.request.class.Priority, Arrived: a.arrived, FreshUntil: sim.policy.terms.FreshUntil(a.times()),
+	until := sim.policy.waitPolicy.QueueDeadline(a.times())
+	waiting := &laburnumslotqueue.Request{
+		Query: a.query(), Priority: a.request.class.Priority, Arrived: a.arrived, OnTimeUntil: sim.policy.waitPolicy.OnTimeUntil(a.times()),
 	}
 	if sim.policy.exactLoads {
 		g.learnExactly(a.request.model)
@@ -126,10 +126,10 @@
 func (a *attempt) needAdapter(until time.Time) {
 	sim, g := a.sim(), a.gateway
 	name := sim.models[a.request.model].name
-	need := laburnumlever.AdapterNeed{Service: service, Model: name, Adapter: a.request.adapter, Except: g.table.Useless(a.query(), sim.now())}
+	need := laburnumlever.AdapterNeed{Service: service, Model: name, Adapter: a.request.adapter, Except: g.table.Unavailable(a.query(), sim.now())}
 	sim.control.need(g.zone, need, func(ids []laburnumlever.BackendID) {
 		for _, id := range ids {
-			g.table.Added(id, name, a.request.adapter, sim.now())
+			g.table.ModelLoaded(id, name, a.request.adapter, sim.now())
 		}
 		g.serveQueue()
 		if a.over {
@@ -148,17 +148,17 @@
 	sim, g := a.sim(), a.gateway
 	now := sim.now()
 	if a.over {
-		g.table.End(ticket, laburnumbalance.Sample{}, now)
+		g.table.End(ticket, laburnumbalance.AttemptResult{}, now)
 		return
 	}
 	a.waited += now.Sub(a.waitFrom)
 	a.waitFrom = time.Time{}
 	a.ticket = ticket
 	a.tries++
-	g.uses.Begun(sim.models[a.request.model].name, a.request.adapter)
+	g.uses.RequestStarted(sim.models[a.request.model].name, a.request.adapter)
 	e := sim.byID[ticket.Backend.Backend]
 	link := sim.link(g.zone, e.zone)
-	asks := ticket.Unsure() && !a.queues() && !sim.policy.sendsUnsure
+	asks := ticket.MayBeFull() && !a.queues() && !sim.policy.sendsUnsure
 	sim.after(link, func() {
 		switch {
 		case !e.up && e.hangs:
@@ -189,7 +189,7 @@
 	sim := a.sim()
 	a.taken++
 	a.tries--
-	a.release(laburnumbalance.Sample{Taken: true})
+	a.release(laburnumbalance.AttemptResult{ReservationRefused: true})
 	sim.after(a.gateway.table.RetryTime()+laburnumbalance.RetrySlack, a.gateway.serveQueue)
 	a.place()
 }
@@ -213,10 +213,10 @@
 }
 
 // release frees the slot and learns from the attempt.
-func (a *attempt) release(sample laburnumbalance.Sample) {
+func (a *attempt) release(result laburnumbalance.AttemptResult) {
 	g, now := a.gateway, a.sim().now()
-	g.uses.Ended(a.sim().models[a.request.model].name, a.request.adapter, now)
-	g.table.End(a.ticket, sample, now)
+	g.uses.RequestEnded(a.sim().models[a.request.model].name, a.request.adapter, now)
+	g.table.End(a.ticket, result, now)
 	a.ticket = nil
 	g.serveQueue()
 }
@@ -225,7 +225,7 @@
 	if a.ticket == nil {
 		return
 	}
-	a.release(laburnumbalance.Sample{Failed: true, Unreachable: true})
+	a.release(laburnumbalance.AttemptResult{Failed: true, Unreachable: true})
 	a.again(laburnumretry.StageNotSent, "unreachable")
 }
 
@@ -234,7 +234,7 @@
 	if a.over || a.run != r {
 		return
 	}
-	a.release(laburnumbalance.Sample{Full: why == full, Absent: why == absent})
+	a.release(laburnumbalance.AttemptResult{Full: why == full, Absent: why == absent})
 	a.again(laburnumretry.StageNotRun, "refused")
 }
 
@@ -244,8 +244,8 @@
 		return
 	}
 	a.keep(r)
-	a.release(laburnumbalance.Sample{Failed: true})
-	a.touched = true
+	a.release(laburnumbalance.AttemptResult{Failed: true})
+	a.mayHaveRun = true
 	if a.started {
 		a.brokenAt = a.lastAt
 	}
@@ -265,13 +265,13 @@
 	c := a.request.class
 	a.avoid = append(a.avoid, a.lastBackend())
 	next := laburnumretry.Attempt{
-		Stage: stage, Touched: a.touched, Started: a.started, Repeatable: c.Resumable, Resumable: c.Resumable,
-		Sends: a.sends, Tries: a.tries, MaxSends: max(1, c.Attempts),
+		Stage: stage, MayHaveRun: a.mayHaveRun, Started: a.started, Idempotent: c.Resumable, Resumable: c.Resumable,
+		Sent: a.sends, Tries: a.tries, MaxSent: max(1, c.Attempts),
 	}
 	_, paid, ok := next.Next()
 	now := a.sim().now()
 	if ok && paid {
-		ok = a.gateway.window.Repeat(now, len(a.sim().gateways))
+		ok = a.gateway.window.AllowRetry(now, len(a.sim().gateways))
 	}
 	switch {
 	case ok:
@@ -296,9 +296,9 @@
 		return
 	}
 	g, now := a.gateway, a.sim().now()
-	took, tokens := g.table.Began(a.ticket, now)
-	g.paces.Add(a.ticket.Model(), took, tokens)
-	g.table.Learn(a.ticket.Backend.Backend, laburnumbalance.Sample{HasLoad: true, Running: running, Waiting: waiting}, now)
+	took, tokens := g.table.AnswerStarted(a.ticket, now)
+	g.readTimes.Add(a.ticket.Model(), took, tokens)
+	g.table.Observe(a.ticket.Backend.Backend, laburnumbalance.AttemptResult{HasLoad: true, Running: running, Waiting: waiting}, now)
 	if a.started {
 		a.pause = max(a.pause, now.Sub(a.lastAt))
 	} else {
@@ -314,7 +314,7 @@
 	}
 	a.over = true
 	a.pause = max(a.pause, r.pause)
-	a.release(laburnumbalance.Sample{})
+	a.release(laburnumbalance.AttemptResult{})
 	a.gateway.ended(a.request, true)
 	a.request.served(a)
 }
@@ -323,7 +323,7 @@
 func (a *attempt) turnAway(verdict laburnumbalance.Verdict, why string) {
 	a.over = true
 	a.gateway.ended(a.request, false)
-	after := a.times().RetryAfter(a.sim().policy.terms.Retry(verdict), a.gateway.random.Float64(), a.sim().now())
+	after := a.times().RetryAfter(a.sim().policy.waitPolicy.MinRetryAfter(verdict), a.gateway.random.Float64(), a.sim().now())
 	a.request.turnedAway(a, after, why)
 }
 
@@ -345,7 +345,7 @@
 		if a.run != nil {
 			e.drop(a.run)
 		}
-		a.release(laburnumbalance.Sample{Failed: e.hangs})
+		a.release(laburnumbalance.AttemptResult{Failed: e.hangs})
 	}
 	a.gateway.ended(a.request, false)
 	a.request.failed(a, "left")
--- a/laburnumvoter/members.go
+++ b/laburnumvoter/members.go
@@ -158,10 +158,10 @@
 func (v *Voter) notifySuperseded() {
 	for _, m := range v.log.Configuration().Members {
 		p, ok := v.log.Progress(m.ID)
-		if ok && p.Older != 0 {
-			v.peers.Notify(m.Address, methodSuperseded, supersededMessage{ID: m.ID, Boot: p.Older})
+		if ok && p.ConflictingBoot != 0 {
+			v.peers.Notify(m.Address, methodSuperseded, supersededMessage{ID: m.ID, Boot: p.ConflictingBoot})
 		}
-		if ok && p.Lost {
+		if ok && p.DataLost {
 			_ = level.Error(v.cfg.logger).Log("event", laburnumlever.EventReplicaWentBack, "replica", m.ID)
 			v.peers.Notify(m.Address, methodSuperseded, supersededMessage{ID: m.ID, Boot: p.Boot})
 		}
@@ -187,7 +187,7 @@
 // also when a replica sends a hello or a learner may have caught up, since until the change the
 // log tolerates the loss of one disk less.
 func (v *Voter) reconcileMembers() {
-	change, due := v.keeper.Next(laburnumquorum.View{
+	change, due := v.planner.Next(laburnumquorum.View{
 		Configuration: v.log.Configuration(), Pending: v.log.ChangePending(), Commit: v.log.Commit(),
 		Progress: v.log.Progress, Joiners: v.allowedJoiners(),
 	})
