--- a/packing_test.go
+++ b/packing_test.go
@@ -26,7 +26,7 @@
 // An operator adds two thousand routes at once. Every voter and every gateway gets the
 // table; as plain text of near a megabyte it kept small control VMs busy for seconds, the
 // leader lost the lead, and gateways answered 404 on the new routes for too long.
-func TestLargeTableTravelsSmall(t *testing.T) {
+func TestLargeTableIsCompressed(t *testing.T) {
 	table := tableOf(1900)
 	data, err := json.Marshal(table)
 	require.NoError(t, err)
