--- a/catalogue.go
+++ b/catalogue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The names that a catalogue gives.
+// Names defined in a catalogue.
 type (
 	// ModelName names a model, unique in the catalogue.
 	ModelName string
@@ -13,17 +13,16 @@
 	AdapterName string
 	// ServiceName names a plain service, unique in the catalogue.
 	ServiceName string
-	// OwnerName names whoever answers for an entry and whose limits apply.
+	// OwnerName names the owner of an entry, whose limits apply to it.
 	OwnerName string
-	// ClassName names a class of requests with shared targets.
+	// ClassName names a class of requests with common latency targets.
 	ClassName string
 	// Version names one version of a model's weights.
 	Version string
 )
 
-// Catalogue is the whole configuration that operators write. It is a value:
-// never changed once built. Revision grows by one with every accepted change
-// and is 0 before the first.
+// Catalogue is the complete configuration that operators write. It is immutable.
+// Revision increases by one with each accepted change and is 0 before the first.
 type Catalogue struct {
 	Revision   uint64     `json:"revision"`
 	Deployment Deployment `json:"deployment"`
@@ -33,37 +32,37 @@
 	Services   []Service  `json:"services"`
 }
 
-// Deployment holds what a user weighs and what its platform gives.
+// Deployment holds the settings and platform limits of one deployment.
 type Deployment struct {
 	Name string `json:"name"`
 	// Zones are all the deployment's availability zones.
 	Zones []ZoneName `json:"zones"`
-	// EntryVMs is how many entry VMs the deployment has at most. Each gets that
-	// part of every limit, so that the sum holds also while zones are cut apart.
-	// 0 means as many as a VM has ever known of, which a VM that starts while it
-	// is cut off counts too low.
+	// EntryVMs is the maximum number of entry VMs. Each VM enforces its equal share of
+	// every limit, so that the sum is kept even during a partition between zones.
+	// 0 means the most VMs that a VM has ever seen; a VM that starts during a
+	// partition undercounts.
 	EntryVMs int `json:"entry-vms,omitempty"`
-	// MoveCost is the attainment, in requests inside their targets a second,
-	// that one move must bring to be worth it. Higher means fewer moves.
+	// MoveCost is the minimum gain of one move, in additional requests per second
+	// that meet their targets. Higher means fewer moves.
 	MoveCost float64 `json:"move-cost"`
-	// WeightStore bounds the loads of all zones together.
+	// WeightStore limits the loads of all zones combined.
 	WeightStore WeightStore `json:"weight-store"`
 }
 
-// WeightStore is the rate-limited store that engines load weights from.
+// WeightStore describes the limits of the store that engines load weights from.
 type WeightStore struct {
 	LoadsPerSecond float64 `json:"loads-per-second"`
 	ParallelLoads  int     `json:"parallel-loads"`
 }
 
-// Owner answers for entries; its limits hold over all entry VMs together.
+// Owner owns catalogue entries. Its limits apply to all entry VMs combined.
 type Owner struct {
 	Name   OwnerName `json:"name"`
 	Limits Limits    `json:"limits"`
 }
 
-// Limits bound what an owner or an entry may use over all entry VMs. Zero in a
-// field means that this field sets no bound.
+// Limits bound the usage of an owner or an entry over all entry VMs combined. A zero
+// field sets no bound.
 type Limits struct {
 	RequestsPerSecond float64 `json:"requests-per-second"`
 	TokensPerSecond   float64 `json:"tokens-per-second"`
@@ -71,7 +70,7 @@
 	Queue             int     `json:"queue"`
 }
 
-// Class holds the targets that its requests are measured against.
+// Class holds the priority and latency targets of a class of requests.
 type Class struct {
 	Name         ClassName `json:"name"`
 	Priority     Priority  `json:"priority"`
@@ -79,7 +78,7 @@
 	BetweenToken Duration  `json:"between-tokens"`
 }
 
-// Model is a catalogued model. Sizes are in MiB over all accelerators of a copy.
+// Model is a model in the catalogue. Sizes are totals in MiB over all accelerators of a copy.
 type Model struct {
 	Name         ModelName `json:"name"`
 	Owner        OwnerName `json:"owner"`
@@ -89,8 +88,8 @@
 	Versions     []Version `json:"versions"`
 	WeightsMiB   int       `json:"weights-mib"`
 	KVReserveMiB int       `json:"kv-reserve-mib"`
-	// Accelerators is how many accelerators of one engine a copy is split
-	// over, in equal parts; 0 means 1.
+	// Accelerators is the number of accelerators of one engine that a copy is split
+	// over in equal parts; 0 means 1.
 	Accelerators int       `json:"accelerators,omitempty"`
 	Adapters     []Adapter `json:"adapters,omitempty"`
 }
@@ -101,19 +100,18 @@
 	SizeMiB int         `json:"size-mib"`
 }
 
-// Service is a plain service with the calls that may not be repeated.
+// Service is a plain service and the calls to it that must not be retried.
 type Service struct {
 	Name   ServiceName `json:"name"`
 	Owner  OwnerName   `json:"owner"`
 	Class  ClassName   `json:"class"`
 	Limits Limits      `json:"limits"`
 	// NonIdempotent lists the calls that run at most once; all others may be
-	// repeated.
+	// retried.
 	NonIdempotent []Call `json:"non-idempotent"`
 }
 
-// Call matches requests to a plain service: the method, and every path that
-// starts with the prefix.
+// Call matches requests to a plain service by method and path prefix.
 type Call struct {
 	Method     string `json:"method"`
 	PathPrefix string `json:"path-prefix"`
@@ -122,7 +120,7 @@
 // Duration is a time.Duration written as a string with a unit ("1.9s").
 type Duration time.Duration
 
-// WithRevision returns the catalogue under another revision.
+// WithRevision returns a copy of the catalogue with the given revision.
 func (c Catalogue) WithRevision(revision uint64) Catalogue {
 	c.Revision = revision
 	return c
@@ -164,7 +162,7 @@
 	return c.Classes[i], true
 }
 
-// SizeMiB is the memory that one copy takes, adapters and KV reserve included.
+// SizeMiB returns the memory of one copy in MiB, including adapters and KV reserve.
 func (m Model) SizeMiB() int {
 	total := m.WeightsMiB + m.KVReserveMiB
 	for _, a := range m.Adapters {
@@ -173,33 +171,33 @@
 	return total
 }
 
-// Span is the number of accelerators that a copy is split over.
+// Span returns the number of accelerators that a copy is split over.
 func (m Model) Span() int { return max(1, m.Accelerators) }
 
-// PartMiB is the memory that a copy takes on each of its accelerators.
+// PartMiB returns the memory of a copy on each of its accelerators in MiB, rounded up.
 func (m Model) PartMiB() int {
 	span := m.Span()
 	return (m.SizeMiB() + span - 1) / span
 }
 
-// IsNonIdempotent tells whether a call to the service may run at most once.
+// IsNonIdempotent reports whether a call to the service may run at most once.
 func (s Service) IsNonIdempotent(method, path string) bool {
 	return slices.ContainsFunc(s.NonIdempotent, func(c Call) bool { return c.Matches(method, path) })
 }
 
-// Matches tells whether a request is this call.
+// Matches reports whether a request with this method and path matches the call.
 func (c Call) Matches(method, path string) bool {
 	return c.Method == method && len(path) >= len(c.PathPrefix) && path[:len(c.PathPrefix)] == c.PathPrefix
 }
 
-// String writes the duration with its unit.
+// String formats the duration with its unit.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// MarshalText writes the duration with its unit.
+// MarshalText formats the duration with its unit.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads a duration with a unit; a bare number is an error of
-// type *UnitError.
+// UnmarshalText parses a duration with a unit. Anything else, such as a bare number, is
+// a *UnitError.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/command.go
+++ b/command.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// Command is one entry of the replicated log: exactly one of the pointers
-// that Kind names is set.
+// Command is one entry of the replicated log. Kind determines which one of the
+// pointers is set.
 type Command struct {
 	Kind   CommandKind     `json:"kind"`
 	Apply  *ApplyCatalogue `json:"apply,omitempty"`
@@ -14,57 +14,57 @@
 	Routes *EncodedRoutes  `json:"routes,omitempty"`
 }
 
-// ChangesCatalogue tells whether the command is an operator's change.
+// ChangesCatalogue reports whether the command carries an operator's change.
 func (c Command) ChangesCatalogue() bool { return c.Apply != nil || c.Routes != nil }
 
-// ApplyCatalogue replaces the catalogue if ExpectedRevision is the current one.
-// A ChangeID seen before gets the recorded result and changes nothing.
+// ApplyCatalogue replaces the catalogue if ExpectedRevision is the current revision. A
+// known ChangeID changes nothing and returns the recorded result.
 type ApplyCatalogue struct {
 	ChangeID         string    `json:"change-id"`
 	ExpectedRevision uint64    `json:"expected-revision"`
 	Catalogue        Catalogue `json:"catalogue"`
-	// AskOnly asks whether the change id is known and changes nothing; the
-	// result is ResultUnknown when it is not.
+	// AskOnly only looks up the change ID and changes nothing; the result is
+	// ResultUnknown if the ID is not known.
 	AskOnly bool `json:"ask-only,omitempty"`
 }
 
-// WithAskOnly returns the change as a question about itself.
+// WithAskOnly returns a copy of the change with AskOnly set.
 func (a ApplyCatalogue) WithAskOnly(askOnly bool) ApplyCatalogue {
 	a.AskOnly = askOnly
 	return a
 }
 
-// ClaimRequest claims the one run of a non-idempotent request. The same key
-// with another Digest is a mismatch.
+// ClaimRequest claims the right to run a non-idempotent request, which runs at most once.
+// The same key with a different Digest is a mismatch.
 type ClaimRequest struct {
 	Owner   OwnerName   `json:"owner"`
 	Service ServiceName `json:"service"`
 	Key     string      `json:"key"`
 	Digest  uint64      `json:"digest"`
 	VM      VMID        `json:"vm"`
-	// At is the claiming VM's wall clock in Unix milliseconds, used only to
-	// bound how long answers are kept.
+	// At is the claiming VM's wall clock in Unix milliseconds. It only limits how
+	// long answers are kept.
 	At int64 `json:"at"`
-	// Claim is unique to this one claim, so that a command sent twice is not
-	// taken for a second request; Propose fills it in when it is empty.
+	// Claim identifies this claim, so that a command that is sent twice does not
+	// count as a second request. Propose sets it if it is empty.
 	Claim string `json:"claim,omitempty"`
 }
 
-// RecordAnswer records the answer of a claimed request, or that its outcome
-// is unknown, or that it surely did not run (which frees the claim).
+// RecordAnswer records the answer of a claimed request, that its outcome is unknown, or
+// that it certainly did not run, which releases the claim.
 type RecordAnswer struct {
 	Service ServiceName `json:"service"`
 	Owner   OwnerName   `json:"owner"`
 	Key     string      `json:"key"`
 	VM      VMID        `json:"vm"`
-	// Claim is that of the ClaimRequest; the record of another claim on the same key
-	// is refused. Empty matches any.
+	// Claim is the claim of the ClaimRequest. A record for a different claim on the same
+	// key is refused; empty matches any claim.
 	Claim   string          `json:"claim,omitempty"`
 	Outcome RequestOutcome  `json:"outcome"`
 	Answer  *RecordedAnswer `json:"answer,omitempty"`
 }
 
-// RecordedAnswer is a backend server's whole answer, kept for resends.
+// RecordedAnswer is a backend server's complete answer, kept for repeated requests.
 type RecordedAnswer struct {
 	Status int               `json:"status"`
 	Header map[string]string `json:"header,omitempty"`
@@ -72,7 +72,7 @@
 }
 
 // LeaseCommand acquires, renews, expires or releases a named lease. Each grant to a
-// new holder raises the fencing number.
+// new holder increases the fencing number.
 type LeaseCommand struct {
 	Name   string `json:"name"`
 	Holder VMID   `json:"holder"`
@@ -80,10 +80,10 @@
 	Incarnation uint64   `json:"incarnation"`
 	Fence       uint64   `json:"fence,omitempty"`
 	TTL         Duration `json:"ttl,omitempty"`
-	// Renewals, for an expiry, is how many renewals the leader had seen: a
-	// renewal committed before the expiry makes the expiry void.
+	// Renewals, for an expiry, is the number of renewals that the leader had seen. A
+	// renewal committed before the expiry voids the expiry.
 	Renewals uint64 `json:"renewals,omitempty"`
-	// Idle, for an expiry, is at most the time since the last renewal was sent.
+	// Idle, for an expiry, is a lower bound of the time since the last renewal was sent.
 	Idle Duration `json:"idle,omitempty"`
 }
 
@@ -92,7 +92,7 @@
 type OrderIntent struct {
 	Lease   string    `json:"lease"`
 	Backend BackendID `json:"backend"`
-	// Incarnation of the engine that the order is meant for.
+	// Incarnation of the engine that the order is addressed to.
 	Incarnation uint64 `json:"incarnation"`
 	Order       Order  `json:"order"`
 }
@@ -104,24 +104,24 @@
 	Revision uint64 `json:"revision,omitempty"`
 	// Fence of the lease, for lease commands.
 	Fence uint64 `json:"fence,omitempty"`
-	// Idle is at most the time for which the lease had not been renewed when it expired.
+	// Idle is a lower bound of the time without renewal when the lease expired.
 	Idle Duration `json:"idle,omitempty"`
 	// Holder of the lease, or the VM that holds the claim.
 	Holder VMID `json:"holder,omitempty"`
-	// Outcome and Answer of a claim that is settled.
+	// Outcome and Answer of a completed claim.
 	Outcome RequestOutcome  `json:"outcome,omitempty"`
 	Answer  *RecordedAnswer `json:"answer,omitempty"`
-	// Intents unresolved under the lease, returned on acquiring it.
+	// Intents are the unresolved intents of the lease, returned when it is acquired.
 	Intents []OrderIntent `json:"intents,omitempty"`
-	// Routes answers a read of the routes.
+	// Routes is the result of CommandReadRoutes.
 	Routes *EncodedRoutes `json:"routes,omitempty"`
 	Detail string         `json:"detail,omitempty"`
 }
 
-// VoterStatus is what a VM knows of the replicated log.
+// VoterStatus is the state of the replicated log as seen by one VM.
 type VoterStatus struct {
-	// Role is leader, follower, candidate, learner, or client on a VM without
-	// a vote.
+	// Role is leader, follower, candidate or learner, or client on a VM without a
+	// replica.
 	Role    string  `json:"role"`
 	Term    uint64  `json:"term"`
 	Leader  VMID    `json:"leader,omitempty"`
@@ -136,36 +136,35 @@
 	PeerAddress string `json:"peer-address"`
 }
 
-// Explanation says why something is as it is, for operators.
+// Explanation tells operators the reasons for the state of a model or request.
 type Explanation struct {
 	Subject string   `json:"subject"`
 	Lines   []string `json:"lines"`
 }
 
-// Status is one VM's account of itself and of what it sees.
+// Status is the state of one VM and of the fleet as that VM sees it.
 type Status struct {
 	View  View        `json:"view"`
 	Voter VoterStatus `json:"voter"`
-	// ZoneOwners maps a lease holder to each zone, as far as this VM knows.
+	// ZoneOwners maps zones to the holder of their lease, as far as this VM knows.
 	ZoneOwners map[ZoneName]VMID `json:"zone-owners,omitempty"`
 	Moves      uint64            `json:"moves"`
-	// Role is set by gateways and control VMs, which leave out View, ZoneOwners and Moves.
+	// Role is set by gateways and control VMs, which omit View, ZoneOwners and Moves.
 	Role *RoleStatus `json:"role,omitempty"`
 }
 
-// ApplyRequest is an operator's change: exactly what ApplyCatalogue carries,
-// plus whether it is only to be tried.
+// ApplyRequest is an operator's catalogue change, optionally as a dry run.
 type ApplyRequest struct {
 	ApplyCatalogue
 	DryRun bool `json:"dry-run,omitempty"`
 }
 
-// ApplyAnswer tells an operator what became of a change.
+// ApplyAnswer is the result of an operator's change.
 type ApplyAnswer struct {
 	Revision uint64   `json:"revision"`
 	Repeated bool     `json:"repeated,omitempty"`
 	Warnings []string `json:"warnings,omitempty"`
 }
 
-// RawMessage is a message whose type the method's name tells.
+// RawMessage is an encoded message whose type depends on the method.
 type RawMessage = json.RawMessage
--- a/dialect.go
+++ b/dialect.go
@@ -6,118 +6,119 @@
 	"time"
 )
 
-// PromptPart is one part of a prompt, which other requests may share.
+// PromptPart is one part of a prompt. Other requests may share it.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// CallerRequest is what a caller's headers say of its request.
+// CallerRequest holds the values of a caller's request headers.
 type CallerRequest struct {
-	// ID names this one try of the caller.
+	// ID identifies this attempt of the caller.
 	ID string
-	// Wait is how long the caller waits from now; 0 when it does not say.
+	// Wait is the time until the caller's deadline; 0 if the caller sets none.
 	Wait    time.Duration
 	Model   ModelName
 	Adapter AdapterName
-	// PromptTokens is exact; MaxAnswerTokens is a bound, and AnswerHint an
+	// PromptTokens is exact and MaxAnswerTokens an upper bound. AnswerHint is an
 	// estimate that is right at the median but often far off.
 	PromptTokens    int
 	MaxAnswerTokens int
 	AnswerHint      int
-	// Prompt lists the parts in order; the last belongs to this request or its
-	// session alone.
+	// Prompt lists the parts in order; the last one is specific to this request or
+	// its session.
 	Prompt []PromptPart
-	// LastEvent is the id of the last stream event that the caller has.
+	// LastEvent is the ID of the last stream event that the caller received.
 	LastEvent string
 }
 
-// Send is what this VM says with a request that it sends to a backend server.
+// Send holds the values that this VM adds to the headers of a forwarded request.
 type Send struct {
-	// Wait is what is left of the caller's patience.
+	// Wait is the time left until the caller's deadline.
 	Wait time.Duration
-	// Backend is the only one that may run the request.
+	// Backend is the only backend server that may run the request.
 	Backend BackendID
-	// LastEvent makes a stream go on after this event; empty from the start.
+	// LastEvent is the event after which the stream resumes; empty to start from the
+	// beginning.
 	LastEvent string
-	// Reservation is the place that was reserved for it; empty for none.
+	// Reservation is the slot reserved for the request; empty for none.
 	Reservation ReservationID
 }
 
-// ReservationID names a place that a model engine keeps for one request.
+// ReservationID identifies a slot that a model engine reserved for one request.
 type ReservationID string
 
-// Reservation asks a model engine for a place and the memory for a number of tokens.
+// Reservation asks a model engine for a slot and the memory for a number of tokens.
 type Reservation struct {
 	Backend BackendID
 	Tokens  int
-	// For is how long the place is kept for the request.
+	// For is how long the slot stays reserved.
 	For time.Duration
 }
 
-// EngineCall is a call to a model engine beside callers' requests.
+// EngineCall is an HTTP call to a model engine other than a caller's request.
 type EngineCall struct {
 	Method, URI string
 	Header      http.Header
 	Body        []byte
 }
 
-// AnswerMarks is what a backend server's headers say of its answer.
+// AnswerMarks holds the values of a backend server's response headers.
 type AnswerMarks struct {
 	RequestID string
-	// Backend is the identity that the answering one gives; empty when it does
-	// not.
+	// Backend is the identity of the answering backend server; empty if it gives
+	// none.
 	Backend BackendID
-	// NotRun tells that the backend server surely did not run the request.
+	// NotRun reports whether the backend server certainly did not run the request.
 	NotRun bool
-	// Stamped tells that the answer is a backend server's own.
+	// Stamped reports whether the answer comes from a backend server itself.
 	Stamped bool
-	// Running, Waiting and Slots are its load, if HasLoad.
+	// Running, Waiting and Slots are the server's load; valid if HasLoad is set.
 	HasLoad                 bool
 	Running, Waiting, Slots int
 }
 
-// Dialect speaks the platform's headers between callers, this system and backend
-// servers.
+// Dialect translates the platform's HTTP headers between callers, this system and
+// backend servers.
 type Dialect interface {
-	// Request reads a caller's headers. An error is an *InvalidValueError.
+	// Request parses a caller's headers. An error is an *InvalidValueError.
 	Request(header http.Header) (CallerRequest, error)
-	// Forward copies a caller's headers that go to a backend server, and adds
-	// what is sent.
+	// Forward returns the headers for a backend server: the caller's end-to-end
+	// headers and those for send.
 	Forward(from http.Header, send Send) http.Header
-	// Answer reads a backend server's headers.
+	// Answer parses a backend server's response headers.
 	Answer(status int, header http.Header) AnswerMarks
-	// Reserve makes the call that reserves a place.
+	// Reserve builds the call that reserves a slot.
 	Reserve(r Reservation) EngineCall
-	// Reserved reads its answer; false where the engine has no place. An error means
-	// that the answer says neither.
+	// Reserved parses the answer to a reservation; false means that the engine has no
+	// free slot. An error means that the answer is neither a grant nor a refusal.
 	Reserved(status int, body []byte) (ReservationID, bool, error)
-	// EventID returns the id of a stream's event, and whether it has one.
+	// EventID returns the ID of a stream event, and whether it has one.
 	EventID(event []byte) (string, bool)
 }
 
-// FleetControl is what backend servers and operators ask of a control VM.
+// FleetControl handles the calls of backend servers and operators on a control VM.
 type FleetControl interface {
-	// Heartbeat takes a backend server's word about itself; every VM in touch is told
-	// within moments. The address is where its later heartbeats are best sent; empty
-	// where any control VM will do.
+	// Heartbeat processes a backend server's heartbeat and propagates it to every
+	// reachable VM. The address is the preferred one for later heartbeats; empty if any
+	// control VM will do.
 	Heartbeat(ctx context.Context, h Heartbeat) (address string, err error)
-	// Remove takes a backend server's word that it is gone or going.
+	// Remove processes a backend server's notice that it has left or is leaving.
 	Remove(ctx context.Context, backend BackendID) error
-	// ApplyRoutes puts a route table into force unless a higher version is.
+	// ApplyRoutes activates a route table unless a higher version is in effect.
 	// Errors: *RoutesInvalidError, *NoQuorumError, *OutcomeUnknownError.
 	ApplyRoutes(ctx context.Context, table RouteTable) error
-	// ReadRoutes returns the newest table, surely. Errors: *NotFoundError before
-	// the first, *NoQuorumError and *OutcomeUnknownError when this VM can't be
-	// sure.
+	// ReadRoutes is a linearizable read of the newest table. Errors: *NotFoundError
+	// before the first table, *NoQuorumError and *OutcomeUnknownError if this VM
+	// can't confirm that its table is the newest.
 	ReadRoutes(ctx context.Context) (RouteTable, error)
 }
 
-// ModelEngines asks things of model engines that take orders by sequence.
+// ModelEngines calls model engines that accept orders by sequence number.
 type ModelEngines interface {
 	// Order sends one order. An error means that the outcome is unknown, unless
 	// it is a *NotSentError.
 	Order(ctx context.Context, to Heartbeat, order EngineOrder) (EngineVerdict, error)
-	// State asks an engine for its state, which lags a little.
+	// State reads an engine's state, which may be slightly outdated.
 	State(ctx context.Context, to Heartbeat) (EngineState, error)
 }
--- a/doc.go
+++ b/doc.go
@@ -1,13 +1,12 @@
-// Package laburnumlever is the root of the laburnumlever serving system. It
-// holds the values that parts exchange, the interfaces of everything that
-// varies, the error types and the enums. It depends on no implementation;
-// implementations live in the packages below it and depend on this one.
+// Package laburnumlever defines the shared types of the laburnumlever serving system:
+// the values that packages exchange, the interfaces of replaceable implementations,
+// the error types and the enums. Implementations live in the packages below and
+// depend on this one, never the reverse.
 //
 // # Usage
 //
-// Values are immutable: a value that has been handed to another part is never
-// written again. Where a changed value is needed, a With method returns a
-// changed copy:
+// Values are immutable once they are passed to another package. A With method returns
+// a changed copy:
 //
 //	next := catalogue.WithRevision(catalogue.Revision + 1)
 //
@@ -17,13 +16,13 @@
 //	view := views.View()
 //	model, ok := view.Catalogue.Model("quote-small")
 //
-// Names follow the users' words for four things: a machine is a VM, a
-// zone is an availability zone, whoever sends a request is a caller, and what
-// answers it is a backend server. docs/GLOSSARY.md maps these to other terms.
+// Four terms are used throughout: a VM is a machine, a zone is an availability zone, a
+// caller is a client that sends requests, and a backend server answers them.
+// docs/GLOSSARY.md maps these to other terms.
 package laburnumlever
 
-// Names on the wire lack the constants' prefixes; refusal and retry reasons are
-// generated apart, since RefusedRetryBudget would lose both.
+// Generated texts omit the constants' prefixes. Refusal and retry reasons are generated
+// separately, since RefusedRetryBudget would lose both prefixes.
 //
 //go:generate go tool -modfile=tools/go.mod enumer -type=RefusalReason -trimprefix=Refused -transform=kebab -text -json -output=refusalreason_gen.go
 //go:generate go tool -modfile=tools/go.mod enumer -type=RetryReason -trimprefix=Retry -transform=kebab -text -json -output=retryreason_gen.go
--- a/encodedroutes.go
+++ b/encodedroutes.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 )
 
-// EncodedRoutes is a route table as the log carries it. Of many that follow each other, as
-// after a restart, only the last is ever decoded.
+// EncodedRoutes is a route table in the encoded form of the log. Decoding is deferred to
+// Table, since only the last of several consecutive tables, as after a restart, is used.
 type EncodedRoutes struct {
 	version uint64
 	data    json.RawMessage
@@ -21,10 +21,10 @@
 	return EncodedRoutes{version: t.Version, data: data}, nil
 }
 
-// Version is that of the table.
+// Version returns the version of the table.
 func (e EncodedRoutes) Version() uint64 { return e.version }
 
-// Table decodes the table. One that is damaged is a *RoutesEncodingError.
+// Table decodes the table. Damaged data is a *RoutesEncodingError.
 func (e EncodedRoutes) Table() (RouteTable, error) {
 	var t RouteTable
 	if err := json.Unmarshal(e.data, &t); err != nil {
@@ -33,10 +33,10 @@
 	return t, nil
 }
 
-// MarshalJSON writes the table as it was encoded.
+// MarshalJSON returns the encoded table unchanged.
 func (e EncodedRoutes) MarshalJSON() ([]byte, error) { return e.data, nil }
 
-// UnmarshalJSON keeps the table as it is encoded.
+// UnmarshalJSON decodes the version only and stores the encoded table.
 func (e *EncodedRoutes) UnmarshalJSON(data []byte) error {
 	var head struct {
 		Version uint64 `json:"version"`
--- a/encodedroutes_test.go
+++ b/encodedroutes_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestEncodedRoutesRoundTrip(t *testing.T) {
-	for _, routes := range []int{1, 1000} { // whole, and compressed
+	for _, routes := range []int{1, 1000} { // plain and compressed
 		table := tableWithRoutes(7, routes)
 		encoded, err := laburnumlever.EncodeRoutes(table)
 		require.NoError(t, err)
@@ -38,7 +38,8 @@
 	}
 }
 
-// Guards against a restart that decodes each route table of the log, where only the last counts.
+// Guards against a slow restart that decodes every route table of the log, although only the
+// last one is used.
 func TestRoutesAreNotDecodedWithTheirCommand(t *testing.T) {
 	var cmd laburnumlever.Command
 	require.NoError(t, json.Unmarshal([]byte(`{"kind":"apply-routes","routes":{"version":3,"packed":"bm90IGNvbXByZXNzZWQ="}}`), &cmd))
--- a/enums.go
+++ b/enums.go
@@ -1,6 +1,6 @@
 package laburnumlever
 
-// BackendKind tells model engines from plain services.
+// BackendKind distinguishes model engines from plain services.
 type BackendKind int
 
 // The kinds of backend server.
@@ -9,8 +9,7 @@
 	PlainService
 )
 
-// Priority orders classes when not all work can be done: the lower value goes
-// first.
+// Priority orders classes under overload; the lower value is served first.
 type Priority int
 
 // The priorities of a class.
@@ -19,7 +18,7 @@
 	Batch
 )
 
-// OrderKind says what an order asks of a model engine.
+// OrderKind is the operation that an order asks of a model engine.
 type OrderKind int
 
 // The kinds of order.
@@ -28,20 +27,20 @@
 	Unload
 )
 
-// OrderOutcome is what an engine answered to an order.
+// OrderOutcome is the result of an order as reported by the engine.
 type OrderOutcome int
 
 // The answers to an order.
 const (
 	OrderDone         OrderOutcome = iota
 	OrderStaleFence                // the engine has seen a higher fencing number
-	OrderNoMemory                  // the engine's own count would exceed the accelerator's memory
-	OrderUnknownModel              // an unload of something not loaded
-	OrderFailed                    // the engine tried and failed; nothing changed
+	OrderNoMemory                  // by the engine's accounting, the accelerator lacks the memory
+	OrderUnknownModel              // unload of a model that is not loaded
+	OrderFailed                    // the engine failed to carry out the order; nothing changed
 )
 
-// RefusalReason says why a request was turned away or ended without a whole
-// answer. Each has a counter of its own in /metrics.
+// RefusalReason is the reason why a request was refused or ended without a complete
+// answer. Each has its own counter in /metrics.
 type RefusalReason int
 
 // The reasons for refusal.
@@ -72,7 +71,7 @@
 	RefusedCallerGone
 )
 
-// RetryReason says why a request was attempted again.
+// RetryReason is the reason why a request was retried.
 type RetryReason int
 
 // The reasons for retry.
@@ -84,8 +83,8 @@
 	RetryStreamReplayed
 )
 
-// AttemptState is how far one attempt at a request has come. The transitions
-// are in the chart attempt.jsonc.
+// AttemptState is the state of one attempt at a request. The transitions are in the
+// chart attempt.jsonc.
 type AttemptState int
 
 // The states of an attempt.
@@ -96,8 +95,7 @@
 	AttemptNotRun
 )
 
-// RequestOutcome is what a caller may be told of a request that has no whole
-// answer.
+// RequestOutcome is what is known about the execution of a request.
 type RequestOutcome int
 
 // The outcomes of a request.
@@ -107,7 +105,7 @@
 	OutcomeAnswered
 )
 
-// CommandKind names a command to the replicated state machine.
+// CommandKind is the kind of a command to the replicated state machine.
 type CommandKind int
 
 // The commands.
@@ -126,24 +124,24 @@
 	CommandReadRoutes
 )
 
-// ResultCode is the state machine's verdict on a command.
+// ResultCode is the state machine's result for a command.
 type ResultCode int
 
-// The verdicts.
+// The result codes.
 const (
 	ResultOK        ResultCode = iota
-	ResultConflict             // expected revision is not the current one, or the lease is another's
-	ResultRepeated             // the change id is known: the recorded answer is returned again
+	ResultConflict             // the expected revision is not the current one, or another VM holds the lease
+	ResultRepeated             // the change ID is known; the recorded result is returned
 	ResultClaimed              // the key is claimed and has no answer yet
 	ResultAnswered             // the key is claimed and its answer is recorded
-	ResultMismatch             // the key or change id was used with other content
-	ResultFull                 // the bounded table has no room
+	ResultMismatch             // the key or change ID was used before with different content
+	ResultFull                 // the bounded table is full
 	ResultUnknown              // no such lease, intent or claim
 	ResultInvalid              // the command is malformed; nothing was changed
-	ResultNotHolder            // the fencing number is not the lease's
+	ResultNotHolder            // the fencing number does not match the lease
 )
 
-// VMState is what the membership holds of a VM.
+// VMState is the state of a VM in the membership.
 type VMState int
 
 // The states of a VM.
@@ -154,27 +152,27 @@
 	VMLeft
 )
 
-// RequestKind says what may be repeated of a route's requests.
+// RequestKind tells whether requests of a route may be retried.
 type RequestKind int
 
 // The kinds of request.
 const (
 	KindIdempotent RequestKind = iota
 	KindNonIdempotent
-	// KindStream is answered by a series of events; it runs at most once
+	// KindStream is answered by a stream of events. The request runs at most once
 	// unless its route is resumable.
 	KindStream
 )
 
-// EngineVerdict is what a model engine made of an order.
+// EngineVerdict is a model engine's immediate answer to an order.
 type EngineVerdict int
 
-// The verdicts on an order.
+// The verdicts of an engine.
 const (
-	VerdictAccepted   EngineVerdict = iota // it is being carried out
-	VerdictHeld                            // what it asks for is so already
-	VerdictConflict                        // another order is under way or came before
+	VerdictAccepted   EngineVerdict = iota // the engine is carrying out the order
+	VerdictHeld                            // the engine is already in the requested state
+	VerdictConflict                        // another order is in progress or was accepted first
 	VerdictStaleFence                      // the engine has seen a higher fencing number
-	VerdictOther                           // another backend server has the address now
-	VerdictInvalid                         // the engine does not know such an order
+	VerdictOther                           // another backend server now has the address
+	VerdictInvalid                         // the engine does not support the order
 )
--- a/errors.go
+++ b/errors.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// UnitError is a value without or with a wrong unit.
+// UnitError is a value with a missing or wrong unit.
 type UnitError struct{ Value, Want string }
 
 func (e *UnitError) Error() string { return fmt.Sprintf("%q is not %s", e.Value, e.Want) }
 
-// RefusalError is a request turned away, with all that the caller and the log
-// line need.
+// RefusalError is a refused request, with the details for the caller and the log
+// line.
 type RefusalError struct {
 	Reason  RefusalReason
 	Outcome RequestOutcome
 	Owner   OwnerName
 	Subject string // the model or service
-	// RetryAfter is when it is worth asking again; 0 when it is not.
+	// RetryAfter is the delay after which a retry may succeed; 0 if none will.
 	RetryAfter time.Duration
 	Detail     string
 }
@@ -27,26 +27,26 @@
 	return fmt.Sprintf("refused (%s, %s): %s: %s", e.Reason, e.Outcome, e.Subject, e.Detail)
 }
 
-// ConflictError is a change made against a revision that is no longer current.
+// ConflictError is a change against a revision that is not the current one.
 type ConflictError struct{ Expected, Current uint64 }
 
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("the change expects revision %d, but the current one is %d", e.Expected, e.Current)
 }
 
-// MismatchError is a change id or idempotency key used again with other content.
+// MismatchError is a change ID or idempotency key that was reused with different content.
 type MismatchError struct{ Key string }
 
 func (e *MismatchError) Error() string {
 	return fmt.Sprintf("the key %q was used before with other content", e.Key)
 }
 
-// Fault is one thing wrong in a settings or catalogue file.
+// Fault is one error in a settings file, catalogue or route table.
 type Fault struct {
 	File string `json:"file,omitempty"`
 	Line int    `json:"line,omitempty"`
 	Key  string `json:"key"`
-	// Problem says what is wrong, Want what would be right.
+	// Problem describes the error, Want the expected value.
 	Problem string `json:"problem"`
 	Want    string `json:"want,omitempty"`
 }
@@ -59,12 +59,12 @@
 	return text
 }
 
-// CatalogueInvalidError lists all that is wrong in a catalogue.
+// CatalogueInvalidError lists all faults of a catalogue.
 type CatalogueInvalidError struct{ Faults []Fault }
 
 func (e *CatalogueInvalidError) Error() string { return "catalogue: " + joinFaults(e.Faults) }
 
-// SettingsInvalidError lists all that is wrong in a settings file.
+// SettingsInvalidError lists all faults of a settings file.
 type SettingsInvalidError struct{ Faults []Fault }
 
 func (e *SettingsInvalidError) Error() string { return "settings: " + joinFaults(e.Faults) }
@@ -77,28 +77,28 @@
 	return strings.Join(lines, "\n")
 }
 
-// DoesNotFitError is a catalogue whose models can't all be resident.
+// DoesNotFitError is a catalogue whose models don't all fit into the fleet's memory.
 type DoesNotFitError struct {
 	ShortfallMiB int
-	Models       []ModelName // those without a place
+	Models       []ModelName // the models that don't fit
 }
 
 func (e *DoesNotFitError) Error() string {
 	return fmt.Sprintf("the fleet lacks %d MiB: no place for %v", e.ShortfallMiB, e.Models)
 }
 
-// NoQuorumError says that the log could not take the command: it was surely
-// not committed.
+// NoQuorumError is a command that the log could not accept. It was certainly not
+// committed.
 type NoQuorumError struct{ Detail string }
 
 func (e *NoQuorumError) Error() string { return "no quorum: " + e.Detail }
 
-// OutcomeUnknownError says that a command or request may or may not take effect.
+// OutcomeUnknownError is a command or request that may or may not take effect.
 type OutcomeUnknownError struct{ Detail string }
 
 func (e *OutcomeUnknownError) Error() string { return "outcome unknown: " + e.Detail }
 
-// PeerUnreachableError says that a call was never sent.
+// PeerUnreachableError is a call to another VM that was never sent.
 type PeerUnreachableError struct {
 	Address string
 	Cause   error
@@ -111,7 +111,7 @@
 // Unwrap returns the cause.
 func (e *PeerUnreachableError) Unwrap() error { return e.Cause }
 
-// PeerLostError says that a call was sent and no answer came.
+// PeerLostError is a call to another VM that was sent but not answered.
 type PeerLostError struct {
 	Address string
 	Cause   error
@@ -124,15 +124,15 @@
 // Unwrap returns the cause.
 func (e *PeerLostError) Unwrap() error { return e.Cause }
 
-// PeerRefusedError is an error that the other VM answered with. Kind names
-// the error type there, in kebab case.
+// PeerRefusedError is an error returned by the other VM. Kind is the error type on that
+// VM, in kebab case.
 type PeerRefusedError struct{ Address, Kind, Detail string }
 
 func (e *PeerRefusedError) Error() string {
 	return fmt.Sprintf("VM at %s answered %s: %s", e.Address, e.Kind, e.Detail)
 }
 
-// NotSentError says that an order or request never left this VM.
+// NotSentError is an order or request that was never sent.
 type NotSentError struct{ Cause error }
 
 func (e *NotSentError) Error() string { return fmt.Sprintf("not sent: %v", e.Cause) }
@@ -140,17 +140,17 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// StaleNewsError is news older than what is known.
+// StaleNewsError is a report of a backend server that is older than the known state.
 type StaleNewsError struct {
 	Backend      BackendID
 	Known, Given uint64
 }
 
 func (e *StaleNewsError) Error() string {
-	return fmt.Sprintf("backend server %s: news %d is older than %d", e.Backend, e.Given, e.Known)
+	return fmt.Sprintf("backend server %s: report %d is older than known report %d", e.Backend, e.Given, e.Known)
 }
 
-// NotFoundError is a question about something that is not there.
+// NotFoundError is a lookup of a name that does not exist.
 type NotFoundError struct{ Kind, Name string }
 
 func (e *NotFoundError) Error() string { return fmt.Sprintf("no %s named %q", e.Kind, e.Name) }
@@ -168,19 +168,19 @@
 // Unwrap returns the cause.
 func (e *RoutesEncodingError) Unwrap() error { return e.Cause }
 
-// InvalidValueError is an argument outside its range.
+// InvalidValueError is an argument with an invalid value.
 type InvalidValueError struct{ Name, Value, Want string }
 
 func (e *InvalidValueError) Error() string {
 	return fmt.Sprintf("%s: %q is not %s", e.Name, e.Value, e.Want)
 }
 
-// RoutesInvalidError lists all that is wrong in a route table.
+// RoutesInvalidError lists all faults of a route table.
 type RoutesInvalidError struct{ Faults []Fault }
 
 func (e *RoutesInvalidError) Error() string { return "routes: " + joinFaults(e.Faults) }
 
-// ListenError is an address that can't be listened on.
+// ListenError is a failure to listen on an address.
 type ListenError struct {
 	Name, Address string
 	Cause         error
@@ -193,7 +193,7 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// StartError is a part of a process that did not start.
+// StartError is a component of a process that failed to start.
 type StartError struct {
 	Part  string
 	Cause error
--- a/logevent.go
+++ b/logevent.go
@@ -1,149 +1,152 @@
 package laburnumlever
 
-// LogEvent names what a log line tells. Each has a line in docs/OPERATIONS.md.
+// LogEvent identifies the event of a log line. Each one is described in docs/OPERATIONS.md. A
+// line comment sets the logged text where it differs from the constant's name.
 type LogEvent int
 
 // The events of the log.
 const (
-	// Requests of callers, on gateways and on the product's own interface.
+	// Callers' requests, on gateways and on entry VMs.
 
-	// EventRequestServed is an answer that was passed on whole.
+	// EventRequestServed is a request whose complete answer was forwarded.
 	EventRequestServed LogEvent = iota
-	// EventRequestRefused is a request that ended without one.
+	// EventRequestRefused is a request that ended without a complete answer.
 	EventRequestRefused
-	// EventAttemptFailed is an attempt at a backend server that brought no whole answer.
+	// EventAttemptFailed is an attempt at a backend server that returned no complete answer.
 	EventAttemptFailed
-	// EventPlaceNotReserved is an engine's answer to the question for a place that says neither
-	// yes nor no.
-	EventPlaceNotReserved
-	// EventCrossedAnswer is an answer that belonged to another request.
+	// EventPlaceNotReserved is an engine's answer to a slot reservation that is neither a grant
+	// nor a refusal.
+	EventPlaceNotReserved // place-not-reserved
+	// EventCrossedAnswer is an answer that belongs to another request.
 	EventCrossedAnswer
-	// EventRefused is a request that an entry VM turned away.
+	// EventRefused is a request that an entry VM refused.
 	EventRefused
-	// EventAnswerNotRecorded is a booking's answer that could not be kept for its caller's resend.
+	// EventAnswerNotRecorded is an answer to a non-idempotent request that could not be recorded
+	// for a retry by the caller.
 	EventAnswerNotRecorded
 
-	// Backend servers and what they hold.
+	// Backend servers and their models.
 
-	// EventBackendKnown is a backend server that is new, leaves, is gone or silent.
-	EventBackendKnown
-	// EventBackendReplaced is an address that another backend server has now.
+	// EventBackendKnown is a backend server that is new, leaving, gone or silent.
+	EventBackendKnown // backend-known
+	// EventBackendReplaced is an address that another backend server has taken over.
 	EventBackendReplaced
-	// EventAdapterThere is an adapter that has come.
-	EventAdapterThere
-	// EventLoadDecided is a model that an engine is to load.
+	// EventAdapterThere is an adapter that has been loaded.
+	EventAdapterThere // adapter-there
+	// EventLoadDecided is a decision to load a model on an engine.
 	EventLoadDecided
-	// EventLayout is how many engines hold which model, told now and again.
-	EventLayout
-	// EventOutlierDetected is a backend server that answers errors to several gateways.
+	// EventLayout is a periodic summary of the number of engines per model.
+	EventLayout // layout
+	// EventOutlierDetected is a backend server that returns errors to several gateways.
 	EventOutlierDetected
-	// EventModelWithdrawn is a model that gateways send nothing more for.
+	// EventModelWithdrawn is a model for which gateways send no more requests.
 	EventModelWithdrawn
 	// EventOrderAnswered is an engine's answer to an order.
 	EventOrderAnswered
-	// EventOrderDone is the end of an order's work.
+	// EventOrderDone is the completion of an order.
 	EventOrderDone
-	// EventOrderChart is a change of an order's state.
-	EventOrderChart
-	// EventOrderRefused is an order that an engine did not take.
+	// EventOrderChart is a state transition of an order.
+	EventOrderChart // order-chart
+	// EventOrderRefused is an order that an engine refused.
 	EventOrderRefused
-	// EventOrderOutcomeUnknown is an order that may have been carried out.
+	// EventOrderOutcomeUnknown is an order that may or may not have been carried out.
 	EventOrderOutcomeUnknown
-	// EventEngineNotAsked is an engine that did not tell its state.
-	EventEngineNotAsked
-	// EventInventoryNotRead is an engine that did not tell what it holds.
+	// EventEngineNotAsked is a failure to read an engine's state.
+	EventEngineNotAsked // engine-not-asked
+	// EventInventoryNotRead is a failure to read an engine's inventory.
 	EventInventoryNotRead
-	// EventLoadFailed is a load from the weight store that broke off.
+	// EventLoadFailed is a failed load from the weight store.
 	EventLoadFailed
-	// EventNewsNotEncoded is news of a backend server that could not be put into words.
-	EventNewsNotEncoded
-	// EventRegistryRefused is an announcement that nobody took.
+	// EventNewsNotEncoded is a backend server's state that could not be encoded.
+	EventNewsNotEncoded // news-not-encoded
+	// EventRegistryRefused is an announcement that was not accepted.
 	EventRegistryRefused
 
 	// Routes and the catalogue.
 
-	// EventRoutesProposed is an operator's change and what came of it.
+	// EventRoutesProposed is an operator's change of the routes and its result.
 	EventRoutesProposed
-	// EventRoutesRefused is a change that is not valid.
+	// EventRoutesRefused is an invalid change of the routes.
 	EventRoutesRefused
-	// EventRoutesApplied is a table that the log has.
+	// EventRoutesApplied is a route table that was applied from the log.
 	EventRoutesApplied
-	// EventRoutesInForce is the table that requests go by from now on.
-	EventRoutesInForce
-	// EventRoutesNotFetched is a table that could not be had.
+	// EventRoutesInForce is a route table that has taken effect for requests.
+	EventRoutesInForce // routes-in-force
+	// EventRoutesNotFetched is a failure to fetch a route table.
 	EventRoutesNotFetched
-	// EventCatalogueInForce is the catalogue that requests go by from now on.
-	EventCatalogueInForce
+	// EventCatalogueInForce is a catalogue that has taken effect for requests.
+	EventCatalogueInForce // catalogue-in-force
 
 	// The log, its leader and its members.
 
-	// EventBecameLeader is this VM leading the log.
+	// EventBecameLeader is this VM becoming the leader of the log.
 	EventBecameLeader
-	// EventNoLeader is a voter that knows of no leader for long, and whose votes it waits for.
+	// EventNoLeader is a voter without a leader for a long time, and the voters whose votes it
+	// is waiting for.
 	EventNoLeader
-	// EventReplicaOpened is a replica that starts from its data folder, and what that held.
+	// EventReplicaOpened is a replica opened from its data folder, with what it found there.
 	EventReplicaOpened
-	// EventVotersInForce is a change of the voters or learners, as this VM's replica has it.
-	EventVotersInForce
-	// EventLearnerAdded is a replica that is to catch up.
+	// EventVotersInForce is a change of the voters or learners in this VM's replica.
+	EventVotersInForce // voters-in-force
+	// EventLearnerAdded is a learner that was added to catch up with the log.
 	EventLearnerAdded
-	// EventLearnerRemoved is one that is not needed any more, or did not catch up.
+	// EventLearnerRemoved is a learner that is no longer needed or failed to catch up.
 	EventLearnerRemoved
-	// EventVoterAdded is a learner that counts from now on.
+	// EventVoterAdded is a learner that was promoted to voter.
 	EventVoterAdded
-	// EventVoterReplaced is a learner that counts from now on in the place of a voter.
+	// EventVoterReplaced is a learner that was promoted to voter in exchange for another voter.
 	EventVoterReplaced
-	// EventVoterStandby is a VM whose replica another one has replaced.
+	// EventVoterStandby is a VM whose replica was replaced by another VM's.
 	EventVoterStandby
-	// EventLeadershipNotHandedOver is a leader that ends without another.
+	// EventLeadershipNotHandedOver is a leader that stops without a successor.
 	EventLeadershipNotHandedOver
-	// EventExpiryNotEncoded is the end of a lease that could not be proposed.
+	// EventExpiryNotEncoded is a lease expiry that could not be encoded for a proposal.
 	EventExpiryNotEncoded
-	// EventReplicaFailed is a replica that can't go on.
+	// EventReplicaFailed is a replica that stopped after an unrecoverable error.
 	EventReplicaFailed
-	// EventReplicaWentBack is a replica whose disk has less than it acknowledged.
-	EventReplicaWentBack
+	// EventReplicaWentBack is a replica whose disk lacks entries that it has acknowledged.
+	EventReplicaWentBack // replica-went-back
 	// EventDataFolderDamaged is a data folder that can't be read.
 	EventDataFolderDamaged
-	// EventDataFolderWentBack is a data folder that has less than it had.
-	EventDataFolderWentBack
-	// EventLeaseGot is this VM becoming the director.
-	EventLeaseGot
-	// EventLeaseLost is this VM ceasing to be the director.
+	// EventDataFolderWentBack is a data folder that has lost data that it held before.
+	EventDataFolderWentBack // data-folder-went-back
+	// EventLeaseGot is this VM acquiring the lease and becoming the director.
+	EventLeaseGot // lease-got
+	// EventLeaseLost is this VM losing the lease and ceasing to be the director.
 	EventLeaseLost
-	// EventLeaseNotRenewed is a renewal that failed.
+	// EventLeaseNotRenewed is a failed lease renewal.
 	EventLeaseNotRenewed
-	// EventZoneOwned is this VM owning its availability zone.
+	// EventZoneOwned is this VM acquiring the placement lease of its availability zone.
 	EventZoneOwned
-	// EventZoneLost is the end of that.
+	// EventZoneLost is this VM losing the placement lease of its availability zone.
 	EventZoneLost
 
 	// Other VMs and this process.
 
-	// EventControlThread is what the control thread spent its time on.
-	EventControlThread
+	// EventControlThread is a breakdown of the time used by the control thread.
+	EventControlThread // control-thread
 	// EventControlLost is a control VM that does not answer.
 	EventControlLost
-	// EventControlRegained is one that answers again.
+	// EventControlRegained is a control VM that answers again.
 	EventControlRegained
-	// EventStarted is a process that serves.
+	// EventStarted is a process that has started to serve.
 	EventStarted
-	// EventDraining is a gateway that is about to end.
+	// EventDraining is a gateway that has started to drain.
 	EventDraining
-	// EventDrained is one with nothing under way.
+	// EventDrained is a gateway without requests in flight after draining.
 	EventDrained
-	// EventStopped is the end of a process.
+	// EventStopped is a process that has stopped.
 	EventStopped
-	// EventSettingsReloaded is changed settings in force.
+	// EventSettingsReloaded is changed settings that have taken effect.
 	EventSettingsReloaded
-	// EventSettingsRefused is changed settings with a fault.
+	// EventSettingsRefused is changed settings that are invalid.
 	EventSettingsRefused
-	// EventListenerEnded is a listener that broke off.
+	// EventListenerEnded is a listener that failed.
 	EventListenerEnded
-	// EventMetricsNotServed is a port for metrics that is taken.
+	// EventMetricsNotServed is a metrics port that is already in use.
 	EventMetricsNotServed
-	// EventUnknownEvent is an event that a part can't handle.
+	// EventUnknownEvent is an event that its Part can't handle.
 	EventUnknownEvent
-	// EventLogLinesDropped is lines that did not fit the log's buffer.
+	// EventLogLinesDropped is the number of log lines dropped because the buffer was full.
 	EventLogLinesDropped
 )
--- a/packing.go
+++ b/packing.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// packAbove is the size in bytes of an encoded table from which it is compressed: below
-	// it fits into a few packets as it is, and stays readable in a log or a snapshot.
+	// packAbove is the size in bytes above which an encoded table is compressed. A smaller
+	// table fits into a few packets and stays readable in a log or a snapshot.
 	packAbove = 16 << 10
-	// maxUnpacked bounds what packed bytes may grow to when they are read; the largest body
-	// that operators may send is a sixteenth of it.
+	// maxUnpacked bounds the decompressed size in bytes. It is 16 times the largest body
+	// that operators may send.
 	maxUnpacked = 64 << 20
 )
 
-// Pack compresses a message. Lists of routes or backend servers are alike from item to
-// item: they take a tenth or less of their size.
+// Pack compresses a message. Lists of routes or backend servers are repetitive and
+// shrink to a tenth of their size or less.
 func Pack(data []byte) ([]byte, error) {
 	var packed bytes.Buffer
 	w, err := flate.NewWriter(&packed, flate.BestSpeed)
@@ -35,8 +35,8 @@
 	return packed.Bytes(), nil
 }
 
-// Unpack is the opposite of Pack. Bytes that are damaged, or larger unpacked than any
-// message can be, are an *InvalidValueError.
+// Unpack decompresses a message. Damaged data, or data that exceeds 64 MiB decompressed,
+// is an *InvalidValueError.
 func Unpack(packed []byte) ([]byte, error) {
 	r := io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpacked+1)
 	whole, err := io.ReadAll(r)
@@ -49,26 +49,26 @@
 	return whole, nil
 }
 
-// plainTable is a table without its own encoding.
+// plainTable is a route table without the custom JSON methods.
 type plainTable RouteTable
 
-// encodedTable is a table as it is written: whole, or packed.
+// encodedTable is the JSON form of a route table: plain, or compressed in Packed.
 type encodedTable struct {
 	plainTable
 	Packed []byte `json:"packed,omitempty"`
 }
 
-// packedTable is a compressed table.
+// packedTable is the JSON form of a compressed route table.
 type packedTable struct {
 	Version uint64 `json:"version"`
 	Packed  []byte `json:"packed"`
 }
 
-// MarshalJSON encodes a large table compressed. Routes are alike: two thousand take a
-// megabyte and a twentieth of that compressed. Each change carries all of them through
-// the log, to each voter, into snapshots and to every gateway, and encoding, copying and
-// sending a megabyte a few dozen times takes a small control VM seconds, in which it
-// answers neither voters nor operators and loses the lead.
+// MarshalJSON compresses a large table. Two thousand routes take a megabyte plain and a
+// twentieth of that compressed. Each change sends the whole table through the log to each
+// voter, into snapshots and to every gateway. Encoding, copying and sending a megabyte a
+// few dozen times keeps a small control VM busy for seconds, in which it answers neither
+// voters nor operators and loses leadership.
 func (t RouteTable) MarshalJSON() ([]byte, error) {
 	data, err := json.Marshal(plainTable(t))
 	if err != nil || len(data) <= packAbove {
@@ -81,8 +81,8 @@
 	return json.Marshal(packedTable{Version: t.Version, Packed: packed})
 }
 
-// UnmarshalJSON decodes a table in either form. A packed one that is damaged, or larger
-// than any table can be, is an *InvalidValueError.
+// UnmarshalJSON decodes a plain or compressed table. A compressed table that is damaged
+// or exceeds 64 MiB decompressed is an *InvalidValueError.
 func (t *RouteTable) UnmarshalJSON(data []byte) error {
 	var e encodedTable
 	if err := json.Unmarshal(data, &e); err != nil {
--- a/packing_test.go
+++ b/packing_test.go
@@ -23,9 +23,9 @@
 	return t
 }
 
-// An operator adds two thousand routes at once. Every voter and every gateway gets the
-// table; as plain text of near a megabyte it kept small control VMs busy for seconds, the
-// leader lost the lead, and gateways answered 404 on the new routes for too long.
+// Guards against sending two thousand routes uncompressed to every voter and gateway. The table
+// of nearly a megabyte kept small control VMs busy for seconds, the leader lost leadership, and
+// gateways answered 404 for the new routes for too long.
 func TestLargeTableIsCompressed(t *testing.T) {
 	table := tableOf(1900)
 	data, err := json.Marshal(table)
@@ -36,7 +36,7 @@
 	require.Equal(t, table, got)
 }
 
-// A small table stays readable, and one that was written before tables were packed is read.
+// A small table is encoded as plain JSON, the format from before tables were compressed.
 func TestSmallTableStaysPlain(t *testing.T) {
 	table := tableOf(3)
 	data, err := json.Marshal(table)
@@ -47,7 +47,7 @@
 	require.Equal(t, table, got)
 }
 
-// A packed table that was cut short on a disk must be an error, not a table without
+// Guards against decoding a compressed table that was truncated on disk as a table without
 // routes.
 func TestDamagedTableIsAnError(t *testing.T) {
 	data, err := json.Marshal(tableOf(1900))
