--- a/laburnumsettings/catalogue.go
+++ b/laburnumsettings/catalogue.go
@@ -22,9 +22,9 @@
 	if err != nil {
 		return laburnumlever.Catalogue{}, err
 	}
-	m := &merged{}
+	m := &merger{}
 	for _, file := range files {
-		m.take(readDocument(file))
+		m.merge(readDocument(file))
 	}
 	return m.finish(fileOrDir)
 }
@@ -32,22 +32,22 @@
 // ParseCatalogue reads a catalogue that is held in memory, as LoadCatalogue reads a
 // file of that name.
 func ParseCatalogue(name string, text []byte) (laburnumlever.Catalogue, error) {
-	m := &merged{}
-	m.take(parseDocument(name, text))
+	m := &merger{}
+	m.merge(parseDocument(name, text))
 	return m.finish(name)
 }
 
 func catalogueFiles(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, unreadable(path, "cannot be read: "+pathless(err))
+		return nil, unreadable(path, "cannot be read: "+errorWithoutPath(err))
 	}
 	if !info.IsDir() {
 		return []string{path}, nil
 	}
 	entries, err := os.ReadDir(path)
 	if err != nil {
-		return nil, unreadable(path, "cannot be read: "+pathless(err))
+		return nil, unreadable(path, "cannot be read: "+errorWithoutPath(err))
 	}
 	var files []string
 	for _, entry := range entries {
@@ -63,67 +63,67 @@
 
 func unreadable(path, problem string) error {
 	return &laburnumlever.CatalogueInvalidError{Faults: []laburnumlever.Fault{{
-		File: path, Line: 1, Key: wholeFile, Problem: problem, Want: "a catalogue file or a directory of them",
+		File: path, Line: 1, Key: fileKey, Problem: problem, Want: "a catalogue file or a directory of them",
 	}}}
 }
 
-// merged joins the files of a catalogue and remembers where each entry stood.
-type merged struct {
+// merger joins the files of a catalogue and remembers where each entry stood.
+type merger struct {
 	catalogue laburnumlever.Catalogue
 	docs      []*document
-	// deployedIn is the file that holds the deployment.
-	deployedIn *document
-	places     map[string][]place
+	// deploymentDoc is the file that holds the deployment.
+	deploymentDoc *document
+	positions     map[string][]position
 }
 
-// place is where one entry of a joined list stood.
-type place struct {
+// position is where one entry of a joined list stood.
+type position struct {
 	doc   *document
 	index int
 }
 
-func (m *merged) take(doc *document) {
+func (m *merger) merge(doc *document) {
 	m.docs = append(m.docs, doc)
 	var part laburnumlever.Catalogue
 	doc.decode(&part)
 	if doc.root.Value == nil {
 		return
 	}
-	m.takeDeployment(doc, part.Deployment)
+	m.mergeDeployment(doc, part.Deployment)
 	c := &m.catalogue
 	c.Owners = append(c.Owners, part.Owners...)
-	m.note("owners", doc, len(part.Owners))
+	m.recordPositions("owners", doc, len(part.Owners))
 	c.Classes = append(c.Classes, part.Classes...)
-	m.note("classes", doc, len(part.Classes))
+	m.recordPositions("classes", doc, len(part.Classes))
 	c.Models = append(c.Models, part.Models...)
-	m.note("models", doc, len(part.Models))
+	m.recordPositions("models", doc, len(part.Models))
 	c.Services = append(c.Services, part.Services...)
-	m.note("services", doc, len(part.Services))
+	m.recordPositions("services", doc, len(part.Services))
 }
 
-func (m *merged) takeDeployment(doc *document, deployment laburnumlever.Deployment) {
+func (m *merger) mergeDeployment(doc *document, deployment laburnumlever.Deployment) {
 	if _, present := doc.lines["deployment"]; !present {
 		return
 	}
-	if m.deployedIn != nil {
-		doc.add("deployment", "stands in "+m.deployedIn.file+" too", "the deployment in one file")
+	if m.deploymentDoc != nil {
+		doc.add("deployment", "stands in "+m.deploymentDoc.file+" too", "the deployment in one file")
 		return
 	}
-	m.deployedIn = doc
+	m.deploymentDoc = doc
 	m.catalogue.Deployment = deployment
 }
 
-func (m *merged) note(list string, doc *document, count int) {
-	if m.places == nil {
-		m.places = make(map[string][]place)
+func (m *merger) recordPositions(list string, doc *document, count int) {
+	if m.positions == nil {
+		m.positions = make(map[string][]position)
 	}
 	for i := range count {
-		m.places[list] = append(m.places[list], place{doc: doc, index: i})
+		m.positions[list] = append(m.positions[list], position{doc: doc, index: i})
 	}
 }
 
 // finish checks the whole and gives each fault its file and line.
-func (m *merged) finish(path string) (laburnumlever.Catalogue, error) {
+func (m *merger) finish(path string) (laburnumlever.Catalogue, error) {
 	m.catalogue = withVersions(m.catalogue)
 	for _, fault := range CheckCatalogue(m.catalogue) {
 		m.locate(fault)
@@ -132,7 +132,7 @@
 	for _, doc := range m.docs {
 		faults = append(faults, doc.faults...)
 	}
-	if m.deployedIn == nil {
+	if m.deploymentDoc == nil {
 		faults = append(faults, laburnumlever.Fault{
 			File: path, Line: 1, Key: "deployment", Problem: "is missing", Want: "the deployment in one of the files",
 		})
@@ -145,19 +145,19 @@
 }
 
 // locate gives a fault of the joined catalogue to the file that caused it.
-func (m *merged) locate(fault laburnumlever.Fault) {
-	doc, key := m.deployedIn, fault.Key
+func (m *merger) locate(fault laburnumlever.Fault) {
+	doc, key := m.deploymentDoc, fault.Key
 	list, rest, isEntry := strings.Cut(fault.Key, "[")
-	if isEntry && m.places[list] != nil {
+	if isEntry && m.positions[list] != nil {
 		number, tail, _ := strings.Cut(rest, "]")
-		at := m.places[list][parseLine(number)]
+		at := m.positions[list][parseLine(number)]
 		doc = at.doc
 		key = fmt.Sprintf("%s[%d]%s", list, at.index, tail)
 	}
 	if doc == nil {
 		return
 	}
-	doc.addNew(key, fault.Problem, fault.Want)
+	doc.addUnreported(key, fault.Problem, fault.Want)
 }
 
 // withVersions fills in the versions of models that name only the current one.
--- a/laburnumsettings/cataloguecheck.go
+++ b/laburnumsettings/cataloguecheck.go
@@ -48,7 +48,7 @@
 	c.faults = append(c.faults, laburnumlever.Fault{Key: key, Problem: problem, Want: want})
 }
 
-func (c *catalogueCheck) name(key, kind, name string) {
+func (c *catalogueCheck) checkName(key, kind, name string) {
 	if !isName(name) {
 		c.add(key, fmt.Sprintf("%q is not a name", name), nameWant)
 		return
@@ -59,13 +59,13 @@
 	c.seen[kind+" "+name] = true
 }
 
-func (c *catalogueCheck) atLeast(key string, value, least float64) {
+func (c *catalogueCheck) checkAtLeast(key string, value, least float64) {
 	if value < least {
 		c.add(key, fmt.Sprintf("%v is too small", value), fmt.Sprintf("%v or more", least))
 	}
 }
 
-func (c *catalogueCheck) more(key string, value float64) {
+func (c *catalogueCheck) checkPositive(key string, value float64) {
 	if value <= 0 {
 		c.add(key, fmt.Sprintf("%v is too small", value), "more than 0")
 	}
@@ -73,38 +73,38 @@
 
 func (c *catalogueCheck) deployment() {
 	d := c.catalogue.Deployment
-	c.name("deployment.name", "deployment", d.Name)
+	c.checkName("deployment.name", "deployment", d.Name)
 	if len(d.Zones) == 0 {
 		c.add("deployment.zones", "is empty", "all availability zones")
 	}
 	for i, zone := range d.Zones {
-		c.name(fmt.Sprintf("deployment.zones[%d]", i), "availability zone", string(zone))
+		c.checkName(fmt.Sprintf("deployment.zones[%d]", i), "availability zone", string(zone))
 	}
-	c.atLeast("deployment.move-cost", d.MoveCost, 0)
-	c.atLeast("deployment.entry-vms", float64(d.EntryVMs), 0)
-	c.more("deployment.weight-store.loads-per-second", d.WeightStore.LoadsPerSecond)
-	c.atLeast("deployment.weight-store.parallel-loads", float64(d.WeightStore.ParallelLoads), 1)
+	c.checkAtLeast("deployment.move-cost", d.MoveCost, 0)
+	c.checkAtLeast("deployment.entry-vms", float64(d.EntryVMs), 0)
+	c.checkPositive("deployment.weight-store.loads-per-second", d.WeightStore.LoadsPerSecond)
+	c.checkAtLeast("deployment.weight-store.parallel-loads", float64(d.WeightStore.ParallelLoads), 1)
 }
 
 func (c *catalogueCheck) owners() {
 	for i, owner := range c.catalogue.Owners {
 		key := fmt.Sprintf("owners[%d]", i)
-		c.name(key+".name", "owner", string(owner.Name))
+		c.checkName(key+".name", "owner", string(owner.Name))
 		c.limits(key+".limits", owner.Limits)
 	}
 }
 
 func (c *catalogueCheck) limits(key string, l laburnumlever.Limits) {
-	c.atLeast(key+".requests-per-second", l.RequestsPerSecond, 0)
-	c.atLeast(key+".tokens-per-second", l.TokensPerSecond, 0)
-	c.atLeast(key+".in-flight", float64(l.InFlight), 0)
-	c.atLeast(key+".queue", float64(l.Queue), 0)
+	c.checkAtLeast(key+".requests-per-second", l.RequestsPerSecond, 0)
+	c.checkAtLeast(key+".tokens-per-second", l.TokensPerSecond, 0)
+	c.checkAtLeast(key+".in-flight", float64(l.InFlight), 0)
+	c.checkAtLeast(key+".queue", float64(l.Queue), 0)
 }
 
 func (c *catalogueCheck) classes() {
 	for i, class := range c.catalogue.Classes {
 		key := fmt.Sprintf("classes[%d]", i)
-		c.name(key+".name", "class", string(class.Name))
+		c.checkName(key+".name", "class", string(class.Name))
 		if class.FirstToken <= 0 {
 			c.add(key+".first-token", class.FirstToken.String()+" is no target", `more than 0, such as "1.9s"`)
 		}
@@ -125,17 +125,17 @@
 }
 
 func (c *catalogueCheck) model(key string, m laburnumlever.Model) {
-	c.name(key+".name", "model", string(m.Name))
+	c.checkName(key+".name", "model", string(m.Name))
 	c.references(key, m.Owner, m.Class)
 	c.limits(key+".limits", m.Limits)
 	c.version(key, m)
-	c.more(key+".weights-mib", float64(m.WeightsMiB))
-	c.atLeast(key+".kv-reserve-mib", float64(m.KVReserveMiB), 0)
-	c.atLeast(key+".accelerators", float64(m.Accelerators), 0)
+	c.checkPositive(key+".weights-mib", float64(m.WeightsMiB))
+	c.checkAtLeast(key+".kv-reserve-mib", float64(m.KVReserveMiB), 0)
+	c.checkAtLeast(key+".accelerators", float64(m.Accelerators), 0)
 	for i, adapter := range m.Adapters {
 		at := fmt.Sprintf("%s.adapters[%d]", key, i)
-		c.name(at+".name", "adapter of "+string(m.Name), string(adapter.Name))
-		c.more(at+".size-mib", float64(adapter.SizeMiB))
+		c.checkName(at+".name", "adapter of "+string(m.Name), string(adapter.Name))
+		c.checkPositive(at+".size-mib", float64(adapter.SizeMiB))
 	}
 }
 
@@ -150,7 +150,7 @@
 }
 
 func (c *catalogueCheck) service(key string, s laburnumlever.Service) {
-	c.name(key+".name", "service", string(s.Name))
+	c.checkName(key+".name", "service", string(s.Name))
 	c.references(key, s.Owner, s.Class)
 	c.limits(key+".limits", s.Limits)
 	for i, call := range s.NonIdempotent {
--- a/laburnumsettings/decode.go
+++ b/laburnumsettings/decode.go
@@ -61,7 +61,7 @@
 		d.lines[path] = d.lineAt(from.StartOffset)
 	}
 	if to.Addr().Type().Implements(textUnmarshaler) {
-		d.withText(from, to, path)
+		d.textValue(from, to, path)
 		return
 	}
 	switch to.Kind() {
@@ -87,7 +87,7 @@
 	}
 	for _, key := range requiredOf(to.Type()) {
 		if !seen[key] {
-			d.add(join(path, key), "is missing", wantOf(to.Type(), fields[key]))
+			d.add(join(path, key), "is missing", describeField(to.Type(), fields[key]))
 		}
 	}
 }
@@ -135,17 +135,17 @@
 func (d *document) scalar(from *hujson.Value, to reflect.Value, path string) {
 	literal, ok := from.Value.(hujson.Literal)
 	if !ok || literal.Kind() == 'n' {
-		d.add(path, "is not "+kindName(to.Type()), kindName(to.Type()))
+		d.add(path, "is not "+describeType(to.Type()), describeType(to.Type()))
 		return
 	}
 	if err := json.Unmarshal(literal, to.Addr().Interface()); err != nil {
-		d.add(path, fmt.Sprintf("%s is not %s", string(literal), kindName(to.Type())), kindName(to.Type()))
+		d.add(path, fmt.Sprintf("%s is not %s", string(literal), describeType(to.Type())), describeType(to.Type()))
 	}
 }
 
-// withText reads a value that has its own text form: durations and enums.
-func (d *document) withText(from *hujson.Value, to reflect.Value, path string) {
-	want := kindName(to.Type())
+// textValue reads a value that has its own text form: durations and enums.
+func (d *document) textValue(from *hujson.Value, to reflect.Value, path string) {
+	want := describeType(to.Type())
 	literal, ok := from.Value.(hujson.Literal)
 	if !ok || literal.Kind() != '"' {
 		d.add(path, fmt.Sprintf("%s is not %s", from.Pack(), want), want)
--- a/laburnumsettings/document.go
+++ b/laburnumsettings/document.go
@@ -11,8 +11,8 @@
 	"laburnumlever"
 )
 
-// wholeFile stands for the key in a fault of the file as a whole.
-const wholeFile = "(file)"
+// fileKey stands for the key in a fault of the file as a whole.
+const fileKey = "(file)"
 
 // document is one parsed file with the place of every key in it.
 type document struct {
@@ -30,7 +30,7 @@
 	text, err := os.ReadFile(file)
 	if err != nil {
 		d := newDocument(file)
-		d.add("", "cannot be read: "+pathless(err), "a readable file")
+		d.add("", "cannot be read: "+errorWithoutPath(err), "a readable file")
 		return d
 	}
 	return parseDocument(file, text)
@@ -51,9 +51,9 @@
 	return d
 }
 
-// pathless is the cause of a file error without the path, which the fault
+// errorWithoutPath is the cause of a file error without the path, which the fault
 // already names.
-func pathless(err error) string {
+func errorWithoutPath(err error) string {
 	text := err.Error()
 	if i := strings.LastIndex(text, ": "); i >= 0 {
 		return text[i+2:]
@@ -73,7 +73,7 @@
 	}
 	d.root = hujson.Value{}
 	d.faults = append(d.faults, laburnumlever.Fault{
-		File: d.file, Line: line, Key: wholeFile, Problem: text, Want: "JSON with comments",
+		File: d.file, Line: line, Key: fileKey, Problem: text, Want: "JSON with comments",
 	})
 }
 
@@ -105,7 +105,7 @@
 func (d *document) add(path, problem, want string) {
 	key := path
 	if key == "" {
-		key = wholeFile
+		key = fileKey
 	}
 	d.faults = append(d.faults, laburnumlever.Fault{
 		File: d.file, Line: d.line(path), Key: key, Problem: problem, Want: want,
@@ -117,7 +117,7 @@
 // nothing of the first.
 func (d *document) reported(path string) bool {
 	return slices.ContainsFunc(d.faults, func(f laburnumlever.Fault) bool {
-		return f.Key == wholeFile || f.Key == path && f.Line == d.line(path) || strings.HasPrefix(path, f.Key+".") || strings.HasPrefix(path, f.Key+"[")
+		return f.Key == fileKey || f.Key == path && f.Line == d.line(path) || strings.HasPrefix(path, f.Key+".") || strings.HasPrefix(path, f.Key+"[")
 	})
 }
 
--- a/laburnumsettings/examples_test.go
+++ b/laburnumsettings/examples_test.go
@@ -11,7 +11,7 @@
 )
 
 // The samples must stay what both deployments run: an operator copies them.
-func TestExamplesFitTheDeployments(t *testing.T) {
+func TestExamplesMatchDeployments(t *testing.T) {
 	for _, tt := range []struct {
 		name             string
 		models, adapters int
@@ -32,14 +32,14 @@
 			}
 			require.Equal(t, tt.adapters, adapters)
 			require.NotEmpty(t, catalogue.Services[0].NonIdempotent)
-			checkSettingsOf(t, folder, catalogue)
+			checkVMSettings(t, folder, catalogue)
 		})
 	}
 }
 
-// checkSettingsOf: six VMs that agree on the voters, three of them with a disk,
+// checkVMSettings: six VMs that agree on the voters, three of them with a disk,
 // at least one in each availability zone.
-func checkSettingsOf(t *testing.T, folder string, catalogue laburnumlever.Catalogue) {
+func checkVMSettings(t *testing.T, folder string, catalogue laburnumlever.Catalogue) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "settings", "*.jsonc"))
 	require.NoError(t, err)
--- a/laburnumsettings/kinds.go
+++ b/laburnumsettings/kinds.go
@@ -8,14 +8,14 @@
 	"laburnumlever"
 )
 
-// kindNames say what a value of a type looks like in a file.
-var kindNames = map[reflect.Type]string{
+// typeDescriptions say what a value of a type looks like in a file.
+var typeDescriptions = map[reflect.Type]string{
 	reflect.TypeOf(laburnumlever.Duration(0)): `a duration with a unit, such as "1.9s"`,
 }
 
-// kindName says in words what a value of the type is.
-func kindName(t reflect.Type) string {
-	if name, ok := kindNames[t]; ok {
+// describeType says in words what a value of the type is.
+func describeType(t reflect.Type) string {
+	if name, ok := typeDescriptions[t]; ok {
 		return name
 	}
 	if names := enumNames(t); len(names) > 0 {
@@ -86,4 +86,4 @@
 	return name
 }
 
-func wantOf(t reflect.Type, field int) string { return kindName(t.Field(field).Type) }
+func describeField(t reflect.Type, field int) string { return describeType(t.Field(field).Type) }
--- a/laburnumsettings/load.go
+++ b/laburnumsettings/load.go
@@ -71,13 +71,13 @@
 	d.checkVoters(s)
 	d.checkTLS(s.TLS)
 	if !isLevel(s.Log.Level) {
-		d.addNew("log.level", fmt.Sprintf("%q is not a level", s.Log.Level), levelWant)
+		d.addUnreported("log.level", fmt.Sprintf("%q is not a level", s.Log.Level), levelWant)
 	}
 	if s.Shutdown.Grace < 0 {
-		d.addNew("shutdown.grace", s.Shutdown.Grace.String()+" is negative", "0s or more")
+		d.addUnreported("shutdown.grace", s.Shutdown.Grace.String()+" is negative", "0s or more")
 	}
 	if s.Shutdown.Limit <= 0 {
-		d.addNew("shutdown.limit", s.Shutdown.Limit.String()+" leaves no time for requests in flight", "more than 0s")
+		d.addUnreported("shutdown.limit", s.Shutdown.Limit.String()+" leaves no time for requests in flight", "more than 0s")
 	}
 }
 
@@ -105,7 +105,7 @@
 			continue
 		}
 		if first, taken := users[a.address]; taken {
-			d.addNew(a.path, fmt.Sprintf("%q is also that of %s", a.address, first), "an address of its own for each listener")
+			d.addUnreported(a.path, fmt.Sprintf("%q is also that of %s", a.address, first), "an address of its own for each listener")
 		}
 		users[a.address] = a.path
 	}
@@ -119,14 +119,14 @@
 		{"tls.certificate", t.Certificate}, {"tls.key", t.Key}, {"tls.authorities", t.Authorities},
 	} {
 		if f.file == "" {
-			d.addNew(f.path, "is missing", "a PEM file, since the others are named")
+			d.addUnreported(f.path, "is missing", "a PEM file, since the others are named")
 		}
 	}
 }
 
 func (d *document) checkVoters(s Settings) {
 	if len(s.Voters) == 0 {
-		d.addNew("voters", "is empty", "at least one VM with a data folder")
+		d.addUnreported("voters", "is empty", "at least one VM with a data folder")
 	}
 	seen := make(map[laburnumlever.VMID]bool)
 	self := false
@@ -135,19 +135,19 @@
 		d.checkName(path+".vm", string(voter.VM))
 		d.checkAddress(path+".peer-address", voter.PeerAddress, true)
 		if seen[voter.VM] {
-			d.addNew(path+".vm", fmt.Sprintf("%q is listed twice", voter.VM), "each voter once")
+			d.addUnreported(path+".vm", fmt.Sprintf("%q is listed twice", voter.VM), "each voter once")
 		}
 		seen[voter.VM] = true
 		self = self || voter.VM == s.VM
 	}
 	if self && s.DataFolder == "" {
-		d.addNew("data-folder", fmt.Sprintf("is missing, but %q is a voter", s.VM), "the folder that holds the replica of the log")
+		d.addUnreported("data-folder", fmt.Sprintf("is missing, but %q is a voter", s.VM), "the folder that holds the replica of the log")
 	}
 }
 
 func (d *document) checkName(path, name string) {
 	if !isName(name) {
-		d.addNew(path, fmt.Sprintf("%q is not a name", name), nameWant)
+		d.addUnreported(path, fmt.Sprintf("%q is not a name", name), nameWant)
 	}
 }
 
@@ -157,14 +157,14 @@
 	parsed, err := netip.ParseAddrPort(address)
 	switch {
 	case err != nil:
-		d.addNew(path, fmt.Sprintf("%q is not an address", address), addressWant)
+		d.addUnreported(path, fmt.Sprintf("%q is not an address", address), addressWant)
 	case parsed.Port() == 0 && !anyPort:
-		d.addNew(path, fmt.Sprintf("%q has port 0", address), "the port that the other VM listens on")
+		d.addUnreported(path, fmt.Sprintf("%q has port 0", address), "the port that the other VM listens on")
 	}
 }
 
-// addNew adds a fault unless decoding has reported the key already.
-func (d *document) addNew(path, problem, want string) {
+// addUnreported adds a fault unless decoding has reported the key already.
+func (d *document) addUnreported(path, problem, want string) {
 	if !d.reported(path) {
 		d.add(path, problem, want)
 	}
--- a/laburnumsettings/reference.go
+++ b/laburnumsettings/reference.go
@@ -44,7 +44,7 @@
 	for i, name := range keysOf(from.Type()) {
 		field := from.Field(i)
 		key := Key{
-			File: file, Key: join(path, name), Value: shortKind(field.Type()),
+			File: file, Key: join(path, name), Value: describeTypeBriefly(field.Type()),
 			Required: slices.Contains(requiredKeys[from.Type()], name),
 		}
 		if file == "settings" && !field.IsZero() && field.Kind() != reflect.Struct {
@@ -67,14 +67,14 @@
 	}
 }
 
-// shortKind leaves out the keys of an object, which follow on their own lines.
-func shortKind(t reflect.Type) string {
+// describeTypeBriefly leaves out the keys of an object, which follow on their own lines.
+func describeTypeBriefly(t reflect.Type) string {
 	switch {
 	case t.Kind() == reflect.Struct:
 		return "an object"
 	case t.Kind() == reflect.Slice:
 		return "a list"
 	default:
-		return kindName(t)
+		return describeType(t)
 	}
 }
--- a/laburnumsettings/role.go
+++ b/laburnumsettings/role.go
@@ -106,19 +106,19 @@
 		d.checkAddress(fmt.Sprintf("seeds[%d]", i), seed, false)
 	}
 	if len(s.Seeds) == 0 {
-		d.addNew("seeds", "is empty", "the control address of at least one control VM")
+		d.addUnreported("seeds", "is empty", "the control address of at least one control VM")
 	}
 	if s.PeerPort <= 0 || s.PeerPort > 1<<16-1 {
-		d.addNew("peer-port", strconv.Itoa(s.PeerPort)+" is not a port", "a port that is free on all VMs")
+		d.addUnreported("peer-port", strconv.Itoa(s.PeerPort)+" is not a port", "a port that is free on all VMs")
 	}
 	if s.Listen.Control != "" && s.DataFolder == "" {
-		d.addNew("data-folder", "is missing on a control VM", "the folder that holds the replica of the log")
+		d.addUnreported("data-folder", "is missing on a control VM", "the folder that holds the replica of the log")
 	}
 	if !isLevel(s.Log.Level) {
-		d.addNew("log.level", fmt.Sprintf("%q is not a level", s.Log.Level), levelWant)
+		d.addUnreported("log.level", fmt.Sprintf("%q is not a level", s.Log.Level), levelWant)
 	}
 	if s.Times.Heartbeat <= 0 {
-		d.addNew("times.heartbeat", "is not above 0s", "the period of the backend servers' announcements")
+		d.addUnreported("times.heartbeat", "is not above 0s", "the period of the backend servers' announcements")
 	}
 }
 
