--- a/laburnumsettings/catalogue.go
+++ b/laburnumsettings/catalogue.go
@@ -10,13 +10,13 @@
 	"laburnumlever"
 )
 
-// fileSuffixes are those of the files of a catalogue directory.
+// fileSuffixes are the suffixes of catalogue files in a directory.
 var fileSuffixes = []string{".json", ".jsonc", ".hujson"}
 
-// LoadCatalogue reads a catalogue from one file, or from all files of a
-// directory as one: lists are joined in the order of the file names, and the
-// deployment stands in exactly one of them. All that is wrong is listed in one
-// *laburnumlever.CatalogueInvalidError.
+// LoadCatalogue reads a catalogue from one file, or merges all catalogue files of a
+// directory: lists are concatenated in the order of the file names, and exactly one
+// file contains the deployment. The error is a *laburnumlever.CatalogueInvalidError
+// that lists all faults.
 func LoadCatalogue(fileOrDir string) (laburnumlever.Catalogue, error) {
 	files, err := catalogueFiles(fileOrDir)
 	if err != nil {
@@ -29,8 +29,8 @@
 	return m.finish(fileOrDir)
 }
 
-// ParseCatalogue reads a catalogue that is held in memory, as LoadCatalogue reads a
-// file of that name.
+// ParseCatalogue parses the text of a catalogue as LoadCatalogue does for a file of that
+// name.
 func ParseCatalogue(name string, text []byte) (laburnumlever.Catalogue, error) {
 	m := &merger{}
 	m.merge(parseDocument(name, text))
@@ -67,16 +67,16 @@
 	}}}
 }
 
-// merger joins the files of a catalogue and remembers where each entry stood.
+// merger merges the files of a catalogue and records the position of each entry.
 type merger struct {
 	catalogue laburnumlever.Catalogue
 	docs      []*document
-	// deploymentDoc is the file that holds the deployment.
+	// deploymentDoc is the file that contains the deployment; nil if none does.
 	deploymentDoc *document
 	positions     map[string][]position
 }
 
-// position is where one entry of a joined list stood.
+// position is the file and list index that an entry of a merged list came from.
 type position struct {
 	doc   *document
 	index int
@@ -122,7 +122,7 @@
 	}
 }
 
-// finish checks the whole and gives each fault its file and line.
+// finish checks the merged catalogue and adds the file and line to each fault.
 func (m *merger) finish(path string) (laburnumlever.Catalogue, error) {
 	m.catalogue = withVersions(m.catalogue)
 	for _, fault := range CheckCatalogue(m.catalogue) {
@@ -144,7 +144,7 @@
 	return m.catalogue, nil
 }
 
-// locate gives a fault of the joined catalogue to the file that caused it.
+// locate adds a fault of the merged catalogue to the file that caused it.
 func (m *merger) locate(fault laburnumlever.Fault) {
 	doc, key := m.deploymentDoc, fault.Key
 	list, rest, isEntry := strings.Cut(fault.Key, "[")
@@ -160,7 +160,7 @@
 	doc.addUnreported(key, fault.Problem, fault.Want)
 }
 
-// withVersions fills in the versions of models that name only the current one.
+// withVersions sets Versions of models that give only the current version.
 func withVersions(c laburnumlever.Catalogue) laburnumlever.Catalogue {
 	c.Models = slices.Clone(c.Models)
 	for i, model := range c.Models {
--- a/laburnumsettings/cataloguecheck.go
+++ b/laburnumsettings/cataloguecheck.go
@@ -9,19 +9,19 @@
 	"laburnumlever"
 )
 
-// nameWant says what names look like. They stand in URLs, headers and metric
-// labels, so nothing in them may need quoting there.
+// nameWant describes valid names. Names are used in URLs, headers and metric labels, so
+// they exclude characters that need quoting there.
 const nameWant = "a name of 1 to 63 lower-case letters, digits, dots and hyphens that starts with a letter or digit"
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,62}$`)
 
-// methods are those that a call may name.
+// methods are the HTTP methods allowed in a call.
 var methods = []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"}
 
 func isName(name string) bool { return namePattern.MatchString(name) }
 
-// CheckCatalogue checks what the values of a catalogue mean together and lists
-// all that is wrong, without file and line.
+// CheckCatalogue checks the values and references of a catalogue and returns all faults,
+// without file and line.
 func CheckCatalogue(c laburnumlever.Catalogue) []laburnumlever.Fault {
 	check := &catalogueCheck{catalogue: c, seen: make(map[string]bool)}
 	check.deployment()
@@ -39,7 +39,7 @@
 // catalogueCheck collects the faults of one catalogue.
 type catalogueCheck struct {
 	catalogue laburnumlever.Catalogue
-	// seen holds "kind name" of what was met already.
+	// seen holds "kind name" of each name already checked, to find duplicates.
 	seen   map[string]bool
 	faults []laburnumlever.Fault
 }
@@ -114,7 +114,7 @@
 	}
 }
 
-// references checks the owner and class of an entry.
+// references checks that the owner and class of an entry exist.
 func (c *catalogueCheck) references(key string, owner laburnumlever.OwnerName, class laburnumlever.ClassName) {
 	if _, found := c.catalogue.Owner(owner); !found {
 		c.add(key+".owner", fmt.Sprintf("no owner is named %q", owner), oneOf(c.ownerNames(), "an owner listed under owners"))
@@ -180,7 +180,7 @@
 	return names
 }
 
-// oneOf lists the choices, or says what to write where there is none yet.
+// oneOf lists the valid names, or returns none if there are no names.
 func oneOf(names []string, none string) string {
 	if len(names) == 0 {
 		return none
--- a/laburnumsettings/decode.go
+++ b/laburnumsettings/decode.go
@@ -13,9 +13,8 @@
 	"laburnumlever"
 )
 
-// requiredKeys are the keys that a struct must have, beside those that have a
-// default. A limit that is left out would be a limit of none by accident, so
-// limits are written out, with 0 where none is meant.
+// requiredKeys lists the keys of each struct that have no default. Limits are required,
+// so that a forgotten key doesn't silently mean no limit; 0 means none explicitly.
 var requiredKeys = map[reflect.Type][]string{
 	reflect.TypeOf(Settings{}):                  {"vm", "zone", "voters"},
 	reflect.TypeOf(laburnumlever.Voter{}):       {"vm", "peer-address"},
@@ -30,10 +29,10 @@
 	reflect.TypeOf(laburnumlever.Call{}):        {"method", "path-prefix"},
 }
 
-// requiredTag marks the required keys of structs outside this module's root.
+// requiredTag is the struct tag for required keys of structs outside requiredKeys.
 const requiredTag = "required"
 
-// requiredOf lists the required keys of a struct.
+// requiredOf returns the required keys of a struct.
 func requiredOf(t reflect.Type) []string {
 	keys := requiredKeys[t]
 	for i := range t.NumField() {
@@ -46,8 +45,8 @@
 
 var textUnmarshaler = reflect.TypeOf((*encoding.TextUnmarshaler)(nil)).Elem()
 
-// decode fills target, a pointer to a struct, from the document and notes all
-// that does not fit.
+// decode decodes the document into target, a pointer to a struct, and adds a fault for
+// each mismatch.
 func (d *document) decode(target any) {
 	if d.root.Value == nil {
 		return
@@ -143,7 +142,7 @@
 	}
 }
 
-// textValue reads a value that has its own text form: durations and enums.
+// textValue decodes a value that implements encoding.TextUnmarshaler: durations and enums.
 func (d *document) textValue(from *hujson.Value, to reflect.Value, path string) {
 	want := describeType(to.Type())
 	literal, ok := from.Value.(hujson.Literal)
--- a/laburnumsettings/diff.go
+++ b/laburnumsettings/diff.go
@@ -12,18 +12,19 @@
 type Change struct {
 	// Action is add, remove or change.
 	Action string `json:"action"`
-	// Kind is what is changed, such as model; Name which one.
+	// Kind is the kind of entry, such as model, and Name its name.
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Key, From and To are set for a change: the key and its two values.
+	// Key, From and To are the key and its old and new value; set for a change only.
 	Key  string `json:"key,omitempty"`
 	From string `json:"from,omitempty"`
 	To   string `json:"to,omitempty"`
-	// LoadMiB is what each copy of the model has to load anew because of it.
+	// LoadMiB is the size in MiB that each copy of the model must load because of the
+	// change.
 	LoadMiB int `json:"load-mib,omitempty"`
 }
 
-// String writes the change on one line.
+// String formats the change on one line.
 func (c Change) String() string {
 	text := strings.TrimSpace(fmt.Sprintf("%s %s %s", c.Action, c.Kind, c.Name))
 	if c.Key != "" {
@@ -35,12 +36,12 @@
 	return text
 }
 
-// reloadKeys are the keys of a model whose change makes every copy load anew.
+// reloadKeys are the keys of a model whose change requires reloading every copy.
 var reloadKeys = map[string]bool{
 	"version": true, "weights-mib": true, "kv-reserve-mib": true, "accelerators": true, "adapters": true,
 }
 
-// Diff lists what becomes different in the fleet when next replaces current.
+// Diff lists the differences between the current and the next catalogue.
 func Diff(current, next laburnumlever.Catalogue) []Change {
 	var changes []Change
 	changes = append(changes, fieldChanges("deployment", "", reflect.ValueOf(current.Deployment), reflect.ValueOf(next.Deployment))...)
@@ -87,7 +88,7 @@
 	return changes
 }
 
-// valueText writes a value on one line, as the file would hold it.
+// valueText formats a value on one line, in the syntax of a catalogue file.
 func valueText(v reflect.Value) string {
 	text, err := encodeLine(v.Interface())
 	if err != nil {
--- a/laburnumsettings/document.go
+++ b/laburnumsettings/document.go
@@ -11,21 +11,21 @@
 	"laburnumlever"
 )
 
-// fileKey stands for the key in a fault of the file as a whole.
+// fileKey replaces the key in a fault of the whole file.
 const fileKey = "(file)"
 
-// document is one parsed file with the place of every key in it.
+// document is one parsed file with the line of every key in it.
 type document struct {
 	file string
 	text []byte
 	root hujson.Value
-	// lines holds the line of each key by its path, such as "models[2].owner".
+	// lines maps the path of each key, such as "models[2].owner", to its line.
 	lines  map[string]int
 	faults []laburnumlever.Fault
 }
 
-// readDocument reads and parses a file. A file that is not JSON with comments
-// has one fault and no root.
+// readDocument reads and parses a file. If the file is unreadable or not JSON with
+// comments, the document has one fault and no root.
 func readDocument(file string) *document {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -51,8 +51,8 @@
 	return d
 }
 
-// errorWithoutPath is the cause of a file error without the path, which the fault
-// already names.
+// errorWithoutPath returns the text of a file error without the path, which the fault
+// already contains.
 func errorWithoutPath(err error) string {
 	text := err.Error()
 	if i := strings.LastIndex(text, ": "); i >= 0 {
@@ -61,7 +61,7 @@
 	return text
 }
 
-// addSyntax turns "hujson: line 3, column 5: …" into a fault at line 3.
+// addSyntax converts the error "hujson: line 3, column 5: …" to a fault at line 3.
 func (d *document) addSyntax(err error) {
 	text := strings.TrimPrefix(err.Error(), "hujson: ")
 	line := 1
@@ -85,13 +85,13 @@
 	return line
 }
 
-// lineAt is the line, counted from 1, that holds the byte at the offset.
+// lineAt returns the 1-based line of the byte at the offset.
 func (d *document) lineAt(offset int) int {
 	return bytes.Count(d.text[:min(offset, len(d.text))], []byte("\n")) + 1
 }
 
-// line is the line of the path or, for a key that is missing, of the nearest
-// value around it.
+// line returns the line of the path or, for a missing key, of the nearest enclosing
+// value.
 func (d *document) line(path string) int {
 	for path != "" {
 		if line, ok := d.lines[path]; ok {
@@ -112,16 +112,16 @@
 	})
 }
 
-// reported tells whether the path or anything around it has a fault already. A
-// fault on another line than the key's is that of its second writing, which says
-// nothing of the first.
+// reported reports whether the path or an enclosing value already has a fault. A fault
+// for the same key on another line belongs to a duplicate of the key and does not
+// concern the first occurrence.
 func (d *document) reported(path string) bool {
 	return slices.ContainsFunc(d.faults, func(f laburnumlever.Fault) bool {
 		return f.Key == fileKey || f.Key == path && f.Line == d.line(path) || strings.HasPrefix(path, f.Key+".") || strings.HasPrefix(path, f.Key+"[")
 	})
 }
 
-// sortFaults orders faults by file and line, so that the list reads as the files do.
+// sortFaults sorts faults by file and line.
 func sortFaults(faults []laburnumlever.Fault) {
 	slices.SortStableFunc(faults, func(a, b laburnumlever.Fault) int {
 		if a.File != b.File {
--- a/laburnumsettings/encode.go
+++ b/laburnumsettings/encode.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// encodeLine writes a value as JSON on one line.
+// encodeLine encodes a value as JSON on one line.
 func encodeLine(value any) (string, error) {
 	var b strings.Builder
 	encoder := json.NewEncoder(&b)
--- a/laburnumsettings/examples_test.go
+++ b/laburnumsettings/examples_test.go
@@ -10,7 +10,7 @@
 	"laburnumlever/laburnumsettings"
 )
 
-// The samples must stay what both deployments run: an operator copies them.
+// Operators copy the examples, so they must match what both deployments run.
 func TestExamplesMatchDeployments(t *testing.T) {
 	for _, tt := range []struct {
 		name             string
@@ -37,8 +37,8 @@
 	}
 }
 
-// checkVMSettings: six VMs that agree on the voters, three of them with a disk,
-// at least one in each availability zone.
+// checkVMSettings checks for settings of six VMs that agree on the voters, with three disks
+// and at least one VM in each availability zone.
 func checkVMSettings(t *testing.T, folder string, catalogue laburnumlever.Catalogue) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "settings", "*.jsonc"))
--- a/laburnumsettings/kinds.go
+++ b/laburnumsettings/kinds.go
@@ -8,12 +8,13 @@
 	"laburnumlever"
 )
 
-// typeDescriptions say what a value of a type looks like in a file.
+// typeDescriptions describes the file syntax of types that need their own text.
 var typeDescriptions = map[reflect.Type]string{
 	reflect.TypeOf(laburnumlever.Duration(0)): `a duration with a unit, such as "1.9s"`,
 }
 
-// describeType says in words what a value of the type is.
+// describeType describes the file syntax of a value of the type, for faults and the
+// reference of keys.
 func describeType(t reflect.Type) string {
 	if name, ok := typeDescriptions[t]; ok {
 		return name
@@ -41,8 +42,9 @@
 	}
 }
 
-// enumNames lists the names of an enum, an int with generated names; those of a
-// value that is none of the enum's hold its number in parentheses.
+// enumNames returns the names of an enum, an int with a generated String method, or nil
+// for other types. String returns a number in parentheses for values outside the enum,
+// which ends the list.
 func enumNames(t reflect.Type) []string {
 	if t.Kind() != reflect.Int || !t.Implements(reflect.TypeFor[fmt.Stringer]()) {
 		return nil
@@ -59,7 +61,7 @@
 	}
 }
 
-// fieldsOf maps the JSON keys of a struct to its fields.
+// fieldsOf maps the JSON keys of a struct to its field indexes.
 func fieldsOf(t reflect.Type) map[string]int {
 	fields := make(map[string]int)
 	for i := range t.NumField() {
@@ -70,7 +72,7 @@
 	return fields
 }
 
-// keysOf lists the JSON keys of a struct in the order of its fields.
+// keysOf returns the JSON keys of a struct in the order of its fields.
 func keysOf(t reflect.Type) []string {
 	var keys []string
 	for i := range t.NumField() {
--- a/laburnumsettings/load.go
+++ b/laburnumsettings/load.go
@@ -9,8 +9,8 @@
 	"laburnumlever"
 )
 
-// The defaults of what a settings file may leave out. All listeners are on
-// loopback, so that a forgotten key opens nothing to a network.
+// Defaults of optional settings. All listeners default to loopback, so that a forgotten
+// key exposes nothing to a network.
 const (
 	defaultCallers   = "127.0.0.1:8080"
 	defaultOperators = "127.0.0.1:8081"
@@ -23,7 +23,7 @@
 	levelWant        = "one of debug, info, warn, error"
 )
 
-// Default returns the settings that a file starts from.
+// Default returns the default settings, which a settings file overrides.
 func Default() Settings {
 	return Settings{
 		Listen:   Listen{Callers: defaultCallers, Operators: defaultOperators, Backends: defaultBackends, Peers: defaultPeers},
@@ -32,8 +32,8 @@
 	}
 }
 
-// Load reads a settings file over the defaults. All that is wrong is listed in
-// one *laburnumlever.SettingsInvalidError.
+// Load reads a settings file and applies it to the defaults. The error is a
+// *laburnumlever.SettingsInvalidError that lists all faults.
 func Load(path string) (Settings, error) {
 	doc := readDocument(path)
 	settings := Default()
@@ -48,9 +48,9 @@
 	return settings, nil
 }
 
-// ReadFile decodes a file of another kind, such as an experiment, as strictly as
-// a settings file, and lists all that is wrong. Fields with the tag required:"true"
-// must be there.
+// ReadFile decodes a file of another kind, such as an experiment, as strictly as a
+// settings file and returns all faults. Fields with the tag required:"true" must be
+// present.
 func ReadFile(path string, into any) []laburnumlever.Fault {
 	doc := readDocument(path)
 	doc.decode(into)
@@ -81,7 +81,7 @@
 	}
 }
 
-// isLevel tells whether the word names a log level.
+// isLevel reports whether level is a valid log level.
 func isLevel(level string) bool {
 	switch level {
 	case "debug", "info", "warn", "error":
@@ -151,8 +151,8 @@
 	}
 }
 
-// checkAddress takes IP addresses only: a process learns its addresses from its
-// settings, and a name would need a resolver to be up when the process starts.
+// checkAddress accepts IP addresses only, since resolving a host name would require a
+// working DNS resolver when the process starts.
 func (d *document) checkAddress(path, address string, anyPort bool) {
 	parsed, err := netip.ParseAddrPort(address)
 	switch {
@@ -163,7 +163,7 @@
 	}
 }
 
-// addUnreported adds a fault unless decoding has reported the key already.
+// addUnreported adds a fault unless decoding has already reported the key.
 func (d *document) addUnreported(path, problem, want string) {
 	if !d.reported(path) {
 		d.add(path, problem, want)
--- a/laburnumsettings/reference.go
+++ b/laburnumsettings/reference.go
@@ -13,14 +13,14 @@
 	// File is settings or catalogue.
 	File string `json:"file"`
 	Key  string `json:"key"`
-	// Value says what its value is.
+	// Value describes the type of the value.
 	Value    string `json:"value"`
 	Required bool   `json:"required"`
-	// Default is the value of a key that is left out, if there is one.
+	// Default is the value if the key is omitted; empty if there is no default.
 	Default string `json:"default,omitempty"`
 }
 
-// String writes the description on one line.
+// String formats the description on one line.
 func (k Key) String() string {
 	text := fmt.Sprintf("%s %s: %s", k.File, k.Key, k.Value)
 	switch {
@@ -32,8 +32,8 @@
 	return text
 }
 
-// Reference lists all keys of settings and catalogue files, in the order of
-// the Go structs.
+// Reference returns all keys of settings and catalogue files, in the order of the Go
+// structs.
 func Reference() []Key {
 	keys := describe("settings", "", reflect.ValueOf(Default()))
 	return append(keys, describe("catalogue", "", reflect.ValueOf(laburnumlever.Catalogue{}))...)
@@ -67,7 +67,8 @@
 	}
 }
 
-// describeTypeBriefly leaves out the keys of an object, which follow on their own lines.
+// describeTypeBriefly describes a type like describeType, but omits the keys of an object,
+// which are listed on lines of their own.
 func describeTypeBriefly(t reflect.Type) string {
 	switch {
 	case t.Kind() == reflect.Struct:
--- a/laburnumsettings/role.go
+++ b/laburnumsettings/role.go
@@ -8,78 +8,80 @@
 	"laburnumlever"
 )
 
-// Role are the settings of a process that has one part of the system's work: a
-// gateway, which serves callers, or a control VM, which keeps the state. Bounds
-// that a platform promises or asks for are settings, never constants.
+// Role holds the settings of a process with a single role: a gateway, which serves
+// callers, or a control VM, which stores the state. Limits that a platform guarantees or
+// requires are settings, never constants.
 type Role struct {
-	// VM names the VM to the others; on a control VM it is its IP address, by
-	// which the seeds name it.
+	// VM identifies the VM to the others. On a control VM it is the IP address, as in
+	// the seeds.
 	VM     laburnumlever.VMID       `json:"vm" required:"true"`
 	Name   string                   `json:"name"`
 	Zone   laburnumlever.ZoneName   `json:"zone" required:"true"`
 	Region laburnumlever.RegionName `json:"region"`
 	Listen RoleListen               `json:"listen"`
-	// PeerPort is where VMs of the system reach each other, the same on all.
+	// PeerPort is the port for connections between VMs, the same on all of them.
 	PeerPort int `json:"peer-port" required:"true"`
-	// MetricsPort serves the metrics; 0 means that nothing does.
+	// MetricsPort is the port of the metrics endpoint; 0 disables it.
 	MetricsPort int `json:"metrics-port"`
-	// Seeds are control addresses of some control VMs.
+	// Seeds are the control addresses of some control VMs.
 	Seeds []string `json:"seeds" required:"true"`
-	// FirstStart tells that the whole system starts for the first time, so that
-	// the seeds may found the log.
+	// FirstStart reports whether the whole system starts for the first time, so that
+	// the seeds may bootstrap the log.
 	FirstStart bool `json:"first-start"`
 	// DataFolder is empty on a gateway.
 	DataFolder string `json:"data-folder"`
 	MemoryMB   int    `json:"memory-mb"`
-	// Descriptors is how many files and connections the process may have open; 0 where
-	// nothing bounds them.
+	// Descriptors is the maximum number of open files and connections of the process;
+	// 0 means no limit.
 	Descriptors int `json:"descriptors"`
-	// ControlLosses is how many control VMs may be lost at once, with their disks.
+	// ControlLosses is the number of simultaneous losses of control VMs, including their
+	// disks, that the system must tolerate.
 	ControlLosses int       `json:"control-losses"`
 	Times         RoleTimes `json:"times"`
 	Retry         RoleRetry `json:"retry"`
-	// StoreOvershoot is by how much the weight store's rate may be exceeded
-	// within StoreWindow.
+	// StoreOvershoot is the amount by which the weight store's rate limit may be
+	// exceeded within StoreWindow.
 	StoreOvershoot float64                `json:"store-overshoot"`
 	StoreWindow    laburnumlever.Duration `json:"store-window"`
-	// ChecksFencing tells that engines refuse an old fencing number.
+	// ChecksFencing reports whether engines refuse an outdated fencing number.
 	ChecksFencing bool `json:"checks-fencing"`
 	Log           Log  `json:"log"`
 }
 
-// RoleListen are the addresses that the process listens on; those that it does
-// not serve are empty.
+// RoleListen holds the addresses (IP and port) that the process listens on; empty for
+// listeners that its role does not have.
 type RoleListen struct {
 	Callers string `json:"callers"`
 	Ready   string `json:"ready"`
 	Control string `json:"control"`
-	// Peers is empty where the others reach this VM directly, at the peer port; else
-	// what stands between them passes connections on to this address.
+	// Peers is the address to which a proxy or address translation forwards peer
+	// connections; empty if other VMs connect directly to the peer port.
 	Peers string `json:"peers"`
 }
 
-// RoleTimes are the times that the platform promises or asks for.
+// RoleTimes holds the times that the platform guarantees or requires.
 type RoleTimes struct {
 	Heartbeat laburnumlever.Duration `json:"heartbeat"`
-	// Grace is how long a process lives after it was asked to stop.
+	// Grace is the time until a process is killed after the request to stop.
 	Grace laburnumlever.Duration `json:"grace"`
-	// Lease is how long two owners of the engines must be apart.
+	// Lease is the minimum time between two successive owners of the engines.
 	Lease laburnumlever.Duration `json:"lease"`
-	// CatchUp is how soon a new or returned VM must count again.
+	// CatchUp is the time within which a new or returning VM must count towards the
+	// quorum.
 	CatchUp laburnumlever.Duration `json:"catch-up"`
-	// Apply is how soon a change must be in force everywhere.
+	// Apply is the time within which a change must take effect on all VMs.
 	Apply laburnumlever.Duration `json:"apply"`
 }
 
-// RoleRetry bounds repeats over all gateways.
+// RoleRetry is the retry budget over all gateways.
 type RoleRetry struct {
 	Ratio  float64                `json:"ratio"`
 	Slack  float64                `json:"slack"`
 	Window laburnumlever.Duration `json:"window"`
 }
 
-// LoadRole reads the settings of a gateway or control VM. All that is wrong is
-// listed in one *laburnumlever.SettingsInvalidError.
+// LoadRole reads the settings of a gateway or control VM. The error is a
+// *laburnumlever.SettingsInvalidError that lists all faults.
 func LoadRole(path string) (Role, error) {
 	doc := readDocument(path)
 	settings := Role{Log: Log{Level: defaultLevel}}
@@ -122,10 +124,10 @@
 	}
 }
 
-// PeerAddress is where the others reach the VM.
+// PeerAddress returns the address at which other VMs reach this one.
 func (s Role) PeerAddress() string { return peerAddress(s.listenIP(), s.PeerPort) }
 
-// PeerListen is where the VM listens for the others.
+// PeerListen returns the address on which the VM listens for other VMs.
 func (s Role) PeerListen() string {
 	if s.Listen.Peers != "" {
 		return s.Listen.Peers
@@ -144,7 +146,7 @@
 
 func peerAddress(ip string, port int) string { return ip + ":" + strconv.Itoa(port) }
 
-// MetricsAddress is where the metrics are served; empty for nowhere.
+// MetricsAddress returns the address of the metrics endpoint; empty if disabled.
 func (s Role) MetricsAddress() string {
 	if s.MetricsPort == 0 {
 		return ""
@@ -152,13 +154,13 @@
 	return peerAddress(s.listenIP(), s.MetricsPort)
 }
 
-// SeedVoters are the seeds as voters: a control VM is named by its IP address.
+// SeedVoters returns the seeds as voters, with the IP address as the ID of a control VM.
 func (s Role) SeedVoters() []laburnumlever.Voter {
 	var voters []laburnumlever.Voter
 	for _, seed := range s.Seeds {
 		parsed, err := netip.ParseAddrPort(seed)
 		if err != nil {
-			continue // LoadRole has refused such a file
+			continue // LoadRole refuses such a file
 		}
 		ip := parsed.Addr().String()
 		voters = append(voters, laburnumlever.Voter{VM: laburnumlever.VMID(ip), PeerAddress: peerAddress(ip, s.PeerPort)})
--- a/laburnumsettings/settings_fuzz_test.go
+++ b/laburnumsettings/settings_fuzz_test.go
@@ -10,7 +10,7 @@
 	"laburnumlever/laburnumsettings"
 )
 
-// FuzzSettings guards against files that panic, or that are refused without a reason.
+// FuzzSettings guards against files that cause a panic or an error without a message.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte("{}"))
 	f.Add([]byte("{ // comment\n\"times\": {\"lease\": \"3s\",},}"))
