--- a/laburnumchart/chart.go
+++ b/laburnumchart/chart.go
@@ -106,7 +106,7 @@
 		return &BadChartError{Name: c.name, Problem: "the initial state " + c.initial + " is not there"}
 	}
 	reached := map[string]bool{c.initial: true}
-	if err := c.walk(c.initial, reached); err != nil {
+	if err := c.checkReachable(c.initial, reached); err != nil {
 		return err
 	}
 	for _, name := range c.States() {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-func (c Chart) walk(from string, reached map[string]bool) error {
+func (c Chart) checkReachable(from string, reached map[string]bool) error {
 	for _, to := range c.states[from].On {
 		if _, ok := c.states[to]; !ok {
 			return &BadChartError{Name: c.name, Problem: "the state " + to + " is not there"}
@@ -126,7 +126,7 @@
 			continue
 		}
 		reached[to] = true
-		if err := c.walk(to, reached); err != nil {
+		if err := c.checkReachable(to, reached); err != nil {
 			return err
 		}
 	}
