--- a/laburnumchart/chart.go
+++ b/laburnumchart/chart.go
@@ -1,6 +1,6 @@
-// Package laburnumchart interprets the state charts in charts/*.jsonc, so that
-// the life of an attempt, an order or a backend server is read from one file and
-// not from scattered conditions.
+// Package laburnumchart interprets the state machines in charts/*.jsonc, so that the
+// lifecycle of an attempt or an order is defined in one file instead of scattered
+// conditions.
 //
 // # Usage
 //
@@ -8,11 +8,10 @@
 //	state := chart.Initial()
 //	state, err = chart.Next(state, "write-started")
 //
-// A chart names its initial state and, for each state, the events it takes and
-// the state each leads to. Load refuses a chart with a transition to a state that
-// is not there or with a state that can't be reached, so a mistake in a file shows
-// at start and not under failure. An event that the state does not take is a
-// *NoTransitionError, and the state stays.
+// A chart defines the initial state and, for each state, the transitions by event. Load
+// refuses a chart with a transition to an undefined state or with an unreachable state,
+// so that a mistake in a file is found at start. An event without a transition is a
+// *NoTransitionError and leaves the state unchanged.
 package laburnumchart
 
 import (
@@ -26,7 +25,7 @@
 //go:embed charts/*.jsonc
 var files embed.FS
 
-// Chart is one state chart; it is never changed.
+// Chart is one state machine. It is immutable.
 type Chart struct {
 	name    string
 	initial string
@@ -43,7 +42,8 @@
 	States  map[string]state `json:"states"`
 }
 
-// Load reads the embedded chart of that name.
+// Load returns the embedded chart with this name. Errors: *UnknownChartError,
+// *BadChartError.
 func Load(name string) (Chart, error) {
 	text, err := files.ReadFile("charts/" + name + ".jsonc")
 	if err != nil {
@@ -52,8 +52,8 @@
 	return Parse(name, text)
 }
 
-// MustLoad is Load for charts that ship with the program, which tests have read:
-// it panics on an error.
+// MustLoad is like Load but panics on an error. It is for embedded charts, which tests
+// cover.
 func MustLoad(name string) Chart {
 	chart, err := Load(name)
 	if err != nil {
@@ -62,7 +62,8 @@
 	return chart
 }
 
-// Parse reads a chart in JSON with comments and checks it.
+// Parse parses and validates a chart in JSON with comments. An error is a
+// *BadChartError.
 func Parse(name string, text []byte) (Chart, error) {
 	plain, err := hujson.Standardize(slices.Clone(text))
 	if err != nil {
@@ -76,10 +77,10 @@
 	return chart, chart.check()
 }
 
-// Initial is the state that everything starts in.
+// Initial returns the initial state.
 func (c Chart) Initial() string { return c.initial }
 
-// Next is the state after the event.
+// Next returns the state after the event, or a *NoTransitionError and the same state.
 func (c Chart) Next(from, event string) (string, error) {
 	to, ok := c.states[from].On[event]
 	if !ok {
@@ -88,10 +89,10 @@
 	return to, nil
 }
 
-// Final tells whether no event leads out of the state.
+// Final reports whether the state has no transitions.
 func (c Chart) Final(name string) bool { return len(c.states[name].On) == 0 }
 
-// States are the names of all states, sorted.
+// States returns the names of all states, sorted.
 func (c Chart) States() []string {
 	names := make([]string, 0, len(c.states))
 	for name := range c.states {
@@ -103,7 +104,7 @@
 
 func (c Chart) check() error {
 	if _, ok := c.states[c.initial]; !ok {
-		return &BadChartError{Name: c.name, Problem: "the initial state " + c.initial + " is not there"}
+		return &BadChartError{Name: c.name, Problem: "the initial state " + c.initial + " is not defined"}
 	}
 	reached := map[string]bool{c.initial: true}
 	if err := c.checkReachable(c.initial, reached); err != nil {
@@ -111,7 +112,7 @@
 	}
 	for _, name := range c.States() {
 		if !reached[name] {
-			return &BadChartError{Name: c.name, Problem: "the state " + name + " can't be reached"}
+			return &BadChartError{Name: c.name, Problem: "the state " + name + " is unreachable"}
 		}
 	}
 	return nil
@@ -120,7 +121,7 @@
 func (c Chart) checkReachable(from string, reached map[string]bool) error {
 	for _, to := range c.states[from].On {
 		if _, ok := c.states[to]; !ok {
-			return &BadChartError{Name: c.name, Problem: "the state " + to + " is not there"}
+			return &BadChartError{Name: c.name, Problem: "the state " + to + " is not defined"}
 		}
 		if reached[to] {
 			continue
--- a/laburnumchart/errors.go
+++ b/laburnumchart/errors.go
@@ -2,25 +2,27 @@
 
 import "fmt"
 
-// NoTransitionError is an event that the state does not take.
+// NoTransitionError is an event for which the state has no transition.
 type NoTransitionError struct{ Chart, State, Event string }
 
 func (e *NoTransitionError) Error() string {
-	return fmt.Sprintf("chart %s: %s does not take %s", e.Chart, e.State, e.Event)
+	return fmt.Sprintf("chart %s: state %s has no transition for event %s", e.Chart, e.State, e.Event)
 }
 
-// UnknownChartError is a chart that does not ship with the program.
+// UnknownChartError is a name without an embedded chart.
 type UnknownChartError struct {
 	Name  string
 	Cause error
 }
 
-func (e *UnknownChartError) Error() string { return fmt.Sprintf("no chart %s: %v", e.Name, e.Cause) }
+func (e *UnknownChartError) Error() string {
+	return fmt.Sprintf("unknown chart %s: %v", e.Name, e.Cause)
+}
 
 // Unwrap returns the cause.
 func (e *UnknownChartError) Unwrap() error { return e.Cause }
 
-// BadChartError is a chart file that can't be interpreted.
+// BadChartError is an invalid chart file.
 type BadChartError struct {
 	Name, Problem string
 	Cause         error
