--- a/logevent.go
+++ b/logevent.go
@@ -36,7 +36,7 @@
 	// EventLoadDecided is a decision to load a model on an engine.
 	EventLoadDecided
 	// EventLayout is a periodic summary of the number of engines per model.
-	EventLayout // layout
+	EventLayout
 	// EventOutlierDetected is a backend server that returns errors to several gateways.
 	EventOutlierDetected
 	// EventModelWithdrawn is a model for which gateways send no more requests.
