--- a/laburnumsettings/role.go
+++ b/laburnumsettings/role.go
@@ -66,8 +66,7 @@
 	Grace laburnumlever.Duration `json:"grace"`
 	// Lease is the minimum time between two successive owners of the engines.
 	Lease laburnumlever.Duration `json:"lease"`
-	// CatchUp is the time within which a new or returning VM must count towards the
-	// quorum.
+	// CatchUp is the time within which a new or returning VM must be fully in service.
 	CatchUp laburnumlever.Duration `json:"catch-up"`
 	// Apply is the time within which a change must take effect on all VMs.
 	Apply laburnumlever.Duration `json:"apply"`
