--- a/laburnumsettings/decode.go
+++ b/laburnumsettings/decode.go
@@ -13,9 +13,8 @@
 	"laburnumlever"
 )
 
-// requiredKeys are the keys that a struct must have, beside those that have a
-// default. A limit that is left out would be a limit of none by accident, so
-// limits are written out, with 0 where none is meant.
+// requiredKeys lists the keys of each struct that have no default. Limits are required,
+// so that a forgotten key doesn't silently mean no limit; 0 means none explicitly.
 var requiredKeys = map[reflect.Type][]string{
 	reflect.TypeOf(Settings{}):                  {"vm", "zone", "voters"},
 	reflect.TypeOf(laburnumlever.Voter{}):       {"vm", "peer-address"},
@@ -30,10 +29,10 @@
 	reflect.TypeOf(laburnumlever.Call{}):        {"method", "path-prefix"},
 }
 
-// requiredTag marks the required keys of structs outside this module's root.
+// requiredTag is the struct tag for required keys of structs outside requiredKeys.
 const requiredTag = "required"
 
-// requiredOf lists the required keys of a struct.
+// requiredOf returns the required keys of a struct.
 func requiredOf(t reflect.Type) []string {
 	keys := requiredKeys[t]
 	for i := range t.NumField() {
@@ -46,8 +45,8 @@
 
 var textUnmarshaler = reflect.TypeOf((*encoding.TextUnmarshaler)(nil)).Elem()
 
-// decode fills target, a pointer to a struct, from the document and notes all
-// that does not fit.
+// decode decodes the document into target, a pointer to a struct, and adds a fault for
+// each mismatch.
 func (d *document) decode(target any) {
 	if d.root.Value == nil {
 		return
@@ -61,7 +60,7 @@
 		d.lines[path] = d.lineAt(from.StartOffset)
 	}
 	if to.Addr().Type().Implements(textUnmarshaler) {
-		d.withText(from, to, path)
+		d.textValue(from, to, path)
 		return
 	}
 	switch to.Kind() {
@@ -87,7 +86,7 @@
 	}
 	for _, key := range requiredOf(to.Type()) {
 		if !seen[key] {
-			d.add(join(path, key), "is missing", wantOf(to.Type(), fields[key]))
+			d.add(join(path, key), "is missing", describeField(to.Type(), fields[key]))
 		}
 	}
 }
@@ -135,17 +134,17 @@
 func (d *document) scalar(from *hujson.Value, to reflect.Value, path string) {
 	literal, ok := from.Value.(hujson.Literal)
 	if !ok || literal.Kind() == 'n' {
-		d.add(path, "is not "+kindName(to.Type()), kindName(to.Type()))
+		d.add(path, "is not "+describeType(to.Type()), describeType(to.Type()))
 		return
 	}
 	if err := json.Unmarshal(literal, to.Addr().Interface()); err != nil {
-		d.add(path, fmt.Sprintf("%s is not %s", string(literal), kindName(to.Type())), kindName(to.Type()))
+		d.add(path, fmt.Sprintf("%s is not %s", string(literal), describeType(to.Type())), describeType(to.Type()))
 	}
 }
 
-// withText reads a value that has its own text form: durations and enums.
-func (d *document) withText(from *hujson.Value, to reflect.Value, path string) {
-	want := kindName(to.Type())
+// textValue decodes a value that implements encoding.TextUnmarshaler: durations and enums.
+func (d *document) textValue(from *hujson.Value, to reflect.Value, path string) {
+	want := describeType(to.Type())
 	literal, ok := from.Value.(hujson.Literal)
 	if !ok || literal.Kind() != '"' {
 		d.add(path, fmt.Sprintf("%s is not %s", from.Pack(), want), want)
--- a/laburnumsettings/load.go
+++ b/laburnumsettings/load.go
@@ -9,8 +9,8 @@
 	"laburnumlever"
 )
 
-// The defaults of what a settings file may leave out. All listeners are on
-// loopback, so that a forgotten key opens nothing to a network.
+// Defaults of optional settings. All listeners default to loopback, so that a forgotten
+// key exposes nothing to a network.
 const (
 	defaultCallers   = "127.0.0.1:8080"
 	defaultOperators = "127.0.0.1:8081"
@@ -23,7 +23,7 @@
 	levelWant        = "one of debug, info, warn, error"
 )
 
-// Default returns the settings that a file starts from.
+// Default returns the default settings, which a settings file overrides.
 func Default() Settings {
 	return Settings{
 		Listen:   Listen{Callers: defaultCallers, Operators: defaultOperators, Backends: defaultBackends, Peers: defaultPeers},
@@ -32,8 +32,8 @@
 	}
 }
 
-// Load reads a settings file over the defaults. All that is wrong is listed in
-// one *laburnumlever.SettingsInvalidError.
+// Load reads a settings file and applies it to the defaults. The error is a
+// *laburnumlever.SettingsInvalidError that lists all faults.
 func Load(path string) (Settings, error) {
 	doc := readDocument(path)
 	settings := Default()
@@ -48,9 +48,9 @@
 	return settings, nil
 }
 
-// ReadFile decodes a file of another kind, such as an experiment, as strictly as
-// a settings file, and lists all that is wrong. Fields with the tag required:"true"
-// must be there.
+// ReadFile decodes a file of another kind, such as an experiment, as strictly as a
+// settings file and returns all faults. Fields with the tag required:"true" must be
+// present.
 func ReadFile(path string, into any) []laburnumlever.Fault {
 	doc := readDocument(path)
 	doc.decode(into)
@@ -71,17 +71,17 @@
 	d.checkVoters(s)
 	d.checkTLS(s.TLS)
 	if !isLevel(s.Log.Level) {
-		d.addNew("log.level", fmt.Sprintf("%q is not a level", s.Log.Level), levelWant)
+		d.addUnreported("log.level", fmt.Sprintf("%q is not a level", s.Log.Level), levelWant)
 	}
 	if s.Shutdown.Grace < 0 {
-		d.addNew("shutdown.grace", s.Shutdown.Grace.String()+" is negative", "0s or more")
+		d.addUnreported("shutdown.grace", s.Shutdown.Grace.String()+" is negative", "0s or more")
 	}
 	if s.Shutdown.Limit <= 0 {
-		d.addNew("shutdown.limit", s.Shutdown.Limit.String()+" leaves no time for requests in flight", "more than 0s")
+		d.addUnreported("shutdown.limit", s.Shutdown.Limit.String()+" leaves no time for requests in flight", "more than 0s")
 	}
 }
 
-// isLevel tells whether the word names a log level.
+// isLevel reports whether level is a valid log level.
 func isLevel(level string) bool {
 	switch level {
 	case "debug", "info", "warn", "error":
@@ -105,7 +105,7 @@
 			continue
 		}
 		if first, taken := users[a.address]; taken {
-			d.addNew(a.path, fmt.Sprintf("%q is also that of %s", a.address, first), "an address of its own for each listener")
+			d.addUnreported(a.path, fmt.Sprintf("%q is also that of %s", a.address, first), "an address of its own for each listener")
 		}
 		users[a.address] = a.path
 	}
@@ -119,14 +119,14 @@
 		{"tls.certificate", t.Certificate}, {"tls.key", t.Key}, {"tls.authorities", t.Authorities},
 	} {
 		if f.file == "" {
-			d.addNew(f.path, "is missing", "a PEM file, since the others are named")
+			d.addUnreported(f.path, "is missing", "a PEM file, since the others are named")
 		}
 	}
 }
 
 func (d *document) checkVoters(s Settings) {
 	if len(s.Voters) == 0 {
-		d.addNew("voters", "is empty", "at least one VM with a data folder")
+		d.addUnreported("voters", "is empty", "at least one VM with a data folder")
 	}
 	seen := make(map[laburnumlever.VMID]bool)
 	self := false
@@ -135,36 +135,36 @@
 		d.checkName(path+".vm", string(voter.VM))
 		d.checkAddress(path+".peer-address", voter.PeerAddress, true)
 		if seen[voter.VM] {
-			d.addNew(path+".vm", fmt.Sprintf("%q is listed twice", voter.VM), "each voter once")
+			d.addUnreported(path+".vm", fmt.Sprintf("%q is listed twice", voter.VM), "each voter once")
 		}
 		seen[voter.VM] = true
 		self = self || voter.VM == s.VM
 	}
 	if self && s.DataFolder == "" {
-		d.addNew("data-folder", fmt.Sprintf("is missing, but %q is a voter", s.VM), "the folder that holds the replica of the log")
+		d.addUnreported("data-folder", fmt.Sprintf("is missing, but %q is a voter", s.VM), "the folder that holds the replica of the log")
 	}
 }
 
 func (d *document) checkName(path, name string) {
 	if !isName(name) {
-		d.addNew(path, fmt.Sprintf("%q is not a name", name), nameWant)
+		d.addUnreported(path, fmt.Sprintf("%q is not a name", name), nameWant)
 	}
 }
 
-// checkAddress takes IP addresses only: a process learns its addresses from its
-// settings, and a name would need a resolver to be up when the process starts.
+// checkAddress accepts IP addresses only, since resolving a host name would require a
+// working DNS resolver when the process starts.
 func (d *document) checkAddress(path, address string, anyPort bool) {
 	parsed, err := netip.ParseAddrPort(address)
 	switch {
 	case err != nil:
-		d.addNew(path, fmt.Sprintf("%q is not an address", address), addressWant)
+		d.addUnreported(path, fmt.Sprintf("%q is not an address", address), addressWant)
 	case parsed.Port() == 0 && !anyPort:
-		d.addNew(path, fmt.Sprintf("%q has port 0", address), "the port that the other VM listens on")
+		d.addUnreported(path, fmt.Sprintf("%q has port 0", address), "the port that the other VM listens on")
 	}
 }
 
-// addNew adds a fault unless decoding has reported the key already.
-func (d *document) addNew(path, problem, want string) {
+// addUnreported adds a fault unless decoding has already reported the key.
+func (d *document) addUnreported(path, problem, want string) {
 	if !d.reported(path) {
 		d.add(path, problem, want)
 	}
