--- a/laburnumstandin/announcer.go
+++ b/laburnumstandin/announcer.go
@@ -19,8 +19,8 @@
 	leavePath    = "/backend/leave"
 )
 
-// parcelQueue holds an announcement and a report that fall due together, twice.
-const parcelQueue = 4
+// messageQueueSize holds an announcement and a report that fall due together, twice.
+const messageQueueSize = 4
 
 // Leaving is the body that a leaving backend server sends.
 type Leaving struct {
@@ -31,87 +31,87 @@
 // announcer sends a backend server's news to every registry. Each registry has
 // a goroutine of its own, so that one that does not answer holds up no other.
 type announcer struct {
-	cfg      config
-	announce func() laburnumlever.Announcement
-	report   func() laburnumlever.LoadReport
-	ctx      context.Context
-	end      context.CancelFunc
-	cancels  []func()
-	queues   []chan parcel
+	cfg          config
+	announce     func() laburnumlever.Announcement
+	report       func() laburnumlever.LoadReport
+	ctx          context.Context
+	cancel       context.CancelFunc
+	timerCancels []func()
+	queues       []chan message
 }
 
-type parcel struct {
+type message struct {
 	path string
 	body any
 }
 
 func newAnnouncer(cfg config, announce func() laburnumlever.Announcement, report func() laburnumlever.LoadReport) *announcer {
 	a := &announcer{cfg: cfg, announce: announce, report: report}
-	a.ctx, a.end = context.WithCancel(context.Background())
+	a.ctx, a.cancel = context.WithCancel(context.Background())
 	return a
 }
 
 func (a *announcer) start() {
 	for _, address := range a.cfg.registries {
-		queue := make(chan parcel, parcelQueue)
+		queue := make(chan message, messageQueueSize)
 		a.queues = append(a.queues, queue)
-		go a.send(address, queue)
+		go a.sendLoop(address, queue)
 	}
-	a.post(announcePath, a.announce())
-	a.cancels = append(a.cancels,
-		a.cfg.timers.Every(a.cfg.announcePeriod, func(time.Time) { a.post(announcePath, a.announce()) }),
-		a.cfg.timers.Every(a.cfg.reportPeriod, func(time.Time) { a.post(reportPath, a.report()) }))
+	a.enqueue(announcePath, a.announce())
+	a.timerCancels = append(a.timerCancels,
+		a.cfg.timers.Every(a.cfg.announcePeriod, func(time.Time) { a.enqueue(announcePath, a.announce()) }),
+		a.cfg.timers.Every(a.cfg.reportPeriod, func(time.Time) { a.enqueue(reportPath, a.report()) }))
 }
 
 func (a *announcer) stop() {
-	for _, cancel := range a.cancels {
+	for _, cancel := range a.timerCancels {
 		cancel()
 	}
-	a.end()
+	a.cancel()
 }
 
 // leave stops the announcements first: one sent after the leave would bring the
 // backend server back.
 func (a *announcer) leave() {
-	for _, cancel := range a.cancels {
+	for _, cancel := range a.timerCancels {
 		cancel()
 	}
 	own := a.announce()
 	body := Leaving{Backend: own.Backend, Incarnation: own.Incarnation}
 	for _, address := range a.cfg.registries {
-		a.deliver(address, parcel{path: leavePath, body: body})
+		a.send(address, message{path: leavePath, body: body})
 	}
 }
 
-// post gives news to each registry's goroutine; one that is still busy with
+// enqueue gives news to each registry's goroutine; one that is still busy with
 // the last misses this one, as a lossy network would.
-func (a *announcer) post(path string, body any) {
+func (a *announcer) enqueue(path string, body any) {
 	for _, queue := range a.queues {
 		select {
-		case queue <- parcel{path: path, body: body}:
+		case queue <- message{path: path, body: body}:
 		default:
 		}
 	}
 }
 
-func (a *announcer) send(address string, queue chan parcel) {
+func (a *announcer) sendLoop(address string, queue chan message) {
 	for {
 		select {
 		case <-a.ctx.Done():
 			return
 		case p := <-queue:
-			a.deliver(address, p)
+			a.send(address, p)
 		}
 	}
 }
 
-func (a *announcer) deliver(address string, p parcel) {
-	if err := a.deliverOnce(address, p); err != nil {
+func (a *announcer) send(address string, p message) {
+	if err := a.post(address, p); err != nil {
 		_ = level.Debug(a.cfg.logger).Log("event", laburnumlever.EventRegistryRefused, "err", err)
 	}
 }
 
-func (a *announcer) deliverOnce(address string, p parcel) error {
+func (a *announcer) post(address string, p message) error {
 	body, err := json.Marshal(p.body)
 	if err != nil {
 		return &RegistryError{Address: address, Cause: err}
--- a/laburnumstandin/engine.go
+++ b/laburnumstandin/engine.go
@@ -13,10 +13,10 @@
 // continuously over its slots, and announces itself. It is safe for use by many
 // goroutines.
 type Engine struct {
-	cfg  config
-	own  *laburnumtimer.Timers
-	mux  *http.ServeMux
-	news *announcer
+	cfg       config
+	ownTimers *laburnumtimer.Timers
+	mux       *http.ServeMux
+	announcer *announcer
 
 	mu           sync.Mutex
 	announcement laburnumlever.Announcement
@@ -40,17 +40,17 @@
 		memory:       memory{accelerators: announcement.Accelerators},
 	}
 	if e.cfg.timers == nil {
-		e.own = laburnumtimer.New()
-		e.cfg.timers = e.own
+		e.ownTimers = laburnumtimer.New()
+		e.cfg.timers = e.ownTimers
 	}
 	e.slots = slots{size: max(1, announcement.Slots), queue: e.cfg.queue}
-	e.news = newAnnouncer(e.cfg, e.Announcement, e.Report)
+	e.announcer = newAnnouncer(e.cfg, e.Announcement, e.Report)
 	e.mux = e.routes()
 	return e
 }
 
 // Start begins to announce the engine and to report its load.
-func (e *Engine) Start() { e.news.start() }
+func (e *Engine) Start() { e.announcer.start() }
 
 // Close stops the announcements, as a killed engine would: nobody is told.
 func (e *Engine) Close() {
@@ -61,14 +61,14 @@
 	if closed {
 		return
 	}
-	e.news.stop()
-	if e.own != nil {
-		e.own.Close()
+	e.announcer.stop()
+	if e.ownTimers != nil {
+		e.ownTimers.Close()
 	}
 }
 
 // Leave tells the registries that the engine leaves; what is in flight goes on.
-func (e *Engine) Leave() { e.news.leave() }
+func (e *Engine) Leave() { e.announcer.leave() }
 
 // Announcement is what the engine says of itself now.
 func (e *Engine) Announcement() laburnumlever.Announcement {
@@ -107,7 +107,7 @@
 func (e *Engine) LoseAccelerator(id laburnumlever.AcceleratorID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.memory.lose(id)
+	e.memory.failAccelerator(id)
 }
 
 // Claim raises the fencing number, if the engine checks it, and reads the
--- a/laburnumstandin/engine_test.go
+++ b/laburnumstandin/engine_test.go
@@ -28,7 +28,7 @@
 	}}
 }
 
-func TestEngineCountsMemoryFromAcceptance(t *testing.T) {
+func TestEngineCommitsMemoryWhenOrderIsAccepted(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		timers := laburnumtimer.NewManual(time.Unix(0, 0))
 		e := laburnumstandin.NewEngine(announcement(checks), laburnumstandin.WithTimers(timers), laburnumstandin.WithLoadTime(time.Second))
--- a/laburnumstandin/engineanswer.go
+++ b/laburnumstandin/engineanswer.go
@@ -16,43 +16,43 @@
 	prompt string
 }
 
-func (a answerWriter) write() {
+func (a answerWriter) writeAnswer() {
 	if !a.engine.prefill(a.r.Context(), a.prompt) {
 		return
 	}
 	if a.req.Stream {
-		a.stream()
+		a.writeStream()
 		return
 	}
-	a.whole()
+	a.writeWhole()
 }
 
-func (a answerWriter) tokens() int {
+func (a answerWriter) tokenCount() int {
 	if a.req.MaxTokens > 0 {
 		return a.req.MaxTokens
 	}
 	return defaultMaxTokens
 }
 
-func (a answerWriter) stream() {
+func (a answerWriter) writeStream() {
 	a.w.Header().Set("Content-Type", "text/event-stream")
 	a.w.WriteHeader(http.StatusOK)
-	for i := resumeFrom(a.r); i < a.tokens(); i++ {
-		if !a.engine.step(a.r.Context()) {
+	for i := resumeFrom(a.r); i < a.tokenCount(); i++ {
+		if !a.engine.waitToken(a.r.Context()) {
 			return
 		}
-		if !a.event(a.chunk(Token(a.prompt, i), nil)) {
+		if !a.writeEvent(a.chunk(Token(a.prompt, i), nil)) {
 			return
 		}
 	}
 	stop := "stop"
-	if a.event(a.chunk("", &stop)) {
+	if a.writeEvent(a.chunk("", &stop)) {
 		_, _ = a.w.Write([]byte("data: [DONE]\n\n"))
 		a.flush()
 	}
 }
 
-func (a answerWriter) event(c completion) bool {
+func (a answerWriter) writeEvent(c completion) bool {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return false
@@ -77,10 +77,10 @@
 	return c
 }
 
-func (a answerWriter) whole() {
+func (a answerWriter) writeWhole() {
 	var text strings.Builder
-	for i := range a.tokens() {
-		if !a.engine.step(a.r.Context()) {
+	for i := range a.tokenCount() {
+		if !a.engine.waitToken(a.r.Context()) {
 			return
 		}
 		text.WriteString(Token(a.prompt, i))
@@ -92,7 +92,7 @@
 		c.Choices = []choice{{Message: &chatMessage{Role: "assistant", Content: text.String()}, FinishReason: &stop}}
 	}
 	prompt := PromptTokens(a.prompt)
-	c.Usage = &usage{PromptTokens: prompt, CompletionTokens: a.tokens(), TotalTokens: prompt + a.tokens()}
+	c.Usage = &usage{PromptTokens: prompt, CompletionTokens: a.tokenCount(), TotalTokens: prompt + a.tokenCount()}
 	writeJSON(a.w, http.StatusOK, c)
 }
 
--- a/laburnumstandin/enginebatch.go
+++ b/laburnumstandin/enginebatch.go
@@ -24,8 +24,8 @@
 
 func (s *slots) waiting() int { return len(s.interactive) + len(s.batch) }
 
-// enter takes a free slot (nil, true), or a place in the queue, or neither.
-func (s *slots) enter(priority laburnumlever.Priority) (chan struct{}, bool) {
+// acquire takes a free slot (nil, true), or a place in the queue, or neither.
+func (s *slots) acquire(priority laburnumlever.Priority) (chan struct{}, bool) {
 	if s.busy < s.size {
 		s.busy++
 		return nil, true
@@ -33,17 +33,17 @@
 	if s.waiting() >= s.queue {
 		return nil, false
 	}
-	turn := make(chan struct{})
+	granted := make(chan struct{})
 	if priority == laburnumlever.Batch {
-		s.batch = append(s.batch, turn)
+		s.batch = append(s.batch, granted)
 	} else {
-		s.interactive = append(s.interactive, turn)
+		s.interactive = append(s.interactive, granted)
 	}
-	return turn, true
+	return granted, true
 }
 
-// leave gives the slot to the next in the queue.
-func (s *slots) leave() {
+// release gives the slot to the next in the queue.
+func (s *slots) release() {
 	switch {
 	case len(s.interactive) > 0:
 		close(s.interactive[0])
@@ -56,11 +56,11 @@
 	}
 }
 
-// giveUp takes a waiting request out of the queue; false means that it has
+// abandon takes a waiting request out of the queue; false means that it has
 // been given a slot in the meantime.
-func (s *slots) giveUp(turn chan struct{}) bool {
+func (s *slots) abandon(granted chan struct{}) bool {
 	before := s.waiting()
-	same := func(other chan struct{}) bool { return other == turn }
+	same := func(other chan struct{}) bool { return other == granted }
 	s.interactive = slices.DeleteFunc(s.interactive, same)
 	s.batch = slices.DeleteFunc(s.batch, same)
 	return s.waiting() < before
@@ -90,20 +90,20 @@
 // cancelled: it did not run.
 func (e *Engine) acquire(ctx context.Context, priority laburnumlever.Priority) bool {
 	e.mu.Lock()
-	turn, ok := e.slots.enter(priority)
+	granted, ok := e.slots.acquire(priority)
 	e.mu.Unlock()
-	if !ok || turn == nil {
+	if !ok || granted == nil {
 		return ok
 	}
 	select {
-	case <-turn:
+	case <-granted:
 		return true
 	case <-ctx.Done():
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.slots.giveUp(turn) {
-		e.slots.leave()
+	if !e.slots.abandon(granted) {
+		e.slots.release()
 	}
 	return false
 }
@@ -111,7 +111,7 @@
 func (e *Engine) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slots.leave()
+	e.slots.release()
 }
 
 // prefill waits while the prompt is read; a cached prefix takes no time.
@@ -124,8 +124,8 @@
 	return e.wait(ctx, float64(PromptTokens(prompt))*(1-cached)*float64(busy), rate)
 }
 
-// step waits for one token: the batch shares the server's rate.
-func (e *Engine) step(ctx context.Context) bool {
+// waitToken waits for one token: the batch shares the server's rate.
+func (e *Engine) waitToken(ctx context.Context) bool {
 	e.mu.Lock()
 	rate := e.announcement.TokensPerSecond
 	busy := e.slots.busy
--- a/laburnumstandin/enginememory.go
+++ b/laburnumstandin/enginememory.go
@@ -19,9 +19,9 @@
 	Taken bool `json:"taken"`
 }
 
-// held is a copy in the engine's memory.
-type held struct {
-	copy laburnumlever.Loaded
+// modelCopy is a copy in the engine's memory.
+type modelCopy struct {
+	current laburnumlever.Loaded
 	// next is the form that a load in place leads to; nil when none is under way.
 	next *laburnumlever.Loaded
 	// draining tells that the copy goes once its requests have finished.
@@ -30,27 +30,27 @@
 }
 
 // partMiB is the larger of the old and the new size while a copy changes in place.
-func (h *held) partMiB() int {
+func (h *modelCopy) partMiB() int {
 	if h.next == nil {
-		return h.copy.PartMiB
+		return h.current.PartMiB
 	}
-	return max(h.copy.PartMiB, h.next.PartMiB)
+	return max(h.current.PartMiB, h.next.PartMiB)
 }
 
-func (h *held) is(l laburnumlever.Loaded) bool {
-	return h.copy.Model == l.Model && h.copy.Version == l.Version &&
-		slices.Equal(h.copy.Accelerators, l.Accelerators)
+func (h *modelCopy) matches(l laburnumlever.Loaded) bool {
+	return h.current.Model == l.Model && h.current.Version == l.Version &&
+		slices.Equal(h.current.Accelerators, l.Accelerators)
 }
 
 // memory counts what the accelerators have committed.
 type memory struct {
 	accelerators []laburnumlever.Accelerator
-	copies       []*held
+	copies       []*modelCopy
 }
 
-func (m *memory) find(l laburnumlever.Loaded) *held {
+func (m *memory) find(l laburnumlever.Loaded) *modelCopy {
 	for _, h := range m.copies {
-		if h.is(l) {
+		if h.matches(l) {
 			return h
 		}
 	}
@@ -60,14 +60,14 @@
 func (m *memory) committed(id laburnumlever.AcceleratorID) int {
 	total := 0
 	for _, h := range m.copies {
-		if slices.Contains(h.copy.Accelerators, id) {
+		if slices.Contains(h.current.Accelerators, id) {
 			total += h.partMiB()
 		}
 	}
 	return total
 }
 
-func (m *memory) has(ids []laburnumlever.AcceleratorID) bool {
+func (m *memory) hasAccelerators(ids []laburnumlever.AcceleratorID) bool {
 	for _, id := range ids {
 		if !slices.ContainsFunc(m.accelerators, func(a laburnumlever.Accelerator) bool { return a.ID == id }) {
 			return false
@@ -76,9 +76,9 @@
 	return len(ids) > 0
 }
 
-// excess finds the first accelerator that the copy would overfill, and what it
+// overcommit finds the first accelerator that the copy would overfill, and what it
 // would then hold.
-func (m *memory) excess(l laburnumlever.Loaded) (laburnumlever.Accelerator, int, bool) {
+func (m *memory) overcommit(l laburnumlever.Loaded) (laburnumlever.Accelerator, int, bool) {
 	old := 0
 	if h := m.find(l); h != nil {
 		old = h.partMiB()
@@ -95,28 +95,28 @@
 	return laburnumlever.Accelerator{}, 0, false
 }
 
-func (m *memory) add(l laburnumlever.Loaded) *held {
-	h := &held{copy: l}
-	h.copy.Ready = false
+func (m *memory) add(l laburnumlever.Loaded) *modelCopy {
+	h := &modelCopy{current: l}
+	h.current.Ready = false
 	m.copies = append(m.copies, h)
 	return h
 }
 
-func (m *memory) remove(h *held) {
-	m.copies = slices.DeleteFunc(m.copies, func(other *held) bool { return other == h })
+func (m *memory) remove(h *modelCopy) {
+	m.copies = slices.DeleteFunc(m.copies, func(other *modelCopy) bool { return other == h })
 }
 
-// lose takes an accelerator away with every copy that had a part on it.
-func (m *memory) lose(id laburnumlever.AcceleratorID) {
+// failAccelerator takes an accelerator away with every copy that had a part on it.
+func (m *memory) failAccelerator(id laburnumlever.AcceleratorID) {
 	m.accelerators = slices.DeleteFunc(slices.Clone(m.accelerators), func(a laburnumlever.Accelerator) bool { return a.ID == id })
-	m.copies = slices.DeleteFunc(m.copies, func(h *held) bool { return slices.Contains(h.copy.Accelerators, id) })
+	m.copies = slices.DeleteFunc(m.copies, func(h *modelCopy) bool { return slices.Contains(h.current.Accelerators, id) })
 }
 
 // inventory lists all copies; one that drains is no longer ready.
 func (m *memory) inventory() []laburnumlever.Loaded {
 	list := make([]laburnumlever.Loaded, 0, len(m.copies))
 	for _, h := range m.copies {
-		l := h.copy
+		l := h.current
 		l.PartMiB = h.partMiB()
 		l.Ready = l.Ready && !h.draining
 		l.Draining = h.draining
@@ -127,10 +127,10 @@
 
 // serving finds the ready copy of a model, the last loaded first, so that new
 // requests go to a new version as soon as it is there.
-func (m *memory) serving(model laburnumlever.ModelName) *held {
+func (m *memory) serving(model laburnumlever.ModelName) *modelCopy {
 	for i := len(m.copies) - 1; i >= 0; i-- {
 		h := m.copies[i]
-		if h.copy.Model == model && h.copy.Ready && !h.draining {
+		if h.current.Model == model && h.current.Ready && !h.draining {
 			return h
 		}
 	}
--- a/laburnumstandin/engineorders.go
+++ b/laburnumstandin/engineorders.go
@@ -27,7 +27,7 @@
 func (e *Engine) Order(order laburnumlever.Order) laburnumlever.OrderAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	outcome, detail := e.takeOrder(order)
+	outcome, detail := e.applyOrder(order)
 	return laburnumlever.OrderAnswer{
 		ID:      order.ID,
 		Outcome: outcome,
@@ -37,7 +37,7 @@
 	}
 }
 
-func (e *Engine) takeOrder(order laburnumlever.Order) (laburnumlever.OrderOutcome, string) {
+func (e *Engine) applyOrder(order laburnumlever.Order) (laburnumlever.OrderOutcome, string) {
 	if e.announcement.ChecksFencing {
 		if order.Fence < e.fence {
 			return laburnumlever.OrderStaleFence, ""
@@ -51,10 +51,10 @@
 }
 
 func (e *Engine) load(order laburnumlever.Order) (laburnumlever.OrderOutcome, string) {
-	if !e.memory.has(order.Copy.Accelerators) {
+	if !e.memory.hasAccelerators(order.Copy.Accelerators) {
 		return laburnumlever.OrderFailed, "no such accelerator"
 	}
-	if a, after, over := e.memory.excess(order.Copy); over {
+	if a, after, over := e.memory.overcommit(order.Copy); over {
 		taken := !e.announcement.ChecksFencing
 		e.violations = append(e.violations, Violation{
 			At: e.cfg.timers.Now(), Backend: e.announcement.Backend, Accelerator: a.ID,
@@ -71,7 +71,7 @@
 	h.draining = false
 	next := order.Copy
 	h.next = &next
-	e.fetch(h, &next)
+	e.startLoad(h, &next)
 	return laburnumlever.OrderDone, ""
 }
 
@@ -82,22 +82,22 @@
 	}
 	h.draining = true
 	h.next = nil
-	e.sweep(h)
+	e.removeIfDrained(h)
 	return laburnumlever.OrderDone, ""
 }
 
-// sweep removes a draining copy once its last request has finished.
-func (e *Engine) sweep(h *held) {
+// removeIfDrained removes a draining copy once its last request has finished.
+func (e *Engine) removeIfDrained(h *modelCopy) {
 	if h.draining && h.inFlight == 0 {
 		e.memory.remove(h)
 	}
 }
 
-// fetch brings the weights in: from the weight store if there is one, then the
+// startLoad brings the weights in: from the weight store if there is one, then the
 // load time. next tells this load from a later one of the same copy.
-func (e *Engine) fetch(h *held, next *laburnumlever.Loaded) {
+func (e *Engine) startLoad(h *modelCopy, next *laburnumlever.Loaded) {
 	finish := func() {
-		e.cfg.timers.After(e.cfg.loadTime, func(time.Time) { e.loaded(h, next) })
+		e.cfg.timers.After(e.cfg.loadTime, func(time.Time) { e.finishLoad(h, next) })
 	}
 	if e.cfg.weightStore == "" {
 		finish()
@@ -106,32 +106,32 @@
 	go func() {
 		if err := e.fetchWeights(*next); err != nil {
 			_ = level.Warn(e.cfg.logger).Log("event", laburnumlever.EventLoadFailed, "model", next.Model, "err", err)
-			e.loadFailed(h, next)
+			e.failLoad(h, next)
 			return
 		}
 		finish()
 	}()
 }
 
-func (e *Engine) loaded(h *held, next *laburnumlever.Loaded) {
+func (e *Engine) finishLoad(h *modelCopy, next *laburnumlever.Loaded) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if h.next != next {
 		return
 	}
-	h.copy = *next
-	h.copy.Ready = true
+	h.current = *next
+	h.current.Ready = true
 	h.next = nil
 }
 
-func (e *Engine) loadFailed(h *held, next *laburnumlever.Loaded) {
+func (e *Engine) failLoad(h *modelCopy, next *laburnumlever.Loaded) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if h.next != next {
 		return
 	}
 	h.next = nil
-	if !h.copy.Ready {
+	if !h.current.Ready {
 		e.memory.remove(h)
 	}
 }
--- a/laburnumstandin/enginerequests.go
+++ b/laburnumstandin/enginerequests.go
@@ -131,23 +131,23 @@
 	if !readJSON(w, r, &req) {
 		return
 	}
-	copyInUse := e.begin(req.Model)
-	if copyInUse == nil {
+	servingCopy := e.startRequest(req.Model)
+	if servingCopy == nil {
 		writeNotRun(w, "the model is not loaded")
 		return
 	}
-	defer e.finish(copyInUse)
+	defer e.finishRequest(servingCopy)
 	if !e.acquire(r.Context(), priorityOf(r)) {
 		writeNotRun(w, "the queue is full")
 		return
 	}
 	defer e.release()
 	answer := answerWriter{engine: e, w: w, r: r, req: req, chat: chat, prompt: req.prompt()}
-	answer.write()
+	answer.writeAnswer()
 }
 
-// begin counts a request on the copy that serves it, so that an unload waits.
-func (e *Engine) begin(model laburnumlever.ModelName) *held {
+// startRequest counts a request on the copy that serves it, so that an unload waits.
+func (e *Engine) startRequest(model laburnumlever.ModelName) *modelCopy {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	h := e.memory.serving(model)
@@ -157,11 +157,11 @@
 	return h
 }
 
-func (e *Engine) finish(h *held) {
+func (e *Engine) finishRequest(h *modelCopy) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	h.inFlight--
-	e.sweep(h)
+	e.removeIfDrained(h)
 }
 
 func priorityOf(r *http.Request) laburnumlever.Priority {
--- a/laburnumstandin/link.go
+++ b/laburnumstandin/link.go
@@ -51,15 +51,15 @@
 	return s.Mode
 }
 
-// holds tells whether bytes in the direction wait, for connections from the source.
-func (s LinkState) holds(source string, towards bool) bool {
+// blocks tells whether bytes in the direction wait, for connections from the source.
+func (s LinkState) blocks(source string, toTarget bool) bool {
 	switch s.modeFor(source) {
 	case LinkFrozen:
 		return true
 	case LinkFrozenTo:
-		return towards
+		return toTarget
 	case LinkFrozenFrom:
-		return !towards
+		return !toTarget
 	default:
 		return false
 	}
@@ -68,11 +68,11 @@
 // Link is a TCP link between two processes that can be cut, frozen or delayed
 // while connections pass through it. It is safe for use by many goroutines.
 type Link struct {
-	target string
-	cfg    config
-	own    *laburnumtimer.Timers
-	ctx    context.Context
-	end    context.CancelFunc
+	target    string
+	cfg       config
+	ownTimers *laburnumtimer.Timers
+	ctx       context.Context
+	cancel    context.CancelFunc
 
 	mu      sync.Mutex
 	state   LinkState
@@ -85,10 +85,10 @@
 func NewLink(target string, opts ...Option) *Link {
 	l := &Link{target: target, cfg: newConfig(opts), changed: make(chan struct{}), conns: make(map[net.Conn]string)}
 	if l.cfg.timers == nil {
-		l.own = laburnumtimer.New()
-		l.cfg.timers = l.own
+		l.ownTimers = laburnumtimer.New()
+		l.cfg.timers = l.ownTimers
 	}
-	l.ctx, l.end = context.WithCancel(context.Background())
+	l.ctx, l.cancel = context.WithCancel(context.Background())
 	return l
 }
 
@@ -131,48 +131,48 @@
 		if err != nil {
 			return err
 		}
-		go l.connect(conn)
+		go l.forward(conn)
 	}
 }
 
 // Close resets all connections. Close the listener first.
 func (l *Link) Close() {
 	l.Set(LinkState{Mode: LinkCut})
-	l.end()
-	if l.own != nil {
-		l.own.Close()
+	l.cancel()
+	if l.ownTimers != nil {
+		l.ownTimers.Close()
 	}
 }
 
-func (l *Link) connect(near net.Conn) {
-	source := sourceOf(near)
-	if !l.track(near, source) {
-		reset(near)
+func (l *Link) forward(inbound net.Conn) {
+	source := sourceOf(inbound)
+	if !l.track(inbound, source) {
+		reset(inbound)
 		return
 	}
-	defer l.drop(near)
+	defer l.closeConn(inbound)
 	// A frozen link takes the connection, as the target's kernel may have done
 	// before the freeze, but the target never hears of it.
 	if l.awaitOpen(source, true) != nil {
 		return
 	}
 	var dialer net.Dialer
-	far, err := dialer.DialContext(l.ctx, "tcp", l.target)
+	outbound, err := dialer.DialContext(l.ctx, "tcp", l.target)
 	if err != nil {
 		return
 	}
-	if !l.track(far, source) {
-		reset(far)
+	if !l.track(outbound, source) {
+		reset(outbound)
 		return
 	}
-	defer l.drop(far)
+	defer l.closeConn(outbound)
 	var pumps sync.WaitGroup
 	pumps.Add(1)
 	go func() {
 		defer pumps.Done()
-		l.pump(far, near, source, true)
+		l.pump(outbound, inbound, source, true)
 	}()
-	l.pump(near, far, source, false)
+	l.pump(inbound, outbound, source, false)
 	pumps.Wait()
 }
 
@@ -187,7 +187,7 @@
 	return true
 }
 
-func (l *Link) drop(conn net.Conn) {
+func (l *Link) closeConn(conn net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, conn)
 	l.mu.Unlock()
@@ -213,7 +213,7 @@
 
 // awaitOpen waits until bytes may pass in the direction; an error ends the
 // connection.
-func (l *Link) awaitOpen(source string, towards bool) error {
+func (l *Link) awaitOpen(source string, toTarget bool) error {
 	for {
 		l.mu.Lock()
 		state, changed := l.state, l.changed
@@ -221,7 +221,7 @@
 		switch {
 		case state.modeFor(source) == LinkCut:
 			return &LinkCutError{Target: l.target}
-		case !state.holds(source, towards):
+		case !state.blocks(source, toTarget):
 			return nil
 		}
 		select {
@@ -232,7 +232,7 @@
 	}
 }
 
-func (l *Link) count(n int) {
+func (l *Link) addPassed(n int) {
 	l.mu.Lock()
 	l.passed += n
 	l.mu.Unlock()
--- a/laburnumstandin/link_test.go
+++ b/laburnumstandin/link_test.go
@@ -55,41 +55,41 @@
 	return link, ln.Addr().String()
 }
 
-func TestLinkHoldsWhatItFreezesAndResetsWhatItCuts(t *testing.T) {
+func TestLinkDelaysBytesWhileFrozenAndResetsConnectionsWhenCut(t *testing.T) {
 	link, address := startLink(t, echoServer(t))
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	reader := bufio.NewReader(conn)
-	say := func(line string) {
+	send := func(line string) {
 		_, err := conn.Write([]byte(line + "\n"))
 		require.NoError(t, err)
 	}
-	hear := func(want string) {
+	requireLine := func(want string) {
 		line, err := reader.ReadString('\n')
 		require.NoError(t, err)
 		require.Equal(t, want+"\n", line)
 	}
-	say("one")
-	hear("one")
+	send("one")
+	requireLine("one")
 
 	// One way: the target hears "two" (the link has passed its four bytes) and its
 	// answer waits.
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkFrozenFrom})
-	say("two")
+	send("two")
 	require.Eventually(t, func() bool { return link.Passed() == len("one\none\ntwo\n") }, waitLimit, waitStep)
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkFrozen})
-	say("three")
+	send("three")
 	require.Equal(t, len("one\none\ntwo\n"), link.Passed(), "nothing may pass a frozen link")
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkOpen, Delay: laburnumlever.Duration(waitStep)})
-	hear("two")
-	hear("three")
+	requireLine("two")
+	requireLine("three")
 
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkCut})
 	_, err = reader.ReadString('\n')
 	require.Error(t, err)
 }
 
-func TestLinkIsCutForSomeSourcesOnly(t *testing.T) {
+func TestLinkCutAppliesOnlyToListedSources(t *testing.T) {
 	link, address := startLink(t, echoServer(t))
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkCut, From: []string{"127.0.0.9"}})
 	say := func(source string) error {
--- a/laburnumstandin/linkpump.go
+++ b/laburnumstandin/linkpump.go
@@ -21,28 +21,28 @@
 
 // pump copies one direction until either end closes. Reading and writing are
 // apart, so that a delay adds to each byte's time and not to the rate.
-func (l *Link) pump(to, from net.Conn, source string, towards bool) {
+func (l *Link) pump(to, from net.Conn, source string, toTarget bool) {
 	packets := make(chan packet, pumpQueue)
-	gone := make(chan struct{})
-	go l.readPackets(from, packets, gone)
-	defer close(gone)
+	stopped := make(chan struct{})
+	go l.readPackets(from, packets, stopped)
+	defer close(stopped)
 	for p := range packets {
 		l.sleepUntil(p.due)
-		if l.awaitOpen(source, towards) != nil {
+		if l.awaitOpen(source, toTarget) != nil {
 			return
 		}
 		if _, err := to.Write(p.bytes); err != nil {
 			_ = from.Close()
 			return
 		}
-		l.count(len(p.bytes))
+		l.addPassed(len(p.bytes))
 	}
-	if tcp, ok := to.(*net.TCPConn); ok && l.awaitOpen(source, towards) == nil {
+	if tcp, ok := to.(*net.TCPConn); ok && l.awaitOpen(source, toTarget) == nil {
 		_ = tcp.CloseWrite()
 	}
 }
 
-func (l *Link) readPackets(from net.Conn, packets chan<- packet, gone <-chan struct{}) {
+func (l *Link) readPackets(from net.Conn, packets chan<- packet, stopped <-chan struct{}) {
 	defer close(packets)
 	for {
 		buffer := make([]byte, pumpChunk)
@@ -51,7 +51,7 @@
 			due := l.cfg.timers.Now().Add(time.Duration(l.State().Delay))
 			select {
 			case packets <- packet{bytes: buffer[:n], due: due}:
-			case <-gone:
+			case <-stopped:
 				return
 			}
 		}
--- a/laburnumstandin/platformserver.go
+++ b/laburnumstandin/platformserver.go
@@ -93,15 +93,15 @@
 
 // announce tells the first control VM that acknowledges it.
 func (s *PlatformServer) announce(state string) {
-	body := s.document(state)
+	body := s.announcementBody(state)
 	for _, control := range s.controls {
-		if s.tell(control, body) {
+		if s.sendAnnouncement(control, body) {
 			return
 		}
 	}
 }
 
-func (s *PlatformServer) document(state string) []byte {
+func (s *PlatformServer) announcementBody(state string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sequence++
@@ -119,7 +119,7 @@
 	return body
 }
 
-func (s *PlatformServer) tell(control string, body []byte) bool {
+func (s *PlatformServer) sendAnnouncement(control string, body []byte) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
 	url := "http://" + control + "/v1/instances/" + s.id
@@ -169,12 +169,12 @@
 		return
 	}
 	s.accepted++
-	s.carryOut(order.Op, order.Model, order.Adapter)
+	s.applyOrder(order.Op, order.Model, order.Adapter)
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// carryOut changes what is held; mu is held.
-func (s *PlatformServer) carryOut(op, model, adapter string) {
+// applyOrder changes what is held; mu is held.
+func (s *PlatformServer) applyOrder(op, model, adapter string) {
 	i := slices.IndexFunc(s.models, func(m platformModel) bool { return m.Name == model })
 	switch {
 	case op == "load" && adapter != "" && i >= 0:
--- a/laburnumstandin/service.go
+++ b/laburnumstandin/service.go
@@ -52,15 +52,15 @@
 // goroutines.
 type Service struct {
 	cfg          config
-	own          *laburnumtimer.Timers
-	news         *announcer
+	ownTimers    *laburnumtimer.Timers
+	announcer    *announcer
 	announcement laburnumlever.Announcement
 	slots        chan struct{}
 
 	mu       sync.Mutex
 	closed   bool
-	working  int
-	waiting  int
+	inFlight int
+	queued   int
 	sequence uint64
 	ledger   []LedgerEntry
 }
@@ -77,15 +77,15 @@
 		slots:        make(chan struct{}, announcement.Slots),
 	}
 	if s.cfg.timers == nil {
-		s.own = laburnumtimer.New()
-		s.cfg.timers = s.own
+		s.ownTimers = laburnumtimer.New()
+		s.cfg.timers = s.ownTimers
 	}
-	s.news = newAnnouncer(s.cfg, s.Announcement, s.Report)
+	s.announcer = newAnnouncer(s.cfg, s.Announcement, s.Report)
 	return s
 }
 
 // Start begins to announce the service and to report its load.
-func (s *Service) Start() { s.news.start() }
+func (s *Service) Start() { s.announcer.start() }
 
 // Close stops the announcements without telling anybody.
 func (s *Service) Close() {
@@ -96,14 +96,14 @@
 	if closed {
 		return
 	}
-	s.news.stop()
-	if s.own != nil {
-		s.own.Close()
+	s.announcer.stop()
+	if s.ownTimers != nil {
+		s.ownTimers.Close()
 	}
 }
 
 // Leave tells the registries that the service leaves; what is in flight goes on.
-func (s *Service) Leave() { s.news.leave() }
+func (s *Service) Leave() { s.announcer.leave() }
 
 // Announcement is what the service says of itself.
 func (s *Service) Announcement() laburnumlever.Announcement { return s.announcement }
@@ -117,8 +117,8 @@
 		Backend:     s.announcement.Backend,
 		Incarnation: s.announcement.Incarnation,
 		Sequence:    s.sequence,
-		InFlight:    s.working,
-		Queued:      s.waiting,
+		InFlight:    s.inFlight,
+		Queued:      s.queued,
 	}
 }
 
@@ -144,24 +144,24 @@
 		writeJSON(w, http.StatusBadRequest, errorBody{Error: errorDetail{Type: errorBadRequest, Message: err.Error(), Outcome: outcomeNotRun}})
 		return
 	}
-	if !s.enter(r.Context()) {
+	if !s.acquire(r.Context()) {
 		writeNotRun(w, "the queue is full")
 		return
 	}
-	defer s.exit()
+	defer s.release()
 	entry := s.record(r)
-	s.work()
+	s.waitCallTime()
 	writeJSON(w, http.StatusOK, ServiceAnswer{Number: entry.Number, Key: entry.Key, Path: entry.Path, Echo: string(body)})
 }
 
-// enter waits for a slot; false means that the call surely does not run.
-func (s *Service) enter(ctx context.Context) bool {
+// acquire waits for a slot; false means that the call surely does not run.
+func (s *Service) acquire(ctx context.Context) bool {
 	s.mu.Lock()
-	if s.waiting >= s.cfg.queue {
+	if s.queued >= s.cfg.queue {
 		s.mu.Unlock()
 		return false
 	}
-	s.waiting++
+	s.queued++
 	s.mu.Unlock()
 	entered := false
 	select {
@@ -171,16 +171,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waiting--
+	s.queued--
 	if entered {
-		s.working++
+		s.inFlight++
 	}
 	return entered
 }
 
-func (s *Service) exit() {
+func (s *Service) release() {
 	s.mu.Lock()
-	s.working--
+	s.inFlight--
 	s.mu.Unlock()
 	<-s.slots
 }
@@ -203,9 +203,9 @@
 	return entry
 }
 
-// work takes the time of one call. It goes on when the caller is gone, as a
+// waitCallTime takes the time of one call. It goes on when the caller is gone, as a
 // booking that has begun would.
-func (s *Service) work() {
+func (s *Service) waitCallTime() {
 	if s.cfg.loadTime <= 0 {
 		return
 	}
--- a/laburnumstandin/service_test.go
+++ b/laburnumstandin/service_test.go
@@ -22,7 +22,7 @@
 // A caller loses its connection while a booking runs, and the answer never
 // arrives. The booking was made all the same: the ledger must show it, or a check
 // for double bookings would miss a second run.
-func TestLedgerHoldsCallsWhoseAnswerIsLost(t *testing.T) {
+func TestLedgerRecordsCallsWhoseAnswerIsLost(t *testing.T) {
 	timers := laburnumtimer.NewManual(time.Unix(0, 0))
 	service := laburnumstandin.NewService(laburnumlever.Announcement{Backend: "s1", Service: "booking", Slots: 1},
 		laburnumstandin.WithTimers(timers), laburnumstandin.WithLoadTime(time.Second), laburnumstandin.WithQueue(1))
--- a/laburnumstandin/weightstore.go
+++ b/laburnumstandin/weightstore.go
@@ -31,12 +31,12 @@
 	parallel int
 	cfg      config
 
-	mu      sync.Mutex
-	stats   WeightStoreStats
-	active  int
-	asked   []time.Time
-	next    time.Time
-	waiting []chan struct{}
+	mu           sync.Mutex
+	stats        WeightStoreStats
+	active       int
+	requestTimes []time.Time
+	nextStart    time.Time
+	waiting      []chan struct{}
 }
 
 // NewWeightStore makes a store that begins at most rate loads a second and serves at
@@ -77,7 +77,7 @@
 func (s *WeightStore) begin(now time.Time) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.count(now)
+	s.recordRequest(now)
 	done := make(chan struct{})
 	if s.active >= s.parallel {
 		s.stats.Delayed++
@@ -92,12 +92,12 @@
 // serve spaces the loads by the rate, then takes the load time.
 func (s *WeightStore) serve(now time.Time, done chan struct{}) {
 	start := now
-	if s.next.After(now) {
-		start = s.next
+	if s.nextStart.After(now) {
+		start = s.nextStart
 		s.stats.Delayed++
 	}
 	if s.rate > 0 {
-		s.next = start.Add(time.Duration(float64(time.Second) / s.rate))
+		s.nextStart = start.Add(time.Duration(float64(time.Second) / s.rate))
 	}
 	s.cfg.timers.After(start.Sub(now)+s.cfg.loadTime, func(now time.Time) { s.finish(now, done) })
 }
@@ -115,12 +115,12 @@
 	s.serve(now, first)
 }
 
-func (s *WeightStore) count(now time.Time) {
+func (s *WeightStore) recordRequest(now time.Time) {
 	s.stats.Loads++
 	s.stats.HighestParallel = max(s.stats.HighestParallel, s.active+len(s.waiting)+1)
-	s.asked = append(s.asked, now)
-	for now.Sub(s.asked[0]) >= rateWindow {
-		s.asked = s.asked[1:]
+	s.requestTimes = append(s.requestTimes, now)
+	for now.Sub(s.requestTimes[0]) >= rateWindow {
+		s.requestTimes = s.requestTimes[1:]
 	}
-	s.stats.HighestRate = max(s.stats.HighestRate, float64(len(s.asked))/rateWindow.Seconds())
+	s.stats.HighestRate = max(s.stats.HighestRate, float64(len(s.requestTimes))/rateWindow.Seconds())
 }
