--- a/laburnumstandin/announcer.go
+++ b/laburnumstandin/announcer.go
@@ -19,17 +19,18 @@
 	leavePath    = "/backend/leave"
 )
 
-// messageQueueSize holds an announcement and a report that fall due together, twice.
+// messageQueueSize has room for two announcements and two reports, which can fall due at once.
 const messageQueueSize = 4
 
-// Leaving is the body that a leaving backend server sends.
+// LeaveNotice is the body of POST /backend/leave.
 type Leaving struct {
 	Backend     laburnumlever.BackendID `json:"backend"`
 	Incarnation uint64                  `json:"incarnation"`
 }
 
-// announcer sends a backend server's news to every registry. Each registry has
-// a goroutine of its own, so that one that does not answer holds up no other.
+// announcer sends a backend server's announcements and load reports to every
+// registry. Each registry has its own goroutine and queue, so that an unresponsive
+// registry does not delay the others.
 type announcer struct {
 	cfg          config
 	announce     func() laburnumlever.Announcement
@@ -70,8 +71,8 @@
 	a.cancel()
 }
 
-// leave stops the announcements first: one sent after the leave would bring the
-// backend server back.
+// leave tells every registry that the backend server leaves. It stops the periodic
+// announcements first: one sent after the leave would register the server again.
 func (a *announcer) leave() {
 	for _, cancel := range a.timerCancels {
 		cancel()
@@ -83,8 +84,8 @@
 	}
 }
 
-// enqueue gives news to each registry's goroutine; one that is still busy with
-// the last misses this one, as a lossy network would.
+// enqueue queues a message for each registry. If a registry's queue is full, the
+// message is dropped for it, as a lossy network would.
 func (a *announcer) enqueue(path string, body any) {
 	for _, queue := range a.queues {
 		select {
--- a/laburnumstandin/doc.go
+++ b/laburnumstandin/doc.go
@@ -1,7 +1,7 @@
-// Package laburnumstandin holds small stand-ins for what surrounds the system:
-// a model engine, a weight store, a plain service and a link between VMs that can
-// be cut or frozen. Tests, examples and the load tool use them; the system itself
-// does not.
+// Package laburnumstandin holds fakes of what surrounds the system: a model engine,
+// a weight store, a plain service, the users' platform and a TCP link between VMs
+// that can be cut, frozen or delayed. Tests, examples and the load tool use them;
+// production code does not.
 //
 // # Usage
 //
@@ -14,11 +14,11 @@
 //	engine.Start()
 //	defer engine.Close()
 //
-// The engine counts the memory that it has committed at every instant, a copy
-// from the moment its load order is accepted. An order that asks for more than
-// an accelerator has is kept as a violation, which Violations and GET /violations
-// show, whether or not the engine refuses it.
+// The engine tracks committed memory; a copy's memory is committed when its load
+// order is accepted. An order that exceeds an accelerator's memory is recorded as a
+// violation, whether or not the engine refuses it. Violations and GET /violations
+// return the list.
 //
 // Generated text is a function of the prompt (see Token), so that a caller can
-// check that an answer is whole and its own.
+// check that an answer is complete and belongs to its own request.
 package laburnumstandin
--- a/laburnumstandin/engine.go
+++ b/laburnumstandin/engine.go
@@ -9,9 +9,9 @@
 	"laburnumlever/laburnumtimer"
 )
 
-// Engine is a stand-in model engine: it takes claims, orders and requests, batches
-// continuously over its slots, and announces itself. It is safe for use by many
-// goroutines.
+// Engine is a stand-in model engine: it serves claims, orders and requests, simulates
+// continuous batching over its slots, and announces itself. It is safe for use by
+// many goroutines.
 type Engine struct {
 	cfg       config
 	ownTimers *laburnumtimer.Timers
@@ -29,9 +29,8 @@
 	closed       bool
 }
 
-// NewEngine makes an engine that holds nothing. Fields of the announcement that
-// are needed: the id, zone, address, incarnation, accelerators, slots and token
-// rates.
+// NewEngine makes an engine with no models loaded. The announcement must set the id,
+// zone, address, incarnation, accelerators, slots and token rates.
 func NewEngine(announcement laburnumlever.Announcement, opts ...Option) *Engine {
 	announcement.Kind = laburnumlever.Engine
 	e := &Engine{
@@ -49,10 +48,10 @@
 	return e
 }
 
-// Start begins to announce the engine and to report its load.
+// Start starts the periodic announcements and load reports.
 func (e *Engine) Start() { e.announcer.start() }
 
-// Close stops the announcements, as a killed engine would: nobody is told.
+// Close stops the announcements without telling the registries, as a killed engine would.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	closed := e.closed
@@ -67,10 +66,10 @@
 	}
 }
 
-// Leave tells the registries that the engine leaves; what is in flight goes on.
+// Leave tells the registries that the engine leaves; requests in flight continue.
 func (e *Engine) Leave() { e.announcer.leave() }
 
-// Announcement is what the engine says of itself now.
+// Announcement returns the engine's current announcement.
 func (e *Engine) Announcement() laburnumlever.Announcement {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -79,7 +78,7 @@
 	return a
 }
 
-// Report is the engine's load now; each call takes the next sequence.
+// Report returns the engine's current load; each call uses the next sequence number.
 func (e *Engine) Report() laburnumlever.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -96,22 +95,22 @@
 	}
 }
 
-// Violations are the orders that asked for more memory than there is.
+// Violations lists the orders that asked for more memory than an accelerator has.
 func (e *Engine) Violations() []Violation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.violations)
 }
 
-// LoseAccelerator takes an accelerator away, as a hardware fault would.
+// FailAccelerator removes an accelerator and the copies on it, as a hardware fault would.
 func (e *Engine) LoseAccelerator(id laburnumlever.AcceleratorID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.memory.failAccelerator(id)
 }
 
-// Claim raises the fencing number, if the engine checks it, and reads the
-// inventory in the same step.
+// Claim raises the fencing number, if the engine checks it, and returns the
+// inventory; both happen atomically.
 func (e *Engine) Claim(fence uint64) laburnumlever.Inventory {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -127,5 +126,5 @@
 	}
 }
 
-// ServeHTTP answers requests, claims, orders and GET /violations.
+// ServeHTTP serves completion requests, claims, orders and GET /violations.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
--- a/laburnumstandin/engineanswer.go
+++ b/laburnumstandin/engineanswer.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// answerWriter writes one answer, whole or as server-sent events.
+// answerWriter writes one answer as a single JSON body or as server-sent events.
 type answerWriter struct {
 	engine *Engine
 	w      http.ResponseWriter
--- a/laburnumstandin/enginebatch.go
+++ b/laburnumstandin/enginebatch.go
@@ -10,11 +10,11 @@
 	"laburnumlever"
 )
 
-// prefixCacheSize is how many prefix hashes an engine keeps.
+// prefixCacheSize is the number of prefix hashes that an engine keeps.
 const prefixCacheSize = 128
 
-// slots are the places of the batch and the requests that wait for one,
-// interactive ones first.
+// slots counts the batch's busy slots and queues requests for a free one,
+// interactive requests first.
 type slots struct {
 	size, queue int
 	busy        int
@@ -24,7 +24,8 @@
 
 func (s *slots) waiting() int { return len(s.interactive) + len(s.batch) }
 
-// acquire takes a free slot (nil, true), or a place in the queue, or neither.
+// acquire takes a free slot and returns (nil, true), or queues the request and returns
+// a channel that is closed when a slot is granted. It returns false if the queue is full.
 func (s *slots) acquire(priority laburnumlever.Priority) (chan struct{}, bool) {
 	if s.busy < s.size {
 		s.busy++
@@ -42,7 +43,7 @@
 	return granted, true
 }
 
-// release gives the slot to the next in the queue.
+// release hands the slot to the first queued request, or frees it.
 func (s *slots) release() {
 	switch {
 	case len(s.interactive) > 0:
@@ -56,8 +57,8 @@
 	}
 }
 
-// abandon takes a waiting request out of the queue; false means that it has
-// been given a slot in the meantime.
+// abandon removes a request from the queue; false means that it has been granted a
+// slot in the meantime.
 func (s *slots) abandon(granted chan struct{}) bool {
 	before := s.waiting()
 	same := func(other chan struct{}) bool { return other == granted }
@@ -66,11 +67,11 @@
 	return s.waiting() < before
 }
 
-// prefixCache keeps the prompt prefixes seen last.
+// prefixCache is an LRU cache of prompt prefix hashes, most recently used first.
 type prefixCache struct{ hashes []uint64 }
 
-// use marks the prefixes as the most recent and returns the share of them that
-// was cached.
+// use marks the prefixes as most recently used and returns the fraction of them,
+// 0 to 1, that was cached.
 func (c *prefixCache) use(hashes []uint64) float64 {
 	hits := 0
 	for _, hash := range hashes {
@@ -86,8 +87,8 @@
 
 func (c *prefixCache) list() []uint64 { return slices.Clone(c.hashes) }
 
-// acquire waits for a slot. False means that the queue is full or the request was
-// cancelled: it did not run.
+// acquire waits for a slot. It returns false if the queue is full or the request is
+// cancelled first; the request has then not run.
 func (e *Engine) acquire(ctx context.Context, priority laburnumlever.Priority) bool {
 	e.mu.Lock()
 	granted, ok := e.slots.acquire(priority)
@@ -114,7 +115,8 @@
 	e.slots.release()
 }
 
-// prefill waits while the prompt is read; a cached prefix takes no time.
+// prefill waits for the time that processing the prompt takes; a cached prefix takes
+// none. It returns false if the request is cancelled.
 func (e *Engine) prefill(ctx context.Context, prompt string) bool {
 	e.mu.Lock()
 	cached := e.prefixes.use(PrefixHashes(prompt))
@@ -124,7 +126,8 @@
 	return e.wait(ctx, float64(PromptTokens(prompt))*(1-cached)*float64(busy), rate)
 }
 
-// waitToken waits for one token: the batch shares the server's rate.
+// waitToken waits for the time that one token takes; the requests of the batch share
+// the engine's token rate. It returns false if the request is cancelled.
 func (e *Engine) waitToken(ctx context.Context) bool {
 	e.mu.Lock()
 	rate := e.announcement.TokensPerSecond
@@ -133,8 +136,8 @@
 	return e.wait(ctx, float64(max(1, busy)), rate)
 }
 
-// wait passes the time that the tokens take; a rate of 0 takes none. False means
-// that the request was cancelled.
+// wait waits for the time that the tokens take at a rate in tokens per second; a rate
+// of 0 takes no time. It returns false if the request is cancelled.
 func (e *Engine) wait(ctx context.Context, tokens, rate float64) bool {
 	if rate <= 0 || tokens <= 0 {
 		return ctx.Err() == nil
--- a/laburnumstandin/enginememory.go
+++ b/laburnumstandin/enginememory.go
@@ -7,7 +7,7 @@
 	"laburnumlever"
 )
 
-// Violation is one order that asked an accelerator to hold more than it has.
+// Violation is an order that asked for more memory than an accelerator has.
 type Violation struct {
 	At           time.Time                   `json:"at"`
 	Backend      laburnumlever.BackendID     `json:"backend"`
@@ -15,21 +15,22 @@
 	CommittedMiB int                         `json:"committed-mib"`
 	MemoryMiB    int                         `json:"memory-mib"`
 	Order        laburnumlever.OrderID       `json:"order"`
-	// Taken tells that the engine took the order in spite of it.
+	// Accepted is true if the engine accepted the order all the same.
 	Taken bool `json:"taken"`
 }
 
-// modelCopy is a copy in the engine's memory.
+// modelCopy is a copy of a model in the engine's memory.
 type modelCopy struct {
 	current laburnumlever.Loaded
-	// next is the form that a load in place leads to; nil when none is under way.
+	// next is the copy's state once the load in progress is done; nil without one.
 	next *laburnumlever.Loaded
-	// draining tells that the copy goes once its requests have finished.
+	// draining is true if the copy is to be removed once its requests have finished.
 	draining bool
 	inFlight int
 }
 
-// partMiB is the larger of the old and the new size while a copy changes in place.
+// partMiB is the copy's memory on each of its accelerators in MiB; while the copy is
+// reloaded in place, the larger of the old and the new size.
 func (h *modelCopy) partMiB() int {
 	if h.next == nil {
 		return h.current.PartMiB
@@ -42,7 +43,7 @@
 		slices.Equal(h.current.Accelerators, l.Accelerators)
 }
 
-// memory counts what the accelerators have committed.
+// memory tracks the memory committed on each accelerator.
 type memory struct {
 	accelerators []laburnumlever.Accelerator
 	copies       []*modelCopy
@@ -76,8 +77,8 @@
 	return len(ids) > 0
 }
 
-// overcommit finds the first accelerator that the copy would overfill, and what it
-// would then hold.
+// overcommit finds the first accelerator that loading the copy would overcommit, and
+// the memory in MiB that would then be committed on it.
 func (m *memory) overcommit(l laburnumlever.Loaded) (laburnumlever.Accelerator, int, bool) {
 	old := 0
 	if h := m.find(l); h != nil {
@@ -106,13 +107,13 @@
 	m.copies = slices.DeleteFunc(m.copies, func(other *modelCopy) bool { return other == h })
 }
 
-// failAccelerator takes an accelerator away with every copy that had a part on it.
+// failAccelerator removes an accelerator and every copy that had a part on it.
 func (m *memory) failAccelerator(id laburnumlever.AcceleratorID) {
 	m.accelerators = slices.DeleteFunc(slices.Clone(m.accelerators), func(a laburnumlever.Accelerator) bool { return a.ID == id })
 	m.copies = slices.DeleteFunc(m.copies, func(h *modelCopy) bool { return slices.Contains(h.current.Accelerators, id) })
 }
 
-// inventory lists all copies; one that drains is no longer ready.
+// inventory lists all copies; a draining copy is reported as not ready.
 func (m *memory) inventory() []laburnumlever.Loaded {
 	list := make([]laburnumlever.Loaded, 0, len(m.copies))
 	for _, h := range m.copies {
@@ -125,8 +126,8 @@
 	return list
 }
 
-// serving finds the ready copy of a model, the last loaded first, so that new
-// requests go to a new version as soon as it is there.
+// serving returns the ready copy of a model that was added last, so that new requests
+// go to a new version as soon as it is loaded; nil without one.
 func (m *memory) serving(model laburnumlever.ModelName) *modelCopy {
 	for i := len(m.copies) - 1; i >= 0; i-- {
 		h := m.copies[i]
--- a/laburnumstandin/engineorders.go
+++ b/laburnumstandin/engineorders.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// weightStoreTries is how often a load asks the weight store before it fails.
+	// weightStoreTries is the number of fetches from the weight store before a load fails.
 	weightStoreTries = 3
-	// weightStoreTimeout bounds one fetch, the wait for its turn included.
+	// weightStoreTimeout bounds one fetch, including its time in the store's queue.
 	weightStoreTimeout = 2 * time.Minute
 )
 
-// Order takes one order and answers at once: a load is accepted, and its memory
-// committed, before the weights have arrived; an unloaded copy stays until its
-// requests have finished. An engine that does not check fencing numbers takes
-// whatever it is told. Order ids are not remembered, so an order that arrives twice
-// takes effect twice.
+// Order applies one order and answers at once: a load is accepted, and its memory
+// committed, before the weights have been fetched; an unloaded copy stays until its
+// requests have finished. An engine that does not check fencing numbers accepts
+// stale and overcommitting orders. Order ids are not deduplicated, so an order that
+// arrives twice takes effect twice.
 func (e *Engine) Order(order laburnumlever.Order) laburnumlever.OrderAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -86,15 +86,16 @@
 	return laburnumlever.OrderDone, ""
 }
 
-// removeIfDrained removes a draining copy once its last request has finished.
+// removeIfDrained removes a draining copy that has no requests in flight.
 func (e *Engine) removeIfDrained(h *modelCopy) {
 	if h.draining && h.inFlight == 0 {
 		e.memory.remove(h)
 	}
 }
 
-// startLoad brings the weights in: from the weight store if there is one, then the
-// load time. next tells this load from a later one of the same copy.
+// startLoad fetches the weights from the weight store, if there is one, and marks the
+// copy ready after the load time. next identifies this load, since a later one of the
+// same copy replaces it.
 func (e *Engine) startLoad(h *modelCopy, next *laburnumlever.Loaded) {
 	finish := func() {
 		e.cfg.timers.After(e.cfg.loadTime, func(time.Time) { e.finishLoad(h, next) })
--- a/laburnumstandin/enginerequests.go
+++ b/laburnumstandin/enginerequests.go
@@ -15,9 +15,9 @@
 	headerResume   = "X-Resume-From"
 	headerOutcome  = "Laburnumlever-Outcome"
 
-	// outcomeNotRun tells the system that the request surely did not run.
+	// outcomeNotRun guarantees that the request did not run.
 	outcomeNotRun = "not-run"
-	// The types of a stand-in's own error bodies.
+	// Values of error.type in a stand-in's error responses.
 	errorBadRequest = "bad-request"
 	errorBusy       = "busy"
 
@@ -25,7 +25,7 @@
 	maxBodyBytes     = 8 << 20
 )
 
-// completionRequest has what a stand-in reads of an OpenAI-shaped request.
+// completionRequest has the fields of an OpenAI-style request that a stand-in reads.
 type completionRequest struct {
 	Model     laburnumlever.ModelName `json:"model"`
 	Prompt    string                  `json:"prompt"`
@@ -71,8 +71,8 @@
 	Outcome string `json:"outcome,omitempty"`
 }
 
-// PromptOf is the prompt that a chat's messages stand for: their contents, a
-// line each.
+// JoinMessages turns a chat into a prompt: the contents of its messages, joined by
+// newlines.
 func PromptOf(contents []string) string { return strings.Join(contents, "\n") }
 
 func (r completionRequest) prompt() string {
@@ -102,7 +102,7 @@
 	return mux
 }
 
-// claimBody is what POST /engine/claim takes.
+// claimBody is the request body of POST /engine/claim.
 type claimBody struct {
 	Fence uint64 `json:"fence"`
 }
@@ -146,7 +146,8 @@
 	answer.writeAnswer()
 }
 
-// startRequest counts a request on the copy that serves it, so that an unload waits.
+// startRequest counts a request on the copy that serves it, so that an unload waits
+// for it. It returns nil if the model has no ready copy.
 func (e *Engine) startRequest(model laburnumlever.ModelName) *modelCopy {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/laburnumstandin/errors.go
+++ b/laburnumstandin/errors.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// WeightStoreError is a load of weights that the weight store did not serve.
+// WeightStoreError is a failed fetch of weights from the weight store. Status is the
+// HTTP status, or 0 if there was no response; Cause is then set.
 type WeightStoreError struct {
 	Address string
 	Status  int
@@ -16,7 +17,8 @@
 // Unwrap returns the cause.
 func (e *WeightStoreError) Unwrap() error { return e.Cause }
 
-// RegistryError is news that an entry VM did not take.
+// RegistryError is an announcement, load report or leave notice that an entry VM did
+// not accept. Status is the HTTP status, or 0 if there was no response; Cause is then set.
 type RegistryError struct {
 	Address string
 	Status  int
@@ -30,7 +32,7 @@
 // Unwrap returns the cause.
 func (e *RegistryError) Unwrap() error { return e.Cause }
 
-// LinkCutError ends a connection through a link that is cut.
+// LinkCutError is a connection ended because its link is cut.
 type LinkCutError struct{ Target string }
 
-func (e *LinkCutError) Error() string { return "the link to " + e.Target + " is cut" }
+func (e *LinkCutError) Error() string { return "link to " + e.Target + " is cut" }
--- a/laburnumstandin/link.go
+++ b/laburnumstandin/link.go
@@ -13,37 +13,37 @@
 
 //go:generate go tool -modfile=../tools/go.mod enumer -type=LinkMode -transform=kebab -trimprefix=Link -text -json -output=linkmode_gen.go
 
-// LinkMode is what a link does with the connections through it.
+// LinkMode is how a link treats the connections through it.
 type LinkMode int
 
 // The modes of a link.
 const (
 	// LinkOpen passes everything.
 	LinkOpen LinkMode = iota
-	// LinkFrozen holds all bytes both ways and takes connections that go
-	// nowhere, as a network that drops packets silently does; what was held goes
-	// on when the link opens, as TCP sends lost packets again.
+	// LinkFrozen holds back all bytes in both directions, and accepts connections
+	// without dialing the target, like a network that drops packets silently. The
+	// bytes are delivered when the link opens, as TCP retransmits lost packets.
 	LinkFrozen
-	// LinkFrozenTo holds only the bytes towards the target.
+	// LinkFrozenTo holds back only the bytes to the target.
 	LinkFrozenTo
-	// LinkFrozenFrom holds only the bytes from the target.
+	// LinkFrozenFrom holds back only the bytes from the target.
 	LinkFrozenFrom
-	// LinkCut resets all connections and refuses new ones, as a host that is gone.
+	// LinkCut resets all connections and refuses new ones, like a host that is down.
 	LinkCut
 )
 
-// LinkState is what a link is set to.
+// LinkState is the configuration of a link.
 type LinkState struct {
 	Mode LinkMode `json:"mode"`
-	// Delay is added to every byte, each way.
+	// Delay is added to every byte in each direction.
 	Delay laburnumlever.Duration `json:"delay"`
-	// From are the IP numbers whose connections the mode is for; none means all.
-	// A cut between two availability zones is each zone's links set for the other's
-	// VMs.
+	// From lists the source IP addresses that the mode applies to; empty means all.
+	// To cut two availability zones apart, set each zone's links to cut connections
+	// from the other's VMs.
 	From []string `json:"from,omitempty"`
 }
 
-// modeFor is the mode for connections from an IP number.
+// modeFor is the mode for connections from an IP address.
 func (s LinkState) modeFor(source string) LinkMode {
 	if len(s.From) > 0 && !slices.Contains(s.From, source) {
 		return LinkOpen
@@ -51,7 +51,8 @@
 	return s.Mode
 }
 
-// blocks tells whether bytes in the direction wait, for connections from the source.
+// blocks reports whether bytes in the direction are held back for connections from
+// the source.
 func (s LinkState) blocks(source string, toTarget bool) bool {
 	switch s.modeFor(source) {
 	case LinkFrozen:
@@ -65,8 +66,8 @@
 	}
 }
 
-// Link is a TCP link between two processes that can be cut, frozen or delayed
-// while connections pass through it. It is safe for use by many goroutines.
+// Link is a TCP proxy between two processes that can cut, freeze or delay the
+// connections through it. It is safe for use by many goroutines.
 type Link struct {
 	target    string
 	cfg       config
@@ -77,7 +78,7 @@
 	mu      sync.Mutex
 	state   LinkState
 	changed chan struct{}
-	conns   map[net.Conn]string // the IP number of the near end
+	conns   map[net.Conn]string // source IP address of the inbound connection
 	passed  int
 }
 
@@ -92,14 +93,14 @@
 	return l
 }
 
-// State is what the link is set to.
+// State returns the link's configuration.
 func (l *Link) State() LinkState {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
 }
 
-// Set changes what the link does, for the connections it has as well.
+// Set changes the link's configuration; it applies to open connections too.
 func (l *Link) Set(state LinkState) {
 	l.mu.Lock()
 	l.state = state
@@ -117,14 +118,14 @@
 	}
 }
 
-// Passed counts the bytes that went through, both ways.
+// PassedBytes counts the bytes forwarded in both directions.
 func (l *Link) Passed() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.passed
 }
 
-// Serve takes connections until the listener is closed, whose error it returns.
+// Serve accepts connections until Accept fails, and returns that error.
 func (l *Link) Serve(ln net.Listener) error {
 	for {
 		conn, err := ln.Accept()
@@ -151,8 +152,8 @@
 		return
 	}
 	defer l.closeConn(inbound)
-	// A frozen link takes the connection, as the target's kernel may have done
-	// before the freeze, but the target never hears of it.
+	// A frozen link accepts the connection, as the target's kernel may have done
+	// before the freeze, but does not dial the target.
 	if l.awaitOpen(source, true) != nil {
 		return
 	}
@@ -176,7 +177,7 @@
 	pumps.Wait()
 }
 
-// track takes a connection in unless the link is cut.
+// track records an open connection; it returns false if the link is cut.
 func (l *Link) track(conn net.Conn, source string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -194,7 +195,7 @@
 	_ = conn.Close()
 }
 
-// sourceOf is the IP number that a connection comes from.
+// sourceOf is the IP address that a connection comes from.
 func sourceOf(conn net.Conn) string {
 	host, _, err := net.SplitHostPort(conn.RemoteAddr().String())
 	if err != nil {
@@ -203,7 +204,7 @@
 	return host
 }
 
-// reset closes a connection so that the other end sees a reset, not an orderly end.
+// reset closes a connection with a TCP reset instead of an orderly shutdown.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -211,8 +212,8 @@
 	_ = conn.Close()
 }
 
-// awaitOpen waits until bytes may pass in the direction; an error ends the
-// connection.
+// awaitOpen waits until bytes may pass in the direction. Errors: *LinkCutError, or
+// context.Canceled once the link is closed.
 func (l *Link) awaitOpen(source string, toTarget bool) error {
 	for {
 		l.mu.Lock()
@@ -238,7 +239,7 @@
 	l.mu.Unlock()
 }
 
-// sleepUntil waits on the link's timers.
+// sleepUntil waits on the link's timers until the due time or until the link is closed.
 func (l *Link) sleepUntil(due time.Time) {
 	wait := due.Sub(l.cfg.timers.Now())
 	if wait <= 0 {
--- a/laburnumstandin/link_test.go
+++ b/laburnumstandin/link_test.go
@@ -72,14 +72,14 @@
 	send("one")
 	requireLine("one")
 
-	// One way: the target hears "two" (the link has passed its four bytes) and its
-	// answer waits.
+	// One direction: the target receives "two" (the link has passed its four bytes),
+	// and its reply is held back.
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkFrozenFrom})
 	send("two")
 	require.Eventually(t, func() bool { return link.Passed() == len("one\none\ntwo\n") }, waitLimit, waitStep)
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkFrozen})
 	send("three")
-	require.Equal(t, len("one\none\ntwo\n"), link.Passed(), "nothing may pass a frozen link")
+	require.Equal(t, len("one\none\ntwo\n"), link.Passed(), "a frozen link must pass no bytes")
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkOpen, Delay: laburnumlever.Duration(waitStep)})
 	requireLine("two")
 	requireLine("three")
--- a/laburnumstandin/linkpump.go
+++ b/laburnumstandin/linkpump.go
@@ -8,19 +8,19 @@
 
 const (
 	pumpChunk = 16 << 10
-	// pumpQueue bounds what a delayed direction holds, so that a sender is slowed
-	// and memory is not.
+	// pumpQueue bounds the chunks that a delayed direction buffers; beyond it, the
+	// sender is slowed down instead of using more memory.
 	pumpQueue = 256
 )
 
-// packet is a chunk of bytes and when it may go on.
+// packet is a chunk of bytes and the time from which it may be forwarded.
 type packet struct {
 	bytes []byte
 	due   time.Time
 }
 
-// pump copies one direction until either end closes. Reading and writing are
-// apart, so that a delay adds to each byte's time and not to the rate.
+// pump copies one direction until either end closes. A separate goroutine reads, so
+// that a delay adds latency without lowering the throughput.
 func (l *Link) pump(to, from net.Conn, source string, toTarget bool) {
 	packets := make(chan packet, pumpQueue)
 	stopped := make(chan struct{})
@@ -61,15 +61,15 @@
 	}
 }
 
-// LinkReport is what GET /link answers.
+// LinkReport is the response to GET /link.
 type LinkReport struct {
 	LinkState
 	Target string `json:"target"`
 	Passed int    `json:"passed-bytes"`
 }
 
-// ServeHTTP is the link's control: GET /link shows it, PUT /link with a LinkState
-// changes it.
+// ServeHTTP serves the link's control endpoint: GET /link returns a LinkReport, PUT
+// /link with a LinkState changes the configuration.
 func (l *Link) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPut {
 		state := l.State()
--- a/laburnumstandin/options.go
+++ b/laburnumstandin/options.go
@@ -8,7 +8,7 @@
 	"github.com/go-kit/log"
 )
 
-// The periods and bounds of a stand-in that no option changes.
+// Defaults of the options, and the timeout of one message to a registry.
 const (
 	defaultAnnouncePeriod = time.Second
 	defaultReportPeriod   = 500 * time.Millisecond
@@ -16,8 +16,7 @@
 	sendTimeout           = 2 * time.Second
 )
 
-// Option changes a new stand-in. Options that a stand-in has no use for are
-// ignored.
+// Option configures a stand-in. A stand-in ignores options that do not apply to it.
 type Option func(*config)
 
 type config struct {
@@ -45,33 +44,34 @@
 }
 
 // WithRegistries sets the addresses (IP and port) of the entry VMs' backends
-// listeners that the stand-in announces itself and reports to.
+// listeners, to which the stand-in sends its announcements and load reports.
 func WithRegistries(addresses []string) Option {
 	return func(cfg *config) { cfg.registries = addresses }
 }
 
-// WithWeightStore sets the address of the weight store that loads are fetched
-// from. Without it a load takes the load time alone.
+// WithWeightStore sets the address of the weight store that engines fetch weights
+// from. Without it, a load takes only the load time.
 func WithWeightStore(address string) Option {
 	return func(cfg *config) { cfg.weightStore = address }
 }
 
-// WithLoadTime sets how long a load takes, beside the weight store's time.
+// WithLoadTime sets how long a load takes, in addition to the fetch from the weight
+// store; for a plain service, how long a call takes.
 func WithLoadTime(d time.Duration) Option {
 	return func(cfg *config) { cfg.loadTime = d }
 }
 
-// WithTimers sets the timer service; without it the stand-in makes a real one.
+// WithTimers sets the timer service; the default runs on the system clock.
 func WithTimers(timers laburnumlever.Timers) Option {
 	return func(cfg *config) { cfg.timers = timers }
 }
 
-// WithLogger sets where the stand-in logs; without it, nowhere.
+// WithLogger sets the logger; the default discards all log lines.
 func WithLogger(logger log.Logger) Option {
 	return func(cfg *config) { cfg.logger = logger }
 }
 
-// WithPeriods sets how often the stand-in announces itself and reports its load.
+// WithPeriods sets the periods of the announcements and of the load reports.
 func WithPeriods(announce, report time.Duration) Option {
 	return func(cfg *config) {
 		cfg.announcePeriod = announce
@@ -79,8 +79,8 @@
 	}
 }
 
-// WithQueue sets how many requests may wait for a slot; more are answered 503
-// as not run.
+// WithQueue sets how many requests may be queued for a slot; further requests are
+// refused with status 503 and the outcome not-run.
 func WithQueue(n int) Option {
 	return func(cfg *config) { cfg.queue = n }
 }
--- a/laburnumstandin/platformcaller.go
+++ b/laburnumstandin/platformcaller.go
@@ -12,50 +12,50 @@
 	"strings"
 )
 
-// platformHost is the host of the stand-in's routes.
+// platformHost is the hostname of the stand-in manifest's routes.
 const platformHost = "quotes.example"
 
 // PlatformCaller stands in for callers and operators of the users' platform. It keeps
-// connections open, and uses one until the other end is gone.
+// connections alive and reuses each until the peer closes it.
 type PlatformCaller struct{ client *http.Client }
 
-// NewPlatformCaller makes a caller with connections of its own.
+// NewPlatformCaller makes a caller with its own connection pool.
 func NewPlatformCaller() *PlatformCaller {
 	const idle = 64
 	return &PlatformCaller{client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idle}}}
 }
 
-// Confirm sends a request that must not run twice, and returns the status.
+// Confirm sends a non-idempotent request and returns the HTTP status.
 func (c *PlatformCaller) Confirm(ctx context.Context, gateway, id string) (int, error) {
 	status, _, err := c.send(ctx, http.MethodPost, gateway+"/confirm/x", id, "", []byte("visit"))
 	return status, err
 }
 
-// Quote asks for a stream and returns the status, the numbers of its events and whether it
-// ended as complete.
+// Quote requests a stream and returns the HTTP status, the ids of its events and whether
+// the stream ended without an error.
 func (c *PlatformCaller) Quote(ctx context.Context, gateway, id string) (int, []int, bool, error) {
 	status, body, err := c.send(ctx, http.MethodPost, gateway+"/quote/x", id, "m0", []byte("oak"))
 	var events []int
 	lines := bufio.NewScanner(bytes.NewReader(body))
 	for lines.Scan() {
 		if text, ok := strings.CutPrefix(lines.Text(), "id: "); ok {
-			n, _ := strconv.Atoi(text) // not a number is 0, which no event has
+			n, _ := strconv.Atoi(text) // an invalid id becomes 0, which no event has
 			events = append(events, n)
 		}
 	}
 	return status, events, err == nil && status == http.StatusOK, err
 }
 
-// PlatformEvents is how many events a stand-in's stream has.
+// PlatformEvents is the number of events in a PlatformServer's stream.
 func PlatformEvents() int { return platformEvents }
 
-// Apply sends a manifest of the version and returns the status.
+// Apply sends a manifest with the version and returns the HTTP status.
 func (c *PlatformCaller) Apply(ctx context.Context, control string, version int) (int, error) {
 	status, _, err := c.send(ctx, http.MethodPut, control+"/v1/config", "", "", platformManifest(version))
 	return status, err
 }
 
-// Read asks for the newest manifest and returns the status and its version.
+// Read fetches the current manifest and returns the HTTP status and its version.
 func (c *PlatformCaller) Read(ctx context.Context, control string) (int, int, error) {
 	status, body, err := c.send(ctx, http.MethodGet, control+"/v1/config", "", "", nil)
 	if err != nil || status != http.StatusOK {
@@ -66,7 +66,7 @@
 	return status, m.Version, err
 }
 
-// send returns what came of a call; the body as far as it came.
+// send makes a call and returns the HTTP status and as much of the body as was received.
 func (c *PlatformCaller) send(ctx context.Context, method, url, id, model string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+url, bytes.NewReader(body))
 	if err != nil {
@@ -88,8 +88,8 @@
 	return resp.StatusCode, text, err
 }
 
-// platformManifest has one route for requests that must not run twice and one for streams
-// that may go on elsewhere.
+// platformManifest has one route for non-idempotent requests and one for streams that can
+// be resumed on another backend server.
 func platformManifest(version int) []byte {
 	return fmt.Appendf(nil, `{"version":%d,"routes":[`+
 		`{"name":"confirm","hostname":"`+platformHost+`","path_prefix":"/confirm/","kind":"non_idempotent","timeout_ms":3000,"target_latency_ms":300,"priority":1,"service":"booking","max_attempts":1},`+
--- a/laburnumstandin/platformserver.go
+++ b/laburnumstandin/platformserver.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// announceTimeout is how long a backend server of the platform waits for the answer
-	// to a heartbeat before it calls the next control VM.
+	// announceTimeout is how long a backend server of the platform waits for the response
+	// to a heartbeat before it tries the next control VM.
 	announceTimeout = time.Second
-	// platformEvents is how many events an answer of a stand-in has.
+	// platformEvents is the number of events in each stream.
 	platformEvents = 4
 )
 
-// PlatformBehaviour is what a stand-in does wrong on purpose, and whom it tells of its runs.
+// PlatformBehaviour injects faults into a PlatformServer and observes the requests it runs.
 type PlatformBehaviour struct {
-	// BreakAfter closes the connection of each stream after that many events; 0 does
-	// not.
+	// AbortStreamAfter aborts the connection of each stream after that many events; 0
+	// disables it.
 	BreakAfter int
-	// Delay passes before each answer begins.
+	// Delay is the time before each response starts.
 	Delay time.Duration
-	// OnRun is told the id of each request when it runs; nil for nobody.
+	// OnRun, unless nil, is called with the id of each request that runs.
 	OnRun func(id string)
 }
 
-// PlatformServer stands in for a backend server of the users' platform: it says that it is
-// there at intervals, answers requests, and takes orders if it holds models. It is safe
-// for use by many goroutines.
+// PlatformServer stands in for a backend server of the users' platform: it sends periodic
+// announcements, serves requests, and obeys load and unload orders if it has models. It is
+// safe for use by many goroutines.
 type PlatformServer struct {
 	id        string
 	service   string
@@ -59,9 +59,9 @@
 	Adapters []string `json:"adapters"`
 }
 
-// NewPlatformServer makes a backend server with an identity that belongs to a service,
-// answers at an address and announces itself at the control addresses. One with models is
-// a model engine.
+// NewPlatformServer makes a backend server of a service that is reachable at the address
+// and announces itself to the control VMs' addresses. A server with models is a model
+// engine.
 func NewPlatformServer(id, service, address string, controls, models []string, behaviour PlatformBehaviour) *PlatformServer {
 	s := &PlatformServer{id: id, service: service, address: address, controls: controls, behaviour: behaviour, timers: laburnumtimer.New()}
 	for _, name := range models {
@@ -70,12 +70,12 @@
 	return s
 }
 
-// Start begins to announce the backend server.
+// Start starts the periodic announcements.
 func (s *PlatformServer) Start(period time.Duration) {
 	s.cancel = s.timers.Every(period, func(time.Time) { go s.announce("ready") })
 }
 
-// Leave says that the backend server leaves; what is in flight goes on.
+// Leave announces that the backend server is draining; requests in flight continue.
 func (s *PlatformServer) Leave() {
 	s.mu.Lock()
 	s.leaving = true
@@ -83,7 +83,7 @@
 	s.announce("draining")
 }
 
-// Close ends the announcements.
+// Close stops the announcements.
 func (s *PlatformServer) Close() {
 	if s.cancel != nil {
 		s.cancel()
@@ -91,7 +91,7 @@
 	s.timers.Close()
 }
 
-// announce tells the first control VM that acknowledges it.
+// announce tries the control VMs in order until one acknowledges the announcement.
 func (s *PlatformServer) announce(state string) {
 	body := s.announcementBody(state)
 	for _, control := range s.controls {
@@ -115,7 +115,7 @@
 	if len(s.models) > 0 {
 		document["models"] = s.models
 	}
-	body, _ := json.Marshal(document) //nolint:errchkjson // texts and numbers only
+	body, _ := json.Marshal(document) //nolint:errchkjson // strings and numbers only
 	return body
 }
 
@@ -135,7 +135,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// ServeHTTP answers reports, orders and requests.
+// ServeHTTP serves reports, orders and requests.
 func (s *PlatformServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/v1/report":
@@ -173,7 +173,7 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// applyOrder changes what is held; mu is held.
+// applyOrder changes the loaded models and adapters; the caller holds mu.
 func (s *PlatformServer) applyOrder(op, model, adapter string) {
 	i := slices.IndexFunc(s.models, func(m platformModel) bool { return m.Name == model })
 	switch {
@@ -188,7 +188,7 @@
 }
 
 func (s *PlatformServer) answer(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body) // a caller that breaks off gets no answer
+	body, _ := io.ReadAll(r.Body) // a caller that disconnects gets no response
 	if s.behaviour.Delay > 0 {
 		laburnumtimer.Wait(r.Context().Done(), s.timers, s.behaviour.Delay)
 	}
--- a/laburnumstandin/service.go
+++ b/laburnumstandin/service.go
@@ -22,8 +22,9 @@
 	ledgerPath = "/ledger"
 )
 
-// LedgerEntry is one call that a plain service ran. It is written the moment the
-// call runs, before the answer is sent, so that a lost answer does not hide it.
+// LedgerEntry is one call that a plain service ran. It is recorded when the call
+// starts to run, before the response is sent, so that a call whose response is lost
+// is recorded too.
 type LedgerEntry struct {
 	// Number counts the calls that ran, from 1.
 	Number int    `json:"number"`
@@ -36,7 +37,7 @@
 	At      time.Time `json:"at"`
 }
 
-// ServiceAnswer is a plain service's answer to a call that it ran.
+// ServiceAnswer is a plain service's response to a call that it ran.
 type ServiceAnswer struct {
 	// Number is the call's number in the ledger.
 	Number int    `json:"number"`
@@ -46,10 +47,9 @@
 	Echo string `json:"echo"`
 }
 
-// Service is a stand-in plain service: it runs every call that it takes, whether
-// or not the caller is still there, and keeps a ledger of them, so that what a
-// caller was told can be checked against what was done. It is safe for use by many
-// goroutines.
+// Service is a stand-in plain service: it runs every call that it accepts, even if
+// the caller disconnects, and keeps a ledger of them, against which the responses
+// that callers got can be checked. It is safe for use by many goroutines.
 type Service struct {
 	cfg          config
 	ownTimers    *laburnumtimer.Timers
@@ -65,9 +65,9 @@
 	ledger   []LedgerEntry
 }
 
-// NewService makes a plain service with an empty ledger. Fields of the
-// announcement that are needed: the id, zone, address, incarnation, service and
-// slots. WithLoadTime sets how long each call takes.
+// NewService makes a plain service with an empty ledger. The announcement must set
+// the id, zone, address, incarnation, service and slots. WithLoadTime sets how long
+// each call takes.
 func NewService(announcement laburnumlever.Announcement, opts ...Option) *Service {
 	announcement.Kind = laburnumlever.PlainService
 	announcement.Slots = max(1, announcement.Slots)
@@ -84,10 +84,10 @@
 	return s
 }
 
-// Start begins to announce the service and to report its load.
+// Start starts the periodic announcements and load reports.
 func (s *Service) Start() { s.announcer.start() }
 
-// Close stops the announcements without telling anybody.
+// Close stops the announcements without telling the registries.
 func (s *Service) Close() {
 	s.mu.Lock()
 	closed := s.closed
@@ -102,13 +102,13 @@
 	}
 }
 
-// Leave tells the registries that the service leaves; what is in flight goes on.
+// Leave tells the registries that the service leaves; calls in flight continue.
 func (s *Service) Leave() { s.announcer.leave() }
 
-// Announcement is what the service says of itself.
+// Announcement returns the service's announcement.
 func (s *Service) Announcement() laburnumlever.Announcement { return s.announcement }
 
-// Report is the service's load now.
+// Report returns the service's current load; each call uses the next sequence number.
 func (s *Service) Report() laburnumlever.LoadReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +129,7 @@
 	return append([]LedgerEntry{}, s.ledger...)
 }
 
-// ServeHTTP runs a call, or shows the ledger at GET /ledger.
+// ServeHTTP runs a call, or returns the ledger at GET /ledger.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet && r.URL.Path == ledgerPath {
 		writeJSON(w, http.StatusOK, s.Ledger())
@@ -154,7 +154,8 @@
 	writeJSON(w, http.StatusOK, ServiceAnswer{Number: entry.Number, Key: entry.Key, Path: entry.Path, Echo: string(body)})
 }
 
-// acquire waits for a slot; false means that the call surely does not run.
+// acquire waits for a slot. It returns false if the queue is full or the call is
+// cancelled first; the call has then not run.
 func (s *Service) acquire(ctx context.Context) bool {
 	s.mu.Lock()
 	if s.queued >= s.cfg.queue {
@@ -203,8 +204,8 @@
 	return entry
 }
 
-// waitCallTime takes the time of one call. It goes on when the caller is gone, as a
-// booking that has begun would.
+// waitCallTime waits for the duration of one call. It does not stop when the caller
+// disconnects, as a booking that has started would not.
 func (s *Service) waitCallTime() {
 	if s.cfg.loadTime <= 0 {
 		return
--- a/laburnumstandin/service_test.go
+++ b/laburnumstandin/service_test.go
@@ -19,9 +19,8 @@
 	waitStep  = time.Millisecond
 )
 
-// A caller loses its connection while a booking runs, and the answer never
-// arrives. The booking was made all the same: the ledger must show it, or a check
-// for double bookings would miss a second run.
+// Guards against a ledger that omits a call whose caller disconnected while it ran;
+// a check for double bookings would then miss a second run.
 func TestLedgerRecordsCallsWhoseAnswerIsLost(t *testing.T) {
 	timers := laburnumtimer.NewManual(time.Unix(0, 0))
 	service := laburnumstandin.NewService(laburnumlever.Announcement{Backend: "s1", Service: "booking", Slots: 1},
--- a/laburnumstandin/token.go
+++ b/laburnumstandin/token.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// promptHashBits keeps the hash of a prompt to 8 hex digits.
+	// promptHashBits is the shift that leaves 32 bits, 8 hex digits, of a prompt's hash.
 	promptHashBits = 32
-	// prefixBytes is the length of prompt that one more prefix hash covers.
+	// prefixBytes is the step in bytes between the prefixes that are hashed.
 	prefixBytes = 256
-	// maxPrefixes bounds the prefix hashes of one prompt.
+	// maxPrefixes is the maximum number of prefix hashes of one prompt.
 	maxPrefixes = 4
-	// bytesPerToken is the usual length of a token of prompt.
+	// bytesPerToken is the usual length of a prompt token.
 	bytesPerToken = 4
 )
 
-// Token is the token at place i, from 0, of the answer to a prompt.
+// Token is the token at index i, from 0, of the answer to a prompt.
 func Token(prompt string, i int) string {
 	sum := xxhash.Sum64String(prompt) >> promptHashBits
 	return fmt.Sprintf("t%d-%08x ", i, sum)
 }
 
-// PromptTokens is how many tokens a prompt counts as.
+// PromptTokens estimates the number of tokens in a prompt.
 func PromptTokens(prompt string) int { return len(prompt)/bytesPerToken + 1 }
 
-// PrefixHashes are the xxhash64 of the prompt's first 256, 512, 768 and 1024
-// bytes, as far as it is that long, and of the whole prompt if it is shorter than 256.
+// PrefixHashes returns the xxhash64 of each of the prompt's first 256, 512, 768 and
+// 1024 bytes that it is long enough for; if it is shorter than 256, of the whole prompt.
 func PrefixHashes(prompt string) []uint64 {
 	if len(prompt) < prefixBytes {
 		return []uint64{xxhash.Sum64String(prompt)}
--- a/laburnumstandin/weightstore.go
+++ b/laburnumstandin/weightstore.go
@@ -8,24 +8,24 @@
 	"laburnumlever/laburnumtimer"
 )
 
-// WeightStoreStats is what a weight store has seen.
+// WeightStoreStats counts the loads that a weight store was asked for.
 type WeightStoreStats struct {
 	Loads           int `json:"loads"`
 	HighestParallel int `json:"highest-parallel"`
-	// HighestRate is the most loads a second that began within any ten seconds,
-	// asked of the store, not what it served.
+	// HighestRate is the highest rate of requested loads per second, averaged over ten
+	// seconds. It measures the demand, not the loads served.
 	HighestRate float64 `json:"highest-rate"`
-	// Delayed counts the loads that had to wait because the rate or the parallel
-	// loads were passed.
+	// Delayed counts the loads that were delayed by the limits on the rate and on
+	// parallel loads.
 	Delayed int `json:"delayed"`
 }
 
-// rateWindow is long enough that one load more or less changes the highest rate
-// by a tenth only.
+// rateWindow is the window of HighestRate, long enough that one load more or less
+// changes it by only 0.1 loads per second.
 const rateWindow = 10 * time.Second
 
-// WeightStore is a stand-in for the rate-limited store of weights. A load beyond
-// its rate or parallel loads waits and is counted as delayed.
+// WeightStore is a stand-in for the rate-limited weight store. A load beyond its
+// limits on the rate or on parallel loads is queued and counted as delayed.
 type WeightStore struct {
 	rate     float64
 	parallel int
@@ -39,8 +39,8 @@
 	waiting      []chan struct{}
 }
 
-// NewWeightStore makes a store that begins at most rate loads a second and serves at
-// most parallel at once. WithLoadTime sets how long one load takes.
+// NewWeightStore makes a store that starts at most rate loads per second and serves at
+// most parallel loads at once. WithLoadTime sets how long one load takes.
 func NewWeightStore(rate float64, parallel int, opts ...Option) *WeightStore {
 	s := &WeightStore{rate: rate, parallel: parallel, cfg: newConfig(opts)}
 	if s.cfg.timers == nil {
@@ -49,14 +49,14 @@
 	return s
 }
 
-// Stats is what the store has seen so far.
+// Stats returns the counts so far.
 func (s *WeightStore) Stats() WeightStoreStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// ServeHTTP answers GET /weights once the load is done, and GET /stats.
+// ServeHTTP serves GET /weights, which returns once the load is done, and GET /stats.
 func (s *WeightStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/stats" {
 		writeJSON(w, http.StatusOK, s.Stats())
@@ -70,8 +70,8 @@
 	}
 }
 
-// Load begins one load without HTTP, for tests on a manual clock; the channel is
-// closed when it is done.
+// Load starts one load without HTTP, for tests on a manual clock; the channel is
+// closed when the load is done.
 func (s *WeightStore) Load() <-chan struct{} { return s.begin(s.cfg.timers.Now()) }
 
 func (s *WeightStore) begin(now time.Time) chan struct{} {
@@ -89,7 +89,8 @@
 	return done
 }
 
-// serve spaces the loads by the rate, then takes the load time.
+// serve starts a load as soon as the rate allows and closes done after the load time;
+// the caller holds mu.
 func (s *WeightStore) serve(now time.Time, done chan struct{}) {
 	start := now
 	if s.nextStart.After(now) {
