--- a/laburnumfleet/actions.go
+++ b/laburnumfleet/actions.go
@@ -13,8 +13,8 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// askStep is how often a VM is asked while something is waited for.
-const askStep = 50 * time.Millisecond
+// pollInterval is how often a VM is asked while something is waited for.
+const pollInterval = 50 * time.Millisecond
 
 // Apply makes the fleet's catalogue the one in force and returns its revision. It is
 // tried again until the context ends: right after the start the voters have no
@@ -32,15 +32,15 @@
 			return answer.Revision, nil
 		case err == nil:
 			req.DryRun = false
-		case !comesRight(err) || !pause(ctx):
+		case !isTransient(err) || !waitPollInterval(ctx):
 			return 0, err
 		}
 	}
 }
 
-// pause waits a step; false means that the context has ended.
-func pause(ctx context.Context) bool {
-	timer := time.NewTimer(askStep)
+// waitPollInterval waits a step; false means that the context has ended.
+func waitPollInterval(ctx context.Context) bool {
+	timer := time.NewTimer(pollInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -64,11 +64,11 @@
 func awaitLoaded(ctx context.Context, client *laburnumoperator.Client, revision uint64) error {
 	for {
 		status, err := client.Status(ctx)
-		missing := missingOf(status.View)
+		missing := unserved(status.View)
 		if err == nil && status.View.Catalogue.Revision >= revision && len(missing) == 0 {
 			return nil
 		}
-		if !pause(ctx) {
+		if !waitPollInterval(ctx) {
 			return &NotLoadedError{Models: missing, Revision: status.View.Catalogue.Revision, Cause: ctx.Err()}
 		}
 	}
@@ -89,14 +89,14 @@
 		if now != moves {
 			moves, since = now, time.Now()
 		}
-		if !pause(ctx) {
+		if !waitPollInterval(ctx) {
 			return
 		}
 	}
 }
 
-// missingOf lists the models and plain services that no backend server serves.
-func missingOf(view laburnumlever.View) []laburnumlever.ModelName {
+// unserved lists the models and plain services that no backend server serves.
+func unserved(view laburnumlever.View) []laburnumlever.ModelName {
 	var missing []laburnumlever.ModelName
 	for _, model := range view.Catalogue.Models {
 		if !anyBackend(view, func(b laburnumlever.Backend) bool { return b.Serves(model.Name) }) {
@@ -128,7 +128,7 @@
 	case laburnumload.ActionKillBackend, laburnumload.ActionSlowBackend:
 		return f.changeBackend(event)
 	case laburnumload.ActionApply:
-		return f.applyAgain(ctx)
+		return f.applyUnchangedPlacement(ctx)
 	case laburnumload.ActionCutZone:
 		return f.cutZone(laburnumlever.ZoneName(event.Name), laburnumstandin.LinkFrozen)
 	case laburnumload.ActionHealZone:
@@ -140,14 +140,14 @@
 
 func (f *Fleet) endVM(ctx context.Context, event laburnumload.Event) error {
 	f.mu.Lock()
-	var found *vm
-	for _, one := range f.nodes {
-		if string(one.spec.VM) == event.Name && !one.gone {
-			found = one
+	var found *fleetVM
+	for _, vm := range f.vms {
+		if string(vm.spec.VM) == event.Name && !vm.ended {
+			found = vm
 		}
 	}
 	if found != nil {
-		found.gone = true
+		found.ended = true
 	}
 	f.mu.Unlock()
 	if found == nil {
@@ -171,14 +171,14 @@
 			b.handler.set(event.Factor)
 			return nil
 		}
-		b.stand.Close()
+		b.standIn.Close()
 		return b.server.Close()
 	}
 	return &laburnumlever.NotFoundError{Kind: "backend server", Name: event.Name}
 }
 
-// applyAgain makes a new revision that changes nothing that is placed.
-func (f *Fleet) applyAgain(ctx context.Context) error {
+// applyUnchangedPlacement makes a new revision that changes nothing that is placed.
+func (f *Fleet) applyUnchangedPlacement(ctx context.Context) error {
 	client := laburnumoperator.NewClient(f.Operators()[0])
 	current, err := client.Catalogue(ctx)
 	if err != nil {
--- a/laburnumfleet/backends.go
+++ b/laburnumfleet/backends.go
@@ -48,7 +48,7 @@
 	}
 	engine := laburnumstandin.NewEngine(announcement,
 		laburnumstandin.WithRegistries(f.registries(spec.Zone)), laburnumstandin.WithWeightStore(store))
-	f.run(announcement.Backend, ln, engine)
+	f.serveBackend(announcement.Backend, ln, engine)
 	return nil
 }
 
@@ -63,7 +63,7 @@
 	service := laburnumstandin.NewService(announcement,
 		laburnumstandin.WithRegistries(f.registries(spec.Zone)),
 		laburnumstandin.WithLoadTime(time.Duration(spec.CallTime)))
-	f.run(announcement.Backend, ln, service)
+	f.serveBackend(announcement.Backend, ln, service)
 	return nil
 }
 
@@ -79,17 +79,17 @@
 func (f *Fleet) registries(zone laburnumlever.ZoneName) []string {
 	ids := f.spec.registriesOf(zone)
 	var addresses []string
-	for _, one := range f.nodes {
-		if slices.Contains(ids, one.spec.VM) {
-			addresses = append(addresses, one.node.Addresses().Backends)
+	for _, vm := range f.vms {
+		if slices.Contains(ids, vm.spec.VM) {
+			addresses = append(addresses, vm.node.Addresses().Backends)
 		}
 	}
 	return addresses
 }
 
-func (f *Fleet) run(id laburnumlever.BackendID, ln net.Listener, stand standIn) {
-	b := &backend{id: id, stand: stand, handler: newSlowHandler(stand)}
-	b.server = &http.Server{Handler: b.handler, ReadHeaderTimeout: headerReadLimit}
+func (f *Fleet) serveBackend(id laburnumlever.BackendID, ln net.Listener, stand standIn) {
+	b := &backend{id: id, standIn: stand, handler: newSlowHandler(stand)}
+	b.server = &http.Server{Handler: b.handler, ReadHeaderTimeout: headerReadTimeout}
 	f.backends = append(f.backends, b)
 	go func() { _ = b.server.Serve(ln) }()
 	stand.Start()
@@ -101,7 +101,7 @@
 	defer f.mu.Unlock()
 	count := 0
 	for _, b := range f.backends {
-		if engine, ok := b.stand.(*laburnumstandin.Engine); ok {
+		if engine, ok := b.standIn.(*laburnumstandin.Engine); ok {
 			count += len(engine.Violations())
 		}
 	}
--- a/laburnumfleet/fleet.go
+++ b/laburnumfleet/fleet.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	anyPort         = "127.0.0.1:0"
-	headerReadLimit = 10 * time.Second
+	anyLoopbackPort   = "127.0.0.1:0"
+	headerReadTimeout = 10 * time.Second
 	// shutdownGrace is longer than the load tool's balancer takes to notice, 0.9 s.
 	shutdownGrace = 1500 * time.Millisecond
 	shutdownLimit = 30 * time.Second
@@ -26,25 +26,25 @@
 
 // Fleet is a running fleet. It is safe for use by many goroutines.
 type Fleet struct {
-	spec      Spec
-	catalogue laburnumlever.Catalogue
-	logger    log.Logger
-	callers   string
-	folder    string
-	linked    bool
+	spec           Spec
+	catalogue      laburnumlever.Catalogue
+	logger         log.Logger
+	callersAddress string
+	dataFolder     string
+	withLinks      bool
 
 	mu       sync.Mutex
-	nodes    []*vm
+	vms      []*fleetVM
 	backends []*backend
 	store    *http.Server
 	links    []*vmLink
 }
 
-type vm struct {
+type fleetVM struct {
 	spec VMSpec
 	node *laburnumnode.Node
-	// gone tells that the VM was ended by an action.
-	gone bool
+	// ended tells that the VM was ended by an action.
+	ended bool
 }
 
 // backend is a stand-in backend server with its listener.
@@ -52,7 +52,7 @@
 	id      laburnumlever.BackendID
 	handler *slowHandler
 	server  *http.Server
-	stand   standIn
+	standIn standIn
 }
 
 // standIn is what stand-in engines and plain services have in common.
@@ -73,13 +73,13 @@
 
 // WithCallers sets the callers address of the first VM; all others take free ports.
 func WithCallers(address string) Option {
-	return func(f *Fleet) { f.callers = address }
+	return func(f *Fleet) { f.callersAddress = address }
 }
 
 // Start runs the fleet; it returns once all listeners take connections. Errors:
 // *StartError.
 func Start(ctx context.Context, spec Spec, catalogue laburnumlever.Catalogue, opts ...Option) (*Fleet, error) {
-	f := &Fleet{spec: spec, catalogue: catalogue, logger: log.NewNopLogger(), callers: anyPort}
+	f := &Fleet{spec: spec, catalogue: catalogue, logger: log.NewNopLogger(), callersAddress: anyLoopbackPort}
 	for _, opt := range opts {
 		opt(f)
 	}
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, &StartError{Part: "data folder", Cause: err}
 	}
-	f.folder = folder
+	f.dataFolder = folder
 	if err := f.start(ctx); err != nil {
 		f.Close()
 		return nil, err
@@ -124,7 +124,7 @@
 	if err := node.Start(); err != nil {
 		return &StartError{Part: string(spec.VM), Cause: err}
 	}
-	f.nodes = append(f.nodes, &vm{spec: spec, node: node})
+	f.vms = append(f.vms, &fleetVM{spec: spec, node: node})
 	return nil
 }
 
@@ -132,9 +132,9 @@
 	spec := f.spec.VMs[i]
 	settings := laburnumsettings.Default()
 	settings.VM, settings.Zone, settings.Region = spec.VM, spec.Zone, spec.Region
-	settings.Listen = laburnumsettings.Listen{Callers: anyPort, Operators: anyPort, Backends: anyPort}
+	settings.Listen = laburnumsettings.Listen{Callers: anyLoopbackPort, Operators: anyLoopbackPort, Backends: anyLoopbackPort}
 	if i == 0 {
-		settings.Listen.Callers = f.callers
+		settings.Listen.Callers = f.callersAddress
 	}
 	settings.Shutdown = laburnumsettings.Shutdown{
 		Grace: laburnumlever.Duration(shutdownGrace), Limit: laburnumlever.Duration(shutdownLimit),
@@ -148,7 +148,7 @@
 		}
 	}
 	if spec.Disk {
-		settings.DataFolder = filepath.Join(f.folder, string(spec.VM))
+		settings.DataFolder = filepath.Join(f.dataFolder, string(spec.VM))
 	}
 	return settings
 }
@@ -161,7 +161,7 @@
 	limits := f.catalogue.Deployment.WeightStore
 	store := laburnumstandin.NewWeightStore(limits.LoadsPerSecond, limits.ParallelLoads,
 		laburnumstandin.WithLoadTime(time.Duration(f.spec.LoadTime)))
-	f.store = &http.Server{Handler: store, ReadHeaderTimeout: headerReadLimit}
+	f.store = &http.Server{Handler: store, ReadHeaderTimeout: headerReadTimeout}
 	go func() { _ = f.store.Serve(ln) }()
 	return ln.Addr().String(), nil
 }
@@ -171,19 +171,19 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, b := range f.backends {
-		b.stand.Close()
+		b.standIn.Close()
 		_ = b.server.Close()
 	}
-	for _, one := range f.nodes {
-		if !one.gone {
-			one.node.Close()
+	for _, vm := range f.vms {
+		if !vm.ended {
+			vm.node.Close()
 		}
 	}
 	f.closeLinks()
 	if f.store != nil {
 		_ = f.store.Close()
 	}
-	_ = os.RemoveAll(f.folder)
+	_ = os.RemoveAll(f.dataFolder)
 }
 
 // Operators are the operators addresses of the VMs that run.
@@ -200,9 +200,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var addresses []string
-	for _, one := range f.nodes {
-		if !one.gone {
-			addresses = append(addresses, of(one.node.Addresses()))
+	for _, vm := range f.vms {
+		if !vm.ended {
+			addresses = append(addresses, of(vm.node.Addresses()))
 		}
 	}
 	return addresses
--- a/laburnumfleet/fleet_test.go
+++ b/laburnumfleet/fleet_test.go
@@ -16,7 +16,7 @@
 // The sample fleets and experiments must stay runnable together: every model,
 // service and zone that they name is in the catalogue, and every name of an event is
 // in the fleet.
-func TestExamplesFitTogether(t *testing.T) {
+func TestExampleFleetsMatchCataloguesAndExperiments(t *testing.T) {
 	for name, engines := range map[string]int{"armor-pose": 20, "kvooditalitus": 10} {
 		t.Run(name, func(t *testing.T) {
 			spec, catalogue, err := laburnumfleet.Load(filepath.Join("..", "examples", name, "fleet.jsonc"))
@@ -52,7 +52,7 @@
 // A VM is told to stop during a burst. Callers of the others and of the VM itself
 // must get whole answers or refusals: a graceful end cuts nothing off, and a
 // booking that is sent again through the other VM runs once.
-func TestDrainDuringABurstCutsNothingOff(t *testing.T) {
+func TestDrainDuringBurstLosesNoAnswers(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	_, catalogue, err := laburnumfleet.Load(filepath.Join("..", "examples", "armor-pose", "fleet.jsonc"))
--- a/laburnumfleet/links.go
+++ b/laburnumfleet/links.go
@@ -9,10 +9,10 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// linkIPs are the loopback addresses that VMs listen on behind their links, one for
+// linkIPFormat are the loopback addresses that VMs listen on behind their links, one for
 // each VM: a link knows by it which VM a connection comes from. Systems other
 // than Linux have only 127.0.0.1, so links are made only where they are asked for.
-const linkIPs = "127.0.1.%d"
+const linkIPFormat = "127.0.1.%d"
 
 // vmLink stands in front of the peers listener of one VM.
 type vmLink struct {
@@ -24,13 +24,13 @@
 // WithLinks puts a link in front of each VM's peers listener, so that zones can be
 // cut off; it needs a system where all of 127.0.0.0/8 is local.
 func WithLinks() Option {
-	return func(f *Fleet) { f.linked = true }
+	return func(f *Fleet) { f.withLinks = true }
 }
 
 // peerAddresses are, for each VM, what it listens on and what others are told.
 func (f *Fleet) peerAddresses(ctx context.Context) (listen, advertised []string, err error) {
 	advertised, err = ReservePorts(ctx, len(f.spec.VMs))
-	if err != nil || !f.linked {
+	if err != nil || !f.withLinks {
 		return advertised, advertised, err
 	}
 	for i, address := range advertised {
@@ -38,7 +38,7 @@
 		if err != nil {
 			return nil, nil, &StartError{Part: "link", Cause: err}
 		}
-		ip := fmt.Sprintf(linkIPs, i+1)
+		ip := fmt.Sprintf(linkIPFormat, i+1)
 		listen = append(listen, net.JoinHostPort(ip, port))
 		if err := f.startLink(ctx, address, listen[i], ip); err != nil {
 			return nil, nil, err
@@ -53,16 +53,16 @@
 	if err != nil {
 		return &StartError{Part: "link", Cause: err}
 	}
-	one := &vmLink{link: laburnumstandin.NewLink(target), listener: ln, ip: ip}
-	f.links = append(f.links, one)
-	go func() { _ = one.link.Serve(ln) }()
+	vl := &vmLink{link: laburnumstandin.NewLink(target), listener: ln, ip: ip}
+	f.links = append(f.links, vl)
+	go func() { _ = vl.link.Serve(ln) }()
 	return nil
 }
 
 func (f *Fleet) closeLinks() {
-	for _, one := range f.links {
-		_ = one.listener.Close()
-		one.link.Close()
+	for _, vl := range f.links {
+		_ = vl.listener.Close()
+		vl.link.Close()
 	}
 }
 
--- a/laburnumfleet/ports.go
+++ b/laburnumfleet/ports.go
@@ -13,8 +13,8 @@
 // with "address already in use". The range lies below the one that Linux and macOS
 // give to connections (from 32768 and 49152), so only another fleet's draw can clash.
 const (
-	leastPort = 20000
-	mostPort  = 32000
+	minPort = 20000
+	maxPort = 32000
 	// portTries is how many draws may be taken before a port is given up.
 	portTries = 100
 )
@@ -24,7 +24,7 @@
 func ReservePorts(ctx context.Context, count int) ([]string, error) {
 	addresses := make([]string, count)
 	for i := range addresses {
-		ln, err := drawPort(ctx)
+		ln, err := listenRandomPort(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -35,11 +35,11 @@
 	return addresses, nil
 }
 
-func drawPort(ctx context.Context) (net.Listener, error) {
+func listenRandomPort(ctx context.Context) (net.Listener, error) {
 	var cfg net.ListenConfig
 	var last error
 	for range portTries {
-		port := leastPort + rand.IntN(mostPort-leastPort)
+		port := minPort + rand.IntN(maxPort-minPort)
 		ln, err := cfg.Listen(ctx, "tcp", net.JoinHostPort("127.0.0.1", strconv.Itoa(port)))
 		if err == nil {
 			return ln, nil
@@ -51,7 +51,7 @@
 
 func listen(ctx context.Context) (net.Listener, error) {
 	var cfg net.ListenConfig
-	ln, err := cfg.Listen(ctx, "tcp", anyPort)
+	ln, err := cfg.Listen(ctx, "tcp", anyLoopbackPort)
 	if err != nil {
 		return nil, &StartError{Part: "listener", Cause: err}
 	}
--- a/laburnumfleet/retry.go
+++ b/laburnumfleet/retry.go
@@ -6,9 +6,9 @@
 	"laburnumlever"
 )
 
-// comesRight tells whether an error of an apply passes by itself while a fleet
+// isTransient tells whether an error of an apply passes by itself while a fleet
 // starts: no leader yet, not all engines announced, or an answer that was lost.
-func comesRight(err error) bool {
+func isTransient(err error) bool {
 	var (
 		noQuorum *laburnumlever.NoQuorumError
 		unknown  *laburnumlever.OutcomeUnknownError
--- a/laburnumfleet/slowhandler.go
+++ b/laburnumfleet/slowhandler.go
@@ -14,19 +14,19 @@
 	factor atomic.Int64
 }
 
-const factorUnit = 100
+const factorScale = 100
 
 func newSlowHandler(next http.Handler) *slowHandler {
 	h := &slowHandler{next: next}
-	h.factor.Store(factorUnit)
+	h.factor.Store(factorScale)
 	return h
 }
 
-func (h *slowHandler) set(factor float64) { h.factor.Store(int64(factor * factorUnit)) }
+func (h *slowHandler) set(factor float64) { h.factor.Store(int64(factor * factorScale)) }
 
 // ServeHTTP passes the request on.
 func (h *slowHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if h.factor.Load() <= factorUnit {
+	if h.factor.Load() <= factorScale {
 		h.next.ServeHTTP(w, r)
 		return
 	}
@@ -43,7 +43,7 @@
 
 // Write waits as many times as long as the handler took, less the once it took.
 func (w *slowWriter) Write(p []byte) (int, error) {
-	factor := float64(w.handler.factor.Load()) / factorUnit
+	factor := float64(w.handler.factor.Load()) / factorScale
 	wait := time.NewTimer(time.Duration(float64(time.Since(w.last)) * (factor - 1)))
 	defer wait.Stop()
 	select {
