--- a/laburnumfleet/actions.go
+++ b/laburnumfleet/actions.go
@@ -13,13 +13,13 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// pollInterval is how often a VM is asked while something is waited for.
+// pollInterval is how often the VMs are polled while Apply and the Await methods wait.
 const pollInterval = 50 * time.Millisecond
 
-// Apply makes the fleet's catalogue the one in force and returns its revision. It is
-// tried again until the context ends: right after the start the voters have no
-// leader yet, and the backend servers are not known to all. It is tried dry first,
-// so that a change that can't be accepted yet is none.
+// Apply puts the fleet's catalogue into effect and returns its revision. Transient
+// errors are retried until the context ends: right after the start the voters have no
+// leader yet, and not all VMs know the backend servers. A dry run comes first, so that
+// a catalogue that can't be accepted yet is not proposed as a change.
 func (f *Fleet) Apply(ctx context.Context) (uint64, error) {
 	client := laburnumoperator.NewClient(f.Operators()[0])
 	req := laburnumlever.ApplyRequest{DryRun: true}
@@ -38,7 +38,7 @@
 	}
 }
 
-// waitPollInterval waits a step; false means that the context has ended.
+// waitPollInterval waits for one interval; it returns false if the context ends first.
 func waitPollInterval(ctx context.Context) bool {
 	timer := time.NewTimer(pollInterval)
 	defer timer.Stop()
@@ -50,8 +50,9 @@
 	}
 }
 
-// AwaitLoaded waits until every VM knows the revision and a ready copy of every
-// model, and a backend server of every plain service.
+// AwaitLoaded waits until every VM knows the catalogue revision, a ready copy of every
+// model and a backend server of every plain service. Errors: *NotLoadedError when the
+// context ends first.
 func (f *Fleet) AwaitLoaded(ctx context.Context, revision uint64) error {
 	for _, address := range f.Operators() {
 		if err := awaitLoaded(ctx, laburnumoperator.NewClient(address), revision); err != nil {
@@ -75,7 +76,8 @@
 }
 
 // AwaitSettled waits until no VM has moved a model for the quiet time, or until the
-// context ends: after a start the planner goes on to second copies and replicas.
+// context ends. After a start the planner still adds second copies and replicas once
+// every model is loaded.
 func (f *Fleet) AwaitSettled(ctx context.Context, quiet time.Duration) {
 	moves, since := uint64(0), time.Now()
 	for time.Since(since) < quiet {
@@ -95,7 +97,7 @@
 	}
 }
 
-// unserved lists the models and plain services that no backend server serves.
+// unserved lists the models and plain services that no available backend server serves.
 func unserved(view laburnumlever.View) []laburnumlever.ModelName {
 	var missing []laburnumlever.ModelName
 	for _, model := range view.Catalogue.Models {
@@ -120,7 +122,9 @@
 	return false
 }
 
-// Act does what an event of an experiment asks.
+// HandleEvent carries out an event of an experiment. Errors include
+// *laburnumlever.InvalidValueError for an action that a fleet does not have,
+// *laburnumlever.NotFoundError for an unknown VM, backend server or availability zone.
 func (f *Fleet) Act(ctx context.Context, event laburnumload.Event) error {
 	switch event.Action {
 	case laburnumload.ActionKillVM, laburnumload.ActionStopVM:
@@ -177,7 +181,8 @@
 	return &laburnumlever.NotFoundError{Kind: "backend server", Name: event.Name}
 }
 
-// applyUnchangedPlacement makes a new revision that changes nothing that is placed.
+// applyUnchangedPlacement applies the current catalogue with a slightly higher move cost,
+// a new revision that leaves the placement as it is.
 func (f *Fleet) applyUnchangedPlacement(ctx context.Context) error {
 	client := laburnumoperator.NewClient(f.Operators()[0])
 	current, err := client.Catalogue(ctx)
@@ -194,5 +199,5 @@
 	return err
 }
 
-// moveCostStep is small enough to change no decision.
+// moveCostStep is small enough not to change any placement decision.
 const moveCostStep = 0.001
--- a/laburnumfleet/errors.go
+++ b/laburnumfleet/errors.go
@@ -7,7 +7,7 @@
 	"laburnumlever"
 )
 
-// SpecInvalidError lists all that is wrong in a fleet file.
+// SpecInvalidError lists all faults in a fleet file.
 type SpecInvalidError struct{ Faults []laburnumlever.Fault }
 
 func (e *SpecInvalidError) Error() string {
@@ -18,21 +18,26 @@
 	return "fleet: " + strings.Join(lines, "\n")
 }
 
-// StartError is a part of the fleet that does not start.
+// StartError is a fleet that could not be started.
 type StartError struct {
+	// Part is the VM's name, or the kind of resource that failed.
 	Part  string
 	Cause error
 }
 
-func (e *StartError) Error() string { return fmt.Sprintf("%s does not start: %v", e.Part, e.Cause) }
+func (e *StartError) Error() string {
+	return fmt.Sprintf("cannot start the fleet: %s: %v", e.Part, e.Cause)
+}
 
 // Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Cause }
 
-// NotLoadedError is a fleet in which models have no ready copy when the time is up.
+// NotLoadedError is a fleet whose models and plain services were not all available in time.
 type NotLoadedError struct {
+	// Models lists the models without a ready copy and the plain services without a
+	// backend server.
 	Models []laburnumlever.ModelName
-	// Revision is the catalogue's on the VM that was asked.
+	// Revision is the catalogue revision on the VM that was polled.
 	Revision uint64
 	Cause    error
 }
--- a/laburnumfleet/fleet.go
+++ b/laburnumfleet/fleet.go
@@ -19,7 +19,8 @@
 const (
 	anyLoopbackPort   = "127.0.0.1:0"
 	headerReadTimeout = 10 * time.Second
-	// shutdownGrace is longer than the load tool's balancer takes to notice, 0.9 s.
+	// shutdownGrace exceeds the 0.9 s within which the load tool's balancer detects
+	// that a VM is not ready.
 	shutdownGrace = 1500 * time.Millisecond
 	shutdownLimit = 30 * time.Second
 )
@@ -43,7 +44,7 @@
 type fleetVM struct {
 	spec VMSpec
 	node *laburnumnode.Node
-	// ended tells that the VM was ended by an action.
+	// ended is true if an experiment's event killed or stopped the VM.
 	ended bool
 }
 
@@ -55,7 +56,7 @@
 	standIn standIn
 }
 
-// standIn is what stand-in engines and plain services have in common.
+// standIn is the interface that stand-in engines and plain services share.
 type standIn interface {
 	http.Handler
 	Start()
@@ -63,20 +64,21 @@
 	Close()
 }
 
-// Option changes a Fleet before it starts.
+// Option configures a Fleet before it starts.
 type Option func(*Fleet)
 
-// WithLogger sets where the VMs log.
+// WithLogger sets the VMs' logger; the default discards all log lines.
 func WithLogger(logger log.Logger) Option {
 	return func(f *Fleet) { f.logger = logger }
 }
 
-// WithCallers sets the callers address of the first VM; all others take free ports.
+// WithCallersAddress sets the callers address of the first VM; all other listeners use
+// free ports.
 func WithCallers(address string) Option {
 	return func(f *Fleet) { f.callersAddress = address }
 }
 
-// Start runs the fleet; it returns once all listeners take connections. Errors:
+// Start starts the fleet and returns once all listeners accept connections. Errors:
 // *StartError.
 func Start(ctx context.Context, spec Spec, catalogue laburnumlever.Catalogue, opts ...Option) (*Fleet, error) {
 	f := &Fleet{spec: spec, catalogue: catalogue, logger: log.NewNopLogger(), callersAddress: anyLoopbackPort}
@@ -166,7 +168,7 @@
 	return ln.Addr().String(), nil
 }
 
-// Close ends everything at once and removes the data folders.
+// Close ends all parts of the fleet at once and removes the data folders.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -186,12 +188,12 @@
 	_ = os.RemoveAll(f.dataFolder)
 }
 
-// Operators are the operators addresses of the VMs that run.
+// OperatorsAddresses lists the operators addresses of the running VMs.
 func (f *Fleet) Operators() []string {
 	return f.addresses(func(listen laburnumsettings.Listen) string { return listen.Operators })
 }
 
-// Callers are the callers addresses of the VMs that run.
+// CallersAddresses lists the callers addresses of the running VMs.
 func (f *Fleet) Callers() []string {
 	return f.addresses(func(listen laburnumsettings.Listen) string { return listen.Callers })
 }
--- a/laburnumfleet/fleet_test.go
+++ b/laburnumfleet/fleet_test.go
@@ -13,9 +13,9 @@
 	"laburnumlever/laburnumload"
 )
 
-// The sample fleets and experiments must stay runnable together: every model,
-// service and zone that they name is in the catalogue, and every name of an event is
-// in the fleet.
+// Guards against example experiments that the example fleets can't run: every model
+// and service that an experiment names, and every engine's zone, must be in the
+// catalogue.
 func TestExampleFleetsMatchCataloguesAndExperiments(t *testing.T) {
 	for name, engines := range map[string]int{"armor-pose": 20, "kvooditalitus": 10} {
 		t.Run(name, func(t *testing.T) {
@@ -49,9 +49,9 @@
 	}
 }
 
-// A VM is told to stop during a burst. Callers of the others and of the VM itself
-// must get whole answers or refusals: a graceful end cuts nothing off, and a
-// booking that is sent again through the other VM runs once.
+// Guards against a graceful shutdown that cuts answers off. A VM is stopped during a
+// burst: every caller must get a whole answer or a refusal, and a booking that is
+// resent through the other VM must run once.
 func TestDrainDuringBurstLosesNoAnswers(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
--- a/laburnumfleet/links.go
+++ b/laburnumfleet/links.go
@@ -9,12 +9,12 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// linkIPFormat are the loopback addresses that VMs listen on behind their links, one for
-// each VM: a link knows by it which VM a connection comes from. Systems other
-// than Linux have only 127.0.0.1, so links are made only where they are asked for.
+// linkIPFormat makes the loopback address on which a VM listens behind its link. Each
+// VM has its own, by which links recognize which VM a connection comes from. Systems
+// other than Linux have only 127.0.0.1, so links are made only with WithLinks.
 const linkIPFormat = "127.0.1.%d"
 
-// vmLink stands in front of the peers listener of one VM.
+// vmLink is the link in front of the peers listener of one VM.
 type vmLink struct {
 	link     *laburnumstandin.Link
 	listener net.Listener
@@ -22,12 +22,13 @@
 }
 
 // WithLinks puts a link in front of each VM's peers listener, so that zones can be
-// cut off; it needs a system where all of 127.0.0.0/8 is local.
+// cut off. It needs a system on which all of 127.0.0.0/8 is local, such as Linux.
 func WithLinks() Option {
 	return func(f *Fleet) { f.withLinks = true }
 }
 
-// peerAddresses are, for each VM, what it listens on and what others are told.
+// peerAddresses returns, for each VM, the address it listens on and the address it
+// advertises to the others. With links, the advertised address is the link's.
 func (f *Fleet) peerAddresses(ctx context.Context) (listen, advertised []string, err error) {
 	advertised, err = ReservePorts(ctx, len(f.spec.VMs))
 	if err != nil || !f.withLinks {
@@ -66,8 +67,8 @@
 	}
 }
 
-// cutZone freezes the links between the zone's VMs and all others, both ways; mode
-// open heals them.
+// cutZone sets the mode of the links between the zone's VMs and all others, in both
+// directions: LinkFrozen cuts the zone off, LinkOpen heals it.
 func (f *Fleet) cutZone(zone laburnumlever.ZoneName, mode laburnumstandin.LinkMode) error {
 	if len(f.links) == 0 {
 		return &laburnumlever.InvalidValueError{Name: "action", Value: "cut-zone", Want: "a fleet with links"}
--- a/laburnumfleet/ports.go
+++ b/laburnumfleet/ports.go
@@ -7,19 +7,19 @@
 	"strconv"
 )
 
-// Peer addresses must be known before any VM runs, so their ports are chosen and
-// freed again, and only then listened on. Between the two, a port that the system
-// gives to any outgoing connection could be taken: the VM would then fail to start
-// with "address already in use". The range lies below the one that Linux and macOS
-// give to connections (from 32768 and 49152), so only another fleet's draw can clash.
+// Peer addresses must be known before any VM runs, so their ports are reserved, freed
+// and then listened on again. An outgoing connection could take an ephemeral port in
+// between, and the VM would fail to start with "address already in use". The range
+// therefore lies below the ephemeral ports of Linux (from 32768) and macOS (from
+// 49152), so that only another fleet that picks the same port can collide.
 const (
 	minPort = 20000
 	maxPort = 32000
-	// portTries is how many draws may be taken before a port is given up.
+	// portTries is the maximum number of random ports tried for one address.
 	portTries = 100
 )
 
-// ReservePorts draws so many different free addresses on loopback. Errors:
+// ReservePorts picks count different free addresses on loopback at random. Errors:
 // *StartError.
 func ReservePorts(ctx context.Context, count int) ([]string, error) {
 	addresses := make([]string, count)
@@ -28,7 +28,7 @@
 		if err != nil {
 			return nil, err
 		}
-		// All stay open until the last is found, so that no two are the same.
+		// All listeners stay open until the last port is found, so that no two are the same.
 		defer func() { _ = ln.Close() }()
 		addresses[i] = ln.Addr().String()
 	}
--- a/laburnumfleet/retry.go
+++ b/laburnumfleet/retry.go
@@ -6,8 +6,8 @@
 	"laburnumlever"
 )
 
-// isTransient tells whether an error of an apply passes by itself while a fleet
-// starts: no leader yet, not all engines announced, or an answer that was lost.
+// isTransient reports whether an error of an apply is transient while a fleet starts:
+// no leader yet, not all engines announced, or a lost answer.
 func isTransient(err error) bool {
 	var (
 		noQuorum *laburnumlever.NoQuorumError
--- a/laburnumfleet/slowhandler.go
+++ b/laburnumfleet/slowhandler.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// slowHandler makes a backend server slower by a factor while it works, as one with
-// a failing fan or a noisy neighbour is.
+// slowHandler slows a backend server down by a factor that can be changed while it
+// runs. It simulates a failing fan or a noisy neighbour.
 type slowHandler struct {
 	next http.Handler
-	// factor is held in hundredths, so that it can be atomic.
+	// factor is in hundredths, so that it fits an atomic integer.
 	factor atomic.Int64
 }
 
@@ -24,7 +24,7 @@
 
 func (h *slowHandler) set(factor float64) { h.factor.Store(int64(factor * factorScale)) }
 
-// ServeHTTP passes the request on.
+// ServeHTTP serves the request with the next handler, slowed down by the factor.
 func (h *slowHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if h.factor.Load() <= factorScale {
 		h.next.ServeHTTP(w, r)
@@ -33,7 +33,7 @@
 	h.next.ServeHTTP(&slowWriter{ResponseWriter: w, handler: h, last: time.Now(), done: r.Context().Done()}, r)
 }
 
-// slowWriter draws out the time between two writes by the factor.
+// slowWriter multiplies the time between two writes by the factor.
 type slowWriter struct {
 	http.ResponseWriter
 	handler *slowHandler
@@ -41,7 +41,7 @@
 	done    <-chan struct{}
 }
 
-// Write waits as many times as long as the handler took, less the once it took.
+// Write waits factor-1 times the time since the last write, then writes.
 func (w *slowWriter) Write(p []byte) (int, error) {
 	factor := float64(w.handler.factor.Load()) / factorScale
 	wait := time.NewTimer(time.Duration(float64(time.Since(w.last)) * (factor - 1)))
--- a/laburnumfleet/spec.go
+++ b/laburnumfleet/spec.go
@@ -7,15 +7,15 @@
 	"laburnumlever/laburnumsettings"
 )
 
-// Spec says what a fleet consists of.
+// Spec is the content of a fleet file: the VMs and backend servers of a fleet.
 type Spec struct {
-	// Catalogue is a file or directory, relative to the fleet file.
+	// Catalogue is the path of a file or directory, relative to the fleet file.
 	Catalogue string        `json:"catalogue" required:"true"`
 	VMs       []VMSpec      `json:"vms" required:"true"`
 	Engines   []EngineSpec  `json:"engines"`
 	Services  []ServiceSpec `json:"services"`
-	// LoadTime is how long one load of weights takes; the store's rate and parallel
-	// loads are the catalogue's.
+	// LoadTime is how long the weight store takes for one load; its limits on the rate
+	// and on parallel loads come from the catalogue.
 	LoadTime laburnumlever.Duration `json:"load-time"`
 }
 
@@ -24,17 +24,17 @@
 	VM     laburnumlever.VMID       `json:"vm" required:"true"`
 	Zone   laburnumlever.ZoneName   `json:"zone" required:"true"`
 	Region laburnumlever.RegionName `json:"region"`
-	// Disk gives it a data folder and a vote.
+	// Disk gives the VM a data folder and makes it a voter.
 	Disk bool `json:"disk"`
 }
 
-// EngineSpec is some engines of one kind in one availability zone.
+// EngineSpec is a group of identical engines in one availability zone.
 type EngineSpec struct {
-	// Name is the id's start; the engines are numbered from 1.
+	// Name is the prefix of the engines' ids, which are numbered from 1.
 	Name  string                 `json:"name" required:"true"`
 	Zone  laburnumlever.ZoneName `json:"zone" required:"true"`
 	Count int                    `json:"count" required:"true"`
-	// AcceleratorsMiB is the memory of each accelerator of one engine.
+	// AcceleratorsMiB is the memory in MiB of each accelerator of one engine.
 	AcceleratorsMiB        []int   `json:"accelerators-mib" required:"true"`
 	Slots                  int     `json:"slots" required:"true"`
 	PrefillTokensPerSecond float64 `json:"prefill-tokens-per-second" required:"true"`
@@ -43,7 +43,7 @@
 	CanResume              bool    `json:"can-resume"`
 }
 
-// ServiceSpec is some plain services of one kind in one availability zone.
+// ServiceSpec is a group of identical plain services in one availability zone.
 type ServiceSpec struct {
 	Service  laburnumlever.ServiceName `json:"service" required:"true"`
 	Zone     laburnumlever.ZoneName    `json:"zone" required:"true"`
@@ -52,7 +52,7 @@
 	CallTime laburnumlever.Duration    `json:"call-time"`
 }
 
-// Load reads a fleet file and the catalogue that it names. Errors:
+// Load reads a fleet file and the catalogue it names. Errors:
 // *SpecInvalidError, *laburnumlever.CatalogueInvalidError.
 func Load(path string) (Spec, laburnumlever.Catalogue, error) {
 	var spec Spec
@@ -63,8 +63,8 @@
 	return spec, catalogue, err
 }
 
-// registriesOf are the VMs that a backend server in the zone announces itself to:
-// its own zone's, or all where the zone has none.
+// registriesOf returns the VMs to which a backend server in the zone announces itself:
+// the zone's own VMs, or all VMs if the zone has none.
 func (s Spec) registriesOf(zone laburnumlever.ZoneName) []laburnumlever.VMID {
 	var own, all []laburnumlever.VMID
 	for _, vm := range s.VMs {
