--- a/laburnumload/balancer.go
+++ b/laburnumload/balancer.go
@@ -45,19 +45,19 @@
 	return b.vms[b.next%len(b.vms)]
 }
 
-func (b *balancer) set(vm string, ready bool) {
+func (b *balancer) setReady(vm string, ready bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ready[vm] = ready
 }
 
-// ask asks all VMs at once; each answer counts as soon as it is there.
-func (b *balancer) ask(ctx context.Context, client *http.Client) {
+// probe asks all VMs at once; each answer counts as soon as it is there.
+func (b *balancer) probe(ctx context.Context, client *http.Client) {
 	for _, vm := range b.vms {
 		go func() {
 			limited, cancel := context.WithTimeout(ctx, balancerTimeout)
 			defer cancel()
-			b.set(vm, isReady(limited, client, vm))
+			b.setReady(vm, isReady(limited, client, vm))
 		}()
 	}
 }
--- a/laburnumload/caller.go
+++ b/laburnumload/caller.go
@@ -23,11 +23,11 @@
 	headerOutcome    = "Laburnumlever-Outcome"
 	headerRetryAfter = "Retry-After"
 
-	eventData  = "data: "
-	endMarker  = "[DONE]"
-	maxEvent   = 1 << 20
-	idleConns  = 512
-	bearerText = "Bearer "
+	eventData    = "data: "
+	endMarker    = "[DONE]"
+	maxEvent     = 1 << 20
+	idleConns    = 512
+	bearerPrefix = "Bearer "
 )
 
 // Caller sends requests as callers do and measures the answers. It is safe for use
@@ -35,7 +35,7 @@
 type Caller struct {
 	client *http.Client
 	timers laburnumlever.Timers
-	run    string
+	runID  string
 }
 
 // NewCaller returns a caller on the machine's clock that makes its own request ids.
@@ -43,12 +43,12 @@
 
 func newCaller(timers laburnumlever.Timers, run string) *Caller {
 	transport := &http.Transport{MaxIdleConns: idleConns, MaxIdleConnsPerHost: idleConns, DisableCompression: true}
-	return &Caller{client: &http.Client{Transport: transport}, timers: timers, run: run}
+	return &Caller{client: &http.Client{Transport: transport}, timers: timers, runID: run}
 }
 
 // requestID is the id that the caller gives a request; each send has its own.
 func (c *Caller) requestID(a Arrival) string {
-	return fmt.Sprintf("%s-%d", c.run, a.Number)
+	return fmt.Sprintf("%s-%d", c.runID, a.Number)
 }
 
 // Send sends a request to a VM's callers address and reads the whole answer.
@@ -60,7 +60,7 @@
 	start := c.timers.Now()
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return lost(err)
+		return lostAnswer(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	answer := Answer{
@@ -80,8 +80,8 @@
 	return answer
 }
 
-// lost is a request without an answer. Only a failed dial surely sent nothing.
-func lost(err error) Answer {
+// lostAnswer is a request without an answer. Only a failed dial surely sent nothing.
+func lostAnswer(err error) Answer {
 	var op *net.OpError
 	return Answer{Lost: errors.UnwrapAll(err).Error(), NotSent: errors.As(err, &op) && op.Op == "dial"}
 }
@@ -131,8 +131,8 @@
 		return nil, err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("Authorization", bearerText+a.Caller)
-	if c.run != "" {
+	req.Header.Set("Authorization", bearerPrefix+a.Caller)
+	if c.runID != "" {
 		req.Header.Set(headerRequest, c.requestID(a))
 	}
 	if a.Key != "" {
@@ -155,7 +155,7 @@
 	if err := json.Unmarshal(text, &parsed); err != nil {
 		return nil //nolint:nilerr // A body that is no JSON is judged by its text.
 	}
-	answer.take(parsed.Error)
+	answer.setRefusal(parsed.Error)
 	if a.Service == "" && len(parsed.Choices) > 0 {
 		answer.Text = parsed.Choices[0].Message.Content
 	}
@@ -181,13 +181,13 @@
 		if err := json.Unmarshal([]byte(data), &event); err != nil {
 			return err
 		}
-		answer.take(event.Error)
+		answer.setRefusal(event.Error)
 		token := event.token()
 		if token == "" {
 			continue
 		}
 		now := c.timers.Now()
-		answer.measure(start, last, now)
+		answer.recordToken(start, last, now)
 		last = now
 		text.WriteString(token)
 	}
@@ -201,7 +201,7 @@
 	return a.Choices[0].Delta.Content
 }
 
-func (a *Answer) take(refusal *refusalBody) {
+func (a *Answer) setRefusal(refusal *refusalBody) {
 	if refusal == nil {
 		return
 	}
@@ -209,7 +209,7 @@
 	a.Outcome = refusal.Outcome
 }
 
-func (a *Answer) measure(start, last, now time.Time) {
+func (a *Answer) recordToken(start, last, now time.Time) {
 	if last.Equal(start) {
 		a.FirstToken = now.Sub(start)
 		return
--- a/laburnumload/compare.go
+++ b/laburnumload/compare.go
@@ -25,43 +25,43 @@
 // Compare puts two reports side by side.
 func Compare(a, b Report) Comparison {
 	c := Comparison{A: a.Experiment, B: b.Experiment}
-	c.number("sent", float64(a.Sent), float64(b.Sent))
-	c.number("whole", float64(a.Whole), float64(b.Whole))
-	c.number("refused", float64(a.Refused), float64(b.Refused))
-	c.number("lost", float64(a.Lost), float64(b.Lost))
-	c.number("attained", float64(a.Attained), float64(b.Attained))
-	c.number("attained-per-second-per-accelerator", a.PerAccelerator, b.PerAccelerator)
-	c.number("moves", float64(a.Moves), float64(b.Moves))
-	c.time("first-token p50", time.Duration(a.FirstToken.P50), time.Duration(b.FirstToken.P50))
-	c.time("first-token p95", time.Duration(a.FirstToken.P95), time.Duration(b.FirstToken.P95))
-	c.time("between-tokens p95", time.Duration(a.BetweenTokens.P95), time.Duration(b.BetweenTokens.P95))
+	c.addNumber("sent", float64(a.Sent), float64(b.Sent))
+	c.addNumber("whole", float64(a.Whole), float64(b.Whole))
+	c.addNumber("refused", float64(a.Refused), float64(b.Refused))
+	c.addNumber("lost", float64(a.Lost), float64(b.Lost))
+	c.addNumber("attained", float64(a.Attained), float64(b.Attained))
+	c.addNumber("attained-per-second-per-accelerator", a.PerAccelerator, b.PerAccelerator)
+	c.addNumber("moves", float64(a.Moves), float64(b.Moves))
+	c.addTime("first-token p50", time.Duration(a.FirstToken.P50), time.Duration(b.FirstToken.P50))
+	c.addTime("first-token p95", time.Duration(a.FirstToken.P95), time.Duration(b.FirstToken.P95))
+	c.addTime("between-tokens p95", time.Duration(a.BetweenTokens.P95), time.Duration(b.BetweenTokens.P95))
 	for _, group := range a.Classes {
-		c.group("class", group, b.Classes)
+		c.addGroup("class", group, b.Classes)
 	}
 	for _, group := range a.Owners {
-		c.group("owner", group, b.Owners)
+		c.addGroup("owner", group, b.Owners)
 	}
-	c.number("broken promises", float64(len(a.Broken)), float64(len(b.Broken)))
+	c.addNumber("broken promises", float64(len(a.Broken)), float64(len(b.Broken)))
 	return c
 }
 
-func (c *Comparison) group(kind string, a Group, others []Group) {
+func (c *Comparison) addGroup(kind string, a Group, others []Group) {
 	for _, b := range others {
 		if b.Name == a.Name {
-			c.number(kind+" "+a.Name+" attainment", a.Attainment, b.Attainment)
+			c.addNumber(kind+" "+a.Name+" attainment", a.Attainment, b.Attainment)
 		}
 	}
 }
 
-func (c *Comparison) number(measure string, a, b float64) {
-	c.Rows = append(c.Rows, Row{Measure: measure, A: fmt.Sprintf("%.4g", a), B: fmt.Sprintf("%.4g", b), Change: change(a, b)})
+func (c *Comparison) addNumber(measure string, a, b float64) {
+	c.Rows = append(c.Rows, Row{Measure: measure, A: fmt.Sprintf("%.4g", a), B: fmt.Sprintf("%.4g", b), Change: percentChange(a, b)})
 }
 
-func (c *Comparison) time(measure string, a, b time.Duration) {
-	c.Rows = append(c.Rows, Row{Measure: measure, A: a.String(), B: b.String(), Change: change(float64(a), float64(b))})
+func (c *Comparison) addTime(measure string, a, b time.Duration) {
+	c.Rows = append(c.Rows, Row{Measure: measure, A: a.String(), B: b.String(), Change: percentChange(float64(a), float64(b))})
 }
 
-func change(a, b float64) string {
+func percentChange(a, b float64) string {
 	if a == 0 {
 		return ""
 	}
--- a/laburnumload/plan.go
+++ b/laburnumload/plan.go
@@ -15,13 +15,13 @@
 const (
 	// seedStream separates the plan's random numbers from others of the seed.
 	seedStream = 0x6c6f6164
-	// wordBytes is the usual length of a token of prompt.
-	wordBytes        = 4
-	defaultCallers   = 20
-	defaultMaxTokens = 16
-	defaultPrompt    = 32
-	// resendAfter is how long a caller waits before it sends a call again.
-	resendAfter = 20 * time.Millisecond
+	// bytesPerToken is the usual length of a token of prompt.
+	bytesPerToken       = 4
+	defaultCallers      = 20
+	defaultMaxTokens    = 16
+	defaultPromptTokens = 32
+	// resendDelay is how long a caller waits before it sends a call again.
+	resendDelay = 20 * time.Millisecond
 )
 
 // Arrival is one request of a plan.
@@ -48,11 +48,11 @@
 // Plan makes the arrivals of an experiment, in order. The same experiment gives
 // the same plan; run makes keys differ from run to run, as a key is used once.
 func Plan(e Experiment, run string) []Arrival {
-	p := &planner{experiment: e, run: run, rng: rand.New(rand.NewPCG(e.Seed, seedStream))}
+	p := &planner{experiment: e, runID: run, rng: rand.New(rand.NewPCG(e.Seed, seedStream))}
 	if len(e.Trace) > 0 {
-		p.trace()
+		p.planTrace()
 	} else {
-		p.phases()
+		p.planPhases()
 	}
 	slices.SortStableFunc(p.arrivals, func(a, b Arrival) int { return int(a.At - b.At) })
 	for i := range p.arrivals {
@@ -63,20 +63,20 @@
 
 type planner struct {
 	experiment Experiment
-	run        string
+	runID      string
 	rng        *rand.Rand
 	arrivals   []Arrival
 	count      int
 }
 
-func (p *planner) trace() {
+func (p *planner) planTrace() {
 	for _, recorded := range p.experiment.Trace {
 		i := slices.IndexFunc(p.experiment.Mix, func(e Entry) bool { return e.Name == recorded.Entry })
-		p.add(time.Duration(recorded.At), p.experiment.Mix[i])
+		p.addArrival(time.Duration(recorded.At), p.experiment.Mix[i])
 	}
 }
 
-func (p *planner) phases() {
+func (p *planner) planPhases() {
 	var start time.Duration
 	for _, phase := range p.experiment.Phases {
 		entries := p.entriesOf(phase)
@@ -85,7 +85,7 @@
 			weights[i] = entry.Share
 		}
 		for _, at := range arrivalTimes(phase, p.rng) {
-			p.add(start+at, entries[p.pick(weights)])
+			p.addArrival(start+at, entries[p.pickWeighted(weights)])
 		}
 		start += time.Duration(phase.For)
 	}
@@ -103,12 +103,12 @@
 	return entries
 }
 
-func (p *planner) add(at time.Duration, entry Entry) {
+func (p *planner) addArrival(at time.Duration, entry Entry) {
 	p.count++
-	caller := p.pick(zipf(orDefault(entry.Callers, defaultCallers), entry.CallerSkew))
+	caller := p.pickWeighted(zipf(orDefault(entry.Callers, defaultCallers), entry.CallerSkew))
 	arrival := Arrival{At: at, Entry: entry.Name, Caller: fmt.Sprintf("%s-%d", entry.Name, caller)}
 	if entry.Service == "" {
-		p.fillModel(&arrival, entry)
+		p.setModelRequest(&arrival, entry)
 		p.arrivals = append(p.arrivals, arrival)
 		return
 	}
@@ -118,42 +118,42 @@
 	}
 	arrival.Prompt = fmt.Sprintf("call %d of %s", p.count, arrival.Caller)
 	if entry.Keyed {
-		arrival.Key = fmt.Sprintf("%s-%s-%d", p.run, entry.Name, p.count)
+		arrival.Key = fmt.Sprintf("%s-%s-%d", p.runID, entry.Name, p.count)
 	}
 	p.arrivals = append(p.arrivals, arrival)
 	if entry.Keyed && p.rng.Float64() < entry.Resend {
-		arrival.At += resendAfter
+		arrival.At += resendDelay
 		arrival.Resend = true
 		p.arrivals = append(p.arrivals, arrival)
 	}
 }
 
-func (p *planner) fillModel(arrival *Arrival, entry Entry) {
-	arrival.Model = entry.Models[p.pick(zipf(len(entry.Models), entry.ModelSkew))]
-	arrival.MaxTokens = p.draw(entry.MaxTokens, defaultMaxTokens)
+func (p *planner) setModelRequest(arrival *Arrival, entry Entry) {
+	arrival.Model = entry.Models[p.pickWeighted(zipf(len(entry.Models), entry.ModelSkew))]
+	arrival.MaxTokens = p.drawRange(entry.MaxTokens, defaultMaxTokens)
 	arrival.Stream = entry.Stream
-	prefix := filler("context of "+arrival.Caller+" ", entry.PrefixTokens)
-	body := filler(fmt.Sprintf("request %d of %s ", p.count, arrival.Caller), p.draw(entry.PromptTokens, defaultPrompt))
+	prefix := promptText("context of "+arrival.Caller+" ", entry.PrefixTokens)
+	body := promptText(fmt.Sprintf("request %d of %s ", p.count, arrival.Caller), p.drawRange(entry.PromptTokens, defaultPromptTokens))
 	arrival.Prompt = prefix + body
 }
 
-// filler repeats the text to about so many tokens.
-func filler(text string, tokens int) string {
+// promptText repeats the text to about so many tokens.
+func promptText(text string, tokens int) string {
 	if tokens <= 0 {
 		return ""
 	}
-	return strings.Repeat(text, max(1, tokens*wordBytes/len(text)))
+	return strings.Repeat(text, max(1, tokens*bytesPerToken/len(text)))
 }
 
-func (p *planner) draw(r Range, fallback int) int {
+func (p *planner) drawRange(r Range, fallback int) int {
 	if r.Most <= 0 {
 		return fallback
 	}
 	return r.Least + p.rng.IntN(max(1, r.Most-r.Least+1))
 }
 
-// pick draws an index by weight.
-func (p *planner) pick(weights []float64) int {
+// pickWeighted draws an index by weight.
+func (p *planner) pickWeighted(weights []float64) int {
 	total := 0.0
 	for _, weight := range weights {
 		total += weight
--- a/laburnumload/plan_test.go
+++ b/laburnumload/plan_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestPlanMixesAsAsked(t *testing.T) {
+func TestPlanFollowsMixAndSkew(t *testing.T) {
 	rush := laburnumload.Phase{For: seconds(100), RequestsPerSecond: 20, Shares: []laburnumload.Share{{Entry: "quotes", Share: 1}}}
 	plan := laburnumload.Plan(experiment(laburnumload.Phase{For: seconds(100), RequestsPerSecond: 20}, rush), "run")
 	var calm, rushed, hot, quotes, firstCaller, resends int
--- a/laburnumload/plot.go
+++ b/laburnumload/plot.go
@@ -20,8 +20,8 @@
 	value        func(Second) int
 }
 
-// plotted are the lines of a plot; their colours differ in lightness too.
-var plotted = []series{
+// plotSeries are the lines of a plot; their colours differ in lightness too.
+var plotSeries = []series{
 	{"sent", "#888888", func(s Second) int { return s.Sent }},
 	{"whole", "#1f77b4", func(s Second) int { return s.Whole }},
 	{"attained", "#2ca02c", func(s Second) int { return s.Attained }},
@@ -35,9 +35,9 @@
 	t.line(`<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="12">`, plotWidth, plotHeight)
 	t.line(`<rect width="100%%" height="100%%" fill="white"/>`)
 	t.line(`<text x="%d" y="20">%s: requests a second</text>`, plotMargin, r.Experiment)
-	most := r.most()
+	most := r.maxSent()
 	r.axes(t, most)
-	for i, s := range plotted {
+	for i, s := range plotSeries {
 		t.line(`<polyline fill="none" stroke="%s" stroke-width="1.5" points="%s"/>`, s.colour, r.points(s, most))
 		t.line(`<text x="%d" y="%d" fill="%s">%s</text>`, plotWidth-2*plotMargin, plotMargin+i*16, s.colour, s.name)
 	}
@@ -45,7 +45,7 @@
 	return t.err
 }
 
-func (r Report) most() int {
+func (r Report) maxSent() int {
 	most := 1
 	for _, second := range r.Seconds {
 		most = max(most, second.Sent)
--- a/laburnumload/report_test.go
+++ b/laburnumload/report_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestReportTellsBrokenPromises(t *testing.T) {
+func TestReportListsBrokenPromises(t *testing.T) {
 	var text strings.Builder
 	require.NoError(t, sample().WriteText(&text))
 	for _, line := range []string{
--- a/laburnumload/results.go
+++ b/laburnumload/results.go
@@ -13,7 +13,7 @@
 
 const (
 	// The histograms count microseconds up to ten minutes, three digits exact.
-	histogramMost   = int64(10 * time.Minute / time.Microsecond)
+	maxMicroseconds = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3
 	// maxBroken bounds the list of broken promises in a report.
 	maxBroken = 50
@@ -23,37 +23,37 @@
 
 // results gathers the answers of a run. It is not safe for use by many goroutines.
 type results struct {
-	catalogue laburnumlever.Catalogue
-	report    Report
-	classes   []*groupResults
-	owners    []*groupResults
-	first     *hdrhistogram.Histogram
-	between   *hdrhistogram.Histogram
-	refusals  []Count
-	told      []Told
+	catalogue     laburnumlever.Catalogue
+	report        Report
+	classes       []*groupResults
+	owners        []*groupResults
+	firstToken    *hdrhistogram.Histogram
+	betweenTokens *hdrhistogram.Histogram
+	refusals      []Count
+	calls         []Told
 }
 
 type groupResults struct {
-	group Group
-	first *hdrhistogram.Histogram
+	group      Group
+	firstToken *hdrhistogram.Histogram
 }
 
 func newResults(e Experiment, catalogue laburnumlever.Catalogue) *results {
 	return &results{
-		catalogue: catalogue,
-		report:    Report{Experiment: e.Name, Duration: laburnumlever.Duration(e.Duration()), Broken: []string{}},
-		first:     newHistogram(),
-		between:   newHistogram(),
+		catalogue:     catalogue,
+		report:        Report{Experiment: e.Name, Duration: laburnumlever.Duration(e.Duration()), Broken: []string{}},
+		firstToken:    newHistogram(),
+		betweenTokens: newHistogram(),
 	}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, histogramMost, histogramDigits)
+	return hdrhistogram.New(1, maxMicroseconds, histogramDigits)
 }
 
-// record keeps a time; one beyond the histogram's range counts as its most.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(1, d.Microseconds()), histogramMost))
+// recordTime keeps a time; one beyond the histogram's range counts as its most.
+func recordTime(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(1, d.Microseconds()), maxMicroseconds))
 }
 
 func latencyOf(h *hdrhistogram.Histogram) Latency {
@@ -66,20 +66,20 @@
 	}
 }
 
-// add takes one answer in.
-func (r *results) add(a Arrival, id string, got Answer) {
+// addAnswer takes one answer in.
+func (r *results) addAnswer(a Arrival, id string, got Answer) {
 	v := Judge(a, got)
-	owner, class := r.entryOf(a)
+	owner, class := r.ownerAndClass(a)
 	attained := v.Whole && !a.Resend && Attained(class, got)
-	second := r.second(a.At)
+	second := r.secondAt(a.At)
 	second.Sent++
 	r.report.Sent++
-	groups := r.groupsOf(a, owner, class.Name)
+	groups := r.countSent(a, owner, class.Name)
 	switch {
 	case v.Broken != "":
-		r.broken(fmt.Sprintf("request %s: %s (status %d)", id, v.Broken, got.Status))
+		r.addBroken(fmt.Sprintf("request %s: %s (status %d)", id, v.Broken, got.Status))
 	case v.Whole:
-		r.whole(groups, second, got, attained)
+		r.addWhole(groups, second, got, attained)
 	case v.Lost:
 		r.report.Lost++
 		second.Lost++
@@ -87,36 +87,36 @@
 	if v.Refused != "" {
 		r.report.Refused++
 		second.Refused++
-		r.refused(v.Refused)
+		r.countRefusal(v.Refused)
 	}
 	if a.Service != "" && a.Method != http.MethodGet {
-		r.told = append(r.told, Told{Key: idOf(a.Key, id), Answered: v.Whole, Outcome: got.Outcome, NotSent: got.NotSent})
+		r.calls = append(r.calls, Told{Key: callID(a.Key, id), Answered: v.Whole, Outcome: got.Outcome, NotSent: got.NotSent})
 	}
 }
 
-// groupsOf counts the request with its class and owner. A resend counts with
+// countSent counts the request with its class and owner. A resend counts with
 // neither: it only checks that a call runs once, and its caller has an answer already.
-func (r *results) groupsOf(a Arrival, owner laburnumlever.OwnerName, class laburnumlever.ClassName) []*groupResults {
+func (r *results) countSent(a Arrival, owner laburnumlever.OwnerName, class laburnumlever.ClassName) []*groupResults {
 	if a.Resend {
 		return nil
 	}
-	groups := []*groupResults{group(&r.classes, string(class)), group(&r.owners, string(owner))}
+	groups := []*groupResults{findGroup(&r.classes, string(class)), findGroup(&r.owners, string(owner))}
 	for _, g := range groups {
 		g.group.Sent++
 	}
 	return groups
 }
 
-func (r *results) whole(groups []*groupResults, second *Second, got Answer, attained bool) {
+func (r *results) addWhole(groups []*groupResults, second *Second, got Answer, attained bool) {
 	r.report.Whole++
 	second.Whole++
-	record(r.first, got.FirstToken)
+	recordTime(r.firstToken, got.FirstToken)
 	for _, gap := range got.Gaps {
-		record(r.between, gap)
+		recordTime(r.betweenTokens, gap)
 	}
 	for _, g := range groups {
 		g.group.Whole++
-		record(g.first, got.FirstToken)
+		recordTime(g.firstToken, got.FirstToken)
 	}
 	if !attained {
 		return
@@ -128,7 +128,7 @@
 	}
 }
 
-func (r *results) entryOf(a Arrival) (laburnumlever.OwnerName, laburnumlever.Class) {
+func (r *results) ownerAndClass(a Arrival) (laburnumlever.OwnerName, laburnumlever.Class) {
 	if a.Service != "" {
 		service, _ := r.catalogue.Service(a.Service)
 		class, _ := r.catalogue.Class(service.Class)
@@ -139,7 +139,7 @@
 	return model.Owner, class
 }
 
-func (r *results) second(at time.Duration) *Second {
+func (r *results) secondAt(at time.Duration) *Second {
 	i := int(at / time.Second)
 	for len(r.report.Seconds) <= i {
 		r.report.Seconds = append(r.report.Seconds, Second{})
@@ -147,17 +147,17 @@
 	return &r.report.Seconds[i]
 }
 
-func group(groups *[]*groupResults, name string) *groupResults {
+func findGroup(groups *[]*groupResults, name string) *groupResults {
 	i := slices.IndexFunc(*groups, func(g *groupResults) bool { return g.group.Name == name })
 	if i >= 0 {
 		return (*groups)[i]
 	}
-	g := &groupResults{group: Group{Name: name}, first: newHistogram()}
+	g := &groupResults{group: Group{Name: name}, firstToken: newHistogram()}
 	*groups = append(*groups, g)
 	return g
 }
 
-func (r *results) refused(reason string) {
+func (r *results) countRefusal(reason string) {
 	i := slices.IndexFunc(r.refusals, func(c Count) bool { return c.Name == reason })
 	if i < 0 {
 		r.refusals = append(r.refusals, Count{Name: reason})
@@ -166,7 +166,7 @@
 	r.refusals[i].Count++
 }
 
-func (r *results) broken(what string) {
+func (r *results) addBroken(what string) {
 	if len(r.report.Broken) < maxBroken {
 		r.report.Broken = append(r.report.Broken, what)
 	}
@@ -175,8 +175,8 @@
 // finish makes the report. Accelerators and moves are the system's own account.
 func (r *results) finish(accelerators int, moves uint64) Report {
 	report := r.report
-	report.FirstToken = latencyOf(r.first)
-	report.BetweenTokens = latencyOf(r.between)
+	report.FirstToken = latencyOf(r.firstToken)
+	report.BetweenTokens = latencyOf(r.betweenTokens)
 	report.Classes = finishGroups(r.classes)
 	report.Owners = finishGroups(r.owners)
 	sortCounts(r.refusals)
@@ -193,7 +193,7 @@
 func finishGroups(groups []*groupResults) []Group {
 	finished := make([]Group, len(groups))
 	for i, g := range groups {
-		g.group.finish(latencyOf(g.first))
+		g.group.finish(latencyOf(g.firstToken))
 		finished[i] = g.group
 	}
 	slices.SortFunc(finished, func(a, b Group) int {
--- a/laburnumload/runner.go
+++ b/laburnumload/runner.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// lateSend is how late the tool itself may send before it counts.
-	lateSend = 100 * time.Millisecond
+	// lateThreshold is how late the tool itself may send before it counts.
+	lateThreshold = 100 * time.Millisecond
 	// progressPeriod is how often the progress line is written.
 	progressPeriod = time.Second
 	runIDLength    = 8
@@ -24,10 +24,10 @@
 
 // Runner runs experiments against a running system.
 type Runner struct {
-	vms      []string
-	timers   laburnumlever.Timers
-	progress io.Writer
-	actor    Actor
+	vms          []string
+	timers       laburnumlever.Timers
+	progress     io.Writer
+	eventHandler Actor
 }
 
 // Actor does what an experiment's events ask, beside requests over HTTP.
@@ -50,7 +50,7 @@
 
 // WithActor sets who does the events that are not HTTP requests.
 func WithActor(actor Actor) Option {
-	return func(r *Runner) { r.actor = actor }
+	return func(r *Runner) { r.eventHandler = actor }
 }
 
 // NewRunner makes a runner for the system whose VMs have these operators
@@ -74,16 +74,16 @@
 		return Report{}, err
 	}
 	stop := run.showProgress()
-	run.play(ctx)
+	run.sendArrivals(ctx)
 	stop()
 	if err := run.checkLedgers(ctx); err != nil {
 		return Report{}, err
 	}
-	run.account.ask(ctx)
-	return run.results.finish(run.account.totals()), nil
+	run.stats.poll(ctx)
+	return run.results.finish(run.stats.totals()), nil
 }
 
-func (r *Runner) prepare(ctx context.Context, e Experiment) (*playing, error) {
+func (r *Runner) prepare(ctx context.Context, e Experiment) (*experimentRun, error) {
 	status, err := laburnumoperator.NewClient(r.vms[0]).Status(ctx)
 	if err != nil {
 		return nil, err
@@ -98,133 +98,133 @@
 		return nil, &NoCallersAddressError{VM: r.vms[0]}
 	}
 	id := uuid.NewString()[:runIDLength]
-	account := newAccount(r.vms)
-	account.ask(ctx)
-	return &playing{
+	stats := newFleetStats(r.vms)
+	stats.poll(ctx)
+	return &experimentRun{
 		runner: r, experiment: e, balancer: newBalancer(addresses), caller: newCaller(r.timers, id),
-		plan: Plan(e, id), results: newResults(e, status.View.Catalogue), backends: status.View.Backends, account: account,
+		plan: Plan(e, id), results: newResults(e, status.View.Catalogue), backends: status.View.Backends, stats: stats,
 	}, nil
 }
 
-// playing is one run of an experiment.
-type playing struct {
+// experimentRun is one run of an experiment.
+type experimentRun struct {
 	runner     *Runner
 	experiment Experiment
 	balancer   *balancer
 	caller     *Caller
 	plan       []Arrival
 	backends   []laburnumlever.Backend
-	account    *account
+	stats      *fleetStats
 
 	mu       sync.Mutex
 	results  *results
 	inFlight int
 }
 
-// play sends every arrival at its time and waits for the last answer.
-func (p *playing) play(ctx context.Context) {
-	start := p.runner.timers.Now()
-	defer p.runner.timers.Every(balancerPeriod, func(time.Time) { p.balancer.ask(ctx, p.caller.client) })()
-	defer p.runner.timers.Every(accountPeriod, func(time.Time) { go p.account.ask(ctx) })()
+// sendArrivals sends every arrival at its time and waits for the last answer.
+func (run *experimentRun) sendArrivals(ctx context.Context) {
+	start := run.runner.timers.Now()
+	defer run.runner.timers.Every(balancerPeriod, func(time.Time) { run.balancer.probe(ctx, run.caller.client) })()
+	defer run.runner.timers.Every(statsPeriod, func(time.Time) { go run.stats.poll(ctx) })()
 	var group sync.WaitGroup
-	for _, event := range p.experiment.Events {
+	for _, event := range run.experiment.Events {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			p.act(ctx, start, event)
+			run.runEvent(ctx, start, event)
 		}()
 	}
-	for _, arrival := range p.plan {
-		if !p.wait(ctx, start.Add(arrival.At)) {
+	for _, arrival := range run.plan {
+		if !run.waitUntil(ctx, start.Add(arrival.At)) {
 			break
 		}
-		late := p.runner.timers.Now().Sub(start)-arrival.At > lateSend
-		address := p.begin(late)
+		late := run.runner.timers.Now().Sub(start)-arrival.At > lateThreshold
+		address := run.startRequest(late)
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			p.one(ctx, address, arrival)
+			run.sendOne(ctx, address, arrival)
 		}()
 	}
 	group.Wait()
 }
 
-func (p *playing) wait(ctx context.Context, until time.Time) bool {
-	left := until.Sub(p.runner.timers.Now())
+func (run *experimentRun) waitUntil(ctx context.Context, until time.Time) bool {
+	left := until.Sub(run.runner.timers.Now())
 	if left <= 0 {
 		return ctx.Err() == nil
 	}
-	return laburnumtimer.Wait(ctx.Done(), p.runner.timers, left)
+	return laburnumtimer.Wait(ctx.Done(), run.runner.timers, left)
 }
 
-// begin counts a request and chooses its VM.
-func (p *playing) begin(late bool) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// startRequest counts a request and chooses its VM.
+func (run *experimentRun) startRequest(late bool) string {
+	run.mu.Lock()
+	defer run.mu.Unlock()
 	if late {
-		p.results.report.Late++
+		run.results.report.Late++
 	}
-	p.inFlight++
-	return p.balancer.choose()
+	run.inFlight++
+	return run.balancer.choose()
 }
 
-func (p *playing) one(ctx context.Context, address string, arrival Arrival) {
-	limited, cancel := context.WithTimeout(ctx, time.Duration(p.experiment.Timeout))
+func (run *experimentRun) sendOne(ctx context.Context, address string, arrival Arrival) {
+	limited, cancel := context.WithTimeout(ctx, time.Duration(run.experiment.Timeout))
 	defer cancel()
-	got := p.caller.Send(limited, address, arrival)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.inFlight--
-	p.results.add(arrival, p.caller.requestID(arrival), got)
+	got := run.caller.Send(limited, address, arrival)
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.inFlight--
+	run.results.addAnswer(arrival, run.caller.requestID(arrival), got)
 }
 
-func (p *playing) act(ctx context.Context, start time.Time, event Event) {
-	if !p.wait(ctx, start.Add(time.Duration(event.At))) {
+func (run *experimentRun) runEvent(ctx context.Context, start time.Time, event Event) {
+	if !run.waitUntil(ctx, start.Add(time.Duration(event.At))) {
 		return
 	}
-	err := p.do(ctx, event)
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	err := run.executeEvent(ctx, event)
+	run.mu.Lock()
+	defer run.mu.Unlock()
 	line := event.String()
 	if err != nil {
 		line += " failed: " + err.Error()
 	}
-	p.results.report.Events = append(p.results.report.Events, line)
+	run.results.report.Events = append(run.results.report.Events, line)
 }
 
-func (p *playing) do(ctx context.Context, event Event) error {
+func (run *experimentRun) executeEvent(ctx context.Context, event Event) error {
 	if event.Action != ActionHTTP {
-		if p.runner.actor == nil {
+		if run.runner.eventHandler == nil {
 			return &laburnumlever.InvalidValueError{Name: "action", Value: event.String(), Want: "http, where no fleet is run by the tool"}
 		}
-		return p.runner.actor.Act(ctx, event)
+		return run.runner.eventHandler.Act(ctx, event)
 	}
 	return sendControl(ctx, event.Method, event.URL, event.Body)
 }
 
-func (p *playing) checkLedgers(ctx context.Context) error {
-	ledgers, err := ledgersOf(ctx, p.backends)
+func (run *experimentRun) checkLedgers(ctx context.Context) error {
+	ledgers, err := ledgersOf(ctx, run.backends)
 	if err != nil {
 		return err
 	}
-	for _, broken := range CheckLedger(p.results.told, ledgers) {
-		p.results.broken(broken)
+	for _, broken := range CheckLedger(run.results.calls, ledgers) {
+		run.results.addBroken(broken)
 	}
 	return nil
 }
 
 // showProgress writes the counts each second until stop is called.
-func (p *playing) showProgress() (stop func()) {
-	if p.runner.progress == nil {
+func (run *experimentRun) showProgress() (stop func()) {
+	if run.runner.progress == nil {
 		return func() {}
 	}
-	started := p.runner.timers.Now()
-	return p.runner.timers.Every(progressPeriod, func(now time.Time) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		report := p.results.report
-		_, _ = fmt.Fprintf(p.runner.progress, "%4.0fs of %s: %d sent, %d in flight, %d whole, %d refused, %d lost, %d broken\n",
-			now.Sub(started).Seconds(), p.experiment.Duration(), report.Sent+p.inFlight, p.inFlight,
+	started := run.runner.timers.Now()
+	return run.runner.timers.Every(progressPeriod, func(now time.Time) {
+		run.mu.Lock()
+		defer run.mu.Unlock()
+		report := run.results.report
+		_, _ = fmt.Fprintf(run.runner.progress, "%4.0fs of %s: %d sent, %d in flight, %d whole, %d refused, %d lost, %d broken\n",
+			now.Sub(started).Seconds(), run.experiment.Duration(), report.Sent+run.inFlight, run.inFlight,
 			report.Whole, report.Refused, report.Lost, len(report.Broken))
 	})
 }
--- a/laburnumload/verdict.go
+++ b/laburnumload/verdict.go
@@ -65,15 +65,15 @@
 	case got.Lost != "":
 		return Verdict{Lost: true}
 	case got.Reason != "" || got.Status >= http.StatusBadRequest:
-		return judgeRefusal(got)
+		return checkRefusal(got)
 	case a.Service != "":
-		return judgeService(a, got)
+		return checkServiceAnswer(a, got)
 	default:
-		return judgeText(a, got)
+		return checkModelAnswer(a, got)
 	}
 }
 
-func judgeRefusal(got Answer) Verdict {
+func checkRefusal(got Answer) Verdict {
 	v := Verdict{Refused: got.Reason}
 	if _, err := laburnumlever.RefusalReasonString(got.Reason); err != nil {
 		v.Broken = brokenUntyped
@@ -85,14 +85,14 @@
 	return v
 }
 
-func judgeService(a Arrival, got Answer) Verdict {
+func checkServiceAnswer(a Arrival, got Answer) Verdict {
 	if !strings.Contains(got.Text, fmt.Sprintf("%q", a.Prompt)) {
 		return Verdict{Broken: brokenCrossed}
 	}
 	return Verdict{Whole: true}
 }
 
-func judgeText(a Arrival, got Answer) Verdict {
+func checkModelAnswer(a Arrival, got Answer) Verdict {
 	var want strings.Builder
 	for i := range a.MaxTokens {
 		want.WriteString(laburnumstandin.Token(a.Prompt, i))
--- a/laburnumload/verdict_test.go
+++ b/laburnumload/verdict_test.go
@@ -12,7 +12,7 @@
 	"laburnumlever/laburnumstandin"
 )
 
-func TestJudge(t *testing.T) {
+func TestCheckAnswer(t *testing.T) {
 	ask := laburnumload.Arrival{Model: "m", Prompt: "mine", MaxTokens: 2, Stream: true}
 	mine := laburnumstandin.Token("mine", 0) + laburnumstandin.Token("mine", 1)
 	for _, tt := range []struct {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestAttainedAllowsFiveLateGapsInAHundred(t *testing.T) {
+func TestMeetsTargetsAllowsFivePercentLateGaps(t *testing.T) {
 	class := laburnumlever.Class{FirstToken: laburnumlever.Duration(time.Second), BetweenToken: laburnumlever.Duration(70 * time.Millisecond)}
 	got := laburnumload.Answer{FirstToken: time.Second, Gaps: make([]time.Duration, 100)}
 	for i := range 5 {
