--- a/laburnumload/arrivals.go
+++ b/laburnumload/arrivals.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// arrivalTimes draws the arrivals of one phase, counted from its start.
+// arrivalTimes generates the arrival times of one phase, relative to its start.
 func arrivalTimes(phase Phase, rng *rand.Rand) []time.Duration {
 	switch phase.Shape {
 	case ShapeSteady:
@@ -17,7 +17,7 @@
 	}
 }
 
-// rateAt is the rate, in requests a second, at a time of the phase.
+// rateAt is the rate, in requests per second, at a time of the phase; a ramp is linear.
 func rateAt(phase Phase, at time.Duration) float64 {
 	if phase.To <= 0 {
 		return phase.RequestsPerSecond
@@ -25,8 +25,8 @@
 	return phase.RequestsPerSecond + (phase.To-phase.RequestsPerSecond)*float64(at)/float64(phase.For)
 }
 
-// poissonTimes thins a process of the highest rate down to the rate at each time,
-// which keeps it Poisson while the rate moves.
+// poissonTimes generates a Poisson process with a varying rate by thinning a process
+// of the highest rate.
 func poissonTimes(phase Phase, rng *rand.Rand) []time.Duration {
 	highest := max(phase.RequestsPerSecond, phase.To)
 	if highest <= 0 {
@@ -45,7 +45,8 @@
 	}
 }
 
-// burstTimes spaces groups so that the phase's rate holds over all.
+// burstTimes generates bursts at Poisson times; the bursts' rate is divided by their
+// size, so that the phase's mean request rate stays the same.
 func burstTimes(phase Phase, rng *rand.Rand) []time.Duration {
 	size := max(1, phase.BurstSize)
 	groups := phase
@@ -72,5 +73,6 @@
 	return times
 }
 
-// minRate keeps a rate that falls to 0 from never ending the phase.
+// minRate, in requests per second, bounds the gap between steady arrivals where the
+// rate falls to 0.
 const minRate = 0.01
--- a/laburnumload/balancer.go
+++ b/laburnumload/balancer.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// The platform's balancer asks each VM this often whether it is ready, and takes one
-// that does not answer in time out until it does.
+// The platform's balancer probes each VM's readiness with this period and timeout. A VM
+// that fails a probe gets no requests until a probe succeeds.
 const (
 	balancerPeriod  = 500 * time.Millisecond
 	balancerTimeout = 400 * time.Millisecond
 )
 
-// balancer chooses VMs in turn among those that were ready when last asked, as
-// the platform's does. Between two questions it sends to VMs that have died, which
-// is what callers see. It is safe for use by many goroutines.
+// balancer is a round-robin balancer over the VMs whose last probe succeeded, like the
+// platform's. Between two probes it still sends requests to VMs that have died, so the
+// load tool sees the same errors as real callers. It is safe for use by many goroutines.
 type balancer struct {
 	mu    sync.Mutex
 	vms   []string
@@ -32,7 +32,7 @@
 	return b
 }
 
-// choose is the next VM; if none is ready, the next of all.
+// choose returns the next ready VM or, if none is ready, the next of all VMs.
 func (b *balancer) choose() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,7 +51,7 @@
 	b.ready[vm] = ready
 }
 
-// probe asks all VMs at once; each answer counts as soon as it is there.
+// probe starts a readiness probe of every VM and does not wait for the results.
 func (b *balancer) probe(ctx context.Context, client *http.Client) {
 	for _, vm := range b.vms {
 		go func() {
--- a/laburnumload/caller.go
+++ b/laburnumload/caller.go
@@ -30,15 +30,15 @@
 	bearerPrefix = "Bearer "
 )
 
-// Caller sends requests as callers do and measures the answers. It is safe for use
-// by many goroutines.
+// Caller is an HTTP client that sends requests and measures the answers. It is safe
+// for use by many goroutines.
 type Caller struct {
 	client *http.Client
 	timers laburnumlever.Timers
 	runID  string
 }
 
-// NewCaller returns a caller on the machine's clock that makes its own request ids.
+// NewCaller returns a caller on the system clock that sends no X-Request-Id header.
 func NewCaller() *Caller { return newCaller(laburnumtimer.New(), "") }
 
 func newCaller(timers laburnumlever.Timers, run string) *Caller {
@@ -46,7 +46,8 @@
 	return &Caller{client: &http.Client{Transport: transport}, timers: timers, runID: run}
 }
 
-// requestID is the id that the caller gives a request; each send has its own.
+// requestID is the X-Request-Id of an arrival. A resend is an arrival of its own and
+// has a different id.
 func (c *Caller) requestID(a Arrival) string {
 	return fmt.Sprintf("%s-%d", c.runID, a.Number)
 }
@@ -80,13 +81,14 @@
 	return answer
 }
 
-// lostAnswer is a request without an answer. Only a failed dial surely sent nothing.
+// lostAnswer is the answer of a request that failed without a response. Only a failed
+// dial guarantees that nothing was sent.
 func lostAnswer(err error) Answer {
 	var op *net.OpError
 	return Answer{Lost: errors.UnwrapAll(err).Error(), NotSent: errors.As(err, &op) && op.Op == "dial"}
 }
 
-// chatRequest is the OpenAI shape of a request for a completion.
+// chatRequest is the body of an OpenAI-style chat completion request.
 type chatRequest struct {
 	Model     laburnumlever.ModelName `json:"model"`
 	Messages  []chatMessage           `json:"messages"`
@@ -99,7 +101,7 @@
 	Content string `json:"content"`
 }
 
-// chatAnswer is what is read of an answer or of one event of a stream.
+// chatAnswer has the fields that are read of an answer or of one event of a stream.
 type chatAnswer struct {
 	Choices []chatChoice `json:"choices"`
 	Error   *refusalBody `json:"error"`
@@ -138,8 +140,8 @@
 	if a.Key != "" {
 		req.Header.Set(headerKey, a.Key)
 	}
-	// A key must not make net/http send the request again by itself: the tool
-	// counts sends, and a second one would be blamed on the system.
+	// net/http retries a request with an idempotency key on its own if it can get the
+	// body again. The tool counts sends, and would attribute the retry to the system.
 	req.GetBody = nil
 	return req, nil
 }
@@ -153,7 +155,7 @@
 	answer.Text = string(text)
 	var parsed chatAnswer
 	if err := json.Unmarshal(text, &parsed); err != nil {
-		return nil //nolint:nilerr // A body that is no JSON is judged by its text.
+		return nil //nolint:nilerr // A body that is not JSON is checked as text.
 	}
 	answer.setRefusal(parsed.Error)
 	if a.Service == "" && len(parsed.Choices) > 0 {
@@ -217,7 +219,7 @@
 	a.Gaps = append(a.Gaps, now.Sub(last))
 }
 
-// modelList is the answer to /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Data []modelEntry `json:"data"`
 }
@@ -226,7 +228,7 @@
 	ID string `json:"id"`
 }
 
-// Models lists the models that a VM offers.
+// Models lists the models that a VM offers at its callers address.
 func (c *Caller) Models(ctx context.Context, address string) ([]string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/models", http.NoBody)
 	if err != nil {
--- a/laburnumload/compare.go
+++ b/laburnumload/compare.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Comparison is two runs side by side.
+// Comparison compares the reports of two runs.
 type Comparison struct {
 	A    string `json:"a"`
 	B    string `json:"b"`
 	Rows []Row  `json:"rows"`
 }
 
-// Row is one measure of both runs.
+// Row is one measure with its values in both runs.
 type Row struct {
 	Measure string `json:"measure"`
 	A       string `json:"a"`
 	B       string `json:"b"`
-	// Change is B against A in hundredths, empty where A is 0.
+	// Change is the change from A to B in percent, empty if A is 0.
 	Change string `json:"change,omitempty"`
 }
 
-// Compare puts two reports side by side.
+// Compare compares two reports.
 func Compare(a, b Report) Comparison {
 	c := Comparison{A: a.Experiment, B: b.Experiment}
 	c.addNumber("sent", float64(a.Sent), float64(b.Sent))
--- a/laburnumload/doc.go
+++ b/laburnumload/doc.go
@@ -1,21 +1,20 @@
-// Package laburnumload puts load on a running system and checks every answer as a
-// caller would.
+// Package laburnumload is a load generator that checks every answer.
 //
-// Arrivals are open loop: a request is sent when its time has come, whether or not
-// earlier ones are answered, since that is what callers do. A closed loop would
-// slow down with the system and hide the very queues that it should show.
+// Load is open loop: requests are sent at their planned times, whether or not earlier
+// ones have been answered, since real callers do not wait for each other. A closed
+// loop would slow down with the system and hide its queues.
 //
-// The parts that decide are pure: the plan of an experiment (who asks what and
-// when, from a seed), the verdict on one answer, the comparison of what callers were
-// told with a plain service's ledger, and the report. Only the driver and the caller
-// touch the network.
+// The plan of an experiment (the arrivals, generated from a seed), the check of one
+// answer, the check of callers' results against the plain services' ledgers, and the
+// report are pure functions of their inputs. Only Runner, Caller and ReadLedgers use
+// the network.
 //
 // # What is checked
 //
-// Each answer must be whole and the caller's own: the stand-in engines' text is a
-// function of the prompt. A refusal must carry a known reason and an outcome. Of
-// the calls that may not be repeated, each key may run once; a call that was told
-// to be not run must not be in the ledger; one that was answered must be.
+// Each answer must be complete and belong to its request: the stand-in engines' text
+// is a function of the prompt. A refusal must have a known reason and an outcome. A
+// non-idempotent call may run at most once per key; a call refused with the outcome
+// not-run must not be in the ledger, and an answered call must be.
 //
 // # Usage
 //
--- a/laburnumload/errors.go
+++ b/laburnumload/errors.go
@@ -6,7 +6,7 @@
 	"laburnumlever"
 )
 
-// ExperimentInvalidError lists all that is wrong in an experiment.
+// ExperimentInvalidError lists all faults in an experiment.
 type ExperimentInvalidError struct{ Faults []laburnumlever.Fault }
 
 func (e *ExperimentInvalidError) Error() string {
@@ -17,21 +17,23 @@
 	return text
 }
 
-// BrokenPromiseError is a run in which the system broke a promise.
+// BrokenPromiseError is a run in which the system violated a guarantee to its callers.
+// Broken is the number of violations listed in the report.
 type BrokenPromiseError struct{ Broken int }
 
 func (e *BrokenPromiseError) Error() string {
 	return fmt.Sprintf("%d promises to callers were broken; the report lists them", e.Broken)
 }
 
-// NoCallersAddressError is a system whose VMs tell no address for callers.
+// NoCallersAddressError is a system in which no live VM has a callers address, according
+// to the VM that was asked, given by its operators address.
 type NoCallersAddressError struct{ VM string }
 
 func (e *NoCallersAddressError) Error() string {
-	return "VM " + e.VM + " knows no address that takes callers"
+	return "VM " + e.VM + " knows no live VM with a callers address"
 }
 
-// LedgerError is a plain service whose ledger can't be read.
+// LedgerError is a failure to read a plain service's ledger.
 type LedgerError struct {
 	Address string
 	Cause   error
@@ -44,7 +46,7 @@
 // Unwrap returns the cause.
 func (e *LedgerError) Unwrap() error { return e.Cause }
 
-// ReportFileError is a file that holds no report.
+// ReportFileError is a report file that can't be read or parsed.
 type ReportFileError struct {
 	File  string
 	Cause error
--- a/laburnumload/experiment.go
+++ b/laburnumload/experiment.go
@@ -10,72 +10,72 @@
 
 //go:generate go tool -modfile=../tools/go.mod enumer -type=Shape,Action -transform=kebab -trimprefix=Shape,Action -text -json -output=enums_gen.go
 
-// Shape is how arrivals of one phase lie in time.
+// Shape is the distribution of a phase's arrivals over time.
 type Shape int
 
 // The shapes of arrivals.
 const (
-	// ShapePoisson is many callers who know nothing of each other.
+	// ShapePoisson is a Poisson process, as many independent callers make.
 	ShapePoisson Shape = iota
-	// ShapeBurst is groups that arrive at one instant, at random times.
+	// ShapeBurst is groups of simultaneous arrivals at Poisson times.
 	ShapeBurst
-	// ShapeSteady is even gaps.
+	// ShapeSteady is arrivals with even gaps.
 	ShapeSteady
 )
 
-// Action is something that is done to the system during an experiment.
+// Action is a fault or change that an experiment applies to the system.
 type Action int
 
 // The actions.
 const (
-	// ActionHTTP sends a request, for stand-ins with a control.
+	// ActionHTTP sends a request, such as one to a stand-in's control endpoint.
 	ActionHTTP Action = iota
-	// ActionKillVM ends an entry VM without a word.
+	// ActionKillVM ends an entry VM abruptly.
 	ActionKillVM
-	// ActionStopVM tells an entry VM to stop in good order.
+	// ActionStopVM shuts an entry VM down gracefully.
 	ActionStopVM
-	// ActionKillBackend ends a backend server without a word.
+	// ActionKillBackend ends a backend server abruptly.
 	ActionKillBackend
-	// ActionSlowBackend makes a backend server answer slower, by a factor.
+	// ActionSlowBackend slows a backend server's answers down by a factor.
 	ActionSlowBackend
-	// ActionApply applies the catalogue again with a changed move cost, which is
+	// ActionApply applies the catalogue again with a changed move cost, which makes
 	// a new revision for every VM.
 	ActionApply
 	// ActionCutZone freezes the links between the VMs of an availability zone and
-	// all others, without a word to either side.
+	// all others; neither side sees its connections close.
 	ActionCutZone
 	// ActionHealZone opens the links again.
 	ActionHealZone
 )
 
-// Experiment is one load with what happens during it.
+// Experiment is a load profile with the events that happen during it.
 type Experiment struct {
 	Name string `json:"name" required:"true"`
-	// Seed makes the plan: the same seed asks the same at the same times.
+	// Seed seeds the plan: the same seed gives the same requests at the same times.
 	Seed   uint64  `json:"seed"`
 	Phases []Phase `json:"phases" required:"true"`
-	// Trace, if set, gives the arrivals in place of the phases' rates.
+	// Trace, if set, replaces the arrivals generated from the phases.
 	Trace  []TraceEntry `json:"trace"`
 	Mix    []Entry      `json:"mix" required:"true"`
 	Events []Event      `json:"events"`
-	// Timeout is how long a caller waits for an answer.
+	// Timeout is how long a caller waits for an answer. The default is 30 s.
 	Timeout laburnumlever.Duration `json:"timeout"`
 }
 
-// Phase is a time with one rate, or with a rate that moves to another.
+// Phase is a part of an experiment with a constant rate or a linear ramp.
 type Phase struct {
 	For               laburnumlever.Duration `json:"for" required:"true"`
 	RequestsPerSecond float64                `json:"requests-per-second" required:"true"`
-	// To is the rate at the end of the phase; 0 means that the rate stays.
+	// EndRequestsPerSecond is the rate at the end of a ramp; 0 means a constant rate.
 	To    float64 `json:"to-requests-per-second"`
 	Shape Shape   `json:"shape"`
-	// BurstSize is how many arrive at once in bursts.
+	// BurstSize is the number of requests in each burst of ShapeBurst.
 	BurstSize int `json:"burst-size"`
-	// Shares replaces the shares of entries during the phase.
+	// Shares overrides the shares of mix entries during the phase.
 	Shares []Share `json:"shares"`
 }
 
-// Share is how much of the requests an entry gets.
+// Share is the relative weight of a mix entry; shares need not add up to 1.
 type Share struct {
 	Entry string  `json:"entry" required:"true"`
 	Share float64 `json:"share" required:"true"`
@@ -91,44 +91,47 @@
 type Entry struct {
 	Name  string  `json:"name" required:"true"`
 	Share float64 `json:"share" required:"true"`
-	// Callers is how many there are; CallerSkew how unevenly they ask (0 evenly,
-	// 1 as Zipf's law).
+	// Callers is the number of callers, 20 by default. CallerSkew is the exponent of the
+	// Zipf distribution of requests over them: 0 is uniform.
 	Callers    int     `json:"callers"`
 	CallerSkew float64 `json:"caller-skew"`
 
 	Models []laburnumlever.ModelName `json:"models"`
-	// ModelSkew is how unevenly the models are asked, the first the most.
+	// ModelSkew is the exponent of the Zipf distribution of requests over the models; the
+	// first model gets the most.
 	ModelSkew float64 `json:"model-skew"`
-	// PromptTokens, PrefixTokens and MaxTokens are ranges, least and most; a prompt
-	// starts with its caller's prefix, the same each time.
+	// PromptTokens and MaxTokens are ranges. PrefixTokens is the length of the prefix with
+	// which every prompt of a caller starts.
 	PromptTokens Range `json:"prompt-tokens"`
 	PrefixTokens int   `json:"prefix-tokens"`
 	MaxTokens    Range `json:"max-tokens"`
-	// Stream asks for the answer token by token.
+	// Stream requests a streamed answer.
 	Stream bool `json:"stream"`
 
 	Service laburnumlever.ServiceName `json:"service"`
 	Method  string                    `json:"method"`
 	Path    string                    `json:"path"`
-	// Keyed gives each call an idempotency key. Resend is the share of calls that
-	// are sent again through another VM, as by a caller who lost the answer.
+	// Keyed gives each call an idempotency key. Resend is the fraction of calls, 0 to 1,
+	// that are sent a second time through the balancer, as by a caller that lost the
+	// answer.
 	Keyed  bool    `json:"keyed"`
 	Resend float64 `json:"resend"`
 }
 
-// Range is a number drawn evenly from Least to Most.
+// Range is a uniformly distributed number from Min to Max, inclusive.
 type Range struct {
 	Least int `json:"least"`
 	Most  int `json:"most"`
 }
 
-// Event is something that happens to the system at a time of the experiment.
+// Event is an action that is applied to the system at a time of the experiment.
 type Event struct {
 	At     laburnumlever.Duration `json:"at" required:"true"`
 	Action Action                 `json:"action" required:"true"`
-	// Name is the VM, backend server or availability zone of the action.
+	// Name is the VM, backend server or availability zone that the action applies to.
 	Name string `json:"name"`
-	// Factor is that of a slow backend server.
+	// Factor is the slowdown of ActionSlowBackend. Method, URL and Body are the request
+	// of ActionHTTP.
 	Factor float64 `json:"factor"`
 	Method string  `json:"method"`
 	URL    string  `json:"url"`
@@ -137,8 +140,7 @@
 
 const defaultTimeout = 30 * time.Second
 
-// Load reads an experiment. All that is wrong is listed in one
-// *ExperimentInvalidError.
+// Load reads an experiment file. Errors: *ExperimentInvalidError, which lists all faults.
 func Load(path string) (Experiment, error) {
 	experiment := Experiment{Timeout: laburnumlever.Duration(defaultTimeout)}
 	faults := laburnumsettings.ReadFile(path, &experiment)
@@ -151,7 +153,7 @@
 	return experiment, nil
 }
 
-// Duration is how long requests arrive.
+// Duration is the total duration of the phases.
 func (e Experiment) Duration() time.Duration {
 	var total time.Duration
 	for _, phase := range e.Phases {
@@ -187,7 +189,7 @@
 	return faults
 }
 
-// String names the action as an experiment file does, with its subject and time.
+// String formats the action by its name in experiment files, with its target and time.
 func (e Event) String() string {
 	if e.Name == "" {
 		return fmt.Sprintf("%s at %s", e.Action, e.At)
--- a/laburnumload/fleetstats.go
+++ b/laburnumload/fleetstats.go
@@ -8,12 +8,12 @@
 	"laburnumlever/laburnumoperator"
 )
 
-// statsPeriod is how often the VMs are asked for their moves: a VM that dies takes
-// at most so much of its count with it.
+// statsPeriod is how often the VMs' move counts are polled. A VM that dies loses at
+// most the moves it has made since the last poll.
 const statsPeriod = time.Second
 
-// fleetStats adds up what the VMs say of the fleet. It is safe for use by many
-// goroutines.
+// fleetStats aggregates the accelerators and move counts that the VMs' status reports.
+// It is safe for use by many goroutines.
 type fleetStats struct {
 	mu           sync.Mutex
 	vms          []vmStats
@@ -34,7 +34,7 @@
 	return s
 }
 
-// poll asks every VM; one that does not answer keeps what it said last.
+// poll reads the status of every VM; a VM that does not answer keeps its last counts.
 func (s *fleetStats) poll(ctx context.Context) {
 	for i := range s.vms {
 		status, err := laburnumoperator.NewClient(s.vms[i].address).Status(ctx)
@@ -61,7 +61,7 @@
 	s.accelerators = max(s.accelerators, accelerators)
 }
 
-// totals are the accelerators of the fleet and the moves since the first question.
+// totals returns the fleet's accelerators and the moves since the first poll.
 func (s *fleetStats) totals() (accelerators int, moves uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/laburnumload/ledgercheck.go
+++ b/laburnumload/ledgercheck.go
@@ -6,20 +6,22 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// Told is what a caller was told of one keyed call.
+// CallResult is the result that a caller got for one send of a call. Key is the call's
+// idempotency key or, without one, its request id.
 type Told struct {
 	Key string
-	// Answered tells that a whole answer came.
+	// Answered is true if the caller got a whole answer.
 	Answered bool
-	// Outcome is that of a refusal.
+	// Outcome is the outcome stated in a refusal.
 	Outcome string
-	// NotSent tells that nothing left the caller.
+	// NotSent is true if the connection failed before anything was sent.
 	NotSent bool
 }
 
-// CheckLedger compares what callers were told with what plain services ran, and
-// lists the promises that were broken. One key may have been told of several times:
-// a resend may be told not-run only if no send of the key ran.
+// CheckLedger compares the results that callers got with the calls that plain services
+// ran, and lists the broken promises: a key that ran more than once, an answered key
+// that never ran, and a key that ran although all of its sends were refused as not-run
+// or not sent. A key has several results if it was resent.
 func CheckLedger(results []Told, ledgers [][]laburnumstandin.LedgerEntry) []string {
 	runs := make(map[string]int)
 	for _, ledger := range ledgers {
@@ -41,9 +43,8 @@
 	return append(broken, checkNotRun(results, runs)...)
 }
 
-// checkNotRun looks for keys that ran although every caller of them was told that
-// they did not: of a key whose other send was answered or unknown, the run may be
-// that one's.
+// checkNotRun lists the keys that ran although no send of them may have run. If another
+// send of the key was answered or has an unknown outcome, the run may be that one's.
 func checkNotRun(results []Told, runs map[string]int) []string {
 	mayHaveRun := make(map[string]bool)
 	for _, t := range results {
@@ -55,14 +56,14 @@
 	reported := make(map[string]bool)
 	for _, t := range results {
 		if runs[t.Key] > 0 && !mayHaveRun[t.Key] && !reported[t.Key] {
-			broken = append(broken, fmt.Sprintf("key %s was told not-run but ran", t.Key))
+			broken = append(broken, fmt.Sprintf("key %s was refused as not-run but ran", t.Key))
 			reported[t.Key] = true
 		}
 	}
 	return broken
 }
 
-// callID names a call by its key or, without one, by the caller's request id.
+// callID identifies a call by its key or, without one, by the caller's request id.
 func callID(key, request string) string {
 	if key != "" {
 		return key
--- a/laburnumload/ledgers.go
+++ b/laburnumload/ledgers.go
@@ -10,8 +10,8 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// ReadLedgers reads the ledgers of all stand-in plain services that a VM knows, by
-// the VM's operators address.
+// ReadLedgers reads the ledgers of all stand-in plain services that a VM knows; vm is
+// its operators address. Errors: *LedgerError, or those of the status request.
 func ReadLedgers(ctx context.Context, vm string) ([][]laburnumstandin.LedgerEntry, error) {
 	status, err := laburnumoperator.NewClient(vm).Status(ctx)
 	if err != nil {
@@ -20,8 +20,9 @@
 	return ledgersOf(ctx, status.View.Backends)
 }
 
-// ledgersOf leaves out those that are down: a ledger that can't be read hides runs,
-// but a plain service that an experiment has killed must not end the report.
+// ledgersOf reads the plain services' ledgers. An unreadable ledger is an error, since
+// it could hide runs. Plain services that are down are skipped, so that an experiment
+// that kills one still gets its report.
 func ledgersOf(ctx context.Context, backends []laburnumlever.Backend) ([][]laburnumstandin.LedgerEntry, error) {
 	var ledgers [][]laburnumstandin.LedgerEntry
 	for _, b := range backends {
--- a/laburnumload/plan.go
+++ b/laburnumload/plan.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// seedStream separates the plan's random numbers from others of the seed.
+	// seedStream is the PCG stream of the plan, so that other users of the same seed get
+	// independent random numbers.
 	seedStream = 0x6c6f6164
-	// bytesPerToken is the usual length of a token of prompt.
+	// bytesPerToken is the usual length of a prompt token.
 	bytesPerToken       = 4
 	defaultCallers      = 20
 	defaultMaxTokens    = 16
 	defaultPromptTokens = 32
-	// resendDelay is how long a caller waits before it sends a call again.
+	// resendDelay is the time from a call's arrival to its resend.
 	resendDelay = 20 * time.Millisecond
 )
 
-// Arrival is one request of a plan.
+// Arrival is one planned request.
 type Arrival struct {
-	// At counts from the start of the experiment.
+	// At is relative to the start of the experiment.
 	At     time.Duration
 	Number int
 	Entry  string
@@ -40,13 +41,14 @@
 	Service laburnumlever.ServiceName
 	Method  string
 	Path    string
-	// Key is the idempotency key; a resend has that of the call it repeats.
+	// Key is the idempotency key; a resend has the key of the call it repeats.
 	Key    string
 	Resend bool
 }
 
-// Plan makes the arrivals of an experiment, in order. The same experiment gives
-// the same plan; run makes keys differ from run to run, as a key is used once.
+// Plan generates the arrivals of an experiment, ordered by time. The same experiment
+// gives the same plan, except that run, the id of the run, is the prefix of every
+// idempotency key, since a key must not be reused in a later run.
 func Plan(e Experiment, run string) []Arrival {
 	p := &planner{experiment: e, runID: run, rng: rand.New(rand.NewPCG(e.Seed, seedStream))}
 	if len(e.Trace) > 0 {
@@ -137,7 +139,7 @@
 	arrival.Prompt = prefix + body
 }
 
-// promptText repeats the text to about so many tokens.
+// promptText repeats the text up to about the number of tokens.
 func promptText(text string, tokens int) string {
 	if tokens <= 0 {
 		return ""
@@ -152,7 +154,7 @@
 	return r.Least + p.rng.IntN(max(1, r.Most-r.Least+1))
 }
 
-// pickWeighted draws an index by weight.
+// pickWeighted returns a random index, weighted by weights.
 func (p *planner) pickWeighted(weights []float64) int {
 	total := 0.0
 	for _, weight := range weights {
@@ -168,7 +170,7 @@
 	return len(weights) - 1
 }
 
-// zipf weighs n things by their rank to the power of minus skew.
+// zipf returns n Zipf weights, the rank to the power of -skew.
 func zipf(n int, skew float64) []float64 {
 	weights := make([]float64, n)
 	for i := range weights {
--- a/laburnumload/plan_test.go
+++ b/laburnumload/plan_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// The rates are drawn, so the bounds are wide: four times the standard deviation
-// of a Poisson count.
+// The counts are random, so the bounds are wide: about four standard deviations of a
+// Poisson count, or of a count of bursts.
 func TestPlanFollowsRatesAndShapes(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
--- a/laburnumload/plot.go
+++ b/laburnumload/plot.go
@@ -14,13 +14,14 @@
 	plotTicks  = 4
 )
 
-// series is one line of a plot.
+// series is one line of the plot.
 type series struct {
 	name, colour string
 	value        func(Second) int
 }
 
-// plotSeries are the lines of a plot; their colours differ in lightness too.
+// plotSeries lists the lines of the plot. Their colours differ in lightness too, so that
+// they can be told apart without colour vision.
 var plotSeries = []series{
 	{"sent", "#888888", func(s Second) int { return s.Sent }},
 	{"whole", "#1f77b4", func(s Second) int { return s.Whole }},
@@ -29,7 +30,7 @@
 	{"lost", "#d62728", func(s Second) int { return s.Lost }},
 }
 
-// WriteSVG draws the run second by second, by the time of arrival.
+// WriteSVG writes a plot of the requests per second, by time of arrival, as SVG.
 func (r Report) WriteSVG(w io.Writer) error {
 	t := &textWriter{w: w}
 	t.line(`<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="12">`, plotWidth, plotHeight)
--- a/laburnumload/report.go
+++ b/laburnumload/report.go
@@ -9,24 +9,25 @@
 	"laburnumlever"
 )
 
-// Report is what one run of an experiment showed.
+// Report is the result of one run of an experiment.
 type Report struct {
 	Experiment string                 `json:"experiment"`
 	Duration   laburnumlever.Duration `json:"duration"`
 	Sent       int                    `json:"sent"`
 	Whole      int                    `json:"whole"`
 	Refused    int                    `json:"refused"`
-	// Lost counts connections that broke, of which the caller knows nothing.
+	// Lost counts requests whose connection broke, so that the caller does not know the
+	// outcome.
 	Lost int `json:"lost"`
-	// Late counts arrivals that the tool itself sent more than a tenth of a second
-	// late: if there are many, the machine was the bottleneck and not the system.
+	// SentLate counts requests that the tool itself sent more than 100 ms late. If there
+	// are many, the machine that runs the tool was the bottleneck, not the system.
 	Late int `json:"sent-late"`
 
-	// Attained counts the answers inside their class's targets.
+	// Attained counts the answers within their class's latency targets.
 	Attained          int     `json:"attained"`
 	AttainedPerSecond float64 `json:"attained-per-second"`
 	Accelerators      int     `json:"accelerators"`
-	// PerAccelerator is attained answers a second for each accelerator.
+	// PerAccelerator is the number of attained answers per second per accelerator.
 	PerAccelerator float64 `json:"attained-per-second-per-accelerator"`
 	Moves          uint64  `json:"moves"`
 
@@ -37,13 +38,14 @@
 	Owners   []Group  `json:"owners"`
 	Refusals []Count  `json:"refusals"`
 	Events   []string `json:"events,omitempty"`
-	// Broken lists the promises that were broken.
+	// Broken lists violated guarantees, 50 at most.
 	Broken []string `json:"broken"`
-	// Seconds shows the run second by second.
+	// Seconds has the counts of each second of the run.
 	Seconds []Second `json:"seconds"`
 }
 
-// Group is the attainment of one class or owner.
+// Group holds the counts of one class or owner. Attainment is the fraction, 0 to 1, of
+// the requests sent that were answered within the targets.
 type Group struct {
 	Name       string  `json:"name"`
 	Sent       int     `json:"sent"`
@@ -53,13 +55,13 @@
 	FirstToken Latency `json:"first-token"`
 }
 
-// Count is how often something happened.
+// Count is the number of refusals with one reason.
 type Count struct {
 	Name  string `json:"name"`
 	Count int    `json:"count"`
 }
 
-// Latency holds quantiles.
+// Latency holds the quantiles of Count measured latencies.
 type Latency struct {
 	Count int64                  `json:"count"`
 	P50   laburnumlever.Duration `json:"p50"`
@@ -68,7 +70,7 @@
 	Max   laburnumlever.Duration `json:"max"`
 }
 
-// Second is one second of a run, by the time of arrival.
+// Second has the counts of one second of a run, by the requests' time of arrival.
 type Second struct {
 	Sent     int `json:"sent"`
 	Whole    int `json:"whole"`
@@ -77,7 +79,7 @@
 	Lost     int `json:"lost"`
 }
 
-// ReadReport reads a report that was written as JSON.
+// ReadReport reads a JSON report file. Errors: *ReportFileError.
 func ReadReport(file string) (Report, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -90,7 +92,7 @@
 	return report, nil
 }
 
-// Err is a *BrokenPromiseError if a promise was broken.
+// Err returns a *BrokenPromiseError if the report lists violated guarantees.
 func (r Report) Err() error {
 	if len(r.Broken) == 0 {
 		return nil
--- a/laburnumload/results.go
+++ b/laburnumload/results.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// The histograms count microseconds up to ten minutes, three digits exact.
+	// The histograms' range is up to ten minutes in microseconds, with a precision of
+	// three significant digits.
 	maxMicroseconds = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3
-	// maxBroken bounds the list of broken promises in a report.
+	// maxBroken is the maximum length of Report.Broken.
 	maxBroken = 50
 
 	p50, p95, p99 = 50, 95, 99
 )
 
-// results gathers the answers of a run. It is not safe for use by many goroutines.
+// results aggregates the answers of a run. It is not safe for use by many goroutines.
 type results struct {
 	catalogue     laburnumlever.Catalogue
 	report        Report
@@ -51,7 +52,7 @@
 	return hdrhistogram.New(1, maxMicroseconds, histogramDigits)
 }
 
-// recordTime keeps a time; one beyond the histogram's range counts as its most.
+// recordTime records a latency; one beyond the histogram's range counts as its maximum.
 func recordTime(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(1, d.Microseconds()), maxMicroseconds))
 }
@@ -66,7 +67,7 @@
 	}
 }
 
-// addAnswer takes one answer in.
+// addAnswer checks one answer and adds it to the counts.
 func (r *results) addAnswer(a Arrival, id string, got Answer) {
 	v := Judge(a, got)
 	owner, class := r.ownerAndClass(a)
@@ -94,8 +95,9 @@
 	}
 }
 
-// countSent counts the request with its class and owner. A resend counts with
-// neither: it only checks that a call runs once, and its caller has an answer already.
+// countSent counts the request for its class and owner and returns their groups. It
+// skips resends: they only check that a call runs once, and their caller has been counted
+// with the first send.
 func (r *results) countSent(a Arrival, owner laburnumlever.OwnerName, class laburnumlever.ClassName) []*groupResults {
 	if a.Resend {
 		return nil
@@ -172,7 +174,7 @@
 	}
 }
 
-// finish makes the report. Accelerators and moves are the system's own account.
+// finish makes the report. Accelerators and moves come from the VMs' status.
 func (r *results) finish(accelerators int, moves uint64) Report {
 	report := r.report
 	report.FirstToken = latencyOf(r.firstToken)
--- a/laburnumload/runner.go
+++ b/laburnumload/runner.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// lateThreshold is how late the tool itself may send before it counts.
+	// lateThreshold is the delay from which a request counts as sent late by the tool.
 	lateThreshold = 100 * time.Millisecond
-	// progressPeriod is how often the progress line is written.
+	// progressPeriod is the period of the progress lines.
 	progressPeriod = time.Second
 	runIDLength    = 8
 )
@@ -30,31 +30,32 @@
 	eventHandler Actor
 }
 
-// Actor does what an experiment's events ask, beside requests over HTTP.
+// EventHandler carries out the events of an experiment other than HTTP requests.
 type Actor interface {
 	Act(ctx context.Context, event Event) error
 }
 
-// Option changes a Runner while it is built.
+// Option configures a Runner.
 type Option func(*Runner)
 
-// WithTimers sets the timer service.
+// WithTimers sets the timer service; the default runs on the system clock.
 func WithTimers(timers laburnumlever.Timers) Option {
 	return func(r *Runner) { r.timers = timers }
 }
 
-// WithProgress writes a line a second while an experiment runs.
+// WithProgress sets where a progress line is written every second of an experiment.
 func WithProgress(w io.Writer) Option {
 	return func(r *Runner) { r.progress = w }
 }
 
-// WithActor sets who does the events that are not HTTP requests.
+// WithEventHandler sets the handler of the events that are not HTTP requests. Without it,
+// such events fail.
 func WithActor(actor Actor) Option {
 	return func(r *Runner) { r.eventHandler = actor }
 }
 
-// NewRunner makes a runner for the system whose VMs have these operators
-// addresses; the callers' addresses are asked of them.
+// NewRunner makes a runner for a system, given its VMs' operators addresses. The callers
+// addresses come from the first VM's status.
 func NewRunner(vms []string, opts ...Option) *Runner {
 	r := &Runner{vms: vms}
 	for _, opt := range opts {
@@ -66,8 +67,9 @@
 	return r
 }
 
-// Run plays the experiment to its end and reports. An error means that it could
-// not be played; broken promises are in the report.
+// Run runs the experiment to its end and returns the report. An error means that the
+// experiment could not be run or checked; broken promises are in the report. Errors
+// include *NoCallersAddressError and *LedgerError.
 func (r *Runner) Run(ctx context.Context, e Experiment) (Report, error) {
 	run, err := r.prepare(ctx, e)
 	if err != nil {
@@ -121,7 +123,8 @@
 	inFlight int
 }
 
-// sendArrivals sends every arrival at its time and waits for the last answer.
+// sendArrivals sends every request at its time, runs the events, and waits for all of
+// them to finish.
 func (run *experimentRun) sendArrivals(ctx context.Context) {
 	start := run.runner.timers.Now()
 	defer run.runner.timers.Every(balancerPeriod, func(time.Time) { run.balancer.probe(ctx, run.caller.client) })()
@@ -157,7 +160,7 @@
 	return laburnumtimer.Wait(ctx.Done(), run.runner.timers, left)
 }
 
-// startRequest counts a request and chooses its VM.
+// startRequest counts a request as in flight and chooses its VM.
 func (run *experimentRun) startRequest(late bool) string {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -195,7 +198,7 @@
 func (run *experimentRun) executeEvent(ctx context.Context, event Event) error {
 	if event.Action != ActionHTTP {
 		if run.runner.eventHandler == nil {
-			return &laburnumlever.InvalidValueError{Name: "action", Value: event.String(), Want: "http, where no fleet is run by the tool"}
+			return &laburnumlever.InvalidValueError{Name: "action", Value: event.String(), Want: "http, unless the tool runs the fleet itself"}
 		}
 		return run.runner.eventHandler.Act(ctx, event)
 	}
@@ -213,7 +216,7 @@
 	return nil
 }
 
-// showProgress writes the counts each second until stop is called.
+// showProgress writes a progress line every second until stop is called.
 func (run *experimentRun) showProgress() (stop func()) {
 	if run.runner.progress == nil {
 		return func() {}
--- a/laburnumload/text.go
+++ b/laburnumload/text.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// percent is a share in hundredths.
+// percent converts a fraction to percent.
 const percent = 100
 
-// WriteText writes the report for people.
+// WriteText writes the report as human-readable text.
 func (r Report) WriteText(w io.Writer) error {
 	t := &textWriter{w: w}
 	t.line("experiment %s, %s", r.Experiment, r.Duration)
@@ -33,7 +33,8 @@
 	return t.err
 }
 
-// textWriter keeps the first error, so that a report reads as a list of lines.
+// textWriter writes lines and keeps the first error, so that callers need not check
+// each line.
 type textWriter struct {
 	w   io.Writer
 	err error
--- a/laburnumload/verdict.go
+++ b/laburnumload/verdict.go
@@ -10,56 +10,56 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// Answer is what a caller got, with its times.
+// Answer is the result of one request, with its latencies.
 type Answer struct {
-	// Lost is why no HTTP answer came, empty if one did.
+	// Lost is the error that kept the answer from arriving in full; empty without one.
 	Lost string
-	// NotSent tells that the connection failed before anything was sent.
+	// NotSent is true if the connection failed before anything was sent.
 	NotSent bool
 	Status  int
-	// Reason and Outcome are those of a refusal, before the answer or as a stream's
-	// last event.
+	// Reason and Outcome are those of a refusal, sent instead of an answer or as a
+	// stream's last event.
 	Reason  string
 	Outcome string
-	// RetryAfter tells that the header was there.
+	// RetryAfter is true if the response had a Retry-After header.
 	RetryAfter bool
 	Text       string
-	// Marked tells that a stream ended with its end marker.
+	// EndMarker is true if a stream contained its end marker, [DONE].
 	Marked bool
-	// FirstToken is from sending to the first token, or to the whole answer where it
-	// is not a stream.
+	// FirstToken is the time from sending to the first token or, without streaming, to
+	// the whole answer.
 	FirstToken time.Duration
-	// Gaps are the times between tokens.
+	// Gaps are the times between consecutive tokens.
 	Gaps  []time.Duration
 	Total time.Duration
 }
 
-// Verdict is what a caller may think of an answer.
+// Verdict is the result of checking an answer.
 type Verdict struct {
 	Whole bool
-	// Refused names the reason of a typed refusal.
+	// Refused is the reason of a refusal, empty if none.
 	Refused string
-	// Lost tells that the connection broke, so that the caller knows nothing.
+	// Lost is true if the connection broke, so that the caller does not know the outcome.
 	Lost bool
-	// Broken says which promise the answer breaks, empty if none.
+	// Broken states the guarantee that the answer violates, empty if none.
 	Broken string
 }
 
-// The promises that an answer can break.
+// Texts of Verdict.Broken.
 const (
-	brokenCrossed   = "the answer is not the caller's own"
-	brokenTruncated = "a part was given as the whole"
+	brokenCrossed   = "the answer belongs to another request"
+	brokenTruncated = "a truncated answer was marked as complete"
 	brokenUntyped   = "the refusal has no known reason"
 	brokenOutcome   = "the refusal has no outcome"
 )
 
-// What callers read of a refusal.
+// The outcomes that a refusal can state.
 const (
 	outcomeNotRun  = "not-run"
 	outcomeUnknown = "unknown"
 )
 
-// Judge compares an answer with what was asked.
+// CheckAnswer checks an answer against its request.
 func Judge(a Arrival, got Answer) Verdict {
 	switch {
 	case got.Lost != "":
@@ -105,14 +105,13 @@
 	case got.Marked || !a.Stream:
 		return Verdict{Broken: brokenTruncated}
 	default:
-		// A stream that breaks off without its end marker says itself that it is
-		// not whole; the caller can tell.
+		// The caller can tell from the missing end marker that the stream is truncated.
 		return Verdict{Lost: true}
 	}
 }
 
-// Attained tells whether a whole answer came inside its class's targets: the
-// first token, and 95 in 100 of the gaps between tokens.
+// MeetsTargets reports whether an answer met its class's latency targets: for the first
+// token, and for 95% of the gaps between tokens.
 func Attained(class laburnumlever.Class, got Answer) bool {
 	if got.FirstToken > time.Duration(class.FirstToken) {
 		return false
@@ -126,5 +125,5 @@
 	return float64(late) <= lateShare*float64(len(got.Gaps))
 }
 
-// lateShare is the users' 5 in 100 that may come late.
+// lateShare is the fraction of gaps that the users allow to exceed the target.
 const lateShare = 0.05
--- a/laburnumload/verdict_test.go
+++ b/laburnumload/verdict_test.go
@@ -24,12 +24,12 @@
 		{
 			"another's",
 			laburnumload.Answer{Status: 200, Text: laburnumstandin.Token("yours", 0), Marked: true},
-			laburnumload.Verdict{Broken: "the answer is not the caller's own"},
+			laburnumload.Verdict{Broken: "the answer belongs to another request"},
 		},
 		{
 			"a part with the end marker",
 			laburnumload.Answer{Status: 200, Text: laburnumstandin.Token("mine", 0), Marked: true},
-			laburnumload.Verdict{Broken: "a part was given as the whole"},
+			laburnumload.Verdict{Broken: "a truncated answer was marked as complete"},
 		},
 		{"a part without it", laburnumload.Answer{Status: 200, Text: laburnumstandin.Token("mine", 0)}, laburnumload.Verdict{Lost: true}},
 		{"no answer", laburnumload.Answer{Lost: "reset"}, laburnumload.Verdict{Lost: true}},
@@ -62,9 +62,9 @@
 	require.False(t, laburnumload.Attained(class, laburnumload.Answer{FirstToken: time.Second + 1}))
 }
 
-// A booking's answer is lost, the caller sends it again through another VM, and two
-// vans go to the door; or a caller is told "not run" and books elsewhere, but the
-// visit was made. Only the service's own ledger can show either.
+// Guards against double bookings that only the service's ledger shows: a call that runs
+// again when it is resent after a lost answer, and a call that ran although it was refused
+// as not-run, so that the caller books elsewhere.
 func TestCheckLedger(t *testing.T) {
 	ledger := [][]laburnumstandin.LedgerEntry{{{Key: "once"}, {Key: "twice"}, {Key: "denied"}}, {{Key: "twice"}, {Key: "recovered"}}}
 	told := []laburnumload.Told{
@@ -82,6 +82,6 @@
 	require.Equal(t, []string{
 		"key twice ran 2 times",
 		"key phantom was answered but never ran",
-		"key denied was told not-run but ran",
+		"key denied was refused as not-run but ran",
 	}, laburnumload.CheckLedger(told, ledger))
 }
