--- a/laburnumfleet/backends.go
+++ b/laburnumfleet/backends.go
@@ -87,12 +87,12 @@
 	return addresses
 }
 
-func (f *Fleet) serveBackend(id laburnumlever.BackendID, ln net.Listener, stand standIn) {
-	b := &backend{id: id, standIn: stand, handler: newSlowHandler(stand)}
+func (f *Fleet) serveBackend(id laburnumlever.BackendID, ln net.Listener, backendServer standIn) {
+	b := &backend{id: id, standIn: backendServer, handler: newSlowHandler(backendServer)}
 	b.server = &http.Server{Handler: b.handler, ReadHeaderTimeout: headerReadTimeout}
 	f.backends = append(f.backends, b)
 	go func() { _ = b.server.Serve(ln) }()
-	stand.Start()
+	backendServer.Start()
 }
 
 // Violations counts the orders that asked an engine for more memory than it has.
--- a/laburnumstandin/link_test.go
+++ b/laburnumstandin/link_test.go
@@ -92,7 +92,7 @@
 func TestLinkCutAppliesOnlyToListedSources(t *testing.T) {
 	link, address := startLink(t, echoServer(t))
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkCut, From: []string{"127.0.0.9"}})
-	say := func(source string) error {
+	roundTripFrom := func(source string) error {
 		dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(source)}}
 		conn, err := dialer.Dial("tcp", address)
 		if err != nil {
@@ -103,8 +103,8 @@
 		_, err = bufio.NewReader(conn).ReadString('\n')
 		return err
 	}
-	require.NoError(t, say("127.0.0.1"))
-	require.Error(t, say("127.0.0.9"))
+	require.NoError(t, roundTripFrom("127.0.0.1"))
+	require.Error(t, roundTripFrom("127.0.0.9"))
 }
 
 func TestLinkIsSetOverHTTP(t *testing.T) {
