--- a/laburnumfleet/actions.go
+++ b/laburnumfleet/actions.go
@@ -122,7 +122,7 @@
 	return false
 }
 
-// HandleEvent carries out an event of an experiment. Errors include
+// Act carries out an event of an experiment. Errors include
 // *laburnumlever.InvalidValueError for an action that a fleet does not have,
 // *laburnumlever.NotFoundError for an unknown VM, backend server or availability zone.
 func (f *Fleet) Act(ctx context.Context, event laburnumload.Event) error {
