--- a/laburnumfleet/actions.go
+++ b/laburnumfleet/actions.go
@@ -13,13 +13,13 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// askStep is how often a VM is asked while something is waited for.
-const askStep = 50 * time.Millisecond
+// pollInterval is how often the VMs are polled while Apply and the Await methods wait.
+const pollInterval = 50 * time.Millisecond
 
-// Apply makes the fleet's catalogue the one in force and returns its revision. It is
-// tried again until the context ends: right after the start the voters have no
-// leader yet, and the backend servers are not known to all. It is tried dry first,
-// so that a change that can't be accepted yet is none.
+// Apply puts the fleet's catalogue into effect and returns its revision. Transient
+// errors are retried until the context ends: right after the start the voters have no
+// leader yet, and not all VMs know the backend servers. A dry run comes first, so that
+// a catalogue that can't be accepted yet is not proposed as a change.
 func (f *Fleet) Apply(ctx context.Context) (uint64, error) {
 	client := laburnumoperator.NewClient(f.Operators()[0])
 	req := laburnumlever.ApplyRequest{DryRun: true}
@@ -32,15 +32,15 @@
 			return answer.Revision, nil
 		case err == nil:
 			req.DryRun = false
-		case !comesRight(err) || !pause(ctx):
+		case !isTransient(err) || !waitPollInterval(ctx):
 			return 0, err
 		}
 	}
 }
 
-// pause waits a step; false means that the context has ended.
-func pause(ctx context.Context) bool {
-	timer := time.NewTimer(askStep)
+// waitPollInterval waits for one interval; it returns false if the context ends first.
+func waitPollInterval(ctx context.Context) bool {
+	timer := time.NewTimer(pollInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -50,8 +50,9 @@
 	}
 }
 
-// AwaitLoaded waits until every VM knows the revision and a ready copy of every
-// model, and a backend server of every plain service.
+// AwaitLoaded waits until every VM knows the catalogue revision, a ready copy of every
+// model and a backend server of every plain service. Errors: *NotLoadedError when the
+// context ends first.
 func (f *Fleet) AwaitLoaded(ctx context.Context, revision uint64) error {
 	for _, address := range f.Operators() {
 		if err := awaitLoaded(ctx, laburnumoperator.NewClient(address), revision); err != nil {
@@ -64,18 +65,19 @@
 func awaitLoaded(ctx context.Context, client *laburnumoperator.Client, revision uint64) error {
 	for {
 		status, err := client.Status(ctx)
-		missing := missingOf(status.View)
+		missing := unserved(status.View)
 		if err == nil && status.View.Catalogue.Revision >= revision && len(missing) == 0 {
 			return nil
 		}
-		if !pause(ctx) {
+		if !waitPollInterval(ctx) {
 			return &NotLoadedError{Models: missing, Revision: status.View.Catalogue.Revision, Cause: ctx.Err()}
 		}
 	}
 }
 
 // AwaitSettled waits until no VM has moved a model for the quiet time, or until the
-// context ends: after a start the planner goes on to second copies and replicas.
+// context ends. After a start the planner still adds second copies and replicas once
+// every model is loaded.
 func (f *Fleet) AwaitSettled(ctx context.Context, quiet time.Duration) {
 	moves, since := uint64(0), time.Now()
 	for time.Since(since) < quiet {
@@ -89,14 +91,14 @@
 		if now != moves {
 			moves, since = now, time.Now()
 		}
-		if !pause(ctx) {
+		if !waitPollInterval(ctx) {
 			return
 		}
 	}
 }
 
-// missingOf lists the models and plain services that no backend server serves.
-func missingOf(view laburnumlever.View) []laburnumlever.ModelName {
+// unserved lists the models and plain services that no available backend server serves.
+func unserved(view laburnumlever.View) []laburnumlever.ModelName {
 	var missing []laburnumlever.ModelName
 	for _, model := range view.Catalogue.Models {
 		if !anyBackend(view, func(b laburnumlever.Backend) bool { return b.Serves(model.Name) }) {
@@ -120,7 +122,9 @@
 	return false
 }
 
-// Act does what an event of an experiment asks.
+// Act carries out an event of an experiment. Errors include
+// *laburnumlever.InvalidValueError for an action that a fleet does not have,
+// *laburnumlever.NotFoundError for an unknown VM, backend server or availability zone.
 func (f *Fleet) Act(ctx context.Context, event laburnumload.Event) error {
 	switch event.Action {
 	case laburnumload.ActionKillVM, laburnumload.ActionStopVM:
@@ -128,7 +132,7 @@
 	case laburnumload.ActionKillBackend, laburnumload.ActionSlowBackend:
 		return f.changeBackend(event)
 	case laburnumload.ActionApply:
-		return f.applyAgain(ctx)
+		return f.applyUnchangedPlacement(ctx)
 	case laburnumload.ActionCutZone:
 		return f.cutZone(laburnumlever.ZoneName(event.Name), laburnumstandin.LinkFrozen)
 	case laburnumload.ActionHealZone:
@@ -140,14 +144,14 @@
 
 func (f *Fleet) endVM(ctx context.Context, event laburnumload.Event) error {
 	f.mu.Lock()
-	var found *vm
-	for _, one := range f.nodes {
-		if string(one.spec.VM) == event.Name && !one.gone {
-			found = one
+	var found *fleetVM
+	for _, vm := range f.vms {
+		if string(vm.spec.VM) == event.Name && !vm.ended {
+			found = vm
 		}
 	}
 	if found != nil {
-		found.gone = true
+		found.ended = true
 	}
 	f.mu.Unlock()
 	if found == nil {
@@ -171,14 +175,15 @@
 			b.handler.set(event.Factor)
 			return nil
 		}
-		b.stand.Close()
+		b.standIn.Close()
 		return b.server.Close()
 	}
 	return &laburnumlever.NotFoundError{Kind: "backend server", Name: event.Name}
 }
 
-// applyAgain makes a new revision that changes nothing that is placed.
-func (f *Fleet) applyAgain(ctx context.Context) error {
+// applyUnchangedPlacement applies the current catalogue with a slightly higher move cost,
+// a new revision that leaves the placement as it is.
+func (f *Fleet) applyUnchangedPlacement(ctx context.Context) error {
 	client := laburnumoperator.NewClient(f.Operators()[0])
 	current, err := client.Catalogue(ctx)
 	if err != nil {
@@ -194,5 +199,5 @@
 	return err
 }
 
-// moveCostStep is small enough to change no decision.
+// moveCostStep is small enough not to change any placement decision.
 const moveCostStep = 0.001
--- a/laburnumload/caller.go
+++ b/laburnumload/caller.go
@@ -23,32 +23,33 @@
 	headerOutcome    = "Laburnumlever-Outcome"
 	headerRetryAfter = "Retry-After"
 
-	eventData  = "data: "
-	endMarker  = "[DONE]"
-	maxEvent   = 1 << 20
-	idleConns  = 512
-	bearerText = "Bearer "
+	eventData    = "data: "
+	endMarker    = "[DONE]"
+	maxEvent     = 1 << 20
+	idleConns    = 512
+	bearerPrefix = "Bearer "
 )
 
-// Caller sends requests as callers do and measures the answers. It is safe for use
-// by many goroutines.
+// Caller is an HTTP client that sends requests and measures the answers. It is safe
+// for use by many goroutines.
 type Caller struct {
 	client *http.Client
 	timers laburnumlever.Timers
-	run    string
+	runID  string
 }
 
-// NewCaller returns a caller on the machine's clock that makes its own request ids.
+// NewCaller returns a caller on the system clock that sends no X-Request-Id header.
 func NewCaller() *Caller { return newCaller(laburnumtimer.New(), "") }
 
 func newCaller(timers laburnumlever.Timers, run string) *Caller {
 	transport := &http.Transport{MaxIdleConns: idleConns, MaxIdleConnsPerHost: idleConns, DisableCompression: true}
-	return &Caller{client: &http.Client{Transport: transport}, timers: timers, run: run}
+	return &Caller{client: &http.Client{Transport: transport}, timers: timers, runID: run}
 }
 
-// requestID is the id that the caller gives a request; each send has its own.
+// requestID is the X-Request-Id of an arrival. A resend is an arrival of its own and
+// has a different id.
 func (c *Caller) requestID(a Arrival) string {
-	return fmt.Sprintf("%s-%d", c.run, a.Number)
+	return fmt.Sprintf("%s-%d", c.runID, a.Number)
 }
 
 // Send sends a request to a VM's callers address and reads the whole answer.
@@ -60,7 +61,7 @@
 	start := c.timers.Now()
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return lost(err)
+		return lostAnswer(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	answer := Answer{
@@ -80,13 +81,14 @@
 	return answer
 }
 
-// lost is a request without an answer. Only a failed dial surely sent nothing.
-func lost(err error) Answer {
+// lostAnswer is the answer of a request that failed without a response. Only a failed
+// dial guarantees that nothing was sent.
+func lostAnswer(err error) Answer {
 	var op *net.OpError
 	return Answer{Lost: errors.UnwrapAll(err).Error(), NotSent: errors.As(err, &op) && op.Op == "dial"}
 }
 
-// chatRequest is the OpenAI shape of a request for a completion.
+// chatRequest is the body of an OpenAI-style chat completion request.
 type chatRequest struct {
 	Model     laburnumlever.ModelName `json:"model"`
 	Messages  []chatMessage           `json:"messages"`
@@ -99,7 +101,7 @@
 	Content string `json:"content"`
 }
 
-// chatAnswer is what is read of an answer or of one event of a stream.
+// chatAnswer has the fields that are read of an answer or of one event of a stream.
 type chatAnswer struct {
 	Choices []chatChoice `json:"choices"`
 	Error   *refusalBody `json:"error"`
@@ -131,15 +133,15 @@
 		return nil, err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("Authorization", bearerText+a.Caller)
-	if c.run != "" {
+	req.Header.Set("Authorization", bearerPrefix+a.Caller)
+	if c.runID != "" {
 		req.Header.Set(headerRequest, c.requestID(a))
 	}
 	if a.Key != "" {
 		req.Header.Set(headerKey, a.Key)
 	}
-	// A key must not make net/http send the request again by itself: the tool
-	// counts sends, and a second one would be blamed on the system.
+	// net/http retries a request with an idempotency key on its own if it can get the
+	// body again. The tool counts sends, and would attribute the retry to the system.
 	req.GetBody = nil
 	return req, nil
 }
@@ -153,9 +155,9 @@
 	answer.Text = string(text)
 	var parsed chatAnswer
 	if err := json.Unmarshal(text, &parsed); err != nil {
-		return nil //nolint:nilerr // A body that is no JSON is judged by its text.
+		return nil //nolint:nilerr // A body that is not JSON is checked as text.
 	}
-	answer.take(parsed.Error)
+	answer.setRefusal(parsed.Error)
 	if a.Service == "" && len(parsed.Choices) > 0 {
 		answer.Text = parsed.Choices[0].Message.Content
 	}
@@ -181,13 +183,13 @@
 		if err := json.Unmarshal([]byte(data), &event); err != nil {
 			return err
 		}
-		answer.take(event.Error)
+		answer.setRefusal(event.Error)
 		token := event.token()
 		if token == "" {
 			continue
 		}
 		now := c.timers.Now()
-		answer.measure(start, last, now)
+		answer.recordToken(start, last, now)
 		last = now
 		text.WriteString(token)
 	}
@@ -201,7 +203,7 @@
 	return a.Choices[0].Delta.Content
 }
 
-func (a *Answer) take(refusal *refusalBody) {
+func (a *Answer) setRefusal(refusal *refusalBody) {
 	if refusal == nil {
 		return
 	}
@@ -209,7 +211,7 @@
 	a.Outcome = refusal.Outcome
 }
 
-func (a *Answer) measure(start, last, now time.Time) {
+func (a *Answer) recordToken(start, last, now time.Time) {
 	if last.Equal(start) {
 		a.FirstToken = now.Sub(start)
 		return
@@ -217,7 +219,7 @@
 	a.Gaps = append(a.Gaps, now.Sub(last))
 }
 
-// modelList is the answer to /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Data []modelEntry `json:"data"`
 }
@@ -226,7 +228,7 @@
 	ID string `json:"id"`
 }
 
-// Models lists the models that a VM offers.
+// Models lists the models that a VM offers at its callers address.
 func (c *Caller) Models(ctx context.Context, address string) ([]string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/models", http.NoBody)
 	if err != nil {
--- a/laburnumload/plan_test.go
+++ b/laburnumload/plan_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// The rates are drawn, so the bounds are wide: four times the standard deviation
-// of a Poisson count.
+// The counts are random, so the bounds are wide: about four standard deviations of a
+// Poisson count, or of a count of bursts.
 func TestPlanFollowsRatesAndShapes(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestPlanMixesAsAsked(t *testing.T) {
+func TestPlanFollowsMixAndSkew(t *testing.T) {
 	rush := laburnumload.Phase{For: seconds(100), RequestsPerSecond: 20, Shares: []laburnumload.Share{{Entry: "quotes", Share: 1}}}
 	plan := laburnumload.Plan(experiment(laburnumload.Phase{For: seconds(100), RequestsPerSecond: 20}, rush), "run")
 	var calm, rushed, hot, quotes, firstCaller, resends int
--- a/laburnumload/plot.go
+++ b/laburnumload/plot.go
@@ -14,14 +14,15 @@
 	plotTicks  = 4
 )
 
-// series is one line of a plot.
+// series is one line of the plot.
 type series struct {
 	name, colour string
 	value        func(Second) int
 }
 
-// plotted are the lines of a plot; their colours differ in lightness too.
-var plotted = []series{
+// plotSeries lists the lines of the plot. Their colours differ in lightness too, so that
+// they can be told apart without colour vision.
+var plotSeries = []series{
 	{"sent", "#888888", func(s Second) int { return s.Sent }},
 	{"whole", "#1f77b4", func(s Second) int { return s.Whole }},
 	{"attained", "#2ca02c", func(s Second) int { return s.Attained }},
@@ -29,15 +30,15 @@
 	{"lost", "#d62728", func(s Second) int { return s.Lost }},
 }
 
-// WriteSVG draws the run second by second, by the time of arrival.
+// WriteSVG writes a plot of the requests per second, by time of arrival, as SVG.
 func (r Report) WriteSVG(w io.Writer) error {
 	t := &textWriter{w: w}
 	t.line(`<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="12">`, plotWidth, plotHeight)
 	t.line(`<rect width="100%%" height="100%%" fill="white"/>`)
 	t.line(`<text x="%d" y="20">%s: requests a second</text>`, plotMargin, r.Experiment)
-	most := r.most()
+	most := r.maxSent()
 	r.axes(t, most)
-	for i, s := range plotted {
+	for i, s := range plotSeries {
 		t.line(`<polyline fill="none" stroke="%s" stroke-width="1.5" points="%s"/>`, s.colour, r.points(s, most))
 		t.line(`<text x="%d" y="%d" fill="%s">%s</text>`, plotWidth-2*plotMargin, plotMargin+i*16, s.colour, s.name)
 	}
@@ -45,7 +46,7 @@
 	return t.err
 }
 
-func (r Report) most() int {
+func (r Report) maxSent() int {
 	most := 1
 	for _, second := range r.Seconds {
 		most = max(most, second.Sent)
--- a/laburnumstandin/enginebatch.go
+++ b/laburnumstandin/enginebatch.go
@@ -10,11 +10,11 @@
 	"laburnumlever"
 )
 
-// prefixCacheSize is how many prefix hashes an engine keeps.
+// prefixCacheSize is the number of prefix hashes that an engine keeps.
 const prefixCacheSize = 128
 
-// slots are the places of the batch and the requests that wait for one,
-// interactive ones first.
+// slots counts the batch's busy slots and queues requests for a free one,
+// interactive requests first.
 type slots struct {
 	size, queue int
 	busy        int
@@ -24,8 +24,9 @@
 
 func (s *slots) waiting() int { return len(s.interactive) + len(s.batch) }
 
-// enter takes a free slot (nil, true), or a place in the queue, or neither.
-func (s *slots) enter(priority laburnumlever.Priority) (chan struct{}, bool) {
+// acquire takes a free slot and returns (nil, true), or queues the request and returns
+// a channel that is closed when a slot is granted. It returns false if the queue is full.
+func (s *slots) acquire(priority laburnumlever.Priority) (chan struct{}, bool) {
 	if s.busy < s.size {
 		s.busy++
 		return nil, true
@@ -33,17 +34,17 @@
 	if s.waiting() >= s.queue {
 		return nil, false
 	}
-	turn := make(chan struct{})
+	granted := make(chan struct{})
 	if priority == laburnumlever.Batch {
-		s.batch = append(s.batch, turn)
+		s.batch = append(s.batch, granted)
 	} else {
-		s.interactive = append(s.interactive, turn)
+		s.interactive = append(s.interactive, granted)
 	}
-	return turn, true
+	return granted, true
 }
 
-// leave gives the slot to the next in the queue.
-func (s *slots) leave() {
+// release hands the slot to the first queued request, or frees it.
+func (s *slots) release() {
 	switch {
 	case len(s.interactive) > 0:
 		close(s.interactive[0])
@@ -56,21 +57,21 @@
 	}
 }
 
-// giveUp takes a waiting request out of the queue; false means that it has
-// been given a slot in the meantime.
-func (s *slots) giveUp(turn chan struct{}) bool {
+// abandon removes a request from the queue; false means that it has been granted a
+// slot in the meantime.
+func (s *slots) abandon(granted chan struct{}) bool {
 	before := s.waiting()
-	same := func(other chan struct{}) bool { return other == turn }
+	same := func(other chan struct{}) bool { return other == granted }
 	s.interactive = slices.DeleteFunc(s.interactive, same)
 	s.batch = slices.DeleteFunc(s.batch, same)
 	return s.waiting() < before
 }
 
-// prefixCache keeps the prompt prefixes seen last.
+// prefixCache is an LRU cache of prompt prefix hashes, most recently used first.
 type prefixCache struct{ hashes []uint64 }
 
-// use marks the prefixes as the most recent and returns the share of them that
-// was cached.
+// use marks the prefixes as most recently used and returns the fraction of them,
+// 0 to 1, that was cached.
 func (c *prefixCache) use(hashes []uint64) float64 {
 	hits := 0
 	for _, hash := range hashes {
@@ -86,24 +87,24 @@
 
 func (c *prefixCache) list() []uint64 { return slices.Clone(c.hashes) }
 
-// acquire waits for a slot. False means that the queue is full or the request was
-// cancelled: it did not run.
+// acquire waits for a slot. It returns false if the queue is full or the request is
+// cancelled first; the request has then not run.
 func (e *Engine) acquire(ctx context.Context, priority laburnumlever.Priority) bool {
 	e.mu.Lock()
-	turn, ok := e.slots.enter(priority)
+	granted, ok := e.slots.acquire(priority)
 	e.mu.Unlock()
-	if !ok || turn == nil {
+	if !ok || granted == nil {
 		return ok
 	}
 	select {
-	case <-turn:
+	case <-granted:
 		return true
 	case <-ctx.Done():
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.slots.giveUp(turn) {
-		e.slots.leave()
+	if !e.slots.abandon(granted) {
+		e.slots.release()
 	}
 	return false
 }
@@ -111,10 +112,11 @@
 func (e *Engine) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slots.leave()
+	e.slots.release()
 }
 
-// prefill waits while the prompt is read; a cached prefix takes no time.
+// prefill waits for the time that processing the prompt takes; a cached prefix takes
+// none. It returns false if the request is cancelled.
 func (e *Engine) prefill(ctx context.Context, prompt string) bool {
 	e.mu.Lock()
 	cached := e.prefixes.use(PrefixHashes(prompt))
@@ -124,8 +126,9 @@
 	return e.wait(ctx, float64(PromptTokens(prompt))*(1-cached)*float64(busy), rate)
 }
 
-// step waits for one token: the batch shares the server's rate.
-func (e *Engine) step(ctx context.Context) bool {
+// waitToken waits for the time that one token takes; the requests of the batch share
+// the engine's token rate. It returns false if the request is cancelled.
+func (e *Engine) waitToken(ctx context.Context) bool {
 	e.mu.Lock()
 	rate := e.announcement.TokensPerSecond
 	busy := e.slots.busy
@@ -133,8 +136,8 @@
 	return e.wait(ctx, float64(max(1, busy)), rate)
 }
 
-// wait passes the time that the tokens take; a rate of 0 takes none. False means
-// that the request was cancelled.
+// wait waits for the time that the tokens take at a rate in tokens per second; a rate
+// of 0 takes no time. It returns false if the request is cancelled.
 func (e *Engine) wait(ctx context.Context, tokens, rate float64) bool {
 	if rate <= 0 || tokens <= 0 {
 		return ctx.Err() == nil
--- a/laburnumstandin/link_test.go
+++ b/laburnumstandin/link_test.go
@@ -55,44 +55,44 @@
 	return link, ln.Addr().String()
 }
 
-func TestLinkHoldsWhatItFreezesAndResetsWhatItCuts(t *testing.T) {
+func TestLinkDelaysBytesWhileFrozenAndResetsConnectionsWhenCut(t *testing.T) {
 	link, address := startLink(t, echoServer(t))
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
 	reader := bufio.NewReader(conn)
-	say := func(line string) {
+	send := func(line string) {
 		_, err := conn.Write([]byte(line + "\n"))
 		require.NoError(t, err)
 	}
-	hear := func(want string) {
+	requireLine := func(want string) {
 		line, err := reader.ReadString('\n')
 		require.NoError(t, err)
 		require.Equal(t, want+"\n", line)
 	}
-	say("one")
-	hear("one")
+	send("one")
+	requireLine("one")
 
-	// One way: the target hears "two" (the link has passed its four bytes) and its
-	// answer waits.
+	// One direction: the target receives "two" (the link has passed its four bytes),
+	// and its reply is held back.
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkFrozenFrom})
-	say("two")
+	send("two")
 	require.Eventually(t, func() bool { return link.Passed() == len("one\none\ntwo\n") }, waitLimit, waitStep)
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkFrozen})
-	say("three")
-	require.Equal(t, len("one\none\ntwo\n"), link.Passed(), "nothing may pass a frozen link")
+	send("three")
+	require.Equal(t, len("one\none\ntwo\n"), link.Passed(), "a frozen link must pass no bytes")
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkOpen, Delay: laburnumlever.Duration(waitStep)})
-	hear("two")
-	hear("three")
+	requireLine("two")
+	requireLine("three")
 
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkCut})
 	_, err = reader.ReadString('\n')
 	require.Error(t, err)
 }
 
-func TestLinkIsCutForSomeSourcesOnly(t *testing.T) {
+func TestLinkCutAppliesOnlyToListedSources(t *testing.T) {
 	link, address := startLink(t, echoServer(t))
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkCut, From: []string{"127.0.0.9"}})
-	say := func(source string) error {
+	roundTripFrom := func(source string) error {
 		dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(source)}}
 		conn, err := dialer.Dial("tcp", address)
 		if err != nil {
@@ -103,8 +103,8 @@
 		_, err = bufio.NewReader(conn).ReadString('\n')
 		return err
 	}
-	require.NoError(t, say("127.0.0.1"))
-	require.Error(t, say("127.0.0.9"))
+	require.NoError(t, roundTripFrom("127.0.0.1"))
+	require.Error(t, roundTripFrom("127.0.0.9"))
 }
 
 func TestLinkIsSetOverHTTP(t *testing.T) {
--- a/laburnumstandin/service.go
+++ b/laburnumstandin/service.go
@@ -22,8 +22,9 @@
 	ledgerPath = "/ledger"
 )
 
-// LedgerEntry is one call that a plain service ran. It is written the moment the
-// call runs, before the answer is sent, so that a lost answer does not hide it.
+// LedgerEntry is one call that a plain service ran. It is recorded when the call
+// starts to run, before the response is sent, so that a call whose response is lost
+// is recorded too.
 type LedgerEntry struct {
 	// Number counts the calls that ran, from 1.
 	Number int    `json:"number"`
@@ -36,7 +37,7 @@
 	At      time.Time `json:"at"`
 }
 
-// ServiceAnswer is a plain service's answer to a call that it ran.
+// ServiceAnswer is a plain service's response to a call that it ran.
 type ServiceAnswer struct {
 	// Number is the call's number in the ledger.
 	Number int    `json:"number"`
@@ -46,28 +47,27 @@
 	Echo string `json:"echo"`
 }
 
-// Service is a stand-in plain service: it runs every call that it takes, whether
-// or not the caller is still there, and keeps a ledger of them, so that what a
-// caller was told can be checked against what was done. It is safe for use by many
-// goroutines.
+// Service is a stand-in plain service: it runs every call that it accepts, even if
+// the caller disconnects, and keeps a ledger of them, against which the responses
+// that callers got can be checked. It is safe for use by many goroutines.
 type Service struct {
 	cfg          config
-	own          *laburnumtimer.Timers
-	news         *announcer
+	ownTimers    *laburnumtimer.Timers
+	announcer    *announcer
 	announcement laburnumlever.Announcement
 	slots        chan struct{}
 
 	mu       sync.Mutex
 	closed   bool
-	working  int
-	waiting  int
+	inFlight int
+	queued   int
 	sequence uint64
 	ledger   []LedgerEntry
 }
 
-// NewService makes a plain service with an empty ledger. Fields of the
-// announcement that are needed: the id, zone, address, incarnation, service and
-// slots. WithLoadTime sets how long each call takes.
+// NewService makes a plain service with an empty ledger. The announcement must set
+// the id, zone, address, incarnation, service and slots. WithLoadTime sets how long
+// each call takes.
 func NewService(announcement laburnumlever.Announcement, opts ...Option) *Service {
 	announcement.Kind = laburnumlever.PlainService
 	announcement.Slots = max(1, announcement.Slots)
@@ -77,17 +77,17 @@
 		slots:        make(chan struct{}, announcement.Slots),
 	}
 	if s.cfg.timers == nil {
-		s.own = laburnumtimer.New()
-		s.cfg.timers = s.own
+		s.ownTimers = laburnumtimer.New()
+		s.cfg.timers = s.ownTimers
 	}
-	s.news = newAnnouncer(s.cfg, s.Announcement, s.Report)
+	s.announcer = newAnnouncer(s.cfg, s.Announcement, s.Report)
 	return s
 }
 
-// Start begins to announce the service and to report its load.
-func (s *Service) Start() { s.news.start() }
+// Start starts the periodic announcements and load reports.
+func (s *Service) Start() { s.announcer.start() }
 
-// Close stops the announcements without telling anybody.
+// Close stops the announcements without telling the registries.
 func (s *Service) Close() {
 	s.mu.Lock()
 	closed := s.closed
@@ -96,19 +96,19 @@
 	if closed {
 		return
 	}
-	s.news.stop()
-	if s.own != nil {
-		s.own.Close()
+	s.announcer.stop()
+	if s.ownTimers != nil {
+		s.ownTimers.Close()
 	}
 }
 
-// Leave tells the registries that the service leaves; what is in flight goes on.
-func (s *Service) Leave() { s.news.leave() }
+// Leave tells the registries that the service leaves; calls in flight continue.
+func (s *Service) Leave() { s.announcer.leave() }
 
-// Announcement is what the service says of itself.
+// Announcement returns the service's announcement.
 func (s *Service) Announcement() laburnumlever.Announcement { return s.announcement }
 
-// Report is the service's load now.
+// Report returns the service's current load; each call uses the next sequence number.
 func (s *Service) Report() laburnumlever.LoadReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,8 +117,8 @@
 		Backend:     s.announcement.Backend,
 		Incarnation: s.announcement.Incarnation,
 		Sequence:    s.sequence,
-		InFlight:    s.working,
-		Queued:      s.waiting,
+		InFlight:    s.inFlight,
+		Queued:      s.queued,
 	}
 }
 
@@ -129,7 +129,7 @@
 	return append([]LedgerEntry{}, s.ledger...)
 }
 
-// ServeHTTP runs a call, or shows the ledger at GET /ledger.
+// ServeHTTP runs a call, or returns the ledger at GET /ledger.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet && r.URL.Path == ledgerPath {
 		writeJSON(w, http.StatusOK, s.Ledger())
@@ -144,24 +144,25 @@
 		writeJSON(w, http.StatusBadRequest, errorBody{Error: errorDetail{Type: errorBadRequest, Message: err.Error(), Outcome: outcomeNotRun}})
 		return
 	}
-	if !s.enter(r.Context()) {
+	if !s.acquire(r.Context()) {
 		writeNotRun(w, "the queue is full")
 		return
 	}
-	defer s.exit()
+	defer s.release()
 	entry := s.record(r)
-	s.work()
+	s.waitCallTime()
 	writeJSON(w, http.StatusOK, ServiceAnswer{Number: entry.Number, Key: entry.Key, Path: entry.Path, Echo: string(body)})
 }
 
-// enter waits for a slot; false means that the call surely does not run.
-func (s *Service) enter(ctx context.Context) bool {
+// acquire waits for a slot. It returns false if the queue is full or the call is
+// cancelled first; the call has then not run.
+func (s *Service) acquire(ctx context.Context) bool {
 	s.mu.Lock()
-	if s.waiting >= s.cfg.queue {
+	if s.queued >= s.cfg.queue {
 		s.mu.Unlock()
 		return false
 	}
-	s.waiting++
+	s.queued++
 	s.mu.Unlock()
 	entered := false
 	select {
@@ -171,16 +172,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waiting--
+	s.queued--
 	if entered {
-		s.working++
+		s.inFlight++
 	}
 	return entered
 }
 
-func (s *Service) exit() {
+func (s *Service) release() {
 	s.mu.Lock()
-	s.working--
+	s.inFlight--
 	s.mu.Unlock()
 	<-s.slots
 }
@@ -203,9 +204,9 @@
 	return entry
 }
 
-// work takes the time of one call. It goes on when the caller is gone, as a
-// booking that has begun would.
-func (s *Service) work() {
+// waitCallTime waits for the duration of one call. It does not stop when the caller
+// disconnects, as a booking that has started would not.
+func (s *Service) waitCallTime() {
 	if s.cfg.loadTime <= 0 {
 		return
 	}
--- a/laburnumstandin/weightstore.go
+++ b/laburnumstandin/weightstore.go
@@ -8,39 +8,39 @@
 	"laburnumlever/laburnumtimer"
 )
 
-// WeightStoreStats is what a weight store has seen.
+// WeightStoreStats counts the loads that a weight store was asked for.
 type WeightStoreStats struct {
 	Loads           int `json:"loads"`
 	HighestParallel int `json:"highest-parallel"`
-	// HighestRate is the most loads a second that began within any ten seconds,
-	// asked of the store, not what it served.
+	// HighestRate is the highest rate of requested loads per second, averaged over ten
+	// seconds. It measures the demand, not the loads served.
 	HighestRate float64 `json:"highest-rate"`
-	// Delayed counts the loads that had to wait because the rate or the parallel
-	// loads were passed.
+	// Delayed counts the loads that were delayed by the limits on the rate and on
+	// parallel loads.
 	Delayed int `json:"delayed"`
 }
 
-// rateWindow is long enough that one load more or less changes the highest rate
-// by a tenth only.
+// rateWindow is the window of HighestRate, long enough that one load more or less
+// changes it by only 0.1 loads per second.
 const rateWindow = 10 * time.Second
 
-// WeightStore is a stand-in for the rate-limited store of weights. A load beyond
-// its rate or parallel loads waits and is counted as delayed.
+// WeightStore is a stand-in for the rate-limited weight store. A load beyond its
+// limits on the rate or on parallel loads is queued and counted as delayed.
 type WeightStore struct {
 	rate     float64
 	parallel int
 	cfg      config
 
-	mu      sync.Mutex
-	stats   WeightStoreStats
-	active  int
-	asked   []time.Time
-	next    time.Time
-	waiting []chan struct{}
+	mu           sync.Mutex
+	stats        WeightStoreStats
+	active       int
+	requestTimes []time.Time
+	nextStart    time.Time
+	waiting      []chan struct{}
 }
 
-// NewWeightStore makes a store that begins at most rate loads a second and serves at
-// most parallel at once. WithLoadTime sets how long one load takes.
+// NewWeightStore makes a store that starts at most rate loads per second and serves at
+// most parallel loads at once. WithLoadTime sets how long one load takes.
 func NewWeightStore(rate float64, parallel int, opts ...Option) *WeightStore {
 	s := &WeightStore{rate: rate, parallel: parallel, cfg: newConfig(opts)}
 	if s.cfg.timers == nil {
@@ -49,14 +49,14 @@
 	return s
 }
 
-// Stats is what the store has seen so far.
+// Stats returns the counts so far.
 func (s *WeightStore) Stats() WeightStoreStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// ServeHTTP answers GET /weights once the load is done, and GET /stats.
+// ServeHTTP serves GET /weights, which returns once the load is done, and GET /stats.
 func (s *WeightStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/stats" {
 		writeJSON(w, http.StatusOK, s.Stats())
@@ -70,14 +70,14 @@
 	}
 }
 
-// Load begins one load without HTTP, for tests on a manual clock; the channel is
-// closed when it is done.
+// Load starts one load without HTTP, for tests on a manual clock; the channel is
+// closed when the load is done.
 func (s *WeightStore) Load() <-chan struct{} { return s.begin(s.cfg.timers.Now()) }
 
 func (s *WeightStore) begin(now time.Time) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.count(now)
+	s.recordRequest(now)
 	done := make(chan struct{})
 	if s.active >= s.parallel {
 		s.stats.Delayed++
@@ -89,15 +89,16 @@
 	return done
 }
 
-// serve spaces the loads by the rate, then takes the load time.
+// serve starts a load as soon as the rate allows and closes done after the load time;
+// the caller holds mu.
 func (s *WeightStore) serve(now time.Time, done chan struct{}) {
 	start := now
-	if s.next.After(now) {
-		start = s.next
+	if s.nextStart.After(now) {
+		start = s.nextStart
 		s.stats.Delayed++
 	}
 	if s.rate > 0 {
-		s.next = start.Add(time.Duration(float64(time.Second) / s.rate))
+		s.nextStart = start.Add(time.Duration(float64(time.Second) / s.rate))
 	}
 	s.cfg.timers.After(start.Sub(now)+s.cfg.loadTime, func(now time.Time) { s.finish(now, done) })
 }
@@ -115,12 +116,12 @@
 	s.serve(now, first)
 }
 
-func (s *WeightStore) count(now time.Time) {
+func (s *WeightStore) recordRequest(now time.Time) {
 	s.stats.Loads++
 	s.stats.HighestParallel = max(s.stats.HighestParallel, s.active+len(s.waiting)+1)
-	s.asked = append(s.asked, now)
-	for now.Sub(s.asked[0]) >= rateWindow {
-		s.asked = s.asked[1:]
+	s.requestTimes = append(s.requestTimes, now)
+	for now.Sub(s.requestTimes[0]) >= rateWindow {
+		s.requestTimes = s.requestTimes[1:]
 	}
-	s.stats.HighestRate = max(s.stats.HighestRate, float64(len(s.asked))/rateWindow.Seconds())
+	s.stats.HighestRate = max(s.stats.HighestRate, float64(len(s.requestTimes))/rateWindow.Seconds())
 }
