--- a/laburnumdiskfault/disk.go
+++ b/laburnumdiskfault/disk.go
@@ -59,14 +59,14 @@
 	d.changed = make(chan struct{})
 }
 
-// now returns the state and a channel that is closed when it changes.
-func (d *Disk) now() (State, <-chan struct{}) {
+// current returns the state and a channel that is closed when it changes.
+func (d *Disk) current() (State, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.state, d.changed
 }
 
-// holds reports whether a file or folder is the disk's.
-func (d *Disk) holds(path string) bool {
+// contains reports whether a file or folder is the disk's.
+func (d *Disk) contains(path string) bool {
 	return path == d.folder || strings.HasPrefix(path, d.folder+string(filepath.Separator))
 }
--- a/laburnumdiskfault/launch_linux.go
+++ b/laburnumdiskfault/launch_linux.go
@@ -13,7 +13,7 @@
 
 // Offsets of the system call's number and architecture in what a filter reads.
 const (
-	numberOffset = 0
+	syscallNumberOffset = 0
 	archOffset   = 4
 )
 
@@ -63,7 +63,7 @@
 	list := []unix.SockFilter{
 		load(archOffset),
 		{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jf: n + 1, K: arch},
-		load(numberOffset),
+		load(syscallNumberOffset),
 	}
 	for i, call := range calls {
 		list = append(list, unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, Jt: n - uint8(i), K: call}) //nolint:gosec // a few calls
--- a/laburnumdiskfault/supervise_linux.go
+++ b/laburnumdiskfault/supervise_linux.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// notice is a call of the program that waits for a verdict, as the kernel writes it.
-type notice struct {
+// notification is a call of the program that waits for a verdict, as the kernel writes it.
+type notification struct {
 	id     uint64
 	thread uint32
 	_      uint32
@@ -25,21 +25,21 @@
 // continueFlag has the kernel carry the call out (SECCOMP_USER_NOTIF_FLAG_CONTINUE).
 const continueFlag = 1
 
-// verdict is the answer to a notice, as the kernel reads it.
-type verdict struct {
+// response is the answer to a notice, as the kernel reads it.
+type response struct {
 	id    uint64
 	value int64
 	errno int32
 	flags uint32
 }
 
-func (n notice) proceeds() verdict { return verdict{id: n.id, flags: continueFlag} }
+func (n notification) proceeds() response { return response{id: n.id, flags: continueFlag} }
 
-func (n notice) returns(value int) verdict { return verdict{id: n.id, value: int64(value)} }
+func (n notification) returns(value int) response { return response{id: n.id, value: int64(value)} }
 
-func (n notice) fails(errno unix.Errno) verdict { return verdict{id: n.id, errno: -int32(errno)} } //nolint:gosec // small numbers
+func (n notification) fails(errno unix.Errno) response { return response{id: n.id, errno: -int32(errno)} } //nolint:gosec // small numbers
 
-func (n notice) syncs() bool { return n.number == unix.SYS_FSYNC || n.number == unix.SYS_FDATASYNC }
+func (n notification) syncs() bool { return n.number == unix.SYS_FSYNC || n.number == unix.SYS_FDATASYNC }
 
 // Start starts a command that calls Launch, and supervises it until it ends. The error is that of
 // the start or an *UnavailableError; then the command has ended.
@@ -112,39 +112,39 @@
 		if fds[0].Revents&unix.POLLIN == 0 {
 			return
 		}
-		var n notice
-		if errno := s.control(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)); errno != 0 {
+		var n notification
+		if errno := s.ioctl(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)); errno != 0 {
 			continue // the call was interrupted in the meantime
 		}
-		if state, _ := s.disk.now(); state.Mode == Healthy {
-			s.answer(n.proceeds())
+		if state, _ := s.disk.current(); state.Mode == Healthy {
+			s.respond(n.proceeds())
 			continue
 		}
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			s.answer(s.decide(n))
+			s.respond(s.decide(n))
 		}()
 	}
 }
 
-func (s *supervisor) control(request uint, arg unsafe.Pointer) unix.Errno {
+func (s *supervisor) ioctl(request uint, arg unsafe.Pointer) unix.Errno {
 	_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(s.listener), uintptr(request), uintptr(arg))
 	return errno
 }
 
-// answer gives a verdict; a process that was killed while it waited needs none.
-func (s *supervisor) answer(v verdict) {
-	_ = s.control(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&v))
+// respond gives a verdict; a process that was killed while it waited needs none.
+func (s *supervisor) respond(v response) {
+	_ = s.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&v))
 }
 
 // decide waits as long as the disk's state asks for and returns the verdict.
-func (s *supervisor) decide(n notice) verdict {
+func (s *supervisor) decide(n notification) response {
 	path, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", s.pid, n.args[0]))
-	if err != nil || !s.disk.holds(path) {
+	if err != nil || !s.disk.contains(path) {
 		return n.proceeds()
 	}
-	state := s.awaitAnswering()
+	state := s.awaitNotStalled()
 	switch {
 	case state.Mode == Slow && n.syncs():
 		select {
@@ -152,17 +152,17 @@
 		case <-s.ended:
 		}
 	case state.Mode == Full && !n.syncs():
-		return s.short(n)
+		return s.shortWrite(n)
 	case state.Mode == Failing && n.syncs():
 		return n.fails(unix.EIO)
 	}
 	return n.proceeds()
 }
 
-// awaitAnswering waits until the disk isn't stalled, or the process has ended.
-func (s *supervisor) awaitAnswering() State {
+// awaitNotStalled waits until the disk isn't stalled, or the process has ended.
+func (s *supervisor) awaitNotStalled() State {
 	for {
-		state, changed := s.disk.now()
+		state, changed := s.disk.current()
 		if state.Mode != Stalled {
 			return state
 		}
@@ -174,9 +174,9 @@
 	}
 }
 
-// short carries out half of a write, by the program's own descriptor. The program tries the rest
+// shortWrite carries out half of a write, by the program's own descriptor. The program tries the rest
 // again, until a single byte finds no room.
-func (s *supervisor) short(n notice) verdict {
+func (s *supervisor) shortWrite(n notification) response {
 	half := int(n.args[2]) / 2 //nolint:gosec // a length
 	if half == 0 || n.number != unix.SYS_WRITE {
 		return n.fails(unix.ENOSPC)
@@ -189,7 +189,7 @@
 }
 
 // writeFor writes the first bytes that the program wants to write.
-func (s *supervisor) writeFor(n notice, size int) (int, error) {
+func (s *supervisor) writeFor(n notification, size int) (int, error) {
 	process, err := unix.PidfdOpen(s.pid, 0)
 	if err != nil {
 		return 0, err
--- a/laburnumsoak/fleet.go
+++ b/laburnumsoak/fleet.go
@@ -18,7 +18,7 @@
 const (
 	controlVMs = 4
 	gatewayVMs = 2
-	serversOf  = 2
+	serversPerService  = 2
 	// seedVMs is how many control VMs the settings name.
 	seedVMs = 3
 	// ports are the same on all VMs; each has an address of its own.
@@ -37,20 +37,20 @@
 type fleet struct {
 	cfg      Config
 	net      string
-	record   *record
+	record   *recorder
 	controls []*process
 	gateways []*process
 	servers  []*process
 	// links stand before the peers' listeners of all VMs and before the backend servers.
-	links []*linkPoint
-	// founded is set once the log stands: no start is the first from then on.
-	founded atomic.Bool
+	links []*faultLink
+	// bootstrapped is set once the log stands: no start is the first from then on.
+	bootstrapped atomic.Bool
 	starts  atomic.Int64
 }
 
 // newFleet names the processes, on a network that the seed does not decide, so that two
 // runs with one seed do not meet.
-func newFleet(cfg Config, r *record) *fleet {
+func newFleet(cfg Config, r *recorder) *fleet {
 	const most = 250
 	f := &fleet{cfg: cfg, record: r, net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(most), 1+rand.IntN(most))}
 	for i := range controlVMs {
@@ -63,7 +63,7 @@
 	for i := range gatewayVMs {
 		f.gateways = append(f.gateways, f.vm("gateway", fmt.Sprintf("gateway-%d", i+1), firstGateway+i))
 	}
-	for i := range serversOf {
+	for i := range serversPerService {
 		f.servers = append(f.servers,
 			f.server(fmt.Sprintf("booking-%d", i+1), "booking", firstServer+2*i),
 			f.server(fmt.Sprintf("quotes-%d", i+1), "quotes", firstServer+2*i+1))
@@ -80,7 +80,7 @@
 // vm is a process of the system. Its settings are written anew at each start.
 func (f *fleet) vm(role, name string, number int) *process {
 	f.addLink(name, f.address(number, peerPort), f.address(number, peerListenPort))
-	p := &process{name: name, program: f.cfg.Program, folder: f.cfg.Folder, exited: f.record.exited}
+	p := &process{name: name, program: f.cfg.Program, folder: f.cfg.Folder, onUnexpectedExit: f.record.processExited}
 	p.args = func() []string {
 		path := filepath.Join(f.cfg.Folder, name+".jsonc")
 		data, _ := json.Marshal(f.settings(role, name, number)) //nolint:errchkjson // texts and numbers only
@@ -96,7 +96,7 @@
 	second := laburnumlever.Duration(time.Second)
 	s := laburnumsettings.Role{
 		VM: laburnumlever.VMID(fmt.Sprintf("%s.%d", f.net, number)), Name: name, Zone: "brest", Region: "bretagne",
-		PeerPort: peerPort, FirstStart: !f.founded.Load(), ControlLosses: 1,
+		PeerPort: peerPort, FirstStart: !f.bootstrapped.Load(), ControlLosses: 1,
 		Times:       laburnumsettings.RoleTimes{Heartbeat: second, Grace: 4 * second, Lease: 3 * second, CatchUp: 4 * second, Apply: 2 * second},
 		Retry:       laburnumsettings.RoleRetry{Ratio: 0.2, Slack: 52, Window: 10 * second},
 		StoreWindow: 5 * second, StoreOvershoot: 1.1, ChecksFencing: true, Log: laburnumsettings.Log{Level: "info"},
@@ -130,9 +130,9 @@
 		}
 		return args
 	}
-	p.line = func(text string) {
+	p.onLine = func(text string) {
 		if id, ok := strings.CutPrefix(text, ranPrefix); ok && service == "booking" {
-			f.record.ran(id)
+			f.record.requestRan(id)
 		}
 	}
 	return p
--- a/laburnumsoak/links.go
+++ b/laburnumsoak/links.go
@@ -7,20 +7,20 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// linkPoint is a link on the way to one process: to a VM for the other VMs, to a backend
+// faultLink is a link on the way to one process: to a VM for the other VMs, to a backend
 // server for gateways and orders.
-type linkPoint struct {
+type faultLink struct {
 	name    string
 	address string
 	link    *laburnumstandin.Link
 }
 
 func (f *fleet) addLink(name, address, target string) {
-	f.links = append(f.links, &linkPoint{name: name, address: address, link: laburnumstandin.NewLink(target)})
+	f.links = append(f.links, &faultLink{name: name, address: address, link: laburnumstandin.NewLink(target)})
 }
 
 // open lets connections through until close.
-func (l *linkPoint) open() error {
+func (l *faultLink) open() error {
 	var cfg net.ListenConfig
 	ln, err := cfg.Listen(context.Background(), "tcp", l.address)
 	if err != nil {
--- a/laburnumsoak/load.go
+++ b/laburnumsoak/load.go
@@ -17,20 +17,20 @@
 	// over.
 	callers     = 6
 	callerPause = 15 * time.Millisecond
-	callTime    = 4 * time.Second
-	// streams is that one request in so many is for a stream.
-	streams = 4
+	callTimeout    = 4 * time.Second
+	// streamEvery is that one request in so many is for a stream.
+	streamEvery = 4
 	// applyPause and readPause are between two changes and two reads of the manifest.
 	applyPause = 500 * time.Millisecond
 	readPause  = 150 * time.Millisecond
-	// controlTime is how long an operator waits for a control VM.
-	controlTime = 2 * time.Second
+	// controlTimeout is how long an operator waits for a control VM.
+	controlTimeout = 2 * time.Second
 )
 
 // load is callers and operators at work.
 type load struct {
 	fleet  *fleet
-	record *record
+	record *recorder
 	caller *laburnumstandin.PlatformCaller
 	wg     sync.WaitGroup
 	// version is that of the last change sent; one operator sends them.
@@ -39,14 +39,14 @@
 	calls atomic.Int64
 }
 
-func newLoad(f *fleet, r *record) *load {
+func newLoad(f *fleet, r *recorder) *load {
 	return &load{fleet: f, record: r, caller: laburnumstandin.NewPlatformCaller()}
 }
 
 // run works until ctx ends.
 func (l *load) run(ctx context.Context) {
 	for i := range callers {
-		l.repeat(ctx, callerPause, func(n int) { l.ask(n%streams == i%streams) })
+		l.repeat(ctx, callerPause, func(n int) { l.sendRequest(n%streamEvery == i%streamEvery) })
 	}
 	l.repeat(ctx, applyPause, func(int) { l.apply(rand.IntN(controlVMs)) })
 	l.repeat(ctx, readPause, func(int) { l.read(rand.IntN(controlVMs)) })
@@ -64,44 +64,44 @@
 	}()
 }
 
-// ask asks a gateway for a stream or a booking. What is under way when the run ends is waited
+// sendRequest asks a gateway for a stream or a booking. What is under way when the run ends is waited
 // for.
-func (l *load) ask(stream bool) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), callTime)
+func (l *load) sendRequest(stream bool) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	id := fmt.Sprintf("r-%d", l.calls.Add(1))
 	gateway := l.fleet.gateway(rand.IntN(gatewayVMs))
 	if stream {
 		_, events, whole, _ := l.caller.Quote(ctx, gateway, id) // what came counts, however it ended
-		l.record.streamed(id, events, whole)
+		l.record.streamEnded(id, events, whole)
 		return whole
 	}
 	status, err := l.caller.Confirm(ctx, gateway, id)
-	l.record.confirmed(id, status, err)
+	l.record.bookingEnded(id, status, err)
 	return err == nil && status == http.StatusOK
 }
 
 // apply sends a change, the last one again if it was not acknowledged.
 func (l *load) apply(control int) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), controlTime)
+	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
 	status, err := l.caller.Apply(ctx, l.fleet.control(control), l.version+1)
 	if err != nil || status != http.StatusOK {
 		return false
 	}
 	l.version++
-	l.record.acknowledged(l.version, time.Now())
+	l.record.changeAcknowledged(l.version, time.Now())
 	return true
 }
 
 func (l *load) read(control int) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), controlTime)
+	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
 	sent := time.Now()
 	status, version, err := l.caller.Read(ctx, l.fleet.control(control))
 	if err != nil || status != http.StatusOK {
 		return false
 	}
-	l.record.read(version, sent)
+	l.record.readAnswered(version, sent)
 	return true
 }
--- a/laburnumsoak/process.go
+++ b/laburnumsoak/process.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// readyTime is how long a process may take to say that it serves.
-	readyTime = 20 * time.Second
-	// endTime is how long one may take to end that was asked to, above the grace.
-	endTime = 15 * time.Second
+	// readyTimeout is how long a process may take to say that it serves.
+	readyTimeout = 20 * time.Second
+	// exitTimeout is how long one may take to end that was asked to, above the grace.
+	exitTimeout = 15 * time.Second
 	// programName is what processes are told that they are called.
 	programName = "laburnumlever"
 )
@@ -31,17 +31,17 @@
 	folder  string
 	// args are those of the next start.
 	args func() []string
-	// line takes each line that it writes.
-	line func(string)
+	// onLine takes each onLine that it writes.
+	onLine func(string)
 	// disk stands below its data folder; nil if it has none.
 	disk *laburnumdiskfault.Disk
-	// exited is told of an end that nobody asked for.
-	exited func(name string)
+	// onUnexpectedExit is told of an end that nobody asked for.
+	onUnexpectedExit func(name string)
 
 	cmd   *exec.Cmd
 	ended chan struct{}
-	// asked is set once the process is to end.
-	asked *atomic.Bool
+	// stopRequested is set once the process is to end.
+	stopRequested *atomic.Bool
 }
 
 // start runs the process and waits until it says that it serves.
@@ -63,16 +63,16 @@
 	if err := start(); err != nil {
 		return &StartError{Process: p.name, Cause: err}
 	}
-	p.cmd, p.ended, p.asked = cmd, make(chan struct{}), &atomic.Bool{}
+	p.cmd, p.ended, p.stopRequested = cmd, make(chan struct{}), &atomic.Bool{}
 	ready := make(chan struct{})
-	go p.follow(cmd, bufio.NewScanner(out), log, ready, p.ended, p.asked)
+	go p.follow(cmd, bufio.NewScanner(out), log, ready, p.ended, p.stopRequested)
 	select {
 	case <-ready:
 		return nil
 	case <-p.ended:
-		return &StartError{Process: p.name, Cause: &NotReadyError{What: "it ended", Time: readyTime}}
-	case <-time.After(readyTime):
-		return &StartError{Process: p.name, Cause: &NotReadyError{What: "it serves", Time: readyTime}}
+		return &StartError{Process: p.name, Cause: &NotReadyError{What: "it ended", Time: readyTimeout}}
+	case <-time.After(readyTimeout):
+		return &StartError{Process: p.name, Cause: &NotReadyError{What: "it serves", Time: readyTimeout}}
 	}
 }
 
@@ -101,13 +101,13 @@
 			}
 			served = true
 		}
-		if p.line != nil {
-			p.line(text)
+		if p.onLine != nil {
+			p.onLine(text)
 		}
 	}
 	_ = cmd.Wait() // how it ended shows in its log
-	if served && !asked.Load() && p.exited != nil {
-		p.exited(p.name)
+	if served && !asked.Load() && p.onUnexpectedExit != nil {
+		p.onUnexpectedExit(p.name)
 	}
 }
 
@@ -117,16 +117,16 @@
 	}
 }
 
-// end ends the process by a signal and waits for it; one that does not end is killed.
-func (p *process) end(sig syscall.Signal) {
+// stop ends the process by a signal and waits for it; one that does not stop is killed.
+func (p *process) stop(sig syscall.Signal) {
 	if p.cmd == nil {
 		return
 	}
-	p.asked.Store(true)
+	p.stopRequested.Store(true)
 	p.signal(sig)
 	select {
 	case <-p.ended:
-	case <-time.After(endTime):
+	case <-time.After(exitTimeout):
 		p.signal(syscall.SIGKILL)
 		<-p.ended
 	}
--- a/laburnumsoak/record.go
+++ b/laburnumsoak/record.go
@@ -9,9 +9,9 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// record is what was seen from outside, and what of it must not be. It may be used from any
+// recorder is what was seen from outside, and what of it must not be. It may be used from any
 // goroutine.
-type record struct {
+type recorder struct {
 	mu sync.Mutex
 	// runs counts how often each request ran, as backend servers say.
 	runs map[string]int
@@ -30,23 +30,23 @@
 	at      time.Time
 }
 
-func newRecord() *record {
-	return &record{runs: map[string]int{}, answered: map[string]bool{}, refused: map[string]bool{}}
+func newRecorder() *recorder {
+	return &recorder{runs: map[string]int{}, answered: map[string]bool{}, refused: map[string]bool{}}
 }
 
-func (r *record) fail(format string, args ...any) {
+func (r *recorder) addViolation(format string, args ...any) {
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// ran notes that a backend server has run a request.
-func (r *record) ran(id string) {
+// requestRan notes that a backend server has run a request.
+func (r *recorder) requestRan(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[id]++
 }
 
-// confirmed notes what came of a request that must not run twice.
-func (r *record) confirmed(id string, status int, err error) {
+// bookingEnded notes what came of a request that must not run twice.
+func (r *recorder) bookingEnded(id string, status int, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent++
@@ -69,15 +69,15 @@
 	}
 }
 
-// streamed notes a stream: its events must follow each other, and all be there if it ended as
+// streamEnded notes a stream: its events must follow each other, and all be there if it ended as
 // complete.
-func (r *record) streamed(id string, events []int, whole bool) {
+func (r *recorder) streamEnded(id string, events []int, whole bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent++
 	for i, n := range events {
 		if n != i+1 {
-			r.fail("stream %s: event %d came as number %d", id, n, i+1)
+			r.addViolation("stream %s: event %d came as number %d", id, n, i+1)
 			return
 		}
 	}
@@ -86,19 +86,19 @@
 	}
 	r.served++
 	if len(events) != laburnumstandin.PlatformEvents() {
-		r.fail("stream %s ended as complete after %d events", id, len(events))
+		r.addViolation("stream %s ended as complete after %d events", id, len(events))
 	}
 }
 
-// acknowledged notes an operator's change.
-func (r *record) acknowledged(version int, at time.Time) {
+// changeAcknowledged notes an operator's change.
+func (r *recorder) changeAcknowledged(version int, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.acked = append(r.acked, ack{version: version, at: at})
 }
 
-// newest is the highest version acknowledged before a time.
-func (r *record) newest(before time.Time) int {
+// newestAcknowledged is the highest version acknowledged before a time.
+func (r *recorder) newestAcknowledged(before time.Time) int {
 	highest := 0
 	for _, a := range r.acked {
 		if a.at.Before(before) {
@@ -108,38 +108,38 @@
 	return highest
 }
 
-// read notes an answer to a read that was sent at a time: it must not be older than what
+// readAnswered notes an answer to a readAnswered that was sent at a time: it must not be older than what
 // was acknowledged by then.
-func (r *record) read(version int, sent time.Time) {
+func (r *recorder) readAnswered(version int, sent time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if want := r.newest(sent); version < want {
-		r.fail("a read shows version %d after %d was acknowledged", version, want)
+	if want := r.newestAcknowledged(sent); version < want {
+		r.addViolation("a read shows version %d after %d was acknowledged", version, want)
 	}
 }
 
-// exited notes that a process of the system ended though nobody asked it to.
-func (r *record) exited(name string) {
+// processExited notes that a process of the system ended though nobody asked it to.
+func (r *recorder) processExited(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fail("%s ended by itself", name)
+	r.addViolation("%s ended by itself", name)
 }
 
-// conclude checks what can be told only when all processes have had their say.
-func (r *record) conclude() []string {
+// check checks what can be told only when all processes have had their say.
+func (r *recorder) check() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, n := range r.runs {
 		if n > 1 {
-			r.fail("request %s ran %d times", id, n)
+			r.addViolation("request %s ran %d times", id, n)
 		}
 		if r.refused[id] {
-			r.fail("request %s was refused as not run and ran", id)
+			r.addViolation("request %s was refused as not run and ran", id)
 		}
 	}
 	for id := range r.answered {
 		if r.runs[id] == 0 {
-			r.fail("request %s was answered and no backend server ran it", id)
+			r.addViolation("request %s was answered and no backend server ran it", id)
 		}
 	}
 	return r.violations
--- a/laburnumsoak/record_test.go
+++ b/laburnumsoak/record_test.go
@@ -9,45 +9,45 @@
 )
 
 // A soak whose checks can't fail proves nothing: each kind of wrong must show.
-func TestEachWrongShows(t *testing.T) {
+func TestEachViolationIsReported(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for name, test := range map[string]struct {
-		do   func(r *record)
+		do   func(r *recorder)
 		want string
 	}{
-		"run twice": {func(r *record) { r.ran("a"); r.ran("a") }, "request a ran 2 times"},
-		"refused and run": {func(r *record) {
-			r.confirmed("a", http.StatusServiceUnavailable, nil)
-			r.ran("a")
+		"run twice": {func(r *recorder) { r.requestRan("a"); r.requestRan("a") }, "request a ran 2 times"},
+		"refused and run": {func(r *recorder) {
+			r.bookingEnded("a", http.StatusServiceUnavailable, nil)
+			r.requestRan("a")
 		}, "request a was refused as not run and ran"},
-		"answered and not run": {func(r *record) { r.confirmed("a", http.StatusOK, nil) }, "request a was answered and no backend server ran it"},
-		"event lost":           {func(r *record) { r.streamed("a", []int{1, 3}, false) }, "stream a: event 3 came as number 2"},
-		"event twice":          {func(r *record) { r.streamed("a", []int{1, 2, 2}, false) }, "stream a: event 2 came as number 3"},
-		"ends early":           {func(r *record) { r.streamed("a", []int{1, 2}, true) }, "stream a ended as complete after 2 events"},
-		"older read": {func(r *record) {
-			r.acknowledged(7, now)
-			r.read(6, now.Add(time.Second))
+		"answered and not run": {func(r *recorder) { r.bookingEnded("a", http.StatusOK, nil) }, "request a was answered and no backend server ran it"},
+		"event lost":           {func(r *recorder) { r.streamEnded("a", []int{1, 3}, false) }, "stream a: event 3 came as number 2"},
+		"event twice":          {func(r *recorder) { r.streamEnded("a", []int{1, 2, 2}, false) }, "stream a: event 2 came as number 3"},
+		"ends early":           {func(r *recorder) { r.streamEnded("a", []int{1, 2}, true) }, "stream a ended as complete after 2 events"},
+		"older read": {func(r *recorder) {
+			r.changeAcknowledged(7, now)
+			r.readAnswered(6, now.Add(time.Second))
 		}, "a read shows version 6 after 7 was acknowledged"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRecord()
+			r := newRecorder()
 			test.do(r)
-			require.Equal(t, []string{test.want}, r.conclude())
+			require.Equal(t, []string{test.want}, r.check())
 		})
 	}
 }
 
 // What is allowed must not be called wrong: an answer lost after a run, a read that was sent
 // before the change was acknowledged, a stream that breaks off.
-func TestWhatIsAllowedDoesNotShow(t *testing.T) {
+func TestAllowedOutcomesAreNotReported(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	r := newRecord()
-	r.ran("lost")
-	r.confirmed("lost", http.StatusBadGateway, nil)
-	r.acknowledged(7, now)
-	r.read(6, now.Add(-time.Second))
-	r.read(8, now.Add(time.Second))
-	r.streamed("s", []int{1, 2}, false)
-	r.streamed("s", []int{1, 2, 3, 4}, true)
-	require.Empty(t, r.conclude())
+	r := newRecorder()
+	r.requestRan("lost")
+	r.bookingEnded("lost", http.StatusBadGateway, nil)
+	r.changeAcknowledged(7, now)
+	r.readAnswered(6, now.Add(-time.Second))
+	r.readAnswered(8, now.Add(time.Second))
+	r.streamEnded("s", []int{1, 2}, false)
+	r.streamEnded("s", []int{1, 2, 3, 4}, true)
+	require.Empty(t, r.check())
 }
--- a/laburnumsoak/soak.go
+++ b/laburnumsoak/soak.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// foundTime is how long the first change may take: the log is founded and grows.
-	foundTime = 30 * time.Second
-	// recoverTime is how long callers may have to wait once all processes are back: for an
+	// bootstrapTimeout is how long the first change may take: the log is founded and grows.
+	bootstrapTimeout = 30 * time.Second
+	// recoveryTimeout is how long callers may have to wait once all processes are back: for an
 	// election, the voters' return and the backend servers' announcements.
-	recoverTime = 15 * time.Second
-	// retryTime is between two tries of something that must come.
-	retryTime = 100 * time.Millisecond
+	recoveryTimeout = 15 * time.Second
+	// retryInterval is between two tries of something that must come.
+	retryInterval = 100 * time.Millisecond
 )
 
 // Config says what a run is.
@@ -46,22 +46,22 @@
 // Run plays one run. The error is a *StartError or a *NotReadyError: the system did not come
 // up, or a process did not come back.
 func Run(ctx context.Context, cfg Config) (Report, error) {
-	r := newRecord()
+	r := newRecorder()
 	f := newFleet(cfg, r)
 	defer f.closeLinks()
-	defer f.end()
+	defer f.stop()
 	if err := f.start(); err != nil {
 		return Report{}, err
 	}
 	l := newLoad(f, r)
-	if !await(ctx, foundTime, func() bool { return l.apply(0) }) {
-		return Report{}, &NotReadyError{What: "the first change is acknowledged", Time: foundTime}
+	if !await(ctx, bootstrapTimeout, func() bool { return l.apply(0) }) {
+		return Report{}, &NotReadyError{What: "the first change is acknowledged", Time: bootstrapTimeout}
 	}
-	f.founded.Store(true)
-	if !await(ctx, foundTime, func() bool { return l.ask(true) && l.ask(false) }) {
-		return Report{}, &NotReadyError{What: "callers are served", Time: foundTime}
+	f.bootstrapped.Store(true)
+	if !await(ctx, bootstrapTimeout, func() bool { return l.sendRequest(true) && l.sendRequest(false) }) {
+		return Report{}, &NotReadyError{What: "callers are served", Time: bootstrapTimeout}
 	}
-	x := newFaults(f, cfg.Seed)
+	x := newFaultInjector(f, cfg.Seed)
 	disturbed, cancel := context.WithTimeout(ctx, cfg.Length)
 	defer cancel()
 	working, stop := context.WithCancel(ctx)
@@ -73,40 +73,40 @@
 	x.run(disturbed)
 	stop()
 	<-done
-	l.conclude(ctx)
-	f.end() // what backend servers have to say of their runs has come then
+	l.checkRecovery(ctx)
+	f.stop() // what backend servers have to say of their runs has come then
 	return Report{
-		Seed: cfg.Seed, Sent: r.sent, Served: r.served, Acknowledged: len(r.acked), Faults: x.story, Violations: r.conclude(),
-	}, x.problem
+		Seed: cfg.Seed, Sent: r.sent, Served: r.served, Acknowledged: len(r.acked), Faults: x.history, Violations: r.check(),
+	}, x.firstErr
 }
 
-// conclude checks that the system is whole again: it takes a change, reads it back and serves
+// checkRecovery checks that the system is whole again: it takes a change, reads it back and serves
 // callers.
-func (l *load) conclude(ctx context.Context) {
+func (l *load) checkRecovery(ctx context.Context) {
 	for what, try := range map[string]func() bool{
 		"a change is acknowledged": func() bool { return l.apply(0) },
 		"a read is answered":       func() bool { return l.read(1) },
-		"a booking is served":      func() bool { return l.ask(false) },
-		"a stream is served":       func() bool { return l.ask(true) },
+		"a booking is served":      func() bool { return l.sendRequest(false) },
+		"a stream is served":       func() bool { return l.sendRequest(true) },
 	} {
-		if !await(ctx, recoverTime, try) {
+		if !await(ctx, recoveryTimeout, try) {
 			l.record.mu.Lock()
-			l.record.fail("after the faults: %s: not within %s", what, recoverTime)
+			l.record.addViolation("after the faults: %s: not within %s", what, recoveryTimeout)
 			l.record.mu.Unlock()
 		}
 	}
 }
 
-// end kills all processes that this run started.
-func (f *fleet) end() {
+// stop kills all processes that this run started.
+func (f *fleet) stop() {
 	for _, p := range f.all() {
-		p.end(syscall.SIGKILL)
+		p.stop(syscall.SIGKILL)
 	}
 }
 
 // await tries until something comes, or the time is over.
 func await(ctx context.Context, limit time.Duration, try func() bool) bool {
-	for end := time.Now().Add(limit); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(retryTime) {
+	for end := time.Now().Add(limit); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(retryInterval) {
 		if try() {
 			return true
 		}
