--- a/laburnumdiskfault/disk.go
+++ b/laburnumdiskfault/disk.go
@@ -14,26 +14,26 @@
 
 // The modes of a disk.
 const (
-	// Healthy is as the machine's own.
+	// Healthy injects no faults.
 	Healthy Mode = iota
-	// Stalled answers nothing: syncs and writes hang until the mode changes.
+	// Stalled blocks syncs and writes until the mode changes.
 	Stalled
 	// Slow adds State.Delay to each sync.
 	Slow
-	// Full takes half of each write, and answers that of a last byte with ENOSPC.
+	// Full performs half of each write, and fails a write of a single byte with ENOSPC.
 	Full
-	// Failing answers syncs with EIO, whatever has reached the disk.
+	// Failing fails syncs with EIO, without regard to what has reached the disk.
 	Failing
 )
 
-// State is a mode with its delay.
+// State is a mode and, for Slow, its delay.
 type State struct {
 	Mode  Mode
 	Delay time.Duration
 }
 
-// Disk is what stands below the data folder of one program at a time. It may be used from any
-// goroutine.
+// Disk injects faults into the data folder of one program at a time. It is safe for concurrent
+// use.
 type Disk struct {
 	folder string
 
@@ -44,13 +44,13 @@
 
 // New returns a healthy disk for a data folder.
 func New(folder string) *Disk {
-	if whole, err := filepath.Abs(folder); err == nil { // the kernel names files by their whole path
+	if whole, err := filepath.Abs(folder); err == nil { // the kernel reports absolute paths
 		folder = whole
 	}
 	return &Disk{folder: filepath.Clean(folder), changed: make(chan struct{})}
 }
 
-// Set changes how the disk behaves, also for calls that hang.
+// Set changes the state of the disk, also for calls that are blocked.
 func (d *Disk) Set(s State) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,7 +66,7 @@
 	return d.state, d.changed
 }
 
-// contains reports whether a file or folder is the disk's.
+// contains reports whether a path is the data folder or inside it.
 func (d *Disk) contains(path string) bool {
 	return path == d.folder || strings.HasPrefix(path, d.folder+string(filepath.Separator))
 }
--- a/laburnumdiskfault/disk_linux_test.go
+++ b/laburnumdiskfault/disk_linux_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// roleVariable tells this program, started by itself, what to be.
+	// roleVariable selects what the test binary does when a test starts it again.
 	roleVariable = "DISK_FAULT_ROLE"
 	folderVar    = "DISK_FAULT_FOLDER"
 	text         = "twelve bytes"
@@ -36,7 +36,7 @@
 	}
 }
 
-// write appends to a file and syncs it for each line that it reads, and says what came of both.
+// write appends to a file and syncs it for each line of its input, and prints both results.
 func write(folder string) {
 	file, err := os.OpenFile(filepath.Join(folder, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// writer is the program above, on a disk.
+// writer is a process that runs write on a disk.
 type writer struct {
 	disk  *laburnumdiskfault.Disk
 	path  string
@@ -72,7 +72,7 @@
 	err = w.disk.Start(cmd)
 	var unavailable *laburnumdiskfault.UnavailableError
 	if errors.As(err, &unavailable) {
-		t.Skip(err) // the kernel of this machine doesn't do it
+		t.Skip(err) // the kernel of this machine doesn't support it
 	}
 	require.NoError(t, err)
 	go func() {
@@ -84,7 +84,7 @@
 	t.Cleanup(func() {
 		w.disk.Set(laburnumdiskfault.State{})
 		_ = cmd.Process.Kill()
-		for range w.lines { // until it has ended
+		for range w.lines { // until it has exited
 		}
 		_ = cmd.Wait()
 	})
--- a/laburnumdiskfault/doc.go
+++ b/laburnumdiskfault/doc.go
@@ -1,7 +1,6 @@
-// Package laburnumdiskfault disturbs the disk below a program that knows nothing of it, without
-// root: the kernel asks for a verdict on each sync and write of the program (seccomp user
-// notification), and what concerns files in its data folder is held, delayed, cut short or refused
-// with an error. All else goes on as it is.
+// Package laburnumdiskfault injects disk faults into an unmodified program without root. It
+// intercepts the program's syncs and writes by seccomp user notification, and blocks, delays,
+// shortens or fails those on files in the program's data folder. Other calls are unaffected.
 //
 // It works on Linux only, from 5.19 on.
 //
@@ -9,6 +8,6 @@
 //
 //	disk := laburnumdiskfault.New("/data")
 //	cmd := exec.Command(self, "stand-in", "disk", "--", "control", "--settings", path)
-//	err := disk.Start(cmd) // the command calls Launch, which becomes the program
+//	err := disk.Start(cmd) // the command calls Launch, which executes the program
 //	disk.Set(laburnumdiskfault.State{Mode: laburnumdiskfault.Stalled})
 package laburnumdiskfault
--- a/laburnumdiskfault/launch_linux.go
+++ b/laburnumdiskfault/launch_linux.go
@@ -8,39 +8,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// launchFD is the launcher's end of the socket that the listener is sent through.
+// launchFD is the launcher's end of the socket over which it sends the seccomp listener.
 const launchFD = 3
 
-// Offsets of the system call's number and architecture in what a filter reads.
+// Offsets of the system call's number and architecture in struct seccomp_data.
 const (
 	syscallNumberOffset = 0
-	archOffset   = 4
+	archOffset          = 4
 )
 
-// Launch becomes the program, with syncs and writes reported to the process that started this one
-// by Disk.Start. It returns only with an error, an *UnavailableError or that of the exec.
+// Launch executes the program in place of the current process, with its syncs and writes reported
+// to the process that called Disk.Start. It returns only on an error: an *UnavailableError or that
+// of the exec.
 func Launch(program string, args []string) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
-		return &UnavailableError{Step: "give up new privileges", Cause: err}
+		return &UnavailableError{Step: "set no_new_privs", Cause: err}
 	}
 	listener, err := installFilter()
 	if err != nil {
 		return err
 	}
 	if err := unix.Sendmsg(launchFD, []byte{0}, unix.UnixRights(listener), nil, 0); err != nil {
-		return &UnavailableError{Step: "hand the listener over", Cause: err}
+		return &UnavailableError{Step: "send the listener", Cause: err}
 	}
 	unix.CloseOnExec(launchFD)
 	return unix.Exec(program, args, os.Environ())
 }
 
-// installFilter has this thread, and the program that it becomes, ask before syncs and writes.
+// installFilter installs a filter that reports syncs and writes of this thread, and of the program
+// it executes, to the returned listener.
 func installFilter() (int, error) {
 	arch, ok := map[string]uint32{"amd64": unix.AUDIT_ARCH_X86_64, "arm64": unix.AUDIT_ARCH_AARCH64}[runtime.GOARCH]
 	if !ok {
-		return 0, &UnavailableError{Step: "know the machine's architecture " + runtime.GOARCH, Cause: unix.ENOTSUP}
+		return 0, &UnavailableError{Step: "look up the architecture " + runtime.GOARCH, Cause: unix.ENOTSUP}
 	}
 	calls := []uint32{unix.SYS_FSYNC, unix.SYS_FDATASYNC, unix.SYS_WRITE, unix.SYS_PWRITE64}
 	program := filter(arch, calls)
@@ -49,12 +51,12 @@
 	fd, _, errno := unix.Syscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER, flags, uintptr(unsafe.Pointer(&prog)))
 	runtime.KeepAlive(program)
 	if errno != 0 {
-		return 0, &UnavailableError{Step: "set a filter", Cause: errno}
+		return 0, &UnavailableError{Step: "install the filter", Cause: errno}
 	}
 	return int(fd), nil
 }
 
-// filter is the program that asks about some calls and allows all others.
+// filter returns the BPF program that reports the given calls and allows all others.
 func filter(arch uint32, calls []uint32) []unix.SockFilter {
 	n := uint8(len(calls)) //nolint:gosec // a few calls
 	load := func(offset uint32) unix.SockFilter {
--- a/laburnumdiskfault/launch_other.go
+++ b/laburnumdiskfault/launch_other.go
@@ -7,12 +7,12 @@
 	"os/exec"
 )
 
-// Launch returns an *UnavailableError: only Linux can do it.
+// Launch returns an *UnavailableError: only Linux is supported.
 func Launch(string, []string) error { return unsupported() }
 
-// Start returns an *UnavailableError: only Linux can do it.
+// Start returns an *UnavailableError: only Linux is supported.
 func (d *Disk) Start(*exec.Cmd) error { return unsupported() }
 
 func unsupported() error {
-	return &UnavailableError{Step: "set a filter", Cause: errors.ErrUnsupported}
+	return &UnavailableError{Step: "install the filter", Cause: errors.ErrUnsupported}
 }
--- a/laburnumdiskfault/supervise_linux.go
+++ b/laburnumdiskfault/supervise_linux.go
@@ -11,7 +11,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// notification is a call of the program that waits for a verdict, as the kernel writes it.
+// notification is a blocked system call of the program (struct seccomp_notif).
 type notification struct {
 	id     uint64
 	thread uint32
@@ -22,10 +22,10 @@
 	args   [6]uint64
 }
 
-// continueFlag has the kernel carry the call out (SECCOMP_USER_NOTIF_FLAG_CONTINUE).
+// continueFlag lets the kernel execute the call (SECCOMP_USER_NOTIF_FLAG_CONTINUE).
 const continueFlag = 1
 
-// response is the answer to a notice, as the kernel reads it.
+// response is the answer to a notification (struct seccomp_notif_resp).
 type response struct {
 	id    uint64
 	value int64
@@ -37,16 +37,20 @@
 
 func (n notification) returns(value int) response { return response{id: n.id, value: int64(value)} }
 
-func (n notification) fails(errno unix.Errno) response { return response{id: n.id, errno: -int32(errno)} } //nolint:gosec // small numbers
+func (n notification) fails(errno unix.Errno) response {
+	return response{id: n.id, errno: -int32(errno)}
+} //nolint:gosec // small numbers
 
-func (n notification) syncs() bool { return n.number == unix.SYS_FSYNC || n.number == unix.SYS_FDATASYNC }
+func (n notification) syncs() bool {
+	return n.number == unix.SYS_FSYNC || n.number == unix.SYS_FDATASYNC
+}
 
-// Start starts a command that calls Launch, and supervises it until it ends. The error is that of
-// the start or an *UnavailableError; then the command has ended.
+// Start starts a command that calls Launch, and supervises it until it exits. The error is that of
+// the start or an *UnavailableError; the command is not running then.
 func (d *Disk) Start(cmd *exec.Cmd) error {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return &UnavailableError{Step: "make a socket", Cause: err}
+		return &UnavailableError{Step: "create a socket pair", Cause: err}
 	}
 	ours, theirs := pair[0], os.NewFile(uintptr(pair[1]), "launch")
 	defer func() { _ = unix.Close(ours) }()
@@ -67,7 +71,8 @@
 	return nil
 }
 
-// receive takes the listener from a launcher; one that ends without it has closed its end.
+// receive receives the listener from the launcher. It fails if the launcher exits without sending
+// it, since that closes the socket.
 func receive(socket int) (int, error) {
 	one, control := make([]byte, 1), make([]byte, unix.CmsgSpace(int(unsafe.Sizeof(int32(0)))))
 	_, n, _, _, err := unix.Recvmsg(socket, one, control, unix.MSG_CMSG_CLOEXEC)
@@ -85,12 +90,12 @@
 	return fds[0], nil
 }
 
-// supervisor answers the notices of one process.
+// supervisor answers the notifications of one process.
 type supervisor struct {
 	disk     *Disk
 	pid      int
 	listener int
-	// ended is closed when the process has ended.
+	// ended is closed when the process has exited.
 	ended chan struct{}
 	wg    sync.WaitGroup
 }
@@ -114,7 +119,7 @@
 		}
 		var n notification
 		if errno := s.ioctl(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)); errno != 0 {
-			continue // the call was interrupted in the meantime
+			continue // the call was interrupted meanwhile
 		}
 		if state, _ := s.disk.current(); state.Mode == Healthy {
 			s.respond(n.proceeds())
@@ -133,12 +138,12 @@
 	return errno
 }
 
-// respond gives a verdict; a process that was killed while it waited needs none.
+// respond sends a response. It fails only if the process was killed meanwhile, which is ignored.
 func (s *supervisor) respond(v response) {
 	_ = s.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&v))
 }
 
-// decide waits as long as the disk's state asks for and returns the verdict.
+// decide blocks or delays the call as the disk's state demands, and returns the response.
 func (s *supervisor) decide(n notification) response {
 	path, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", s.pid, n.args[0]))
 	if err != nil || !s.disk.contains(path) {
@@ -159,7 +164,7 @@
 	return n.proceeds()
 }
 
-// awaitNotStalled waits until the disk isn't stalled, or the process has ended.
+// awaitNotStalled waits until the disk isn't stalled or the process has exited.
 func (s *supervisor) awaitNotStalled() State {
 	for {
 		state, changed := s.disk.current()
@@ -174,8 +179,8 @@
 	}
 }
 
-// shortWrite carries out half of a write, by the program's own descriptor. The program tries the rest
-// again, until a single byte finds no room.
+// shortWrite performs half of a write on the program's own descriptor. The program retries the
+// rest until a write of a single byte fails with ENOSPC.
 func (s *supervisor) shortWrite(n notification) response {
 	half := int(n.args[2]) / 2 //nolint:gosec // a length
 	if half == 0 || n.number != unix.SYS_WRITE {
@@ -188,7 +193,7 @@
 	return n.returns(done)
 }
 
-// writeFor writes the first bytes that the program wants to write.
+// writeFor performs the first size bytes of a write on behalf of the program.
 func (s *supervisor) writeFor(n notification, size int) (int, error) {
 	process, err := unix.PidfdOpen(s.pid, 0)
 	if err != nil {
--- a/laburnumsoak/doc.go
+++ b/laburnumsoak/doc.go
@@ -1,23 +1,22 @@
-// Package laburnumsoak runs the real programs of the users' platform as separate processes on
-// one machine, disturbs them from outside for a while, and checks what callers, operators and
-// backend servers see.
+// Package laburnumsoak is a fault-injection soak test: it runs the platform's real programs as
+// separate processes on one machine, injects faults from outside, and checks what callers,
+// operators and backend servers observe.
 //
-// A run has four control VMs, two gateways, and two backend servers of each of two services,
-// on a loopback network of its own. Processes are killed, stopped for seconds, asked to end,
-// and started again, in series and overlapping; one control VM loses its disk. The disks below
-// control VMs hang, are slow or full, or fail to sync, where the machine lets a process be
-// supervised (laburnumdiskfault). Between the VMs
-// and before the backend servers stand links that fall silent, both ways or one, reset their
-// connections, or are slow. Callers keep their connections open until the process at the other
-// end is gone.
-// The seed decides which faults come when; what they meet is up to the machine, so a seed that
-// failed once need not fail again: its logs are kept.
+// A run has four control VMs, two gateways, and two backend servers for each of two services, on
+// a private loopback network. Processes are killed, paused for seconds, terminated and restarted,
+// one after the other and overlapping; one control VM loses its data folder or gets an older copy
+// of it. Where the machine allows a process to be supervised (laburnumdiskfault), the disks of
+// control VMs stall, are slow or full, or fail to sync. The links between the VMs and to the
+// backend servers freeze in one or both directions, reset their connections, or delay traffic.
+// Callers keep their connections open until the process at the other end exits.
+// The seed determines which faults are injected and when. Their effect also depends on the
+// timing of the machine, so a failing seed may pass when repeated: its logs are kept.
 //
-// What must hold all the while: a request that must not run twice runs once at most; one that
-// was refused as not run has not run, and one that was answered has; streams have each event
-// once and in order, and those that end as complete are; no read of the manifest shows an older
-// one than was acknowledged before it was sent; no process of the system ends unasked. In the end the newest that was acknowledged is
-// read back and callers are served again.
+// The invariants checked during the run: a non-idempotent request runs at most once; a request
+// refused as not run did not run, and an answered one did; streams deliver each event once and in
+// order, and a stream that ends as complete is complete; a read of the manifest returns no version
+// older than those acknowledged before the read was sent; no process of the system exits on its
+// own. After the run, a change must be acknowledged and read back, and callers must be served.
 //
 // # Usage
 //
--- a/laburnumsoak/errors.go
+++ b/laburnumsoak/errors.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// StartError says that a process could not be started or did not become ready.
+// StartError reports that a process could not be started or did not become ready.
 type StartError struct {
 	Process string
 	Cause   error
@@ -14,10 +14,10 @@
 func (e *StartError) Error() string { return fmt.Sprintf("start %s: %v", e.Process, e.Cause) }
 func (e *StartError) Unwrap() error { return e.Cause }
 
-// NotReadyError says that something did not happen in time before any fault came.
+// NotReadyError reports that a condition was not met within Time, before any fault was injected.
 type NotReadyError struct {
 	What string
 	Time time.Duration
 }
 
-func (e *NotReadyError) Error() string { return fmt.Sprintf("%s: not within %s", e.What, e.Time) }
+func (e *NotReadyError) Error() string { return fmt.Sprintf("%s: not met within %s", e.What, e.Time) }
--- a/laburnumsoak/faults.go
+++ b/laburnumsoak/faults.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// minGap and mostGap are between two faults: shorter than most faults last, so that
-	// they overlap.
+	// minGap and maxGap bound the time between two faults. They are shorter than most faults
+	// last, so that faults overlap.
 	minGap, mostGap = 200 * time.Millisecond, 1500 * time.Millisecond
-	// maxDown is how long a process is away or stopped at most: longer than the lease's
-	// term and than the silence after which a voter is replaced.
+	// maxDown is the longest time that a fault lasts. It exceeds the lease term and the time
+	// after which a silent voter is replaced.
 	maxDown = 4 * time.Second
-	// restartPause is between two starts of a process whose disk is disturbed.
+	// restartPause is the time between two attempts to start a process whose disk is faulty.
 	restartPause = 300 * time.Millisecond
-	// minDelay and mostDelay are added each way by a slow link: up to what callers' targets
-	// bear, so that answers come late and not never.
+	// minDelay and maxDelay bound the delay that a slow link adds in each direction. They stay
+	// within callers' latency targets, so that answers are late rather than lost.
 	minDelay, mostDelay = 20 * time.Millisecond, 300 * time.Millisecond
 )
 
-// faultKind is what happens to a process.
+// faultKind is a kind of fault.
 type faultKind int
 
 const (
@@ -36,18 +36,18 @@
 	pause
 	terminate
 	wipe
-	// The others are faults of the link to a process.
+	// Faults of the link to a process.
 	freezeLink
 	freezeLinkTo
 	freezeLinkFrom
 	resetLink
 	delayLink
-	// The last are faults of the disk below a control VM.
+	// Faults of the disk of a control VM.
 	stallDisk
 	slowSyncs
 	fullDisk
 	failedSyncs
-	// rewind puts back an older copy of a control VM's data folder.
+	// rewind kills a control VM and restores an older copy of its data folder.
 	rewind
 	kindCount
 )
@@ -60,27 +60,27 @@
 	}[k]
 }
 
-// faultInjector disturbs the processes of a fleet as a seed says.
+// faultInjector injects faults into the processes of a fleet, in a sequence given by a seed.
 type faultInjector struct {
 	fleet  *fleet
 	random *rand.Rand
 	start  time.Time
 	wg     sync.WaitGroup
 
-	mu      sync.Mutex
-	busyProcesses    map[*process]bool
-	faultyLinks    map[*faultLink]bool
-	faultyDisks     map[*process]bool
-	dataLost   bool
-	history   []string
-	firstErr error
+	mu            sync.Mutex
+	busyProcesses map[*process]bool
+	faultyLinks   map[*faultLink]bool
+	faultyDisks   map[*process]bool
+	dataLost      bool
+	history       []string
+	firstErr      error
 }
 
 func newFaultInjector(f *fleet, seed uint64) *faultInjector {
 	return &faultInjector{fleet: f, random: rand.New(rand.NewPCG(seed, seed)), start: time.Now(), busyProcesses: map[*process]bool{}, faultyLinks: map[*faultLink]bool{}, faultyDisks: map[*process]bool{}} //nolint:gosec // repeatable
 }
 
-// run disturbs until ctx ends, then waits until all processes are back.
+// run injects faults until ctx ends, then waits until all of them are undone.
 func (x *faultInjector) run(ctx context.Context) {
 	all := x.fleet.all()
 	for {
@@ -89,7 +89,7 @@
 		gap := minGap + time.Duration(x.random.Int64N(int64(mostGap-minGap)))
 		delay := minDelay + time.Duration(x.random.Int64N(int64(mostDelay-minDelay)))
 		if kind == rewind {
-			n %= controlVMs // the first of all
+			n %= controlVMs // control VMs are listed first
 		}
 		switch {
 		case kind >= stallDisk && kind < rewind:
@@ -109,8 +109,8 @@
 	}
 }
 
-// injectLinkFault does a fault of a link, and undoes it on its own. One that is disturbed
-// already is left as it is.
+// injectLinkFault injects a fault into a link and undoes it after down. A link that already has
+// a fault is skipped.
 func (x *faultInjector) injectLinkFault(l *faultLink, kind faultKind, down, delay time.Duration) {
 	state := laburnumstandin.LinkState{}
 	switch kind {
@@ -144,8 +144,8 @@
 	}()
 }
 
-// injectDiskFault does a fault of a control VM's disk, and undoes it on its own. The program goes on
-// or ends by itself, and is killed and started again by other faults meanwhile.
+// injectDiskFault injects a fault into a control VM's disk and undoes it after down. The program
+// may keep running or exit because of it, and other faults may kill and restart it meanwhile.
 func (x *faultInjector) injectDiskFault(p *process, kind faultKind, down, delay time.Duration) {
 	state := laburnumdiskfault.State{Mode: laburnumdiskfault.Stalled}
 	switch kind {
@@ -176,13 +176,14 @@
 	}()
 }
 
-// logFault notes a fault in the story; mu is held.
+// logFault appends a fault to the history; mu is held.
 func (x *faultInjector) logFault(kind faultKind, name string) {
 	x.history = append(x.history, fmt.Sprintf("%.1f s %s %s", time.Since(x.start).Seconds(), kind, name))
 }
 
-// reserve reserves a process for a fault. One disk is lost or goes back in a run: the system bears the loss
-// of one at a time, and when it has caught up shows only inside.
+// reserve marks a process as busy with a fault and reports whether it was free. At most one data
+// folder is wiped or rewound in a run, later ones become kill: the system tolerates one such loss
+// at a time, and whether the voter has caught up is not visible from outside.
 func (x *faultInjector) reserve(p *process, kind *faultKind) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -203,7 +204,7 @@
 	return true
 }
 
-// injectProcessFault does a fault and undoes it.
+// injectProcessFault injects a fault into a reserved process, undoes it and releases the process.
 func (x *faultInjector) injectProcessFault(p *process, kind faultKind, down time.Duration) {
 	defer x.wg.Done()
 	switch kind {
@@ -233,8 +234,8 @@
 	x.release(p, x.restart(p))
 }
 
-// rewind copies a process's data folder, has it run on for a while, and kills it with the copy in
-// the folder's place.
+// rewind copies a process's data folder, lets the process run for a while, kills it and replaces
+// the folder with the copy.
 func (x *faultInjector) rewind(p *process, runs time.Duration) error {
 	folder := x.fleet.dataFolder(p.name)
 	older := folder + "-older"
@@ -253,8 +254,8 @@
 	return os.Rename(older, folder)
 }
 
-// restart starts a process, as a service manager does: again after a while if its disk was
-// disturbed meanwhile. A control VM that can't read or write its data folder ends with an error.
+// restart starts a process and, as a service manager does, retries while its disk is faulty: a
+// control VM that can't read or write its data folder exits with an error.
 func (x *faultInjector) restart(p *process) error {
 	for {
 		before := x.hasDiskFault(p)
--- a/laburnumsoak/fleet.go
+++ b/laburnumsoak/fleet.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	controlVMs = 4
-	gatewayVMs = 2
-	serversPerService  = 2
+	controlVMs        = 4
+	gatewayVMs        = 2
+	serversPerService = 2
 	// seedVMs is how many control VMs the settings name.
 	seedVMs = 3
-	// ports are the same on all VMs; each has an address of its own.
+	// The ports are the same on all VMs, each of which has its own address.
 	peerPort, controlPort, callerPort, readyPort = 7380, 8080, 8081, 8082
-	// peerListenPort and serverListenPort lie behind the links, at peerPort and serverPort.
+	// peerListenPort and serverListenPort are the targets of the links that listen on
+	// peerPort and serverPort.
 	peerListenPort, serverPort, serverListenPort = 7381, 8090, 8091
-	// firstGateway is the last number of the first gateway's address.
+	// firstGateway is the last octet of the first gateway's address.
 	firstGateway = 50
-	// firstServer is the same of the first backend server.
+	// firstServer is the last octet of the first backend server's address.
 	firstServer = 100
-	// ranPrefix begins the line in which a stand-in says that it runs a request.
+	// ranPrefix starts the line that a stand-in prints for each request it runs.
 	ranPrefix = "ran "
 )
 
-// fleet is all processes of a run.
+// fleet is the set of processes and links of a run.
 type fleet struct {
 	cfg      Config
 	net      string
@@ -41,15 +42,15 @@
 	controls []*process
 	gateways []*process
 	servers  []*process
-	// links stand before the peers' listeners of all VMs and before the backend servers.
+	// links are in front of the peer listeners of all VMs and of the backend servers.
 	links []*faultLink
-	// bootstrapped is set once the log stands: no start is the first from then on.
+	// bootstrapped is set once the log exists: later starts are not a first start.
 	bootstrapped atomic.Bool
-	starts  atomic.Int64
+	starts       atomic.Int64
 }
 
-// newFleet names the processes, on a network that the seed does not decide, so that two
-// runs with one seed do not meet.
+// newFleet defines the processes without starting them. The network is random and not derived
+// from the seed, so that concurrent runs with the same seed don't collide.
 func newFleet(cfg Config, r *recorder) *fleet {
 	const most = 250
 	f := &fleet{cfg: cfg, record: r, net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(most), 1+rand.IntN(most))}
@@ -77,7 +78,7 @@
 
 func (f *fleet) gateway(i int) string { return f.address(firstGateway+i, callerPort) }
 
-// vm is a process of the system. Its settings are written anew at each start.
+// vm defines a gateway or control VM. Its settings file is rewritten at each start.
 func (f *fleet) vm(role, name string, number int) *process {
 	f.addLink(name, f.address(number, peerPort), f.address(number, peerListenPort))
 	p := &process{name: name, program: f.cfg.Program, folder: f.cfg.Folder, onUnexpectedExit: f.record.processExited}
@@ -85,7 +86,7 @@
 		path := filepath.Join(f.cfg.Folder, name+".jsonc")
 		data, _ := json.Marshal(f.settings(role, name, number)) //nolint:errchkjson // texts and numbers only
 		if err := os.WriteFile(path, data, 0o600); err != nil {
-			return nil // the process then says what is missing
+			return nil // the process then reports the missing arguments
 		}
 		return []string{role, "--settings", path}
 	}
@@ -115,7 +116,7 @@
 
 func (f *fleet) dataFolder(name string) string { return filepath.Join(f.cfg.Folder, "data-"+name) }
 
-// server is a backend server; each start has an identity of its own.
+// server defines a backend server; each start has a new instance id.
 func (f *fleet) server(name, service string, number int) *process {
 	f.addLink(name, f.address(number, serverPort), f.address(number, serverListenPort))
 	p := &process{name: name, program: f.cfg.Program, folder: f.cfg.Folder}
--- a/laburnumsoak/links.go
+++ b/laburnumsoak/links.go
@@ -7,8 +7,8 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// faultLink is a link on the way to one process: to a VM for the other VMs, to a backend
-// server for gateways and orders.
+// faultLink is the proxy in front of one process: in front of a VM for its peers, in front of a
+// backend server for gateways and for the director's orders.
 type faultLink struct {
 	name    string
 	address string
@@ -19,14 +19,14 @@
 	f.links = append(f.links, &faultLink{name: name, address: address, link: laburnumstandin.NewLink(target)})
 }
 
-// open lets connections through until close.
+// open listens and forwards connections until the link is closed.
 func (l *faultLink) open() error {
 	var cfg net.ListenConfig
 	ln, err := cfg.Listen(context.Background(), "tcp", l.address)
 	if err != nil {
 		return &StartError{Process: "link to " + l.name, Cause: err}
 	}
-	go func() { _ = l.link.Serve(ln) }() // it ends with the link
+	go func() { _ = l.link.Serve(ln) }() // returns when the link is closed
 	return nil
 }
 
--- a/laburnumsoak/load.go
+++ b/laburnumsoak/load.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// callers ask at once, each as soon as its last request has ended and callerPause is
-	// over.
+	// callers is the number of concurrent callers. Each sends its next request callerPause
+	// after the previous one ended.
 	callers     = 6
 	callerPause = 15 * time.Millisecond
-	callTimeout    = 4 * time.Second
-	// streamEvery is that one request in so many is for a stream.
+	callTimeout = 4 * time.Second
+	// streamEvery is the number of requests of a caller of which one is for a stream.
 	streamEvery = 4
-	// applyPause and readPause are between two changes and two reads of the manifest.
+	// applyPause and readPause are the time between two changes and two reads of the manifest.
 	applyPause = 500 * time.Millisecond
 	readPause  = 150 * time.Millisecond
-	// controlTimeout is how long an operator waits for a control VM.
+	// controlTimeout is how long an operator waits for the answer of a control VM.
 	controlTimeout = 2 * time.Second
 )
 
-// load is callers and operators at work.
+// load generates the requests of callers and operators.
 type load struct {
 	fleet  *fleet
 	record *recorder
 	caller *laburnumstandin.PlatformCaller
 	wg     sync.WaitGroup
-	// version is that of the last change sent; one operator sends them.
+	// version is that of the last acknowledged change; a single operator sends changes.
 	version int
-	// calls numbers the requests: each has an id of its own.
+	// calls numbers the requests, for unique ids.
 	calls atomic.Int64
 }
 
@@ -43,7 +43,7 @@
 	return &load{fleet: f, record: r, caller: laburnumstandin.NewPlatformCaller()}
 }
 
-// run works until ctx ends.
+// run generates load until ctx ends and the requests in flight have finished.
 func (l *load) run(ctx context.Context) {
 	for i := range callers {
 		l.repeat(ctx, callerPause, func(n int) { l.sendRequest(n%streamEvery == i%streamEvery) })
@@ -64,15 +64,15 @@
 	}()
 }
 
-// sendRequest asks a gateway for a stream or a booking. What is under way when the run ends is waited
-// for.
+// sendRequest requests a stream or a booking from a random gateway and reports whether it
+// succeeded. It does not take the run's context: requests in flight at the end are completed.
 func (l *load) sendRequest(stream bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	id := fmt.Sprintf("r-%d", l.calls.Add(1))
 	gateway := l.fleet.gateway(rand.IntN(gatewayVMs))
 	if stream {
-		_, events, whole, _ := l.caller.Quote(ctx, gateway, id) // what came counts, however it ended
+		_, events, whole, _ := l.caller.Quote(ctx, gateway, id) // the events received are checked even if the stream failed
 		l.record.streamEnded(id, events, whole)
 		return whole
 	}
@@ -81,7 +81,7 @@
 	return err == nil && status == http.StatusOK
 }
 
-// apply sends a change, the last one again if it was not acknowledged.
+// apply sends the next change, or repeats the last one if it was not acknowledged.
 func (l *load) apply(control int) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
--- a/laburnumsoak/process.go
+++ b/laburnumsoak/process.go
@@ -15,36 +15,35 @@
 )
 
 const (
-	// readyTimeout is how long a process may take to say that it serves.
+	// readyTimeout is how long a process may take to report that it is ready.
 	readyTimeout = 20 * time.Second
-	// exitTimeout is how long one may take to end that was asked to, above the grace.
+	// exitTimeout is how long a process may take to exit after SIGTERM; it exceeds the grace.
 	exitTimeout = 15 * time.Second
-	// programName is what processes are told that they are called.
+	// programName is argv[0] of the processes.
 	programName = "laburnumlever"
 )
 
-// process is one of the programs, started again and again. It is used by one goroutine at a
-// time.
+// process is a program that is started repeatedly. It is used by one goroutine at a time.
 type process struct {
 	name    string
 	program string
 	folder  string
-	// args are those of the next start.
+	// args returns the arguments of the next start.
 	args func() []string
 	// onLine takes each onLine that it writes.
 	onLine func(string)
-	// disk stands below its data folder; nil if it has none.
+	// disk injects faults into its data folder; nil if there is none.
 	disk *laburnumdiskfault.Disk
-	// onUnexpectedExit is told of an end that nobody asked for.
+	// onUnexpectedExit, if set, is called when a ready process exits without being stopped.
 	onUnexpectedExit func(name string)
 
 	cmd   *exec.Cmd
 	ended chan struct{}
-	// stopRequested is set once the process is to end.
+	// stopRequested is set before the process is stopped.
 	stopRequested *atomic.Bool
 }
 
-// start runs the process and waits until it says that it serves.
+// start runs the process and waits until it reports that it is ready.
 func (p *process) start() error {
 	log, err := os.OpenFile(filepath.Join(p.folder, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -76,7 +75,7 @@
 	}
 }
 
-// command is the program as it is started next, through the launcher where it has a disk.
+// command builds the next start of the program, through the disk-fault launcher if it has a disk.
 func (p *process) command() *exec.Cmd {
 	args := p.args()
 	if p.disk != nil {
@@ -87,7 +86,7 @@
 	return cmd
 }
 
-// follow keeps what the process writes and waits for its end.
+// follow copies the output of the process to its log and waits for it to exit.
 func (p *process) follow(cmd *exec.Cmd, lines *bufio.Scanner, log *os.File, ready, ended chan struct{}, asked *atomic.Bool) {
 	defer close(ended)
 	defer func() { _ = log.Close() }()
@@ -105,7 +104,7 @@
 			p.onLine(text)
 		}
 	}
-	_ = cmd.Wait() // how it ended shows in its log
+	_ = cmd.Wait() // its log shows the reason
 	if served && !asked.Load() && p.onUnexpectedExit != nil {
 		p.onUnexpectedExit(p.name)
 	}
@@ -113,7 +112,7 @@
 
 func (p *process) signal(sig syscall.Signal) {
 	if p.cmd != nil {
-		_ = p.cmd.Process.Signal(sig) // one that has ended needs none
+		_ = p.cmd.Process.Signal(sig) // fails only if the process has exited
 	}
 }
 
--- a/laburnumsoak/record.go
+++ b/laburnumsoak/record.go
@@ -9,16 +9,16 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// recorder is what was seen from outside, and what of it must not be. It may be used from any
-// goroutine.
+// recorder collects what callers, operators and backend servers observe, and the violations of
+// the invariants in it. It is safe for concurrent use.
 type recorder struct {
 	mu sync.Mutex
-	// runs counts how often each request ran, as backend servers say.
+	// runs counts how often each request ran, as reported by backend servers.
 	runs map[string]int
-	// answered and refused are the requests that must not run twice with an answer and with
-	// the word that they have not run.
+	// answered and refused are the non-idempotent requests that were answered and those that
+	// were refused with a status that promises that they did not run.
 	answered, refused map[string]bool
-	// acked is the newest version acknowledged, with the time of each.
+	// acked lists the acknowledged changes.
 	acked      []ack
 	sent       int
 	served     int
@@ -38,14 +38,14 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// requestRan notes that a backend server has run a request.
+// requestRan records that a backend server ran a request.
 func (r *recorder) requestRan(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[id]++
 }
 
-// bookingEnded notes what came of a request that must not run twice.
+// bookingEnded records the outcome of a non-idempotent request.
 func (r *recorder) bookingEnded(id string, status int, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,7 +69,7 @@
 	}
 }
 
-// streamEnded notes a stream: its events must follow each other, and all be there if it ended as
+// streamEnded checks a stream: its events must be consecutive, and all present if it ended as
 // complete.
 func (r *recorder) streamEnded(id string, events []int, whole bool) {
 	r.mu.Lock()
@@ -77,7 +77,7 @@
 	r.sent++
 	for i, n := range events {
 		if n != i+1 {
-			r.addViolation("stream %s: event %d came as number %d", id, n, i+1)
+			r.addViolation("stream %s: received event %d at position %d", id, n, i+1)
 			return
 		}
 	}
@@ -90,14 +90,14 @@
 	}
 }
 
-// changeAcknowledged notes an operator's change.
+// changeAcknowledged records an acknowledged change.
 func (r *recorder) changeAcknowledged(version int, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.acked = append(r.acked, ack{version: version, at: at})
 }
 
-// newestAcknowledged is the highest version acknowledged before a time.
+// newestAcknowledged returns the highest version acknowledged before a time.
 func (r *recorder) newestAcknowledged(before time.Time) int {
 	highest := 0
 	for _, a := range r.acked {
@@ -114,18 +114,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if want := r.newestAcknowledged(sent); version < want {
-		r.addViolation("a read shows version %d after %d was acknowledged", version, want)
+		r.addViolation("a read returned version %d after version %d was acknowledged", version, want)
 	}
 }
 
-// processExited notes that a process of the system ended though nobody asked it to.
+// processExited records that a process of the system exited without being stopped.
 func (r *recorder) processExited(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.addViolation("%s ended by itself", name)
+	r.addViolation("%s exited unexpectedly", name)
 }
 
-// check checks what can be told only when all processes have had their say.
+// check applies the checks that need the output of all processes, and returns all violations.
 func (r *recorder) check() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,12 +134,12 @@
 			r.addViolation("request %s ran %d times", id, n)
 		}
 		if r.refused[id] {
-			r.addViolation("request %s was refused as not run and ran", id)
+			r.addViolation("request %s was refused as not run but ran", id)
 		}
 	}
 	for id := range r.answered {
 		if r.runs[id] == 0 {
-			r.addViolation("request %s was answered and no backend server ran it", id)
+			r.addViolation("request %s was answered but no backend server ran it", id)
 		}
 	}
 	return r.violations
--- a/laburnumsoak/record_test.go
+++ b/laburnumsoak/record_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A soak whose checks can't fail proves nothing: each kind of wrong must show.
+// Guards against checks of the soak that can't fail: each kind of violation must be reported.
 func TestEachViolationIsReported(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for name, test := range map[string]struct {
@@ -19,15 +19,15 @@
 		"refused and run": {func(r *recorder) {
 			r.bookingEnded("a", http.StatusServiceUnavailable, nil)
 			r.requestRan("a")
-		}, "request a was refused as not run and ran"},
-		"answered and not run": {func(r *recorder) { r.bookingEnded("a", http.StatusOK, nil) }, "request a was answered and no backend server ran it"},
-		"event lost":           {func(r *recorder) { r.streamEnded("a", []int{1, 3}, false) }, "stream a: event 3 came as number 2"},
-		"event twice":          {func(r *recorder) { r.streamEnded("a", []int{1, 2, 2}, false) }, "stream a: event 2 came as number 3"},
+		}, "request a was refused as not run but ran"},
+		"answered and not run": {func(r *recorder) { r.bookingEnded("a", http.StatusOK, nil) }, "request a was answered but no backend server ran it"},
+		"event lost":           {func(r *recorder) { r.streamEnded("a", []int{1, 3}, false) }, "stream a: received event 3 at position 2"},
+		"event twice":          {func(r *recorder) { r.streamEnded("a", []int{1, 2, 2}, false) }, "stream a: received event 2 at position 3"},
 		"ends early":           {func(r *recorder) { r.streamEnded("a", []int{1, 2}, true) }, "stream a ended as complete after 2 events"},
 		"older read": {func(r *recorder) {
 			r.changeAcknowledged(7, now)
 			r.readAnswered(6, now.Add(time.Second))
-		}, "a read shows version 6 after 7 was acknowledged"},
+		}, "a read returned version 6 after version 7 was acknowledged"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRecorder()
@@ -37,8 +37,8 @@
 	}
 }
 
-// What is allowed must not be called wrong: an answer lost after a run, a read that was sent
-// before the change was acknowledged, a stream that breaks off.
+// Guards against false violations: a lost answer after a run, a read sent before the change was
+// acknowledged, a stream that breaks off.
 func TestAllowedOutcomesAreNotReported(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	r := newRecorder()
--- a/laburnumsoak/soak.go
+++ b/laburnumsoak/soak.go
@@ -7,44 +7,44 @@
 )
 
 const (
-	// bootstrapTimeout is how long the first change may take: the log is founded and grows.
+	// bootstrapTimeout limits the first change, for which the log is created and voters are added.
 	bootstrapTimeout = 30 * time.Second
-	// recoveryTimeout is how long callers may have to wait once all processes are back: for an
-	// election, the voters' return and the backend servers' announcements.
+	// recoveryTimeout limits the recovery once all faults are undone: an election, the return
+	// of the voters and the announcements of the backend servers.
 	recoveryTimeout = 15 * time.Second
-	// retryInterval is between two tries of something that must come.
+	// retryInterval is the time between two attempts of await.
 	retryInterval = 100 * time.Millisecond
 )
 
-// Config says what a run is.
+// Config configures a run.
 type Config struct {
 	// Program is the path of the laburnumlever program.
 	Program string
 	// Folder is an empty folder for settings, data and logs.
 	Folder string
-	// Seed decides which faults come when.
+	// Seed determines which faults are injected and when.
 	Seed uint64
-	// Length is how long faults come.
+	// Length is how long faults are injected.
 	Length time.Duration
-	// Disks has the disks below control VMs misbehave too; it needs Linux.
+	// Disks also injects faults into the disks of control VMs; it needs Linux.
 	Disks bool
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed uint64 `json:"seed"`
-	// Sent and Served count the callers' requests, Acknowledged the operator's changes.
+	// Sent and Served count the callers' requests, Acknowledged the operator's acknowledged changes.
 	Sent         int `json:"sent"`
 	Served       int `json:"served"`
 	Acknowledged int `json:"acknowledged"`
-	// Faults are those that came, in order.
+	// Faults lists the injected faults in order, each with its time since the start.
 	Faults []string `json:"faults"`
-	// Violations are what should not have been seen.
+	// Violations lists the violated invariants.
 	Violations []string `json:"violations,omitempty"`
 }
 
-// Run plays one run. The error is a *StartError or a *NotReadyError: the system did not come
-// up, or a process did not come back.
+// Run executes one run. The error is a *StartError or *NotReadyError if the system did not become
+// ready or a process did not restart, or the file error of a fault on a data folder.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	r := newRecorder()
 	f := newFleet(cfg, r)
@@ -74,14 +74,14 @@
 	stop()
 	<-done
 	l.checkRecovery(ctx)
-	f.stop() // what backend servers have to say of their runs has come then
+	f.stop() // the output of backend servers is complete afterwards
 	return Report{
 		Seed: cfg.Seed, Sent: r.sent, Served: r.served, Acknowledged: len(r.acked), Faults: x.history, Violations: r.check(),
 	}, x.firstErr
 }
 
-// checkRecovery checks that the system is whole again: it takes a change, reads it back and serves
-// callers.
+// checkRecovery checks that the system has recovered: a change is acknowledged, a read is
+// answered and callers are served.
 func (l *load) checkRecovery(ctx context.Context) {
 	for what, try := range map[string]func() bool{
 		"a change is acknowledged": func() bool { return l.apply(0) },
@@ -91,20 +91,20 @@
 	} {
 		if !await(ctx, recoveryTimeout, try) {
 			l.record.mu.Lock()
-			l.record.addViolation("after the faults: %s: not within %s", what, recoveryTimeout)
+			l.record.addViolation("after the faults: %s: not met within %s", what, recoveryTimeout)
 			l.record.mu.Unlock()
 		}
 	}
 }
 
-// stop kills all processes that this run started.
+// stop kills all processes of this run.
 func (f *fleet) stop() {
 	for _, p := range f.all() {
 		p.stop(syscall.SIGKILL)
 	}
 }
 
-// await tries until something comes, or the time is over.
+// await calls try until it succeeds; it reports false after limit or when ctx ends.
 func await(ctx context.Context, limit time.Duration, try func() bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(retryInterval) {
 		if try() {
