--- a/laburnumsoak/process.go
+++ b/laburnumsoak/process.go
@@ -30,7 +30,7 @@
 	folder  string
 	// args returns the arguments of the next start.
 	args func() []string
-	// onLine takes each onLine that it writes.
+	// onLine, if set, is called with each line of its standard output.
 	onLine func(string)
 	// disk injects faults into its data folder; nil if there is none.
 	disk *laburnumdiskfault.Disk
@@ -69,9 +69,9 @@
 	case <-ready:
 		return nil
 	case <-p.ended:
-		return &StartError{Process: p.name, Cause: &NotReadyError{What: "it ended", Time: readyTimeout}}
+		return &StartError{Process: p.name, Cause: &NotReadyError{What: "ready without exiting", Time: readyTimeout}}
 	case <-time.After(readyTimeout):
-		return &StartError{Process: p.name, Cause: &NotReadyError{What: "it serves", Time: readyTimeout}}
+		return &StartError{Process: p.name, Cause: &NotReadyError{What: "ready", Time: readyTimeout}}
 	}
 }
 
@@ -116,7 +116,7 @@
 	}
 }
 
-// stop ends the process by a signal and waits for it; one that does not stop is killed.
+// stop sends a signal and waits for the process to exit; after exitTimeout it is killed.
 func (p *process) stop(sig syscall.Signal) {
 	if p.cmd == nil {
 		return
--- a/laburnumsoak/record.go
+++ b/laburnumsoak/record.go
@@ -108,8 +108,8 @@
 	return highest
 }
 
-// readAnswered notes an answer to a readAnswered that was sent at a time: it must not be older than what
-// was acknowledged by then.
+// readAnswered checks the answer to a read: it must not be older than a version acknowledged
+// before the read was sent.
 func (r *recorder) readAnswered(version int, sent time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/laburnumsoak/record_test.go
+++ b/laburnumsoak/record_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against checks of the soak that can't fail: each kind of violation must be reported.
+// Guards against soak checks that never fail: each kind of violation must be reported.
 func TestEachViolationIsReported(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	for name, test := range map[string]struct {
