--- a/cmd/laburnumlever/caller_test.go
+++ b/cmd/laburnumlever/caller_test.go
@@ -26,7 +26,7 @@
 		},
 		Action: func(c *cli.Context) error {
 			if c.Int("times") > 0 {
-				return callOften(c)
+				return callRepeatedly(c)
 			}
 			req, err := callerRequest(c)
 			if err != nil {
@@ -68,8 +68,8 @@
 	return req, nil
 }
 
-// callOften sends the request again and again, one at a time.
-func callOften(c *cli.Context) error {
+// callRepeatedly sends the request again and again, one at a time.
+func callRepeatedly(c *cli.Context) error {
 	counts := map[int]int{}
 	for i := range c.Int("times") {
 		req, err := callerRequest(c)
--- a/cmd/laburnumlever/docs_test.go
+++ b/cmd/laburnumlever/docs_test.go
@@ -31,7 +31,7 @@
 	check("laburnumlever", newApp().Commands)
 }
 
-func page(t *testing.T, name string) string {
+func readDoc(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "docs", name))
 	require.NoError(t, err)
@@ -40,7 +40,7 @@
 
 // Whoever is called at night looks a counter up: none may be missing.
 func TestOnCallPageNamesEveryReason(t *testing.T) {
-	text := page(t, "on-call.md")
+	text := readDoc(t, "on-call.md")
 	for _, name := range laburnumlever.RefusalReasonStrings() {
 		require.Contains(t, text, "| `"+name+"` |")
 	}
@@ -51,14 +51,14 @@
 
 // A log line that the page does not name sends whoever reads it to the code.
 func TestOperationsPageNamesEveryEvent(t *testing.T) {
-	text := page(t, "OPERATIONS.md")
+	text := readDoc(t, "OPERATIONS.md")
 	for _, name := range laburnumlever.LogEventStrings() {
 		require.Contains(t, text, "`"+name+"`")
 	}
 }
 
 func TestReferencePagesNameEveryKey(t *testing.T) {
-	settings, catalogue := page(t, "settings.md"), page(t, "catalogue.md")
+	settings, catalogue := readDoc(t, "settings.md"), readDoc(t, "catalogue.md")
 	for _, key := range laburnumsettings.Reference() {
 		name := key.Key
 		switch {
--- a/cmd/laburnumlever/evaluatecmd.go
+++ b/cmd/laburnumlever/evaluatecmd.go
@@ -11,8 +11,8 @@
 	"laburnumlever/laburnumsimulation"
 )
 
-// defaultSeeds is how many days each policy plays.
-const defaultSeeds = 20
+// defaultSeedCount is how many days each policy plays.
+const defaultSeedCount = 20
 
 func evaluateCommand() *cli.Command {
 	return &cli.Command{
@@ -25,7 +25,7 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "scenario", Usage: "the scenario's `FILE`"},
 			&cli.StringSliceFlag{Name: "policy", Value: cli.NewStringSlice("today"), Usage: "a policy; may be given again, gains are over the first"},
-			&cli.IntFlag{Name: "seeds", Value: defaultSeeds, Usage: "how many days each policy plays"},
+			&cli.IntFlag{Name: "seeds", Value: defaultSeedCount, Usage: "how many days each policy plays"},
 			&cli.IntFlag{Name: "engines", Usage: "another number of engines than the scenario's"},
 			&cli.IntFlag{Name: "workers", Value: max(1, runtime.NumCPU()/2), Usage: "how many days are played at once"},
 			&cli.StringFlag{Name: "plot", Usage: "draw the days over their time into this SVG `FILE`"},
--- a/cmd/laburnumlever/explaindaycmd.go
+++ b/cmd/laburnumlever/explaindaycmd.go
@@ -8,8 +8,8 @@
 	"laburnumlever/laburnumexplain"
 )
 
-// subjectsShown is how many subjects each window names, those that lost most.
-const subjectsShown = 3
+// defaultSubjects is how many subjects each window names, those that lost most.
+const defaultSubjects = 3
 
 func explainDayCommand() *cli.Command {
 	return &cli.Command{
@@ -22,7 +22,7 @@
 		Flags: []cli.Flag{
 			logsFlag(),
 			&cli.DurationFlag{Name: "window", Value: laburnumexplain.DefaultWidth, Usage: "the span of time of a row"},
-			&cli.IntFlag{Name: "most", Value: subjectsShown, Usage: "how many models each span names"},
+			&cli.IntFlag{Name: "most", Value: defaultSubjects, Usage: "how many models each span names"},
 			&cli.StringFlag{Name: "picture", Usage: "also draw the day, as SVG, into a `FILE`"},
 		},
 		OnUsageError: onUsageError,
--- a/cmd/laburnumlever/fleetcommands_test.go
+++ b/cmd/laburnumlever/fleetcommands_test.go
@@ -158,7 +158,7 @@
 // as well, and a replica on an older copy of its folder calls itself a follower until
 // the leader has found that out.
 func scriptCaughtUp(ts *testscript.TestScript, _ bool, args []string) {
-	for deadline := time.Now().Add(awaitLimit); time.Now().Before(deadline); time.Sleep(awaitStep) {
+	for deadline := time.Now().Add(awaitTimeout); time.Now().Before(deadline); time.Sleep(awaitInterval) {
 		own, ownErr := statusOf(ts, args[0])
 		votes := own.Voter.Role == "follower" || own.Voter.Role == "leader"
 		if ownErr != nil || !votes {
@@ -181,23 +181,23 @@
 }
 
 func awaitRole(ts *testscript.TestScript, prefix string, names []string, has func(laburnumlever.Status) bool) {
-	for deadline := time.Now().Add(awaitLimit); time.Now().Before(deadline); time.Sleep(awaitStep) {
+	for deadline := time.Now().Add(awaitTimeout); time.Now().Before(deadline); time.Sleep(awaitInterval) {
 		for i, name := range names {
 			status, err := statusOf(ts, name)
 			if err != nil || !has(status) {
 				continue
 			}
-			setNames(ts, prefix, name)
-			setNames(ts, prefix+"other", names[(i+1)%len(names)])
+			setAlias(ts, prefix, name)
+			setAlias(ts, prefix+"other", names[(i+1)%len(names)])
 			return
 		}
 	}
 	ts.Fatalf("none of %v has the role", names)
 }
 
-// setNames makes NAME's variables known under another prefix too, also those it
+// setAlias makes NAME's variables known under another prefix too, also those it
 // gets when it is started again.
-func setNames(ts *testscript.TestScript, prefix, name string) {
+func setAlias(ts *testscript.TestScript, prefix, name string) {
 	ts.Setenv(prefix, name)
 	ts.Value(processKey{}).(*processes).aliases[prefix] = name
 	for _, key := range []string{"callers", "operators", "backends"} {
--- a/cmd/laburnumlever/levellogger.go
+++ b/cmd/laburnumlever/levellogger.go
@@ -13,11 +13,11 @@
 // levelLogger drops what is below its level, which can change while it is used.
 type levelLogger struct {
 	out     log.Logger
-	current atomic.Pointer[filter]
+	current atomic.Pointer[filteredLogger]
 }
 
-// filter holds a logger, since an atomic pointer can't hold an interface.
-type filter struct{ log.Logger }
+// filteredLogger holds a logger, since an atomic pointer can't hold an interface.
+type filteredLogger struct{ log.Logger }
 
 func newLevelLogger(w io.Writer, name string) (*levelLogger, error) {
 	l := &levelLogger{out: log.With(log.NewLogfmtLogger(log.NewSyncWriter(w)), "ts", log.DefaultTimestampUTC)}
@@ -41,6 +41,6 @@
 	default:
 		return &laburnumlever.InvalidValueError{Name: "level", Value: name, Want: "debug, info, warn or error"}
 	}
-	l.current.Store(&filter{Logger: level.NewFilter(l.out, option)})
+	l.current.Store(&filteredLogger{Logger: level.NewFilter(l.out, option)})
 	return nil
 }
--- a/cmd/laburnumlever/loadcmd.go
+++ b/cmd/laburnumlever/loadcmd.go
@@ -112,13 +112,13 @@
 		fleet.Close()
 		return nil, err
 	}
-	fleet.AwaitSettled(ctx, settledAfter)
+	fleet.AwaitSettled(ctx, settleTime)
 	return fleet, nil
 }
 
-// settledAfter is how long a fleet makes no move before the load begins, so that the
+// settleTime is how long a fleet makes no move before the load begins, so that the
 // start's moves do not count as the experiment's.
-const settledAfter = 3 * time.Second
+const settleTime = 3 * time.Second
 
 func cutsZones(experiment laburnumload.Experiment) bool {
 	return slices.ContainsFunc(experiment.Events, func(e laburnumload.Event) bool {
--- a/cmd/laburnumlever/quickstartcmd.go
+++ b/cmd/laburnumlever/quickstartcmd.go
@@ -12,9 +12,9 @@
 	"laburnumlever/laburnumsettings"
 )
 
-// quickstartLimit bounds the start, which takes under a second; it is
+// quickstartTimeout bounds the start, which takes under a second; it is
 // generous so that a busy machine changes nothing.
-const quickstartLimit = time.Minute
+const quickstartTimeout = time.Minute
 
 //go:embed quickstart.jsonc
 var quickstartCatalogue []byte
@@ -24,7 +24,7 @@
 	VMs: []laburnumfleet.VMSpec{{VM: "vannes-1", Zone: "vannes", Disk: true}},
 	Engines: []laburnumfleet.EngineSpec{{
 		Name: "engine", Zone: "vannes", Count: 2, AcceleratorsMiB: []int{24576}, Slots: defaultSlots,
-		PrefillTokensPerSecond: defaultPrefill, TokensPerSecond: defaultTokenRate, ChecksFencing: true, CanResume: true,
+		PrefillTokensPerSecond: defaultPrefillRate, TokensPerSecond: defaultTokenRate, ChecksFencing: true, CanResume: true,
 	}},
 	Services: []laburnumfleet.ServiceSpec{{Service: "booking", Zone: "vannes", Count: 1, Slots: defaultSlots}},
 }
@@ -64,15 +64,15 @@
 		return err
 	}
 	defer fleet.Close()
-	ctx, cancel := context.WithTimeout(c.Context, quickstartLimit)
+	ctx, cancel := context.WithTimeout(c.Context, quickstartTimeout)
 	defer cancel()
 	if c.Bool("once") {
-		return playOnce(ctx, c.App.Writer, fleet)
+		return runSession(ctx, c.App.Writer, fleet)
 	}
-	return waitAndShow(ctx, c, fleet)
+	return serveUntilInterrupted(ctx, c, fleet)
 }
 
-func waitAndShow(ctx context.Context, c *cli.Context, fleet *laburnumfleet.Fleet) error {
+func serveUntilInterrupted(ctx context.Context, c *cli.Context, fleet *laburnumfleet.Fleet) error {
 	revision, err := fleet.Apply(ctx)
 	if err != nil {
 		return err
--- a/cmd/laburnumlever/quickstartonce.go
+++ b/cmd/laburnumlever/quickstartonce.go
@@ -13,8 +13,8 @@
 	"laburnumlever/laburnumoperator"
 )
 
-// limitTries is more than the visitors' limit of one a second lets in at once.
-const limitTries = 20
+// ownerLimitAttempts is more than the visitors' limit of one a second lets in at once.
+const ownerLimitAttempts = 20
 
 // stepError is a step of a played session that gave something else than it should.
 type stepError struct{ Step, Got, Want string }
@@ -32,9 +32,9 @@
 	number  int
 }
 
-// playOnce plays the session; the first step that gives something else than it
+// runSession plays the session; the first step that gives something else than it
 // should ends it.
-func playOnce(ctx context.Context, w io.Writer, fleet *laburnumfleet.Fleet) error {
+func runSession(ctx context.Context, w io.Writer, fleet *laburnumfleet.Fleet) error {
 	s := &session{w: w, fleet: fleet, caller: laburnumload.NewCaller(), address: fleet.Callers()[0]}
 	for _, step := range []func(context.Context) error{
 		s.apply, s.listModels, s.completion, s.booking, s.unknownModel, s.ownerLimit,
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// say prints a step that went well.
-func (s *session) say(format string, args ...any) {
+// printStep prints a step that went well.
+func (s *session) printStep(format string, args ...any) {
 	s.number++
 	printf(s.w, "%d. %s\n", s.number, fmt.Sprintf(format, args...))
 }
@@ -64,7 +64,7 @@
 	if err := s.fleet.AwaitLoaded(ctx, revision); err != nil {
 		return err
 	}
-	s.say("apply the catalogue: accepted as revision %d, every model has a ready copy", revision)
+	s.printStep("apply the catalogue: accepted as revision %d, every model has a ready copy", revision)
 	return nil
 }
 
@@ -84,7 +84,7 @@
 	if strings.Join(listed, " ") != strings.Join(names, " ") {
 		return &stepError{Step: "list models", Got: strings.Join(listed, " "), Want: strings.Join(names, " ")}
 	}
-	s.say("list models: %s", strings.Join(listed, ", "))
+	s.printStep("list models: %s", strings.Join(listed, ", "))
 	return nil
 }
 
@@ -94,7 +94,7 @@
 	if v := laburnumload.Judge(ask, got); !v.Whole {
 		return &stepError{Step: "streamed completion", Got: describe(got), Want: "the whole answer to its own prompt"}
 	}
-	s.say("streamed completion: %d tokens and the end marker, whole and its own", ask.MaxTokens)
+	s.printStep("streamed completion: %d tokens and the end marker, whole and its own", ask.MaxTokens)
 	return nil
 }
 
@@ -113,7 +113,7 @@
 	if broken := laburnumload.CheckLedger([]laburnumload.Told{{Key: ask.Key, Answered: true}}, ledger); len(broken) > 0 {
 		return &stepError{Step: "booking sent twice", Got: strings.Join(broken, "; "), Want: "one run"}
 	}
-	s.say("booking sent twice with one key: the same answer twice, the service ran it once")
+	s.printStep("booking sent twice with one key: the same answer twice, the service ran it once")
 	return nil
 }
 
@@ -122,14 +122,14 @@
 	if got.Reason != "unknown-model" || got.Outcome != "not-run" {
 		return &stepError{Step: "a model that is not catalogued", Got: describe(got), Want: "refused unknown-model, not-run"}
 	}
-	s.say("a model that is not catalogued: refused %s, %s", got.Reason, got.Outcome)
+	s.printStep("a model that is not catalogued: refused %s, %s", got.Reason, got.Outcome)
 	return nil
 }
 
 func (s *session) ownerLimit(ctx context.Context) error {
 	ask := laburnumload.Arrival{Model: "try-it", Prompt: "may I try it", MaxTokens: 1, Caller: "visitor"}
 	var got laburnumload.Answer
-	for range limitTries {
+	for range ownerLimitAttempts {
 		got = s.caller.Send(ctx, s.address, ask)
 		if got.Reason != "" {
 			break
@@ -139,7 +139,7 @@
 	if got.Reason != want || got.Outcome != "not-run" || !got.RetryAfter {
 		return &stepError{Step: "an owner over its limit", Got: describe(got), Want: "refused " + want + ", not-run, with Retry-After"}
 	}
-	s.say("an owner over its limit: refused %s, %s, with Retry-After", got.Reason, got.Outcome)
+	s.printStep("an owner over its limit: refused %s, %s, with Retry-After", got.Reason, got.Outcome)
 	return nil
 }
 
--- a/cmd/laburnumlever/rolecmd.go
+++ b/cmd/laburnumlever/rolecmd.go
@@ -31,9 +31,9 @@
 	// graceShare of the time between the request to stop and the end of the
 	// process is used; the rest is for a late timer.
 	graceShare = 0.92
-	// watchPeriod is how often the settings file is looked at: reading a few hundred
+	// settingsPollInterval is how often the settings file is looked at: reading a few hundred
 	// bytes costs nothing, and other seeds are not urgent.
-	watchPeriod = 2 * time.Second
+	settingsPollInterval = 2 * time.Second
 )
 
 func gatewayCommand() *cli.Command {
@@ -64,8 +64,8 @@
 	}
 }
 
-// roleParts are what both roles are made of.
-type roleParts struct {
+// watchSettings are what both roles are made of.
+type watchSettings struct {
 	settings laburnumsettings.Role
 	logger   *laburnumlogging.Logger
 	// path and text are the settings file and what it held last.
@@ -74,7 +74,7 @@
 	options []laburnumroles.Option
 }
 
-func newRoleParts(c *cli.Context) (*roleParts, error) {
+func newRoleRuntime(c *cli.Context) (*watchSettings, error) {
 	settings, err := laburnumsettings.LoadRole(c.String("settings"))
 	if err != nil {
 		return nil, err
@@ -92,13 +92,13 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	return &roleParts{settings: settings, logger: logger, path: c.String("settings"), text: text, options: []laburnumroles.Option{
+	return &watchSettings{settings: settings, logger: logger, path: c.String("settings"), text: text, options: []laburnumroles.Option{
 		laburnumroles.WithLogger(named), laburnumroles.WithMetrics(metrics),
 	}}, nil
 }
 
 // graceful runs the end of a process within its grace.
-func (p *roleParts) graceful(shutdown func(ctx context.Context)) {
+func (p *watchSettings) graceful(shutdown func(ctx context.Context)) {
 	grace := time.Duration(graceShare * float64(p.settings.Times.Grace))
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
@@ -108,10 +108,10 @@
 
 // watch reloads the settings when a signal says that they have changed, and when the
 // file has changed without one, until ctx ends. A file with a fault changes nothing.
-func (p *roleParts) watch(ctx context.Context, reload func(laburnumsettings.Role)) {
+func (p *watchSettings) watch(ctx context.Context, reload func(laburnumsettings.Role)) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
-	ticker := time.NewTicker(watchPeriod)
+	ticker := time.NewTicker(settingsPollInterval)
 	go func() {
 		defer ticker.Stop()
 		for {
@@ -126,7 +126,7 @@
 	}()
 }
 
-func (p *roleParts) reloadIfChanged(reload func(laburnumsettings.Role)) {
+func (p *watchSettings) reloadIfChanged(reload func(laburnumsettings.Role)) {
 	text, err := os.ReadFile(p.path)
 	if err != nil || bytes.Equal(text, p.text) {
 		return // a file that is just being replaced is read the next time
@@ -145,7 +145,7 @@
 }
 
 func runGateway(c *cli.Context) error {
-	parts, err := newRoleParts(c)
+	parts, err := newRoleRuntime(c)
 	if err != nil {
 		return err
 	}
@@ -160,7 +160,7 @@
 }
 
 func runControl(c *cli.Context) error {
-	parts, err := newRoleParts(c)
+	parts, err := newRoleRuntime(c)
 	if err != nil {
 		return err
 	}
--- a/cmd/laburnumlever/scriptcommands_test.go
+++ b/cmd/laburnumlever/scriptcommands_test.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// awaitLimit only ends a script that will never go on; no verdict hangs on it
+	// awaitTimeout only ends a script that will never go on; no verdict hangs on it
 	// otherwise, so it is generous for a busy machine.
-	awaitLimit = 60 * time.Second
-	awaitStep  = 50 * time.Millisecond
+	awaitTimeout  = 60 * time.Second
+	awaitInterval = 50 * time.Millisecond
 )
 
 // scriptCommands are what sessions have beside testscript's own commands:
@@ -85,8 +85,8 @@
 	log   *os.File
 	ended chan struct{}
 	once  sync.Once
-	// read, if set, is closed when its output is to be read again.
-	read atomic.Pointer[chan struct{}]
+	// resume, if set, is closed when its output is to be resume again.
+	resume atomic.Pointer[chan struct{}]
 }
 
 func scriptSetup(env *testscript.Env) error {
@@ -98,7 +98,7 @@
 	env.Values[processKey{}] = all
 	env.Defer(func() {
 		for _, p := range all.byName {
-			p.readOn()
+			p.resumeReading()
 			_ = p.cmd.Process.Signal(syscall.SIGKILL)
 			<-p.ended
 		}
@@ -134,12 +134,12 @@
 		}
 		for prefix, alias := range ts.Value(processKey{}).(*processes).aliases {
 			if alias == name {
-				setNames(ts, prefix, name)
+				setAlias(ts, prefix, name)
 			}
 		}
 	case <-p.ended:
 		ts.Fatalf("%s ended before it was ready:\n%s", name, ts.ReadFile(name+".log"))
-	case <-time.After(awaitLimit):
+	case <-time.After(awaitTimeout):
 		ts.Fatalf("%s is not ready:\n%s", name, ts.ReadFile(name+".log"))
 	}
 }
@@ -148,7 +148,7 @@
 func (p *process) follow(lines *bufio.Scanner, ready chan<- string) {
 	defer close(p.ended)
 	for lines.Scan() {
-		if read := p.read.Load(); read != nil {
+		if read := p.resume.Load(); read != nil {
 			<-*read
 		}
 		_, _ = p.log.WriteString(lines.Text() + "\n")
@@ -166,26 +166,26 @@
 // scriptStuck is what a full disk or a dead reader behind the output is to the process.
 func scriptStuck(ts *testscript.TestScript, _ bool, args []string) {
 	read := make(chan struct{})
-	processesOf(ts)[args[0]].read.Store(&read)
+	processesOf(ts)[args[0]].resume.Store(&read)
 }
 
-// readOn ends that.
-func (p *process) readOn() {
-	if read := p.read.Swap(nil); read != nil {
+// resumeReading ends that.
+func (p *process) resumeReading() {
+	if read := p.resume.Swap(nil); read != nil {
 		close(*read)
 	}
 }
 
 func scriptEnd(ts *testscript.TestScript, _ bool, args []string) {
 	p, sig := processesOf(ts)[args[0]], signals[args[1]]
-	p.readOn()
+	p.resumeReading()
 	ts.Check(p.cmd.Process.Signal(sig))
 	if sig != syscall.SIGKILL && sig != syscall.SIGTERM {
 		return
 	}
 	select {
 	case <-p.ended:
-	case <-time.After(awaitLimit):
+	case <-time.After(awaitTimeout):
 		ts.Fatalf("%s did not end:\n%s", args[0], ts.ReadFile(args[0]+".log"))
 	}
 }
@@ -203,7 +203,7 @@
 	program, err := exec.LookPath(args[1])
 	ts.Check(err)
 	var out []byte
-	for deadline := time.Now().Add(awaitLimit); time.Now().Before(deadline); time.Sleep(awaitStep) {
+	for deadline := time.Now().Add(awaitTimeout); time.Now().Before(deadline); time.Sleep(awaitInterval) {
 		cmd := exec.Command(program, args[2:]...)
 		cmd.Dir = ts.MkAbs(".")
 		out, _ = cmd.CombinedOutput()
--- a/cmd/laburnumlever/soakcmd.go
+++ b/cmd/laburnumlever/soakcmd.go
@@ -47,7 +47,7 @@
 	failed := 0
 	for i := range c.Int("seeds") {
 		seed := c.Uint64("seed") + uint64(i) //nolint:gosec // a count
-		report, err := soakOne(c, laburnumsoak.Config{
+		report, err := runSeed(c, laburnumsoak.Config{
 			Program: program, Folder: filepath.Join(root, fmt.Sprintf("seed-%d", seed)), Seed: seed, Length: c.Duration("length"), Disks: c.Bool("disks"),
 		})
 		if err != nil {
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// soakOne plays a seed and prints what came of it. The logs of a seed with violations stay.
-func soakOne(c *cli.Context, cfg laburnumsoak.Config) (laburnumsoak.Report, error) {
+// runSeed plays a seed and prints what came of it. The logs of a seed with violations stay.
+func runSeed(c *cli.Context, cfg laburnumsoak.Config) (laburnumsoak.Report, error) {
 	if err := os.MkdirAll(cfg.Folder, 0o700); err != nil {
 		return laburnumsoak.Report{}, err
 	}
--- a/cmd/laburnumlever/standincmd.go
+++ b/cmd/laburnumlever/standincmd.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	anyPort          = "127.0.0.1:0"
-	standInLimit     = 30 * time.Second
-	headerReadLimit  = 10 * time.Second
-	defaultSlots     = 8
-	defaultPrefill   = 20000.0
-	defaultTokenRate = 2000.0
+	anyPort                = "127.0.0.1:0"
+	standInShutdownTimeout = 30 * time.Second
+	readHeaderTimeout      = 10 * time.Second
+	defaultSlots           = 8
+	defaultPrefillRate     = 20000.0
+	defaultTokenRate       = 2000.0
 )
 
 func standInCommand() *cli.Command {
@@ -87,7 +87,7 @@
 // that it leaves before its listener closes, so that no new work arrives to a
 // closed port.
 func serveBackend(c *cli.Context, ln net.Listener, b backend, kind string) error {
-	server := &http.Server{Handler: b, ReadHeaderTimeout: headerReadLimit}
+	server := &http.Server{Handler: b, ReadHeaderTimeout: readHeaderTimeout}
 	var group errgroup.Group
 	group.Go(func() error { return ignoreClosed(server.Serve(ln)) })
 	b.Start()
@@ -95,7 +95,7 @@
 	printf(c.App.Writer, "ready %s=%s address=%s\n", kind, c.String("id"), ln.Addr())
 	<-c.Done()
 	b.Leave()
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.Context), standInLimit)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.Context), standInShutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		return err
@@ -105,7 +105,7 @@
 
 // serveHandler runs a stand-in that has nothing to finish.
 func serveHandler(ctx context.Context, ln net.Listener, handler http.Handler) error {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerReadLimit}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	var group errgroup.Group
 	group.Go(func() error { return ignoreClosed(server.Serve(ln)) })
 	<-ctx.Done()
--- a/cmd/laburnumlever/standinenginecmd.go
+++ b/cmd/laburnumlever/standinenginecmd.go
@@ -21,7 +21,7 @@
 			"Example: laburnumlever stand-in engine --id e1 --zone rennes-a --registry 127.0.0.1:8082\n\n" + exitCodesText,
 		Flags: append(backendFlags(),
 			&cli.StringSliceFlag{Name: "accelerator", Value: cli.NewStringSlice(defaultAccelerator), Usage: "`ID=MIB` of memory; may be repeated"},
-			&cli.Float64Flag{Name: "prefill-rate", Value: defaultPrefill, Usage: "prompt tokens a second"},
+			&cli.Float64Flag{Name: "prefill-rate", Value: defaultPrefillRate, Usage: "prompt tokens a second"},
 			&cli.Float64Flag{Name: "token-rate", Value: defaultTokenRate, Usage: "generated tokens a second"},
 			&cli.BoolFlag{Name: "checks-fencing", Usage: "refuse orders with an old fencing number"},
 			&cli.BoolFlag{Name: "can-resume", Usage: "resume broken streams"},
--- a/cmd/laburnumlever/writer_test.go
+++ b/cmd/laburnumlever/writer_test.go
@@ -67,7 +67,7 @@
 
 // applyAnywhere tries one VM after the other until one accepts; a conflict is final.
 func applyAnywhere(ctx context.Context, vms []string, req laburnumlever.ApplyRequest) (laburnumlever.ApplyAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, awaitLimit)
+	ctx, cancel := context.WithTimeout(ctx, awaitTimeout)
 	defer cancel()
 	var last error
 	for i := 0; ctx.Err() == nil; i++ {
@@ -80,7 +80,7 @@
 			return answer, err
 		}
 		last = err
-		time.Sleep(awaitStep)
+		time.Sleep(awaitInterval)
 	}
 	return laburnumlever.ApplyAnswer{}, errors.Wrapf(last, "change %s", req.ChangeID)
 }
