--- a/tools/guards/errors.go
+++ b/tools/guards/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// listError is a list of guards that can't be read.
+// listError reports a list of guards that can't be parsed.
 type listError struct {
 	Path  string
 	Cause error
@@ -12,30 +12,30 @@
 
 func (e *listError) Unwrap() error { return e.Cause }
 
-// notOnceError is a guard whose text does not stand in its file exactly once.
-type notOnceError struct {
+// matchCountError reports a guard whose text does not occur exactly once in its file.
+type matchCountError struct {
 	File, With string
 	Times      int
 }
 
-func (e *notOnceError) Error() string {
-	return fmt.Sprintf("%s: %q stands there %d times", e.File, e.With, e.Times)
+func (e *matchCountError) Error() string {
+	return fmt.Sprintf("%s: %q occurs %d times, want once", e.File, e.With, e.Times)
 }
 
-// noBuildError is a project that does not build without a guard.
-type noBuildError struct{ Output string }
+// buildError reports a project that does not build without a guard.
+type buildError struct{ Output string }
 
-func (e *noBuildError) Error() string { return "it does not build without the guard: " + e.Output }
+func (e *buildError) Error() string { return "does not build without the guard: " + e.Output }
 
-// noTestError is a test that does not exist.
-type noTestError struct{ Test string }
+// missingTestError reports a test that does not exist.
+type missingTestError struct{ Test string }
 
-func (e *noTestError) Error() string { return "there is no test " + e.Test }
+func (e *missingTestError) Error() string { return "no such test: " + e.Test }
 
-// unnoticedError counts the guards that can be taken out unnoticed, and those that could not
-// be tried.
-type unnoticedError struct{ Unnoticed, Failed int }
+// undetectedError counts the guards whose removal no test detected, and those that could not be
+// checked.
+type undetectedError struct{ Unnoticed, Failed int }
 
-func (e *unnoticedError) Error() string {
-	return fmt.Sprintf("%d guards are missed by no test, %d could not be tried", e.Unnoticed, e.Failed)
+func (e *undetectedError) Error() string {
+	return fmt.Sprintf("removal of %d guards not detected by a test, %d guards not checked", e.Unnoticed, e.Failed)
 }
--- a/tools/guards/guard.go
+++ b/tools/guards/guard.go
@@ -9,12 +9,12 @@
 	"github.com/tailscale/hujson"
 )
 
-// guard is one guard and the test that must fail without it.
+// guard is a safety check in the code and the test that must fail without it.
 type guard struct {
-	// Promise is the row of docs/PROMISES.md, or the failure, that it stands for.
+	// Promise is the row of docs/PROMISES.md, or the failure, that the guard is for.
 	Promise string `json:"promise"`
 	File    string `json:"file"`
-	// With is the text as it stands in the file, once; Without replaces it.
+	// With is the text of the guard, which occurs once in the file; Without replaces it.
 	With    string `json:"with"`
 	Without string `json:"without"`
 	// Package and Test name the test; Test is a regular expression.
@@ -22,7 +22,7 @@
 	Test    string `json:"test"`
 }
 
-// readGuards reads the list.
+// readGuards reads the list of guards, a JSON file with comments.
 func readGuards(path string) ([]guard, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -39,16 +39,16 @@
 	return guards, nil
 }
 
-// takeOut writes the file of a copy of the project without the guard, and returns what
-// puts it back.
-func (g guard) takeOut(project string) (putBack func() error, err error) {
+// remove removes the guard from its file in a copy of the project, and returns a function that
+// restores the file.
+func (g guard) remove(project string) (restore func() error, err error) {
 	path := filepath.Join(project, g.File)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	if n := strings.Count(string(text), g.With); n != 1 {
-		return nil, &notOnceError{File: g.File, With: g.With, Times: n}
+		return nil, &matchCountError{File: g.File, With: g.With, Times: n}
 	}
 	changed := strings.Replace(string(text), g.With, g.Without, 1)
 	if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
--- a/tools/guards/main.go
+++ b/tools/guards/main.go
@@ -1,17 +1,17 @@
-// Command guards shows that tests notice when a guard is missing.
+// Command guards is a mutation test: it checks that the tests detect the removal of a guard.
 //
-// A guard is a line or two that hold off one failure. A test of that failure proves the
-// guard only if it fails without it. guards takes a list of guards, copies the project into
-// a temporary folder, takes the guards out one at a time and runs the test that must fail.
+// A guard is a line or two of code that prevent one failure. A test of that failure proves the
+// guard only if it fails without it. guards reads a list of guards, copies the project to a
+// temporary folder, removes the guards one at a time and runs the test that must fail.
 //
 // # Usage
 //
 //	go run -C tools ./guards            # all of tools/guards/guards.jsonc
 //	go run -C tools ./guards --only conn.go
 //
-// It prints a line for each guard and ends with an error if a test passed without its
-// guard, if a guard is not found as the list has it, or if what is left does not build.
-// The project itself is never changed.
+// It prints a line for each guard and fails if a test passes without its guard, if the text of a
+// guard does not occur once in its file, or if the code does not build without the guard. The
+// project itself is never changed.
 package main
 
 import (
--- a/tools/guards/run.go
+++ b/tools/guards/run.go
@@ -13,26 +13,26 @@
 	"github.com/urfave/cli/v2"
 )
 
-// testTimeout bounds one test without its guard: some then wait for ever.
+// testTimeout limits each go command: without their guard some tests never end.
 const testTimeout = 2 * time.Minute
 
 func run(args []string) error {
 	app := &cli.App{
 		Name:  "guards",
-		Usage: "take guards out one at a time and see their tests fail",
+		Usage: "remove guards one at a time and check that their tests fail",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "project", Value: "..", Usage: "the project's `FOLDER`"},
 			&cli.StringFlag{Name: "list", Value: "guards/guards.jsonc", Usage: "the list of guards, a `FILE`"},
 			&cli.StringFlag{Name: "only", Usage: "only guards whose file or test contains `TEXT`"},
 		},
 		Action: func(c *cli.Context) error {
-			return tryAll(c.Context, c.String("project"), c.String("list"), c.String("only"))
+			return checkAll(c.Context, c.String("project"), c.String("list"), c.String("only"))
 		},
 	}
 	return app.Run(args)
 }
 
-func tryAll(ctx context.Context, project, list, only string) error {
+func checkAll(ctx context.Context, project, list, only string) error {
 	guards, err := readGuards(list)
 	if err != nil {
 		return err
@@ -41,16 +41,16 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a leftover of a temporary folder harms nobody
+	defer func() { _ = os.RemoveAll(folder) }() // a leftover temporary folder is harmless
 	if err := copyProject(ctx, project, folder); err != nil {
 		return err
 	}
-	var count unnoticedError
+	var count undetectedError
 	for _, g := range guards {
 		if !strings.Contains(g.File, only) && !strings.Contains(g.Test, only) {
 			continue
 		}
-		noticed, err := g.try(ctx, folder)
+		noticed, err := g.check(ctx, folder)
 		switch {
 		case err != nil:
 			count.Failed++
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// copyProject copies the files that git tracks, as they are in the work tree.
+// copyProject copies the files tracked by git, with their content in the work tree.
 func copyProject(ctx context.Context, from, to string) error {
 	out, err := exec.CommandContext(ctx, "git", "-C", from, "ls-files", "-z", "--", ":!journal").Output()
 	if err != nil {
@@ -93,36 +93,36 @@
 	return nil
 }
 
-// try takes the guard out of a copy of the project and tells whether its test fails.
-func (g guard) try(ctx context.Context, project string) (noticed bool, err error) {
+// check removes the guard from a copy of the project and reports whether its test fails.
+func (g guard) check(ctx context.Context, project string) (noticed bool, err error) {
 	if err := g.testExists(ctx, project); err != nil {
 		return false, err
 	}
-	putBack, err := g.takeOut(project)
+	restore, err := g.remove(project)
 	if err != nil {
 		return false, err
 	}
-	defer func() { err = errors.Join(err, putBack()) }()
-	if out, err := goTool(ctx, project, "vet", g.Package); err != nil {
-		return false, &noBuildError{Output: out}
+	defer func() { err = errors.Join(err, restore()) }()
+	if out, err := runGo(ctx, project, "vet", g.Package); err != nil {
+		return false, &buildError{Output: out}
 	}
-	_, failed := goTool(ctx, project, "test", g.Package, "-count=1", "-run", "^("+g.Test+")$")
+	_, failed := runGo(ctx, project, "test", g.Package, "-count=1", "-run", "^("+g.Test+")$")
 	return failed != nil, nil
 }
 
 func (g guard) testExists(ctx context.Context, project string) error {
 	name, _, _ := strings.Cut(g.Test, "/")
-	out, err := goTool(ctx, project, "test", g.Package, "-list", "^("+name+")$")
+	out, err := runGo(ctx, project, "test", g.Package, "-list", "^("+name+")$")
 	if err != nil {
-		return &noBuildError{Output: out}
+		return &buildError{Output: out}
 	}
 	if !strings.Contains(out, "Test") {
-		return &noTestError{Test: g.Test}
+		return &missingTestError{Test: g.Test}
 	}
 	return nil
 }
 
-func goTool(ctx context.Context, folder string, args ...string) (string, error) {
+func runGo(ctx context.Context, folder string, args ...string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, testTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, "go", args...) //nolint:gosec // the list is the project's own
