--- a/cmd/laburnumlever/app.go
+++ b/cmd/laburnumlever/app.go
@@ -1,5 +1,6 @@
-// Command laburnumlever is the whole serving system in one program. Every entry VM
-// runs `laburnumlever serve`; operators and developers use the other commands.
+// Command laburnumlever contains all programs of the serving system. Every entry VM runs
+// `laburnumlever serve`, the VMs of a platform run `gateway` or `control`; the other commands
+// are for operators and developers.
 //
 // # Usage
 //
@@ -18,11 +19,11 @@
 	"github.com/urfave/cli/v2"
 )
 
-// run runs the program and returns its exit code.
+// run executes the command line and returns the exit code.
 func run(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	// After the first signal the default is restored, so that a second one ends the
-	// process at once.
+	// The first signal restores the default handling, so that a second one terminates the
+	// process immediately.
 	defer context.AfterFunc(ctx, stop)()
 	err := newApp().RunContext(ctx, args)
 	if err == nil {
@@ -56,7 +57,7 @@
 		ExitErrHandler: func(*cli.Context, error) {},
 		OnUsageError:   onUsageError,
 		CommandNotFound: func(c *cli.Context, name string) {
-			printf(c.App.ErrWriter, "laburnumlever: no command %q; see laburnumlever help\n", name)
+			printf(c.App.ErrWriter, "laburnumlever: unknown command %q; see laburnumlever help\n", name)
 			os.Exit(exitUsage)
 		},
 	}
--- a/cmd/laburnumlever/caller_test.go
+++ b/cmd/laburnumlever/caller_test.go
@@ -10,18 +10,18 @@
 	"github.com/urfave/cli/v2"
 )
 
-// shownHeaders are those that callers are promised.
+// shownHeaders are the headers guaranteed to callers.
 var shownHeaders = []string{"Laburnumlever-Outcome", "Retry-After"}
 
-// runCaller is the program that plays a caller in sessions: it sends one request and
-// prints the status, the promised headers and the body.
+// runCaller is the program caller of the sessions: it sends one request and prints the status,
+// the guaranteed headers and the body.
 func runCaller(args []string) int {
 	app := &cli.App{
 		Name: "caller",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "header", Aliases: []string{"H"}},
 			&cli.StringFlag{Name: "data", Aliases: []string{"d"}},
-			&cli.IntFlag{Name: "times", Usage: "send it so often, each with an id of its own, and print how often each status came"},
+			&cli.IntFlag{Name: "times", Usage: "send the request this many times, each with a unique id, and print a count per status"},
 			&cli.StringFlag{Name: "method", Aliases: []string{"X"}, Value: http.MethodGet},
 		},
 		Action: func(c *cli.Context) error {
@@ -68,7 +68,7 @@
 	return req, nil
 }
 
-// callRepeatedly sends the request again and again, one at a time.
+// callRepeatedly sends the request --times times, one after the other.
 func callRepeatedly(c *cli.Context) error {
 	counts := map[int]int{}
 	for i := range c.Int("times") {
--- a/cmd/laburnumlever/catalogueapplycmd.go
+++ b/cmd/laburnumlever/catalogueapplycmd.go
@@ -14,18 +14,18 @@
 func catalogueApplyCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "apply",
-		Usage:     "make a catalogue the one in force everywhere",
+		Usage:     "put a catalogue into effect on all VMs",
 		ArgsUsage: "FILE-OR-DIRECTORY",
-		Description: "The change is made against --expected-revision, by default the one in force on the\n" +
-			"VM now; of two operators who start from one revision, one gets a conflict.\n" +
-			"After an unknown outcome repeat the command with the --change-id and the\n" +
-			"--expected-revision that it printed: nothing is applied twice.\n\n" +
+		Description: "The change is applied on top of --expected-revision, by default the revision in effect on\n" +
+			"the VM; of two operators who start from the same revision, one gets a conflict.\n" +
+			"If the outcome is unknown, repeat the command with the --change-id and the\n" +
+			"--expected-revision that it printed: a change is never applied twice.\n\n" +
 			"Example: laburnumlever catalogue apply --vm 10.0.1.7:8081 catalogue/\n\n" + exitCodesText,
 		Flags: []cli.Flag{
 			vmFlag(), timeoutFlag(), outputFlag(),
-			&cli.Uint64Flag{Name: "expected-revision", Usage: "the revision that the change was made against"},
-			&cli.StringFlag{Name: "change-id", Usage: "the id of the change, to send it again"},
-			&cli.BoolFlag{Name: "dry-run", Usage: "say what would become of it and change nothing"},
+			&cli.Uint64Flag{Name: "expected-revision", Usage: "the revision that the change is based on"},
+			&cli.StringFlag{Name: "change-id", Usage: "the id of the change, to repeat it"},
+			&cli.BoolFlag{Name: "dry-run", Usage: "check the change without applying it"},
 		},
 		OnUsageError: onUsageError,
 		Action:       applyCatalogue,
--- a/cmd/laburnumlever/cataloguediffcmd.go
+++ b/cmd/laburnumlever/cataloguediffcmd.go
@@ -13,7 +13,7 @@
 		Name:      "diff",
 		Usage:     "show what an apply would change in the fleet",
 		ArgsUsage: "FILE-OR-DIRECTORY",
-		Description: "Compares with the catalogue in force on the VM, or with another file.\n\n" +
+		Description: "Compares with the catalogue in effect on the VM, or with another file.\n\n" +
 			"Example: laburnumlever catalogue diff --vm 10.0.1.7:8081 catalogue/\n\n" + exitCodesText,
 		Flags: []cli.Flag{
 			vmFlag(), timeoutFlag(), outputFlag(),
--- a/cmd/laburnumlever/cataloguegetcmd.go
+++ b/cmd/laburnumlever/cataloguegetcmd.go
@@ -13,8 +13,8 @@
 func catalogueGetCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "get",
-		Usage: "print the catalogue in force on a VM",
-		Description: "With --output json it prints a file that apply takes again.\n\n" +
+		Usage: "print the catalogue in effect on a VM",
+		Description: "The output of --output json is a valid input of apply.\n\n" +
 			"Example: laburnumlever catalogue get --vm 10.0.1.7:8081 --output json > catalogue.json\n\n" + exitCodesText,
 		Flags:        []cli.Flag{vmFlag(), timeoutFlag(), outputFlag()},
 		OnUsageError: onUsageError,
@@ -28,8 +28,8 @@
 	}
 }
 
-// currentCatalogue is the one in force on the VM, or in the --from file where
-// the command has that flag.
+// currentCatalogue returns the catalogue in effect on the VM, or that of the --from file if the
+// command has that flag.
 func currentCatalogue(c *cli.Context) (laburnumlever.Catalogue, error) {
 	if from := c.String("from"); from != "" {
 		return laburnumsettings.LoadCatalogue(from)
--- a/cmd/laburnumlever/cataloguevalidatecmd.go
+++ b/cmd/laburnumlever/cataloguevalidatecmd.go
@@ -11,9 +11,9 @@
 func catalogueValidateCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "validate",
-		Usage:     "read a catalogue file or directory and list all that is wrong in it",
+		Usage:     "check a catalogue file or directory and list all faults",
 		ArgsUsage: "FILE-OR-DIRECTORY",
-		Description: "Asks no VM. Whether the fleet has room for it, apply --dry-run tells.\n\n" +
+		Description: "Works without a VM. To check whether the catalogue fits the fleet, use apply --dry-run.\n\n" +
 			"Example: laburnumlever catalogue validate catalogue/\n\n" + exitCodesText,
 		Flags:        []cli.Flag{outputFlag()},
 		OnUsageError: onUsageError,
--- a/cmd/laburnumlever/docs_test.go
+++ b/cmd/laburnumlever/docs_test.go
@@ -13,7 +13,7 @@
 	"laburnumlever/laburnumsettings"
 )
 
-// A command without an example or its exit codes sends whoever runs it to the code.
+// Guards against commands without an example or their exit codes in the help text.
 func TestEveryCommandHasHelp(t *testing.T) {
 	var check func(name string, commands []*cli.Command)
 	check = func(name string, commands []*cli.Command) {
@@ -38,7 +38,7 @@
 	return string(text)
 }
 
-// Whoever is called at night looks a counter up: none may be missing.
+// Guards against refusal and retry counters that the on-call page does not explain.
 func TestOnCallPageNamesEveryReason(t *testing.T) {
 	text := readDoc(t, "on-call.md")
 	for _, name := range laburnumlever.RefusalReasonStrings() {
@@ -49,7 +49,7 @@
 	}
 }
 
-// A log line that the page does not name sends whoever reads it to the code.
+// Guards against log events that the operations page does not explain.
 func TestOperationsPageNamesEveryEvent(t *testing.T) {
 	text := readDoc(t, "OPERATIONS.md")
 	for _, name := range laburnumlever.LogEventStrings() {
--- a/cmd/laburnumlever/errors.go
+++ b/cmd/laburnumlever/errors.go
@@ -21,12 +21,12 @@
 	exitUnknown     = 6
 )
 
-const exitCodesText = `Exit codes: 0 done; 1 failed; 2 wrong usage; 3 a settings, catalogue or
-experiment file is invalid; 4 the change or question was refused and nothing was changed; 5 the VM could
-not be reached and nothing was changed; 6 the outcome is unknown: send the change
-again under the same change id.`
+const exitCodesText = `Exit codes: 0 success; 1 failure; 2 invalid usage; 3 a settings, catalogue or
+experiment file is invalid; 4 the request was refused and nothing was changed; 5 the VM could not be
+reached and nothing was changed; 6 the outcome is unknown: repeat the change with the
+same change id.`
 
-// usageError is a command line that can't be run.
+// usageError reports an invalid command line.
 type usageError struct{ Detail string }
 
 func (e *usageError) Error() string { return e.Detail }
@@ -69,8 +69,8 @@
 		errors.As(err, &noQuorum) || errors.As(err, &notFound) || errors.As(err, &invalid)
 }
 
-// printError writes each fault of a file on a line of its own, so that editors can
-// jump to it; any other error is one line.
+// printError writes each fault of a file on its own line, so that editors can jump to it; any
+// other error is written on one line.
 func printError(w io.Writer, err error) {
 	var (
 		settings   *laburnumlever.SettingsInvalidError
@@ -95,7 +95,7 @@
 	}
 }
 
-// faultText leaves out the file of a fault that a VM found in a change.
+// faultText formats a fault, without the file if a VM reported the fault for a change.
 func faultText(f laburnumlever.Fault) string {
 	if f.File != "" {
 		return f.String()
@@ -107,12 +107,12 @@
 	return text
 }
 
-// soakFailedError says that a soak saw what it should not have.
+// soakFailedError reports that a soak found violations.
 type soakFailedError struct {
 	Seeds  int
 	Folder string
 }
 
 func (e *soakFailedError) Error() string {
-	return fmt.Sprintf("%d seeds saw what they should not have; their logs are in %s", e.Seeds, e.Folder)
+	return fmt.Sprintf("%d seeds with violations; logs are in %s", e.Seeds, e.Folder)
 }
--- a/cmd/laburnumlever/evaluatecmd.go
+++ b/cmd/laburnumlever/evaluatecmd.go
@@ -11,24 +11,24 @@
 	"laburnumlever/laburnumsimulation"
 )
 
-// defaultSeedCount is how many days each policy plays.
+// defaultSeedCount is the number of days simulated per policy.
 const defaultSeedCount = 20
 
 func evaluateCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "evaluate",
-		Usage: "play days of a fleet as a model and compare policies",
-		Description: "Plays each policy on the same days, without a network, and says which serves callers better, with\n" +
-			"95% intervals. Scenarios are described in docs/evaluation.md. The policies are:\n\n" + policiesText() +
+		Usage: "simulate days of a fleet and compare policies",
+		Description: "Simulates each policy on the same days, without a network, and compares how well callers are\n" +
+			"served, with 95% confidence intervals. Scenarios are described in docs/evaluation.md. The policies are:\n\n" + policiesText() +
 			"\nExample: laburnumlever evaluate --scenario examples/evaluation/large.jsonc --policy today --policy hindsight\n" +
 			"Example: laburnumlever evaluate --scenario examples/evaluation/carpets.jsonc --engines 8\n\n" + exitCodesText,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "scenario", Usage: "the scenario's `FILE`"},
-			&cli.StringSliceFlag{Name: "policy", Value: cli.NewStringSlice("today"), Usage: "a policy; may be given again, gains are over the first"},
-			&cli.IntFlag{Name: "seeds", Value: defaultSeedCount, Usage: "how many days each policy plays"},
-			&cli.IntFlag{Name: "engines", Usage: "another number of engines than the scenario's"},
-			&cli.IntFlag{Name: "workers", Value: max(1, runtime.NumCPU()/2), Usage: "how many days are played at once"},
-			&cli.StringFlag{Name: "plot", Usage: "draw the days over their time into this SVG `FILE`"},
+			&cli.StringSliceFlag{Name: "policy", Value: cli.NewStringSlice("today"), Usage: "a policy; may be repeated, gains are relative to the first"},
+			&cli.IntFlag{Name: "seeds", Value: defaultSeedCount, Usage: "how many days to simulate per policy"},
+			&cli.IntFlag{Name: "engines", Usage: "override the scenario's number of engines"},
+			&cli.IntFlag{Name: "workers", Value: max(1, runtime.NumCPU()/2), Usage: "how many days to simulate in parallel"},
+			&cli.StringFlag{Name: "plot", Usage: "write a plot of the days over time to this SVG `FILE`"},
 			&cli.BoolFlag{Name: "quiet", Usage: "show no progress"},
 			outputFlag(),
 		},
@@ -55,7 +55,7 @@
 		scenario = scenario.WithEngines(n)
 	}
 	if c.Int("seeds") < 1 || c.Int("workers") < 1 {
-		return &usageError{Detail: "--seeds and --workers are 1 or more"}
+		return &usageError{Detail: "--seeds and --workers: want 1 or more"}
 	}
 	var policies []laburnumsimulation.Policy
 	for _, name := range c.StringSlice("policy") {
@@ -75,7 +75,7 @@
 	return reportWriter(c, table, table.WriteText)
 }
 
-// evaluateProgress shows how many days are played, on a terminal.
+// evaluateProgress shows the number of simulated days if stderr is a terminal.
 func evaluateProgress(c *cli.Context) laburnumsimulation.Progress {
 	if c.Bool("quiet") || !isTerminal(os.Stderr) {
 		return func(int, int) {}
--- a/cmd/laburnumlever/explaincmd.go
+++ b/cmd/laburnumlever/explaincmd.go
@@ -15,7 +15,7 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "explain",
-		Usage:       "say why a model is where it is, what became of a request, or where a day's requests were lost",
+		Usage:       "explain a model's placement, a request's outcome, or a day's lost requests",
 		Subcommands: []*cli.Command{explainModelCommand(), explainRequestCommand(), explainDayCommand()},
 	}
 }
@@ -23,9 +23,9 @@
 func explainModelCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "model",
-		Usage:     "say why a model is where it is",
+		Usage:     "explain where a model is placed and why",
 		ArgsUsage: "NAME",
-		Description: "Best asked of a VM in the availability zone in question: its zone owner decides there.\n\n" +
+		Description: "Ask a VM in the availability zone in question: the owner of the zone decides placement there.\n\n" +
 			"Example: laburnumlever explain model quote-small\n\n" + exitCodesText,
 		Flags:        []cli.Flag{vmFlag(), timeoutFlag(), outputFlag()},
 		OnUsageError: onUsageError,
@@ -45,10 +45,10 @@
 func explainRequestCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "request",
-		Usage:     "say what became of a request",
+		Usage:     "explain the outcome of a request",
 		ArgsUsage: "ID",
-		Description: "The id is the answer's X-Request-Id header. Ask the VM that took the request; or, for\n" +
-			"gateways and control VMs, name the files that hold their logs, and no VM is asked.\n\n" +
+		Description: "The id is the answer's X-Request-Id header. Ask the VM that received the request. For\n" +
+			"gateways and control VMs pass their log files with --logs; no VM is asked then.\n\n" +
 			"Example: laburnumlever explain request 5f0c9a6e\n" +
 			"Example: laburnumlever explain request --logs gateway.log --logs control.log 9c41d07b\n\n" + exitCodesText,
 		Flags: []cli.Flag{
@@ -72,7 +72,7 @@
 	}
 }
 
-// explainFromLogs joins what the logs say of a request.
+// explainFromLogs explains a request from the lines about it in all logs.
 func explainFromLogs(c *cli.Context, id string, files []string) error {
 	lines, err := readLogs(c, files)
 	if err != nil {
@@ -86,7 +86,7 @@
 }
 
 func logsFlag() cli.Flag {
-	return &cli.StringSliceFlag{Name: "logs", Usage: "a `FILE` of logs, - for standard input; may be given again"}
+	return &cli.StringSliceFlag{Name: "logs", Usage: "a log `FILE`, - for standard input; may be repeated"}
 }
 
 func readLogs(c *cli.Context, files []string) ([]laburnumexplain.Line, error) {
@@ -109,7 +109,7 @@
 	return lines, err
 }
 
-// withLog opens a log, or standard input, for as long as it is read.
+// withLog calls read with a log file, or with standard input for -.
 func withLog(c *cli.Context, name string, read func(in io.Reader) error) error {
 	if name == "-" {
 		return errors.Wrapf(read(c.App.Reader), "read %s", name)
@@ -118,7 +118,7 @@
 	if err != nil {
 		return &usageError{Detail: err.Error()}
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // read-only
 	return errors.Wrapf(read(file), "read %s", name)
 }
 
--- a/cmd/laburnumlever/fleetcommands_test.go
+++ b/cmd/laburnumlever/fleetcommands_test.go
@@ -22,19 +22,19 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// fleetCommands are what failure sessions have besides scriptCommands:
+// fleetCommands returns the commands that failure sessions have in addition to scriptCommands:
 //
 //	vms NAME=ZONE[,disk]...  writes NAME.jsonc for each VM and starts a link in front of
 //	                         its peers listener; the VMs with a disk are the voters
-//	cut FROM TO              connections that the VMs FROM (a,b) make to the VMs TO go
-//	                         nowhere from now on, silently, those already made as well
+//	cut FROM TO              freezes the connections from the VMs FROM (a,b) to the VMs TO,
+//	                         new and existing ones, without resetting them
 //	heal                     undoes all cuts
-//	lose NAME                loses the VM's data folder
-//	leader PREFIX VM...      waits until one of the VMs leads the log; PREFIX is then its
-//	                         name and PREFIX_operators its address, PREFIXother the next VM
-//	caughtup VM VM...        waits until the first VM votes and has applied all that the
-//	                         leader among the VMs has
-//	owner PREFIX VM...       the same for the VM that says it owns its zone
+//	lose NAME                deletes the VM's data folder
+//	leader PREFIX VM...      waits until one of the VMs leads the log; sets PREFIX to its
+//	                         name, PREFIX_operators to its address, PREFIXother to the next VM
+//	caughtup VM VM...        waits until the first VM is a voter and has applied all entries
+//	                         that the leader among the VMs has applied
+//	owner PREFIX VM...       like leader, for a VM that reports to own its zone
 func fleetCommands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
 	return map[string]func(ts *testscript.TestScript, neg bool, args []string){
 		"vms": scriptVMs, "cut": scriptCut, "heal": scriptHeal, "lose": scriptLose, "leader": scriptLeader, "owner": scriptOwner,
@@ -42,8 +42,7 @@
 	}
 }
 
-// vm is a VM of a session; each has a loopback address of its own, by which links
-// tell the VMs apart.
+// vm is a VM of a session; each has its own loopback address, by which links identify it.
 type vm struct {
 	name, zone, ip, listen, link string
 	disk                         bool
@@ -54,8 +53,8 @@
 	all := ts.Value(processKey{}).(*processes)
 	addresses, err := laburnumfleet.ReservePorts(context.Background(), len(args))
 	ts.Check(err)
-	// Each session has a net of its own on loopback, so that no other session, nor a
-	// connection made from a VM's address, takes a port before its VM listens on it.
+	// Each session has its own loopback network, so that neither another session nor an
+	// outgoing connection from a VM's address takes a port before its VM listens on it.
 	network := fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(250))
 	for i, arg := range args {
 		name, rest, _ := strings.Cut(arg, "=")
@@ -143,7 +142,7 @@
 	ts.Check(os.RemoveAll(ts.MkAbs("data-" + args[0])))
 }
 
-// scriptLeader asks the VMs in turn; only what a living one says of itself counts.
+// scriptLeader asks the VMs in turn; only the role that a running VM reports for itself counts.
 func scriptLeader(ts *testscript.TestScript, _ bool, args []string) {
 	awaitRole(ts, args[0], args[1:], func(s laburnumlever.Status) bool { return s.Voter.Role == "leader" })
 }
@@ -154,9 +153,8 @@
 	})
 }
 
-// scriptCaughtUp asks for the log's own count: the catalogue's revision comes by gossip
-// as well, and a replica on an older copy of its folder calls itself a follower until
-// the leader has found that out.
+// scriptCaughtUp compares applied log indexes: the catalogue's revision also arrives by gossip,
+// and a replica on an older copy of its folder reports to be a follower until the leader notices.
 func scriptCaughtUp(ts *testscript.TestScript, _ bool, args []string) {
 	for deadline := time.Now().Add(awaitTimeout); time.Now().Before(deadline); time.Sleep(awaitInterval) {
 		own, ownErr := statusOf(ts, args[0])
@@ -195,8 +193,8 @@
 	ts.Fatalf("none of %v has the role", names)
 }
 
-// setAlias makes NAME's variables known under another prefix too, also those it
-// gets when it is started again.
+// setAlias also sets the variables of name under another prefix, now and whenever the process
+// is started again.
 func setAlias(ts *testscript.TestScript, prefix, name string) {
 	ts.Setenv(prefix, name)
 	ts.Value(processKey{}).(*processes).aliases[prefix] = name
--- a/cmd/laburnumlever/levellogger.go
+++ b/cmd/laburnumlever/levellogger.go
@@ -10,13 +10,13 @@
 	"laburnumlever"
 )
 
-// levelLogger drops what is below its level, which can change while it is used.
+// levelLogger drops lines below its level, which can be changed concurrently.
 type levelLogger struct {
 	out     log.Logger
 	current atomic.Pointer[filteredLogger]
 }
 
-// filteredLogger holds a logger, since an atomic pointer can't hold an interface.
+// filteredLogger wraps the interface, since an atomic.Pointer needs a concrete type.
 type filteredLogger struct{ log.Logger }
 
 func newLevelLogger(w io.Writer, name string) (*levelLogger, error) {
@@ -24,7 +24,7 @@
 	return l, l.set(name)
 }
 
-// Log passes on what is at or above the level.
+// Log logs a line if it is at or above the level.
 func (l *levelLogger) Log(keyvals ...any) error { return l.current.Load().Log(keyvals...) }
 
 func (l *levelLogger) set(name string) error {
--- a/cmd/laburnumlever/loadcmd.go
+++ b/cmd/laburnumlever/loadcmd.go
@@ -19,20 +19,20 @@
 func loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "load",
-		Usage: "put load on a running system and check every answer as a caller would",
-		Description: "Requests arrive whether or not earlier ones are answered. The callers' addresses are\n" +
-			"asked of the VMs; with --fleet a whole fleet is run in this process, for experiments\n" +
-			"whose events end VMs or slow engines. The exit code is 1 if a promise to callers was\n" +
-			"broken.\n\n" +
+		Usage: "generate load on a running system and check every answer as a caller would",
+		Description: "The load is open-loop: requests arrive whether or not earlier ones are answered. The\n" +
+			"callers' addresses are read from the VMs. With --fleet a whole fleet runs in this\n" +
+			"process, for experiments whose events kill VMs or slow engines down. The exit code is 1\n" +
+			"if a guarantee to callers was violated.\n\n" +
 			"Example: laburnumlever load --fleet examples/armor-pose/fleet.jsonc \\\n" +
 			"  --experiment examples/experiments/armor-pose-dawn-rush.jsonc\n\n" + exitCodesText,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "experiment", Usage: "the experiment's `FILE`"},
 			&cli.StringSliceFlag{Name: "vm", Value: cli.NewStringSlice(defaultVM), Usage: "`ADDRESS` of a VM's operators listener; name all of them to count all moves"},
-			&cli.StringFlag{Name: "fleet", Usage: "run the fleet of this `FILE` and put the load on it"},
+			&cli.StringFlag{Name: "fleet", Usage: "run the fleet of this `FILE` and generate the load on it"},
 			&cli.DurationFlag{Name: "start-limit", Value: time.Minute, Usage: "how long a fleet may take until every model is loaded"},
 			&cli.BoolFlag{Name: "verbose", Usage: "show the log of a fleet's VMs"},
-			&cli.StringFlag{Name: "plot", Usage: "draw the run second by second into this SVG `FILE`"},
+			&cli.StringFlag{Name: "plot", Usage: "write a per-second plot of the run to this SVG `FILE`"},
 			&cli.BoolFlag{Name: "quiet", Usage: "show no progress"},
 			outputFlag(),
 		},
@@ -43,7 +43,7 @@
 }
 
 func runLoad(c *cli.Context) error {
-	// Not by Before, which would run for the subcommands too.
+	// Not checked in Before, which would run for the subcommands too.
 	if err := requireFlags("experiment")(c); err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 	return result, err
 }
 
-// startFleet runs a fleet until every model has a ready copy.
+// startFleet starts a fleet and waits until every model has a ready copy.
 func startFleet(c *cli.Context, links bool) (*laburnumfleet.Fleet, error) {
 	spec, catalogue, err := laburnumfleet.Load(c.String("fleet"))
 	if err != nil {
@@ -116,8 +116,8 @@
 	return fleet, nil
 }
 
-// settleTime is how long a fleet makes no move before the load begins, so that the
-// start's moves do not count as the experiment's.
+// settleTime is how long the fleet must make no move before the load starts, so that moves of
+// the start are not counted in the experiment.
 const settleTime = 3 * time.Second
 
 func cutsZones(experiment laburnumload.Experiment) bool {
@@ -126,7 +126,7 @@
 	})
 }
 
-// isTerminal tells whether someone watches; a log needs no progress lines.
+// isTerminal reports whether f is a terminal; progress lines are not written to files.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
@@ -146,7 +146,7 @@
 	return f.Close()
 }
 
-// reportWriter is report for values whose text form can fail.
+// reportWriter is like report, for text functions that return an error.
 func reportWriter(c *cli.Context, value any, text func(w io.Writer) error) error {
 	var err error
 	jsonErr := report(c, value, func(w io.Writer) { err = text(w) })
@@ -159,9 +159,9 @@
 func loadCompareCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "compare",
-		Usage:     "put two reports side by side",
+		Usage:     "compare two reports",
 		ArgsUsage: "A.json B.json",
-		Description: "The files are what load --output json printed.\n\n" +
+		Description: "The files are outputs of load --output json.\n\n" +
 			"Example: laburnumlever load compare before.json after.json\n\n" + exitCodesText,
 		Flags:        []cli.Flag{outputFlag()},
 		OnUsageError: onUsageError,
--- a/cmd/laburnumlever/loglevelcmd.go
+++ b/cmd/laburnumlever/loglevelcmd.go
@@ -9,9 +9,9 @@
 func logLevelCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "log-level",
-		Usage:     "change what a running VM logs",
+		Usage:     "change the log level of a running VM",
 		ArgsUsage: "debug|info|warn|error",
-		Description: "Holds until the VM restarts; the settings file gives the level it starts with.\n\n" +
+		Description: "The level applies until the VM restarts; the initial level is in the settings file.\n\n" +
 			"Example: laburnumlever log-level --vm 10.0.1.7:8081 debug\n\n" + exitCodesText,
 		Flags:        []cli.Flag{vmFlag(), timeoutFlag()},
 		OnUsageError: onUsageError,
--- a/cmd/laburnumlever/main_test.go
+++ b/cmd/laburnumlever/main_test.go
@@ -16,7 +16,7 @@
 	})
 }
 
-// TestScripts plays the sessions in testdata/scripts with real processes.
+// TestScripts runs the sessions in testdata/scripts with real processes.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:                "testdata/scripts",
@@ -27,7 +27,7 @@
 	})
 }
 
-// TestFaults plays the failure sessions in testdata/faults with real processes.
+// TestFaults runs the failure sessions in testdata/faults with real processes.
 func TestFaults(t *testing.T) {
 	cmds := scriptCommands()
 	maps.Copy(cmds, fleetCommands())
--- a/cmd/laburnumlever/output.go
+++ b/cmd/laburnumlever/output.go
@@ -20,7 +20,7 @@
 	outputJSON = "json"
 )
 
-// defaultVM is the operators listener that settings have by default.
+// defaultVM is the default address of the operators listener in settings.
 const defaultVM = "127.0.0.1:8081"
 
 const defaultTimeout = 15 * time.Second
@@ -56,7 +56,7 @@
 	return laburnumoperator.NewClient(c.String("vm"))
 }
 
-// oneArgument returns the only argument or a usage error that names it.
+// oneArgument returns the only argument, or a usage error with the argument's name.
 func oneArgument(c *cli.Context, name string) (string, error) {
 	if c.NArg() != 1 {
 		return "", &usageError{Detail: fmt.Sprintf("%s: want one argument, %s; have %d", commandName(c), name, c.NArg())}
@@ -64,13 +64,13 @@
 	return c.Args().First(), nil
 }
 
-// commandName is the command as it was typed, without the program.
+// commandName returns the full command without the name of the program.
 func commandName(c *cli.Context) string {
 	return strings.TrimPrefix(c.Command.HelpName, c.App.Name+" ")
 }
 
-// requireFlags refuses a command line without these flags as wrong usage; cli's
-// own check has no type to tell its error by.
+// requireFlags returns a usage error if one of the flags is missing. The check of the cli package
+// has no error type that exitCode could recognize.
 func requireFlags(names ...string) cli.BeforeFunc {
 	return func(c *cli.Context) error {
 		for _, name := range names {
@@ -82,7 +82,7 @@
 	}
 }
 
-// report writes the value as JSON if that was asked for, else as text does.
+// report writes the value as JSON if --output is json, and calls text otherwise.
 func report(c *cli.Context, value any, text func(w io.Writer)) error {
 	if c.String("output") != outputJSON {
 		text(c.App.Writer)
@@ -98,12 +98,12 @@
 	return encoder.Encode(value)
 }
 
-// printf writes to the terminal; a terminal that is gone is no error of the command.
+// printf writes to the terminal and ignores errors: a closed terminal does not fail the command.
 func printf(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
 func printLine(w io.Writer, values ...any) { _, _ = fmt.Fprintln(w, values...) }
 
-// writeFile makes a file with what write writes; without a name it does nothing.
+// writeFile creates a file with the output of write; it does nothing if name is empty.
 func writeFile(name string, write func(w io.Writer) error) error {
 	if name == "" {
 		return nil
--- a/cmd/laburnumlever/quickstartcmd.go
+++ b/cmd/laburnumlever/quickstartcmd.go
@@ -12,14 +12,14 @@
 	"laburnumlever/laburnumsettings"
 )
 
-// quickstartTimeout bounds the start, which takes under a second; it is
-// generous so that a busy machine changes nothing.
+// quickstartTimeout limits the start, which takes less than a second; it is generous to allow for
+// a busy machine.
 const quickstartTimeout = time.Minute
 
 //go:embed quickstart.jsonc
 var quickstartCatalogue []byte
 
-// quickstartSpec is one VM, two engines and one plain service.
+// quickstartSpec has one VM, two engines and one plain service.
 var quickstartSpec = laburnumfleet.Spec{
 	VMs: []laburnumfleet.VMSpec{{VM: "vannes-1", Zone: "vannes", Disk: true}},
 	Engines: []laburnumfleet.EngineSpec{{
@@ -32,13 +32,13 @@
 func quickstartCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "quickstart",
-		Usage: "run one VM with stand-in engines and a plain service, to try it out",
-		Description: "Needs no settings. Prints ready and a command to try. With --once it plays a short\n" +
-			"session, checks each step, and exits 0 only if every step gave what it should.\n\n" +
+		Usage: "try the system: run one VM with stand-in engines and a plain service",
+		Description: "Needs no settings. Prints ready and a command to try. With --once it runs a short\n" +
+			"session, checks each step, and exits with 0 only if every step succeeded.\n\n" +
 			"Example: laburnumlever quickstart --listen 127.0.0.1:8080\n\n" + exitCodesText,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:8080", Usage: "`ADDRESS` for callers; with --once a free port is taken by default"},
-			&cli.BoolFlag{Name: "once", Usage: "play a short session and exit"},
+			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:8080", Usage: "`ADDRESS` for callers; the default with --once is a free port"},
+			&cli.BoolFlag{Name: "once", Usage: "run a short session and exit"},
 			&cli.BoolFlag{Name: "verbose", Usage: "show the VM's log"},
 		},
 		OnUsageError: onUsageError,
--- a/cmd/laburnumlever/quickstartonce.go
+++ b/cmd/laburnumlever/quickstartonce.go
@@ -13,17 +13,17 @@
 	"laburnumlever/laburnumoperator"
 )
 
-// ownerLimitAttempts is more than the visitors' limit of one a second lets in at once.
+// ownerLimitAttempts exceeds the burst that the visitors' limit of one request a second admits.
 const ownerLimitAttempts = 20
 
-// stepError is a step of a played session that gave something else than it should.
+// stepError reports a step of the session with an unexpected result.
 type stepError struct{ Step, Got, Want string }
 
 func (e *stepError) Error() string {
 	return fmt.Sprintf("%s: got %s, want %s", e.Step, e.Got, e.Want)
 }
 
-// session is the short session of quickstart --once.
+// session is the session of quickstart --once.
 type session struct {
 	w       io.Writer
 	fleet   *laburnumfleet.Fleet
@@ -32,8 +32,7 @@
 	number  int
 }
 
-// runSession plays the session; the first step that gives something else than it
-// should ends it.
+// runSession runs the session up to the first step that fails.
 func runSession(ctx context.Context, w io.Writer, fleet *laburnumfleet.Fleet) error {
 	s := &session{w: w, fleet: fleet, caller: laburnumload.NewCaller(), address: fleet.Callers()[0]}
 	for _, step := range []func(context.Context) error{
@@ -47,7 +46,7 @@
 	return nil
 }
 
-// printStep prints a step that went well.
+// printStep prints a successful step.
 func (s *session) printStep(format string, args ...any) {
 	s.number++
 	printf(s.w, "%d. %s\n", s.number, fmt.Sprintf(format, args...))
--- a/cmd/laburnumlever/rolecmd.go
+++ b/cmd/laburnumlever/rolecmd.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	// memoryShare of a VM's memory is what the runtime keeps its heap within; the
-	// rest is for what is read and unread on sockets, and for the program.
+	// memoryShare is the share of the VM's memory that is set as the memory limit of the Go
+	// runtime; the rest is for socket buffers and the program itself.
 	memoryShare = 0.6
 	megabyte    = 1 << 20
-	// graceShare of the time between the request to stop and the end of the
-	// process is used; the rest is for a late timer.
+	// graceShare is the share of the shutdown grace that is used; the rest allows for late
+	// timers.
 	graceShare = 0.92
-	// settingsPollInterval is how often the settings file is looked at: reading a few hundred
-	// bytes costs nothing, and other seeds are not urgent.
+	// settingsPollInterval is how often the settings file is read: a few hundred bytes cost
+	// nothing, and a change of the seeds is not urgent.
 	settingsPollInterval = 2 * time.Second
 )
 
@@ -40,8 +40,8 @@
 	return &cli.Command{
 		Name:  "gateway",
 		Usage: "run a gateway VM of a platform",
-		Description: "Serves callers by the operators' routes; keeps nothing. SIGTERM ends it in good order\n" +
-			"within the settings' grace.\n\n" +
+		Description: "Serves callers according to the operators' routes and stores nothing. SIGTERM shuts it down\n" +
+			"gracefully within the grace of the settings.\n\n" +
 			"Example: laburnumlever gateway --settings gateway.jsonc\n\n" + exitCodesText,
 		Flags:        []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "the settings `FILE`"}},
 		OnUsageError: onUsageError,
@@ -54,8 +54,8 @@
 	return &cli.Command{
 		Name:  "control",
 		Usage: "run a control VM of a platform",
-		Description: "Keeps the routes, hears the backend servers and the operators, gives the orders to\n" +
-			"engines. SIGTERM ends it in good order.\n\n" +
+		Description: "Stores the routes, receives the heartbeats of backend servers and the changes of operators,\n" +
+			"and sends orders to engines. SIGTERM shuts it down gracefully.\n\n" +
 			"Example: laburnumlever control --settings control.jsonc\n\n" + exitCodesText,
 		Flags:        []cli.Flag{&cli.StringFlag{Name: "settings", Usage: "the settings `FILE`"}},
 		OnUsageError: onUsageError,
@@ -64,17 +64,17 @@
 	}
 }
 
-// watchSettings are what both roles are made of.
-type watchSettings struct {
+// roleRuntime holds what both roles need to run: settings, logger and options.
+type roleRuntime struct {
 	settings laburnumsettings.Role
 	logger   *laburnumlogging.Logger
-	// path and text are the settings file and what it held last.
+	// path is the settings file, text its content when it was last read.
 	path    string
 	text    []byte
 	options []laburnumroles.Option
 }
 
-func newRoleRuntime(c *cli.Context) (*watchSettings, error) {
+func newRoleRuntime(c *cli.Context) (*roleRuntime, error) {
 	settings, err := laburnumsettings.LoadRole(c.String("settings"))
 	if err != nil {
 		return nil, err
@@ -92,13 +92,13 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	return &watchSettings{settings: settings, logger: logger, path: c.String("settings"), text: text, options: []laburnumroles.Option{
+	return &roleRuntime{settings: settings, logger: logger, path: c.String("settings"), text: text, options: []laburnumroles.Option{
 		laburnumroles.WithLogger(named), laburnumroles.WithMetrics(metrics),
 	}}, nil
 }
 
-// graceful runs the end of a process within its grace.
-func (p *watchSettings) graceful(shutdown func(ctx context.Context)) {
+// shutdownWithinGrace calls shutdown with the grace as its deadline and closes the logger.
+func (p *roleRuntime) shutdownWithinGrace(shutdown func(ctx context.Context)) {
 	grace := time.Duration(graceShare * float64(p.settings.Times.Grace))
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
@@ -106,9 +106,9 @@
 	p.logger.Close()
 }
 
-// watch reloads the settings when a signal says that they have changed, and when the
-// file has changed without one, until ctx ends. A file with a fault changes nothing.
-func (p *watchSettings) watch(ctx context.Context, reload func(laburnumsettings.Role)) {
+// watchSettings reloads the settings on SIGHUP and when the file has changed, until ctx ends. An
+// invalid file is logged and ignored.
+func (p *roleRuntime) watchSettings(ctx context.Context, reload func(laburnumsettings.Role)) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	ticker := time.NewTicker(settingsPollInterval)
@@ -126,10 +126,10 @@
 	}()
 }
 
-func (p *watchSettings) reloadIfChanged(reload func(laburnumsettings.Role)) {
+func (p *roleRuntime) reloadIfChanged(reload func(laburnumsettings.Role)) {
 	text, err := os.ReadFile(p.path)
 	if err != nil || bytes.Equal(text, p.text) {
-		return // a file that is just being replaced is read the next time
+		return // a file that is being replaced is read at the next poll
 	}
 	p.text = text
 	settings, err := laburnumsettings.LoadRole(p.path)
@@ -153,9 +153,9 @@
 	if err := gateway.Start(platform.NewReadyHandler); err != nil {
 		return err
 	}
-	parts.watch(c.Context, gateway.Reload)
+	parts.watchSettings(c.Context, gateway.Reload)
 	<-c.Done()
-	parts.graceful(gateway.Shutdown)
+	parts.shutdownWithinGrace(gateway.Shutdown)
 	return nil
 }
 
@@ -175,8 +175,8 @@
 	if err := control.Start(handler); err != nil {
 		return err
 	}
-	parts.watch(c.Context, control.Reload)
+	parts.watchSettings(c.Context, control.Reload)
 	<-c.Done()
-	parts.graceful(control.Shutdown)
+	parts.shutdownWithinGrace(control.Shutdown)
 	return nil
 }
--- a/cmd/laburnumlever/scriptcommands_test.go
+++ b/cmd/laburnumlever/scriptcommands_test.go
@@ -21,25 +21,25 @@
 )
 
 const (
-	// awaitTimeout only ends a script that will never go on; no verdict hangs on it
-	// otherwise, so it is generous for a busy machine.
+	// awaitTimeout only ends a script that hangs, no passing script depends on it; it is
+	// generous to allow for a busy machine.
 	awaitTimeout  = 60 * time.Second
 	awaitInterval = 50 * time.Millisecond
 )
 
-// scriptCommands are what sessions have beside testscript's own commands:
+// scriptCommands returns the commands that sessions have in addition to testscript's own:
 //
 //	ports NAME...            sets each variable to a free address on loopback
-//	loopback NAME            sets the variable to the first three numbers of a loopback
-//	                         network of the session's own
+//	loopback NAME            sets the variable to the first three octets of a loopback
+//	                         network for this session
 //	expand FILE...           replaces $NAME in the files
 //	start NAME ARGS...       runs laburnumlever ARGS and waits for its ready line, whose
 //	                         key=value pairs become the variables NAME_key
-//	end NAME SIGNAL          sends KILL, TERM, STOP or CONT; KILL and TERM wait for the end
-//	stuck NAME               reads nothing more of what it writes, until it is told to end
-//	exited NAME CODE         checks how it ended
+//	end NAME SIGNAL          sends KILL, TERM, STOP or CONT; KILL and TERM wait for the exit
+//	stuck NAME               stops reading the output of the process until end NAME
+//	exited NAME CODE         waits for the exit and checks the exit code
 //	await PATTERN PROG ARGS  repeats a program until its output matches
-//	rewrite FILE             prints the file with ports, ids and times named so
+//	rewrite FILE             prints the file with addresses, ids and times replaced
 func scriptCommands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
 	return map[string]func(ts *testscript.TestScript, neg bool, args []string){
 		"ports": scriptPorts, "loopback": scriptLoopback, "expand": scriptExpand, "start": scriptStart,
@@ -55,8 +55,8 @@
 	}
 }
 
-// scriptLoopback draws a network, since the VMs of a platform are told apart by their IPs
-// and have the same ports. Two sessions at once draw the same one in 60,000 times.
+// scriptLoopback selects a random network, since the VMs of a platform have the same ports and
+// differ by IP address only. Two concurrent sessions collide once in 60,000 times.
 func scriptLoopback(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Setenv(args[0], fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), 1+rand.IntN(250)))
 }
@@ -68,15 +68,15 @@
 	}
 }
 
-// processKey is the script's value that holds its processes.
+// processKey is the key of the script's processes in its values.
 type processKey struct{}
 
-// processes are those that a script has started.
+// processes are the processes that a script has started.
 type processes struct {
 	byName map[string]*process
 	common string // the folder of files that sessions share
 	vms    []*vm
-	// aliases are other prefixes for a process's variables.
+	// aliases maps further prefixes of variables to the names of processes.
 	aliases map[string]string
 }
 
@@ -85,7 +85,7 @@
 	log   *os.File
 	ended chan struct{}
 	once  sync.Once
-	// resume, if set, is closed when its output is to be resume again.
+	// resume, if set, blocks follow until it is closed.
 	resume atomic.Pointer[chan struct{}]
 }
 
@@ -144,7 +144,7 @@
 	}
 }
 
-// follow copies the output to the log, tells the ready line and waits for the end.
+// follow copies the output to the log, sends the ready line to ready and waits for the exit.
 func (p *process) follow(lines *bufio.Scanner, ready chan<- string) {
 	defer close(p.ended)
 	for lines.Scan() {
@@ -163,13 +163,13 @@
 	"KILL": syscall.SIGKILL, "TERM": syscall.SIGTERM, "STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT,
 }
 
-// scriptStuck is what a full disk or a dead reader behind the output is to the process.
+// scriptStuck simulates a reader of the output that hangs, as a log shipper with a full disk does.
 func scriptStuck(ts *testscript.TestScript, _ bool, args []string) {
 	read := make(chan struct{})
 	processesOf(ts)[args[0]].resume.Store(&read)
 }
 
-// resumeReading ends that.
+// resumeReading undoes scriptStuck.
 func (p *process) resumeReading() {
 	if read := p.resume.Swap(nil); read != nil {
 		close(*read)
@@ -215,7 +215,7 @@
 	ts.Fatalf("no output of %s matched %q; the last was:\n%s", strings.Join(args[1:], " "), args[0], out)
 }
 
-// rewrites name what differs from run to run, and only that.
+// rewrites replace the values that differ from run to run, and only those.
 var rewrites = []struct {
 	pattern *regexp.Regexp
 	name    string
--- a/cmd/laburnumlever/servecmd.go
+++ b/cmd/laburnumlever/servecmd.go
@@ -16,10 +16,10 @@
 	return &cli.Command{
 		Name:  "serve",
 		Usage: "run an entry VM",
-		Description: "Prints a line that starts with ready once all listeners take connections; whether the\n" +
-			"VM may serve is for /readyz to say. SIGTERM or an interrupt ends it in good order:\n" +
-			"the readiness check fails, after the settings' grace new work is refused, requests in\n" +
-			"flight finish. A second signal ends it at once.\n\n" +
+		Description: "Prints a line that starts with ready once all listeners accept connections; /readyz\n" +
+			"reports whether the VM is ready to serve. SIGTERM or an interrupt shuts it down\n" +
+			"gracefully: the readiness check fails, after the grace of the settings new requests are\n" +
+			"refused, and requests in flight finish. A second signal terminates it immediately.\n\n" +
 			"Example: laburnumlever serve --settings rennes-a-1.jsonc\n\n" + exitCodesText,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Usage: "the settings `FILE`"},
--- a/cmd/laburnumlever/settingscmd.go
+++ b/cmd/laburnumlever/settingscmd.go
@@ -19,7 +19,7 @@
 func settingsCheckCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "check",
-		Usage:     "read a settings file and list all that is wrong in it",
+		Usage:     "check a settings file and list all faults",
 		ArgsUsage: "FILE",
 		Description: "Prints the settings with their defaults filled in.\n\n" +
 			"Example: laburnumlever settings check rennes-a-1.jsonc\n\n" + exitCodesText,
@@ -45,7 +45,7 @@
 	return &cli.Command{
 		Name:  "reference",
 		Usage: "list all keys of settings and catalogue files",
-		Description: "One line a key: its name, what its value is, whether it must be there.\n\n" +
+		Description: "One line per key: its name, the type of its value, and whether it is required.\n\n" +
 			"Example: laburnumlever settings reference\n\n" + exitCodesText,
 		Flags:        []cli.Flag{outputFlag()},
 		OnUsageError: onUsageError,
--- a/cmd/laburnumlever/soakcmd.go
+++ b/cmd/laburnumlever/soakcmd.go
@@ -15,17 +15,18 @@
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "disturb a small platform of real processes and check what is seen",
-		Description: "Starts control VMs, gateways and backend servers on loopback, kills, stops, ends and restarts\n" +
-			"them as a seed says, and checks the promises while it runs. Logs of a seed that failed are kept.\n\n" +
+		Usage: "run a fault-injection soak test on a small platform of real processes",
+		Description: "Starts control VMs, gateways and backend servers on loopback, kills, pauses, terminates and\n" +
+			"restarts them in a sequence given by a seed, and checks the guarantees of the system meanwhile.\n" +
+			"Logs of failed seeds are kept.\n\n" +
 			"Example: laburnumlever soak --seed 1 --seeds 5 --length 15s\n\n" + exitCodesText,
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first seed"},
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many seeds, one after the other"},
-			&cli.DurationFlag{Name: "length", Value: 15 * time.Second, Usage: "how long faults come in each run"},
-			&cli.BoolFlag{Name: "disks", Usage: "have the disks of control VMs misbehave too; Linux only"},
-			&cli.StringFlag{Name: "report", Usage: "write what came of each seed into this JSON `FILE`, to compare two programs"},
-			&cli.StringFlag{Name: "folder", Usage: "`FOLDER` for logs; a temporary one without it"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many seeds to run, one after the other"},
+			&cli.DurationFlag{Name: "length", Value: 15 * time.Second, Usage: "how long to inject faults in each run"},
+			&cli.BoolFlag{Name: "disks", Usage: "also inject disk faults into control VMs; Linux only"},
+			&cli.StringFlag{Name: "report", Usage: "write the result of each seed to this JSON `FILE`, to compare two programs"},
+			&cli.StringFlag{Name: "folder", Usage: "`FOLDER` for logs; a temporary folder by default"},
 		},
 		OnUsageError: onUsageError,
 		Action:       runSoak,
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// runSeed plays a seed and prints what came of it. The logs of a seed with violations stay.
+// runSeed runs a seed and prints its result. Its logs are kept if there are violations.
 func runSeed(c *cli.Context, cfg laburnumsoak.Config) (laburnumsoak.Report, error) {
 	if err := os.MkdirAll(cfg.Folder, 0o700); err != nil {
 		return laburnumsoak.Report{}, err
--- a/cmd/laburnumlever/standincmd.go
+++ b/cmd/laburnumlever/standincmd.go
@@ -25,9 +25,9 @@
 func standInCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "stand-in",
-		Usage: "run a small stand-in for what surrounds the system",
-		Description: "Stand-ins are for trying out and for tests. Each prints a line that starts with ready\n" +
-			"once it listens, and leaves in good order when it is interrupted.",
+		Usage: "run a stand-in for a component outside the system",
+		Description: "Stand-ins are for demonstrations and tests. Each prints a line that starts with ready\n" +
+			"once it listens, and shuts down gracefully when it is interrupted.",
 		Subcommands: []*cli.Command{
 			standInEngineCommand(),
 			standInServiceCommand(),
@@ -40,23 +40,23 @@
 }
 
 func listenFlag() cli.Flag {
-	return &cli.StringFlag{Name: "listen", Value: anyPort, Usage: "`ADDRESS` (IP and port) to listen on; port 0 takes a free one"}
+	return &cli.StringFlag{Name: "listen", Value: anyPort, Usage: "`ADDRESS` (IP and port) to listen on; port 0 selects a free port"}
 }
 
-// backendFlags are those of every stand-in that announces itself.
+// backendFlags returns the flags of every stand-in that announces itself.
 func backendFlags() []cli.Flag {
 	return []cli.Flag{
 		listenFlag(),
 		&cli.StringFlag{Name: "id", Usage: "`ID` of the backend server"},
 		&cli.StringFlag{Name: "zone", Usage: "its availability `ZONE`"},
 		&cli.StringSliceFlag{Name: "registry", Usage: "`ADDRESS` of an entry VM's backends listener; may be repeated"},
-		&cli.IntFlag{Name: "slots", Value: defaultSlots, Usage: "how many requests it works on at once"},
+		&cli.IntFlag{Name: "slots", Value: defaultSlots, Usage: "how many requests it processes concurrently"},
 		&cli.DurationFlag{Name: "announce-period", Value: time.Second, Usage: "how often it announces itself; it reports twice as often"},
 	}
 }
 
-// announcementOf holds what the flags tell. The clock gives the incarnation, so
-// that a restarted stand-in counts as newer.
+// announcementOf returns the announcement that the flags describe. The incarnation is the current
+// time, so that a restarted stand-in counts as newer.
 func announcementOf(c *cli.Context, address string) laburnumlever.Announcement {
 	return laburnumlever.Announcement{
 		Backend:     laburnumlever.BackendID(c.String("id")),
@@ -75,7 +75,7 @@
 	}
 }
 
-// backend is a stand-in that announces itself.
+// backend is a stand-in that announces itself to the system.
 type backend interface {
 	http.Handler
 	Start()
@@ -83,9 +83,8 @@
 	Close()
 }
 
-// serveBackend runs a backend server until the process is interrupted. It says
-// that it leaves before its listener closes, so that no new work arrives to a
-// closed port.
+// serveBackend runs a backend server until the process is interrupted. It announces that it leaves
+// before its listener closes, so that no request is sent to a closed port.
 func serveBackend(c *cli.Context, ln net.Listener, b backend, kind string) error {
 	server := &http.Server{Handler: b, ReadHeaderTimeout: readHeaderTimeout}
 	var group errgroup.Group
@@ -103,7 +102,7 @@
 	return group.Wait()
 }
 
-// serveHandler runs a stand-in that has nothing to finish.
+// serveHandler runs a stand-in that needs no graceful shutdown.
 func serveHandler(ctx context.Context, ln net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	var group errgroup.Group
--- a/cmd/laburnumlever/standindiskcmd.go
+++ b/cmd/laburnumlever/standindiskcmd.go
@@ -11,8 +11,8 @@
 func standInDiskCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "disk",
-		Usage: "become another laburnumlever command whose disk a soak disturbs",
-		Description: "Started by soak only: the socket to it is the third descriptor.\n\n" +
+		Usage: "execute another laburnumlever command with disk faults injected by soak",
+		Description: "Started by soak only, with a socket to it as file descriptor 3.\n\n" +
 			"Example: laburnumlever stand-in disk -- control --settings control.jsonc\n\n" + exitCodesText,
 		Hidden:       true,
 		OnUsageError: onUsageError,
--- a/cmd/laburnumlever/standinenginecmd.go
+++ b/cmd/laburnumlever/standinenginecmd.go
@@ -17,16 +17,16 @@
 		Name:  "engine",
 		Usage: "run a stand-in model engine",
 		Description: "Its answers are a function of the prompt, so that a caller can check them.\n" +
-			"GET /violations lists orders that asked for more memory than there is.\n\n" +
+			"GET /violations lists the orders that exceeded its memory.\n\n" +
 			"Example: laburnumlever stand-in engine --id e1 --zone rennes-a --registry 127.0.0.1:8082\n\n" + exitCodesText,
 		Flags: append(backendFlags(),
 			&cli.StringSliceFlag{Name: "accelerator", Value: cli.NewStringSlice(defaultAccelerator), Usage: "`ID=MIB` of memory; may be repeated"},
-			&cli.Float64Flag{Name: "prefill-rate", Value: defaultPrefillRate, Usage: "prompt tokens a second"},
-			&cli.Float64Flag{Name: "token-rate", Value: defaultTokenRate, Usage: "generated tokens a second"},
-			&cli.BoolFlag{Name: "checks-fencing", Usage: "refuse orders with an old fencing number"},
+			&cli.Float64Flag{Name: "prefill-rate", Value: defaultPrefillRate, Usage: "prompt tokens per second"},
+			&cli.Float64Flag{Name: "token-rate", Value: defaultTokenRate, Usage: "generated tokens per second"},
+			&cli.BoolFlag{Name: "checks-fencing", Usage: "refuse orders with a stale fencing number"},
 			&cli.BoolFlag{Name: "can-resume", Usage: "resume broken streams"},
 			&cli.StringFlag{Name: "weight-store", Usage: "`ADDRESS` of the weight store"},
-			&cli.DurationFlag{Name: "load-time", Usage: "how long a load takes beside the weight store's time"},
+			&cli.DurationFlag{Name: "load-time", Usage: "how long a load takes in addition to the weight store's time"},
 		),
 		OnUsageError: onUsageError,
 		Before:       requireFlags("id", "zone"),
--- a/cmd/laburnumlever/standinlinkcmd.go
+++ b/cmd/laburnumlever/standinlinkcmd.go
@@ -15,16 +15,16 @@
 	return &cli.Command{
 		Name:  "link",
 		Usage: "run a TCP link that can be cut, frozen or delayed",
-		Description: "Give the link's address in place of the target's. Change it over HTTP at --control:\n" +
+		Description: "Use the link's address in place of the target's. Change its state over HTTP at --control:\n" +
 			"PUT /link {\"mode\": \"open|frozen|frozen-to|frozen-from|cut\", \"delay\": \"20ms\"}.\n" +
-			"With \"from\": [IP, …] the mode is only for connections from those IP numbers.\n" +
-			"A frozen link holds all bytes and lets them go on when it opens, as a network that\n" +
-			"drops packets silently does; a cut one resets connections.\n\n" +
+			"With \"from\": [IP, …] the mode applies only to connections from those IP addresses.\n" +
+			"A frozen link holds all bytes and forwards them when it opens, like a network that\n" +
+			"drops packets silently; a cut link resets connections.\n\n" +
 			"Example: laburnumlever stand-in link --to 127.0.0.1:8083 --control 127.0.0.1:9000\n\n" + exitCodesText,
 		Flags: []cli.Flag{
 			listenFlag(),
 			&cli.StringFlag{Name: "to", Usage: "`ADDRESS` (IP and port) of the target"},
-			&cli.StringFlag{Name: "control", Value: anyPort, Usage: "`ADDRESS` of the control over HTTP"},
+			&cli.StringFlag{Name: "control", Value: anyPort, Usage: "`ADDRESS` of the HTTP control interface"},
 		},
 		OnUsageError: onUsageError,
 		Before:       requireFlags("to"),
@@ -55,7 +55,7 @@
 	return group.Wait()
 }
 
-// ignoreClosed is nil for the errors by which a listener says that it was closed.
+// ignoreClosed returns nil for the errors of a closed listener or server, and err otherwise.
 func ignoreClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 		return nil
--- a/cmd/laburnumlever/standinplatformservercmd.go
+++ b/cmd/laburnumlever/standinplatformservercmd.go
@@ -13,19 +13,19 @@
 	return &cli.Command{
 		Name:  "platform-server",
 		Usage: "run a stand-in backend server of a platform",
-		Description: "It announces itself at control VMs, answers every request, and is a model engine if it holds models.\n\n" +
+		Description: "It announces itself to control VMs, answers every request, and is a model engine if it holds models.\n\n" +
 			"Example: laburnumlever stand-in platform-server --id i-1 --service quotes --model m0 --control 127.0.0.2:8080\n\n" + exitCodesText,
 		Flags: []cli.Flag{
 			listenFlag(),
-			&cli.StringFlag{Name: "id", Usage: "`ID` of this start of the backend server"},
+			&cli.StringFlag{Name: "id", Usage: "instance `ID` of the backend server, a new one for each start"},
 			&cli.StringFlag{Name: "service", Usage: "`NAME` of its service"},
 			&cli.StringSliceFlag{Name: "model", Usage: "`NAME` of a model that it holds; may be repeated"},
 			&cli.StringSliceFlag{Name: "control", Usage: "`ADDRESS` of a control VM; may be repeated"},
-			&cli.StringFlag{Name: "announce", Usage: "`ADDRESS` that it announces where that is not the one it listens on, as behind a link"},
+			&cli.StringFlag{Name: "announce", Usage: "`ADDRESS` that it announces, if it differs from the listen address, as behind a link"},
 			&cli.DurationFlag{Name: "announce-period", Value: time.Second, Usage: "how often it announces itself"},
-			&cli.IntFlag{Name: "break-after", Usage: "break each stream off after so many `EVENTS`; 0 does not"},
+			&cli.IntFlag{Name: "break-after", Usage: "break off each stream after this number of `EVENTS`; 0 for never"},
 			&cli.BoolFlag{Name: "print-runs", Usage: "print a line with the id of each request that runs"},
-			&cli.DurationFlag{Name: "delay", Usage: "how long each answer takes to begin"},
+			&cli.DurationFlag{Name: "delay", Usage: "delay before the start of each answer"},
 		},
 		OnUsageError: onUsageError,
 		Before:       requireFlags("id", "service"),
@@ -49,7 +49,7 @@
 	}
 }
 
-// platformBackend runs a stand-in of the platform as serveBackend wants it.
+// platformBackend adapts a PlatformServer to the backend interface.
 type platformBackend struct {
 	http.Handler
 	server *laburnumstandin.PlatformServer
--- a/cmd/laburnumlever/standinservicecmd.go
+++ b/cmd/laburnumlever/standinservicecmd.go
@@ -11,7 +11,7 @@
 	return &cli.Command{
 		Name:  "service",
 		Usage: "run a stand-in plain service",
-		Description: "It answers every call with a running number and the body it was sent.\n" +
+		Description: "It answers every call with a sequence number and the body of the request.\n" +
 			"GET /ledger lists the calls that ran.\n\n" +
 			"Example: laburnumlever stand-in service --id b1 --zone rennes-a --service booking --registry 127.0.0.1:8082\n\n" + exitCodesText,
 		Flags: append(backendFlags(),
--- a/cmd/laburnumlever/standinweightstorecmd.go
+++ b/cmd/laburnumlever/standinweightstorecmd.go
@@ -12,12 +12,12 @@
 	return &cli.Command{
 		Name:  "weight-store",
 		Usage: "run a stand-in weight store",
-		Description: "GET /stats tells how often its rate and its parallel loads were passed.\n\n" +
+		Description: "GET /stats counts how often the limits on its rate and its parallel loads were exceeded.\n\n" +
 			"Example: laburnumlever stand-in weight-store --loads-per-second 3 --parallel-loads 10\n\n" + exitCodesText,
 		Flags: []cli.Flag{
 			listenFlag(),
-			&cli.Float64Flag{Name: "loads-per-second", Value: 3, Usage: "how many loads begin a second at most"},
-			&cli.IntFlag{Name: "parallel-loads", Value: 10, Usage: "how many loads it serves at once"},
+			&cli.Float64Flag{Name: "loads-per-second", Value: 3, Usage: "maximum number of loads that start per second"},
+			&cli.IntFlag{Name: "parallel-loads", Value: 10, Usage: "maximum number of parallel loads"},
 			&cli.DurationFlag{Name: "load-time", Value: 100 * time.Millisecond, Usage: "how long one load takes"},
 		},
 		OnUsageError: onUsageError,
--- a/cmd/laburnumlever/statuscmd.go
+++ b/cmd/laburnumlever/statuscmd.go
@@ -14,9 +14,9 @@
 func statusCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "show what a VM knows of itself and the fleet",
-		Description: "Shows the revision, the VMs, the backend servers with what they hold, and the zone owners.\n" +
-			"Of a gateway or a control VM, asked at its address for metrics, it shows the log, the director\n" +
+		Usage: "show the state of a VM and its view of the fleet",
+		Description: "Shows the revision, the VMs, the backend servers with their models, and the zone owners.\n" +
+			"For a gateway or a control VM, queried at its metrics address, it shows the log, the director\n" +
 			"and counts of VMs, backend servers and models.\n\n" +
 			"Example: laburnumlever status --vm 10.0.1.7:8081\n\n" + exitCodesText,
 		Flags:        []cli.Flag{vmFlag(), timeoutFlag(), outputFlag()},
--- a/cmd/laburnumlever/writer_test.go
+++ b/cmd/laburnumlever/writer_test.go
@@ -14,10 +14,10 @@
 	"laburnumlever/laburnumsettings"
 )
 
-// runWriter is an operator who makes changes one after the other, each with the
-// revision that the last one gave, and resends a change whose answer was lost, under
-// its change id, through the next VM. It prints each accepted change, and fails if
-// one is lost or applied twice: then the revision is not the expected one.
+// runWriter is the program writer of the sessions: an operator who applies changes one after the
+// other, each on top of the previous revision. A change whose answer was lost is repeated with its
+// change id at the next VM. It prints each accepted change, and fails if one is lost or applied
+// twice, which shows in an unexpected revision.
 func runWriter(args []string) int {
 	app := &cli.App{
 		Name: "writer",
@@ -26,7 +26,7 @@
 			&cli.IntFlag{Name: "changes"},
 			&cli.StringFlag{Name: "name", Value: "w"},
 			&cli.Uint64Flag{Name: "revision"},
-			&cli.BoolFlag{Name: "may-lose", Usage: "a conflict is printed and is no failure"},
+			&cli.BoolFlag{Name: "may-lose", Usage: "print a conflict instead of failing"},
 		},
 		Action: func(c *cli.Context) error {
 			catalogue, err := laburnumsettings.LoadCatalogue(c.Args().First())
@@ -65,7 +65,7 @@
 	return 0
 }
 
-// applyAnywhere tries one VM after the other until one accepts; a conflict is final.
+// applyAnywhere tries the VMs in turn until one accepts; a conflict or mismatch is final.
 func applyAnywhere(ctx context.Context, vms []string, req laburnumlever.ApplyRequest) (laburnumlever.ApplyAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, awaitTimeout)
 	defer cancel()
