--- a/laburnumsoak/process.go
+++ b/laburnumsoak/process.go
@@ -69,9 +69,9 @@
 	case <-ready:
 		return nil
 	case <-p.ended:
-		return &StartError{Process: p.name, Cause: &NotReadyError{What: "ready without exiting", Time: readyTimeout}}
+		return &StartError{Process: p.name, Cause: &NotReadyError{What: "the process is ready without exiting", Time: readyTimeout}}
 	case <-time.After(readyTimeout):
-		return &StartError{Process: p.name, Cause: &NotReadyError{What: "ready", Time: readyTimeout}}
+		return &StartError{Process: p.name, Cause: &NotReadyError{What: "the process is ready", Time: readyTimeout}}
 	}
 }
 
