--- a/cmd/laburnumlever/rolecmd.go
+++ b/cmd/laburnumlever/rolecmd.go
@@ -145,26 +145,26 @@
 }
 
 func runGateway(c *cli.Context) error {
-	parts, err := newRoleRuntime(c)
+	role, err := newRoleRuntime(c)
 	if err != nil {
 		return err
 	}
-	gateway := laburnumroles.NewGateway(parts.settings, platform.Dialect{}, parts.options...)
+	gateway := laburnumroles.NewGateway(role.settings, platform.Dialect{}, role.options...)
 	if err := gateway.Start(platform.NewReadyHandler); err != nil {
 		return err
 	}
-	parts.watchSettings(c.Context, gateway.Reload)
+	role.watchSettings(c.Context, gateway.Reload)
 	<-c.Done()
-	parts.shutdownWithinGrace(gateway.Shutdown)
+	role.shutdownWithinGrace(gateway.Shutdown)
 	return nil
 }
 
 func runControl(c *cli.Context) error {
-	parts, err := newRoleRuntime(c)
+	role, err := newRoleRuntime(c)
 	if err != nil {
 		return err
 	}
-	control, err := laburnumroles.NewControl(parts.settings, platform.NewEngines(), parts.options...)
+	control, err := laburnumroles.NewControl(role.settings, platform.NewEngines(), role.options...)
 	if err != nil {
 		return err
 	}
@@ -175,8 +175,8 @@
 	if err := control.Start(handler); err != nil {
 		return err
 	}
-	parts.watchSettings(c.Context, control.Reload)
+	role.watchSettings(c.Context, control.Reload)
 	<-c.Done()
-	parts.shutdownWithinGrace(control.Shutdown)
+	role.shutdownWithinGrace(control.Shutdown)
 	return nil
 }
--- a/cmd/laburnumlever/soakcmd.go
+++ b/cmd/laburnumlever/soakcmd.go
@@ -16,9 +16,8 @@
 	return &cli.Command{
 		Name:  "soak",
 		Usage: "run a fault-injection soak test on a small platform of real processes",
-		Description: "Starts control VMs, gateways and backend servers on loopback, kills, pauses, terminates and\n" +
-			"restarts them in a sequence given by a seed, and checks the guarantees of the system meanwhile.\n" +
-			"Logs of failed seeds are kept.\n\n" +
+		Description: "Starts control VMs, gateways and backend servers on loopback, injects faults in a sequence given by\n" +
+			"a seed, and checks the guarantees of the system meanwhile. Logs of failed seeds are kept.\n\n" +
 			"Example: laburnumlever soak --seed 1 --seeds 5 --length 15s\n\n" + exitCodesText,
 		Flags: []cli.Flag{
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first seed"},
