--- a/laburnumsoak/soak.go
+++ b/laburnumsoak/soak.go
@@ -62,15 +62,15 @@
 		return Report{}, &NotReadyError{What: "callers are served", Time: bootstrapTimeout}
 	}
 	x := newFaultInjector(f, cfg.Seed)
-	disturbed, cancel := context.WithTimeout(ctx, cfg.Length)
+	faultCtx, cancel := context.WithTimeout(ctx, cfg.Length)
 	defer cancel()
-	working, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.run(working)
+		l.run(loadCtx)
 	}()
-	x.run(disturbed)
+	x.run(faultCtx)
 	stop()
 	<-done
 	l.checkRecovery(ctx)
