--- a/laburnumsoak/faultinjector.go
+++ b/laburnumsoak/faultinjector.go
@@ -17,7 +17,7 @@
 const (
 	// minGap and maxGap bound the time between two faults. They are shorter than most faults
 	// last, so that faults overlap.
-	minGap, mostGap = 200 * time.Millisecond, 1500 * time.Millisecond
+	minGap, maxGap = 200 * time.Millisecond, 1500 * time.Millisecond
 	// maxDown is the longest time that a fault lasts. It exceeds the lease term and the time
 	// after which a silent voter is replaced.
 	maxDown = 4 * time.Second
@@ -25,7 +25,7 @@
 	restartPause = 300 * time.Millisecond
 	// minDelay and maxDelay bound the delay that a slow link adds in each direction. They stay
 	// within callers' latency targets, so that answers are late rather than lost.
-	minDelay, mostDelay = 20 * time.Millisecond, 300 * time.Millisecond
+	minDelay, maxDelay = 20 * time.Millisecond, 300 * time.Millisecond
 )
 
 // faultKind is a kind of fault.
@@ -86,8 +86,8 @@
 	for {
 		n, kind := x.random.IntN(len(all)), faultKind(x.random.IntN(int(kindCount)))
 		down := time.Duration(x.random.Int64N(int64(maxDown)))
-		gap := minGap + time.Duration(x.random.Int64N(int64(mostGap-minGap)))
-		delay := minDelay + time.Duration(x.random.Int64N(int64(mostDelay-minDelay)))
+		gap := minGap + time.Duration(x.random.Int64N(int64(maxGap-minGap)))
+		delay := minDelay + time.Duration(x.random.Int64N(int64(maxDelay-minDelay)))
 		if kind == rewind {
 			n %= controlVMs // control VMs are listed first
 		}
