--- a/laburnumsoak/errors.go
+++ b/laburnumsoak/errors.go
@@ -14,7 +14,8 @@
 func (e *StartError) Error() string { return fmt.Sprintf("start %s: %v", e.Process, e.Cause) }
 func (e *StartError) Unwrap() error { return e.Cause }
 
-// NotReadyError reports that a condition was not met within Time, before any fault was injected.
+// NotReadyError reports that a condition, named by What, was not met within Time: the first change
+// and requests before any fault, or the readiness of a started process.
 type NotReadyError struct {
 	What string
 	Time time.Duration
--- a/laburnumsoak/faultinjector.go
+++ b/laburnumsoak/faultinjector.go
@@ -18,8 +18,8 @@
 	// minGap and maxGap bound the time between two faults. They are shorter than most faults
 	// last, so that faults overlap.
 	minGap, maxGap = 200 * time.Millisecond, 1500 * time.Millisecond
-	// maxDown is the longest time that a fault lasts. It exceeds the lease term and the time
-	// after which a silent voter is replaced.
+	// maxDown is the longest time that a process is down or paused and that a link or disk is
+	// faulty. It exceeds the lease term and the time after which a silent voter is replaced.
 	maxDown = 4 * time.Second
 	// restartPause is the time between two attempts to start a process whose disk is faulty.
 	restartPause = 300 * time.Millisecond
