--- a/cmd/laburnumlever/docs_test.go
+++ b/cmd/laburnumlever/docs_test.go
@@ -13,7 +13,7 @@
 	"laburnumlever/laburnumsettings"
 )
 
-// A command without an example or its exit codes sends whoever runs it to the code.
+// Guards against commands without an example or their exit codes in the help text.
 func TestEveryCommandHasHelp(t *testing.T) {
 	var check func(name string, commands []*cli.Command)
 	check = func(name string, commands []*cli.Command) {
@@ -31,16 +31,16 @@
 	check("laburnumlever", newApp().Commands)
 }
 
-func page(t *testing.T, name string) string {
+func readDoc(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "..", "docs", name))
 	require.NoError(t, err)
 	return string(text)
 }
 
-// Whoever is called at night looks a counter up: none may be missing.
+// Guards against refusal and retry counters that the on-call page does not explain.
 func TestOnCallPageNamesEveryReason(t *testing.T) {
-	text := page(t, "on-call.md")
+	text := readDoc(t, "on-call.md")
 	for _, name := range laburnumlever.RefusalReasonStrings() {
 		require.Contains(t, text, "| `"+name+"` |")
 	}
@@ -49,16 +49,16 @@
 	}
 }
 
-// A log line that the page does not name sends whoever reads it to the code.
+// Guards against log events that the operations page does not explain.
 func TestOperationsPageNamesEveryEvent(t *testing.T) {
-	text := page(t, "OPERATIONS.md")
+	text := readDoc(t, "OPERATIONS.md")
 	for _, name := range laburnumlever.LogEventStrings() {
 		require.Contains(t, text, "`"+name+"`")
 	}
 }
 
 func TestReferencePagesNameEveryKey(t *testing.T) {
-	settings, catalogue := page(t, "settings.md"), page(t, "catalogue.md")
+	settings, catalogue := readDoc(t, "settings.md"), readDoc(t, "catalogue.md")
 	for _, key := range laburnumsettings.Reference() {
 		name := key.Key
 		switch {
--- a/cmd/laburnumlever/levellogger.go
+++ b/cmd/laburnumlever/levellogger.go
@@ -10,21 +10,21 @@
 	"laburnumlever"
 )
 
-// levelLogger drops what is below its level, which can change while it is used.
+// levelLogger drops lines below its level, which can be changed concurrently.
 type levelLogger struct {
 	out     log.Logger
-	current atomic.Pointer[filter]
+	current atomic.Pointer[filteredLogger]
 }
 
-// filter holds a logger, since an atomic pointer can't hold an interface.
-type filter struct{ log.Logger }
+// filteredLogger wraps the interface, since an atomic.Pointer needs a concrete type.
+type filteredLogger struct{ log.Logger }
 
 func newLevelLogger(w io.Writer, name string) (*levelLogger, error) {
 	l := &levelLogger{out: log.With(log.NewLogfmtLogger(log.NewSyncWriter(w)), "ts", log.DefaultTimestampUTC)}
 	return l, l.set(name)
 }
 
-// Log passes on what is at or above the level.
+// Log logs a line if it is at or above the level.
 func (l *levelLogger) Log(keyvals ...any) error { return l.current.Load().Log(keyvals...) }
 
 func (l *levelLogger) set(name string) error {
@@ -41,6 +41,6 @@
 	default:
 		return &laburnumlever.InvalidValueError{Name: "level", Value: name, Want: "debug, info, warn or error"}
 	}
-	l.current.Store(&filter{Logger: level.NewFilter(l.out, option)})
+	l.current.Store(&filteredLogger{Logger: level.NewFilter(l.out, option)})
 	return nil
 }
--- a/cmd/laburnumlever/quickstartcmd.go
+++ b/cmd/laburnumlever/quickstartcmd.go
@@ -12,19 +12,19 @@
 	"laburnumlever/laburnumsettings"
 )
 
-// quickstartLimit bounds the start, which takes under a second; it is
-// generous so that a busy machine changes nothing.
-const quickstartLimit = time.Minute
+// quickstartTimeout limits the start, which takes less than a second; it is generous to allow for
+// a busy machine.
+const quickstartTimeout = time.Minute
 
 //go:embed quickstart.jsonc
 var quickstartCatalogue []byte
 
-// quickstartSpec is one VM, two engines and one plain service.
+// quickstartSpec has one VM, two engines and one plain service.
 var quickstartSpec = laburnumfleet.Spec{
 	VMs: []laburnumfleet.VMSpec{{VM: "vannes-1", Zone: "vannes", Disk: true}},
 	Engines: []laburnumfleet.EngineSpec{{
 		Name: "engine", Zone: "vannes", Count: 2, AcceleratorsMiB: []int{24576}, Slots: defaultSlots,
-		PrefillTokensPerSecond: defaultPrefill, TokensPerSecond: defaultTokenRate, ChecksFencing: true, CanResume: true,
+		PrefillTokensPerSecond: defaultPrefillRate, TokensPerSecond: defaultTokenRate, ChecksFencing: true, CanResume: true,
 	}},
 	Services: []laburnumfleet.ServiceSpec{{Service: "booking", Zone: "vannes", Count: 1, Slots: defaultSlots}},
 }
@@ -32,13 +32,13 @@
 func quickstartCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "quickstart",
-		Usage: "run one VM with stand-in engines and a plain service, to try it out",
-		Description: "Needs no settings. Prints ready and a command to try. With --once it plays a short\n" +
-			"session, checks each step, and exits 0 only if every step gave what it should.\n\n" +
+		Usage: "try the system: run one VM with stand-in engines and a plain service",
+		Description: "Needs no settings. Prints ready and a command to try. With --once it runs a short\n" +
+			"session, checks each step, and exits with 0 only if every step succeeded.\n\n" +
 			"Example: laburnumlever quickstart --listen 127.0.0.1:8080\n\n" + exitCodesText,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:8080", Usage: "`ADDRESS` for callers; with --once a free port is taken by default"},
-			&cli.BoolFlag{Name: "once", Usage: "play a short session and exit"},
+			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:8080", Usage: "`ADDRESS` for callers; the default with --once is a free port"},
+			&cli.BoolFlag{Name: "once", Usage: "run a short session and exit"},
 			&cli.BoolFlag{Name: "verbose", Usage: "show the VM's log"},
 		},
 		OnUsageError: onUsageError,
@@ -64,15 +64,15 @@
 		return err
 	}
 	defer fleet.Close()
-	ctx, cancel := context.WithTimeout(c.Context, quickstartLimit)
+	ctx, cancel := context.WithTimeout(c.Context, quickstartTimeout)
 	defer cancel()
 	if c.Bool("once") {
-		return playOnce(ctx, c.App.Writer, fleet)
+		return runSession(ctx, c.App.Writer, fleet)
 	}
-	return waitAndShow(ctx, c, fleet)
+	return serveUntilInterrupted(ctx, c, fleet)
 }
 
-func waitAndShow(ctx context.Context, c *cli.Context, fleet *laburnumfleet.Fleet) error {
+func serveUntilInterrupted(ctx context.Context, c *cli.Context, fleet *laburnumfleet.Fleet) error {
 	revision, err := fleet.Apply(ctx)
 	if err != nil {
 		return err
--- a/cmd/laburnumlever/standincmd.go
+++ b/cmd/laburnumlever/standincmd.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	anyPort          = "127.0.0.1:0"
-	standInLimit     = 30 * time.Second
-	headerReadLimit  = 10 * time.Second
-	defaultSlots     = 8
-	defaultPrefill   = 20000.0
-	defaultTokenRate = 2000.0
+	anyPort                = "127.0.0.1:0"
+	standInShutdownTimeout = 30 * time.Second
+	readHeaderTimeout      = 10 * time.Second
+	defaultSlots           = 8
+	defaultPrefillRate     = 20000.0
+	defaultTokenRate       = 2000.0
 )
 
 func standInCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "stand-in",
-		Usage: "run a small stand-in for what surrounds the system",
-		Description: "Stand-ins are for trying out and for tests. Each prints a line that starts with ready\n" +
-			"once it listens, and leaves in good order when it is interrupted.",
+		Usage: "run a stand-in for a component outside the system",
+		Description: "Stand-ins are for demonstrations and tests. Each prints a line that starts with ready\n" +
+			"once it listens, and shuts down gracefully when it is interrupted.",
 		Subcommands: []*cli.Command{
 			standInEngineCommand(),
 			standInServiceCommand(),
@@ -40,23 +40,23 @@
 }
 
 func listenFlag() cli.Flag {
-	return &cli.StringFlag{Name: "listen", Value: anyPort, Usage: "`ADDRESS` (IP and port) to listen on; port 0 takes a free one"}
+	return &cli.StringFlag{Name: "listen", Value: anyPort, Usage: "`ADDRESS` (IP and port) to listen on; port 0 selects a free port"}
 }
 
-// backendFlags are those of every stand-in that announces itself.
+// backendFlags returns the flags of every stand-in that announces itself.
 func backendFlags() []cli.Flag {
 	return []cli.Flag{
 		listenFlag(),
 		&cli.StringFlag{Name: "id", Usage: "`ID` of the backend server"},
 		&cli.StringFlag{Name: "zone", Usage: "its availability `ZONE`"},
 		&cli.StringSliceFlag{Name: "registry", Usage: "`ADDRESS` of an entry VM's backends listener; may be repeated"},
-		&cli.IntFlag{Name: "slots", Value: defaultSlots, Usage: "how many requests it works on at once"},
+		&cli.IntFlag{Name: "slots", Value: defaultSlots, Usage: "how many requests it processes concurrently"},
 		&cli.DurationFlag{Name: "announce-period", Value: time.Second, Usage: "how often it announces itself; it reports twice as often"},
 	}
 }
 
-// announcementOf holds what the flags tell. The clock gives the incarnation, so
-// that a restarted stand-in counts as newer.
+// announcementOf returns the announcement that the flags describe. The incarnation is the current
+// time, so that a restarted stand-in counts as newer.
 func announcementOf(c *cli.Context, address string) laburnumlever.Announcement {
 	return laburnumlever.Announcement{
 		Backend:     laburnumlever.BackendID(c.String("id")),
@@ -75,7 +75,7 @@
 	}
 }
 
-// backend is a stand-in that announces itself.
+// backend is a stand-in that announces itself to the system.
 type backend interface {
 	http.Handler
 	Start()
@@ -83,11 +83,10 @@
 	Close()
 }
 
-// serveBackend runs a backend server until the process is interrupted. It says
-// that it leaves before its listener closes, so that no new work arrives to a
-// closed port.
+// serveBackend runs a backend server until the process is interrupted. It announces that it leaves
+// before its listener closes, so that no request is sent to a closed port.
 func serveBackend(c *cli.Context, ln net.Listener, b backend, kind string) error {
-	server := &http.Server{Handler: b, ReadHeaderTimeout: headerReadLimit}
+	server := &http.Server{Handler: b, ReadHeaderTimeout: readHeaderTimeout}
 	var group errgroup.Group
 	group.Go(func() error { return ignoreClosed(server.Serve(ln)) })
 	b.Start()
@@ -95,7 +94,7 @@
 	printf(c.App.Writer, "ready %s=%s address=%s\n", kind, c.String("id"), ln.Addr())
 	<-c.Done()
 	b.Leave()
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.Context), standInLimit)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.Context), standInShutdownTimeout)
 	defer cancel()
 	if err := server.Shutdown(ctx); err != nil {
 		return err
@@ -103,9 +102,9 @@
 	return group.Wait()
 }
 
-// serveHandler runs a stand-in that has nothing to finish.
+// serveHandler runs a stand-in that needs no graceful shutdown.
 func serveHandler(ctx context.Context, ln net.Listener, handler http.Handler) error {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerReadLimit}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	var group errgroup.Group
 	group.Go(func() error { return ignoreClosed(server.Serve(ln)) })
 	<-ctx.Done()
--- a/laburnumdiskfault/supervise_linux.go
+++ b/laburnumdiskfault/supervise_linux.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// notice is a call of the program that waits for a verdict, as the kernel writes it.
-type notice struct {
+// notification is a blocked system call of the program (struct seccomp_notif).
+type notification struct {
 	id     uint64
 	thread uint32
 	_      uint32
@@ -22,31 +22,35 @@
 	args   [6]uint64
 }
 
-// continueFlag has the kernel carry the call out (SECCOMP_USER_NOTIF_FLAG_CONTINUE).
+// continueFlag lets the kernel execute the call (SECCOMP_USER_NOTIF_FLAG_CONTINUE).
 const continueFlag = 1
 
-// verdict is the answer to a notice, as the kernel reads it.
-type verdict struct {
+// response is the answer to a notification (struct seccomp_notif_resp).
+type response struct {
 	id    uint64
 	value int64
 	errno int32
 	flags uint32
 }
 
-func (n notice) proceeds() verdict { return verdict{id: n.id, flags: continueFlag} }
+func (n notification) proceeds() response { return response{id: n.id, flags: continueFlag} }
 
-func (n notice) returns(value int) verdict { return verdict{id: n.id, value: int64(value)} }
+func (n notification) returns(value int) response { return response{id: n.id, value: int64(value)} }
 
-func (n notice) fails(errno unix.Errno) verdict { return verdict{id: n.id, errno: -int32(errno)} } //nolint:gosec // small numbers
+func (n notification) fails(errno unix.Errno) response {
+	return response{id: n.id, errno: -int32(errno)}
+} //nolint:gosec // small numbers
 
-func (n notice) syncs() bool { return n.number == unix.SYS_FSYNC || n.number == unix.SYS_FDATASYNC }
+func (n notification) syncs() bool {
+	return n.number == unix.SYS_FSYNC || n.number == unix.SYS_FDATASYNC
+}
 
-// Start starts a command that calls Launch, and supervises it until it ends. The error is that of
-// the start or an *UnavailableError; then the command has ended.
+// Start starts a command that calls Launch, and supervises it until it exits. The error is that of
+// the start or an *UnavailableError; the command is not running then.
 func (d *Disk) Start(cmd *exec.Cmd) error {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return &UnavailableError{Step: "make a socket", Cause: err}
+		return &UnavailableError{Step: "create a socket pair", Cause: err}
 	}
 	ours, theirs := pair[0], os.NewFile(uintptr(pair[1]), "launch")
 	defer func() { _ = unix.Close(ours) }()
@@ -67,7 +71,8 @@
 	return nil
 }
 
-// receive takes the listener from a launcher; one that ends without it has closed its end.
+// receive receives the listener from the launcher. It fails if the launcher exits without sending
+// it, since that closes the socket.
 func receive(socket int) (int, error) {
 	one, control := make([]byte, 1), make([]byte, unix.CmsgSpace(int(unsafe.Sizeof(int32(0)))))
 	_, n, _, _, err := unix.Recvmsg(socket, one, control, unix.MSG_CMSG_CLOEXEC)
@@ -85,12 +90,12 @@
 	return fds[0], nil
 }
 
-// supervisor answers the notices of one process.
+// supervisor answers the notifications of one process.
 type supervisor struct {
 	disk     *Disk
 	pid      int
 	listener int
-	// ended is closed when the process has ended.
+	// ended is closed when the process has exited.
 	ended chan struct{}
 	wg    sync.WaitGroup
 }
@@ -112,39 +117,39 @@
 		if fds[0].Revents&unix.POLLIN == 0 {
 			return
 		}
-		var n notice
-		if errno := s.control(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)); errno != 0 {
-			continue // the call was interrupted in the meantime
+		var n notification
+		if errno := s.ioctl(unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)); errno != 0 {
+			continue // the call was interrupted meanwhile
 		}
-		if state, _ := s.disk.now(); state.Mode == Healthy {
-			s.answer(n.proceeds())
+		if state, _ := s.disk.current(); state.Mode == Healthy {
+			s.respond(n.proceeds())
 			continue
 		}
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
-			s.answer(s.decide(n))
+			s.respond(s.decide(n))
 		}()
 	}
 }
 
-func (s *supervisor) control(request uint, arg unsafe.Pointer) unix.Errno {
+func (s *supervisor) ioctl(request uint, arg unsafe.Pointer) unix.Errno {
 	_, _, errno := unix.Syscall(unix.SYS_IOCTL, uintptr(s.listener), uintptr(request), uintptr(arg))
 	return errno
 }
 
-// answer gives a verdict; a process that was killed while it waited needs none.
-func (s *supervisor) answer(v verdict) {
-	_ = s.control(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&v))
+// respond sends a response. It fails only if the process was killed meanwhile, which is ignored.
+func (s *supervisor) respond(v response) {
+	_ = s.ioctl(unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&v))
 }
 
-// decide waits as long as the disk's state asks for and returns the verdict.
-func (s *supervisor) decide(n notice) verdict {
+// decide blocks or delays the call as the disk's state demands, and returns the response.
+func (s *supervisor) decide(n notification) response {
 	path, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", s.pid, n.args[0]))
-	if err != nil || !s.disk.holds(path) {
+	if err != nil || !s.disk.contains(path) {
 		return n.proceeds()
 	}
-	state := s.awaitAnswering()
+	state := s.awaitNotStalled()
 	switch {
 	case state.Mode == Slow && n.syncs():
 		select {
@@ -152,17 +157,17 @@
 		case <-s.ended:
 		}
 	case state.Mode == Full && !n.syncs():
-		return s.short(n)
+		return s.shortWrite(n)
 	case state.Mode == Failing && n.syncs():
 		return n.fails(unix.EIO)
 	}
 	return n.proceeds()
 }
 
-// awaitAnswering waits until the disk isn't stalled, or the process has ended.
-func (s *supervisor) awaitAnswering() State {
+// awaitNotStalled waits until the disk isn't stalled or the process has exited.
+func (s *supervisor) awaitNotStalled() State {
 	for {
-		state, changed := s.disk.now()
+		state, changed := s.disk.current()
 		if state.Mode != Stalled {
 			return state
 		}
@@ -174,9 +179,9 @@
 	}
 }
 
-// short carries out half of a write, by the program's own descriptor. The program tries the rest
-// again, until a single byte finds no room.
-func (s *supervisor) short(n notice) verdict {
+// shortWrite performs half of a write on the program's own descriptor. The program retries the
+// rest until a write of a single byte fails with ENOSPC.
+func (s *supervisor) shortWrite(n notification) response {
 	half := int(n.args[2]) / 2 //nolint:gosec // a length
 	if half == 0 || n.number != unix.SYS_WRITE {
 		return n.fails(unix.ENOSPC)
@@ -188,8 +193,8 @@
 	return n.returns(done)
 }
 
-// writeFor writes the first bytes that the program wants to write.
-func (s *supervisor) writeFor(n notice, size int) (int, error) {
+// writeFor performs the first size bytes of a write on behalf of the program.
+func (s *supervisor) writeFor(n notification, size int) (int, error) {
 	process, err := unix.PidfdOpen(s.pid, 0)
 	if err != nil {
 		return 0, err
--- a/laburnumsoak/process.go
+++ b/laburnumsoak/process.go
@@ -15,36 +15,35 @@
 )
 
 const (
-	// readyTime is how long a process may take to say that it serves.
-	readyTime = 20 * time.Second
-	// endTime is how long one may take to end that was asked to, above the grace.
-	endTime = 15 * time.Second
-	// programName is what processes are told that they are called.
+	// readyTimeout is how long a process may take to report that it is ready.
+	readyTimeout = 20 * time.Second
+	// exitTimeout is how long a process may take to exit after SIGTERM; it exceeds the grace.
+	exitTimeout = 15 * time.Second
+	// programName is argv[0] of the processes.
 	programName = "laburnumlever"
 )
 
-// process is one of the programs, started again and again. It is used by one goroutine at a
-// time.
+// process is a program that is started repeatedly. It is used by one goroutine at a time.
 type process struct {
 	name    string
 	program string
 	folder  string
-	// args are those of the next start.
+	// args returns the arguments of the next start.
 	args func() []string
-	// line takes each line that it writes.
-	line func(string)
-	// disk stands below its data folder; nil if it has none.
+	// onLine, if set, is called with each line of its standard output.
+	onLine func(string)
+	// disk injects faults into its data folder; nil if there is none.
 	disk *laburnumdiskfault.Disk
-	// exited is told of an end that nobody asked for.
-	exited func(name string)
+	// onUnexpectedExit, if set, is called when a ready process exits without being stopped.
+	onUnexpectedExit func(name string)
 
 	cmd   *exec.Cmd
 	ended chan struct{}
-	// asked is set once the process is to end.
-	asked *atomic.Bool
+	// stopRequested is set before the process is stopped.
+	stopRequested *atomic.Bool
 }
 
-// start runs the process and waits until it says that it serves.
+// start runs the process and waits until it reports that it is ready.
 func (p *process) start() error {
 	log, err := os.OpenFile(filepath.Join(p.folder, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -63,20 +62,20 @@
 	if err := start(); err != nil {
 		return &StartError{Process: p.name, Cause: err}
 	}
-	p.cmd, p.ended, p.asked = cmd, make(chan struct{}), &atomic.Bool{}
+	p.cmd, p.ended, p.stopRequested = cmd, make(chan struct{}), &atomic.Bool{}
 	ready := make(chan struct{})
-	go p.follow(cmd, bufio.NewScanner(out), log, ready, p.ended, p.asked)
+	go p.follow(cmd, bufio.NewScanner(out), log, ready, p.ended, p.stopRequested)
 	select {
 	case <-ready:
 		return nil
 	case <-p.ended:
-		return &StartError{Process: p.name, Cause: &NotReadyError{What: "it ended", Time: readyTime}}
-	case <-time.After(readyTime):
-		return &StartError{Process: p.name, Cause: &NotReadyError{What: "it serves", Time: readyTime}}
+		return &StartError{Process: p.name, Cause: &NotReadyError{What: "the process is ready without exiting", Time: readyTimeout}}
+	case <-time.After(readyTimeout):
+		return &StartError{Process: p.name, Cause: &NotReadyError{What: "the process is ready", Time: readyTimeout}}
 	}
 }
 
-// command is the program as it is started next, through the launcher where it has a disk.
+// command builds the next start of the program, through the disk-fault launcher if it has a disk.
 func (p *process) command() *exec.Cmd {
 	args := p.args()
 	if p.disk != nil {
@@ -87,7 +86,7 @@
 	return cmd
 }
 
-// follow keeps what the process writes and waits for its end.
+// follow copies the output of the process to its log and waits for it to exit.
 func (p *process) follow(cmd *exec.Cmd, lines *bufio.Scanner, log *os.File, ready, ended chan struct{}, asked *atomic.Bool) {
 	defer close(ended)
 	defer func() { _ = log.Close() }()
@@ -101,32 +100,32 @@
 			}
 			served = true
 		}
-		if p.line != nil {
-			p.line(text)
+		if p.onLine != nil {
+			p.onLine(text)
 		}
 	}
-	_ = cmd.Wait() // how it ended shows in its log
-	if served && !asked.Load() && p.exited != nil {
-		p.exited(p.name)
+	_ = cmd.Wait() // its log shows the reason
+	if served && !asked.Load() && p.onUnexpectedExit != nil {
+		p.onUnexpectedExit(p.name)
 	}
 }
 
 func (p *process) signal(sig syscall.Signal) {
 	if p.cmd != nil {
-		_ = p.cmd.Process.Signal(sig) // one that has ended needs none
+		_ = p.cmd.Process.Signal(sig) // fails only if the process has exited
 	}
 }
 
-// end ends the process by a signal and waits for it; one that does not end is killed.
-func (p *process) end(sig syscall.Signal) {
+// stop sends a signal and waits for the process to exit; after exitTimeout it is killed.
+func (p *process) stop(sig syscall.Signal) {
 	if p.cmd == nil {
 		return
 	}
-	p.asked.Store(true)
+	p.stopRequested.Store(true)
 	p.signal(sig)
 	select {
 	case <-p.ended:
-	case <-time.After(endTime):
+	case <-time.After(exitTimeout):
 		p.signal(syscall.SIGKILL)
 		<-p.ended
 	}
--- /dev/null
+++ b/laburnumsoak/recorder_test.go
@@ -0,0 +1,53 @@
+package laburnumsoak
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Guards against soak checks that never fail: each kind of violation must be reported.
+func TestEachViolationIsReported(t *testing.T) {
+	now := time.Unix(1_000_000, 0)
+	for name, test := range map[string]struct {
+		do   func(r *recorder)
+		want string
+	}{
+		"run twice": {func(r *recorder) { r.requestRan("a"); r.requestRan("a") }, "request a ran 2 times"},
+		"refused and run": {func(r *recorder) {
+			r.bookingEnded("a", http.StatusServiceUnavailable, nil)
+			r.requestRan("a")
+		}, "request a was refused as not run but ran"},
+		"answered and not run": {func(r *recorder) { r.bookingEnded("a", http.StatusOK, nil) }, "request a was answered but no backend server ran it"},
+		"event lost":           {func(r *recorder) { r.streamEnded("a", []int{1, 3}, false) }, "stream a: received event 3 at position 2"},
+		"event twice":          {func(r *recorder) { r.streamEnded("a", []int{1, 2, 2}, false) }, "stream a: received event 2 at position 3"},
+		"ends early":           {func(r *recorder) { r.streamEnded("a", []int{1, 2}, true) }, "stream a ended as complete after 2 events"},
+		"older read": {func(r *recorder) {
+			r.changeAcknowledged(7, now)
+			r.readAnswered(6, now.Add(time.Second))
+		}, "a read returned version 6 after version 7 was acknowledged"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := newRecorder()
+			test.do(r)
+			require.Equal(t, []string{test.want}, r.check())
+		})
+	}
+}
+
+// Guards against false violations: a lost answer after a run, a read sent before the change was
+// acknowledged, a stream that breaks off.
+func TestAllowedOutcomesAreNotReported(t *testing.T) {
+	now := time.Unix(1_000_000, 0)
+	r := newRecorder()
+	r.requestRan("lost")
+	r.bookingEnded("lost", http.StatusBadGateway, nil)
+	r.changeAcknowledged(7, now)
+	r.readAnswered(6, now.Add(-time.Second))
+	r.readAnswered(8, now.Add(time.Second))
+	r.streamEnded("s", []int{1, 2}, false)
+	r.streamEnded("s", []int{1, 2, 3, 4}, true)
+	require.Empty(t, r.check())
+}
--- a/laburnumsoak/soak.go
+++ b/laburnumsoak/soak.go
@@ -7,106 +7,106 @@
 )
 
 const (
-	// foundTime is how long the first change may take: the log is founded and grows.
-	foundTime = 30 * time.Second
-	// recoverTime is how long callers may have to wait once all processes are back: for an
-	// election, the voters' return and the backend servers' announcements.
-	recoverTime = 15 * time.Second
-	// retryTime is between two tries of something that must come.
-	retryTime = 100 * time.Millisecond
+	// bootstrapTimeout limits the first change, for which the log is created and voters are added.
+	bootstrapTimeout = 30 * time.Second
+	// recoveryTimeout limits the recovery once all faults are undone: an election, the return
+	// of the voters and the announcements of the backend servers.
+	recoveryTimeout = 15 * time.Second
+	// retryInterval is the time between two attempts of await.
+	retryInterval = 100 * time.Millisecond
 )
 
-// Config says what a run is.
+// Config configures a run.
 type Config struct {
 	// Program is the path of the laburnumlever program.
 	Program string
 	// Folder is an empty folder for settings, data and logs.
 	Folder string
-	// Seed decides which faults come when.
+	// Seed determines which faults are injected and when.
 	Seed uint64
-	// Length is how long faults come.
+	// Length is how long faults are injected.
 	Length time.Duration
-	// Disks has the disks below control VMs misbehave too; it needs Linux.
+	// Disks also injects faults into the disks of control VMs; it needs Linux.
 	Disks bool
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Seed uint64 `json:"seed"`
-	// Sent and Served count the callers' requests, Acknowledged the operator's changes.
+	// Sent and Served count the callers' requests, Acknowledged the operator's acknowledged changes.
 	Sent         int `json:"sent"`
 	Served       int `json:"served"`
 	Acknowledged int `json:"acknowledged"`
-	// Faults are those that came, in order.
+	// Faults lists the injected faults in order, each with its time since the start.
 	Faults []string `json:"faults"`
-	// Violations are what should not have been seen.
+	// Violations lists the violated invariants.
 	Violations []string `json:"violations,omitempty"`
 }
 
-// Run plays one run. The error is a *StartError or a *NotReadyError: the system did not come
-// up, or a process did not come back.
+// Run executes one run. The error is a *StartError or *NotReadyError if the system did not become
+// ready or a process did not restart, or the file error of a fault on a data folder.
 func Run(ctx context.Context, cfg Config) (Report, error) {
-	r := newRecord()
+	r := newRecorder()
 	f := newFleet(cfg, r)
 	defer f.closeLinks()
-	defer f.end()
+	defer f.stop()
 	if err := f.start(); err != nil {
 		return Report{}, err
 	}
 	l := newLoad(f, r)
-	if !await(ctx, foundTime, func() bool { return l.apply(0) }) {
-		return Report{}, &NotReadyError{What: "the first change is acknowledged", Time: foundTime}
+	if !await(ctx, bootstrapTimeout, func() bool { return l.apply(0) }) {
+		return Report{}, &NotReadyError{What: "the first change is acknowledged", Time: bootstrapTimeout}
 	}
-	f.founded.Store(true)
-	if !await(ctx, foundTime, func() bool { return l.ask(true) && l.ask(false) }) {
-		return Report{}, &NotReadyError{What: "callers are served", Time: foundTime}
+	f.bootstrapped.Store(true)
+	if !await(ctx, bootstrapTimeout, func() bool { return l.sendRequest(true) && l.sendRequest(false) }) {
+		return Report{}, &NotReadyError{What: "callers are served", Time: bootstrapTimeout}
 	}
-	x := newFaults(f, cfg.Seed)
-	disturbed, cancel := context.WithTimeout(ctx, cfg.Length)
+	x := newFaultInjector(f, cfg.Seed)
+	faultCtx, cancel := context.WithTimeout(ctx, cfg.Length)
 	defer cancel()
-	working, stop := context.WithCancel(ctx)
+	loadCtx, stop := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.run(working)
+		l.run(loadCtx)
 	}()
-	x.run(disturbed)
+	x.run(faultCtx)
 	stop()
 	<-done
-	l.conclude(ctx)
-	f.end() // what backend servers have to say of their runs has come then
+	l.checkRecovery(ctx)
+	f.stop() // the output of backend servers is complete afterwards
 	return Report{
-		Seed: cfg.Seed, Sent: r.sent, Served: r.served, Acknowledged: len(r.acked), Faults: x.story, Violations: r.conclude(),
-	}, x.problem
+		Seed: cfg.Seed, Sent: r.sent, Served: r.served, Acknowledged: len(r.acked), Faults: x.history, Violations: r.check(),
+	}, x.firstErr
 }
 
-// conclude checks that the system is whole again: it takes a change, reads it back and serves
-// callers.
-func (l *load) conclude(ctx context.Context) {
+// checkRecovery checks that the system has recovered: a change is acknowledged, a read is
+// answered and callers are served.
+func (l *load) checkRecovery(ctx context.Context) {
 	for what, try := range map[string]func() bool{
 		"a change is acknowledged": func() bool { return l.apply(0) },
 		"a read is answered":       func() bool { return l.read(1) },
-		"a booking is served":      func() bool { return l.ask(false) },
-		"a stream is served":       func() bool { return l.ask(true) },
+		"a booking is served":      func() bool { return l.sendRequest(false) },
+		"a stream is served":       func() bool { return l.sendRequest(true) },
 	} {
-		if !await(ctx, recoverTime, try) {
+		if !await(ctx, recoveryTimeout, try) {
 			l.record.mu.Lock()
-			l.record.fail("after the faults: %s: not within %s", what, recoverTime)
+			l.record.addViolation("after the faults: %s: not met within %s", what, recoveryTimeout)
 			l.record.mu.Unlock()
 		}
 	}
 }
 
-// end kills all processes that this run started.
-func (f *fleet) end() {
+// stop kills all processes of this run.
+func (f *fleet) stop() {
 	for _, p := range f.all() {
-		p.end(syscall.SIGKILL)
+		p.stop(syscall.SIGKILL)
 	}
 }
 
-// await tries until something comes, or the time is over.
+// await calls try until it succeeds; it reports false after limit or when ctx ends.
 func await(ctx context.Context, limit time.Duration, try func() bool) bool {
-	for end := time.Now().Add(limit); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(retryTime) {
+	for end := time.Now().Add(limit); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(retryInterval) {
 		if try() {
 			return true
 		}
