--- a/laburnumroles/control.go
+++ b/laburnumroles/control.go
@@ -25,25 +25,25 @@
 )
 
 const (
-	// proposeTimeout is below an operator's own timeout of a second.
-	proposeTimeout = 900 * time.Millisecond
+	// operatorProposalTimeout is below an operator's own timeout of a second.
+	operatorProposalTimeout = 900 * time.Millisecond
 	// usagePeriod is how often the control thread's use of its time is logged.
 	usagePeriod = 5 * time.Second
 	// expirePeriod is how often silent backend servers are detected.
 	expirePeriod = 500 * time.Millisecond
-	// replaceShare of the time for replacing a VM passes before a silent voter is replaced; the rest
+	// replaceVoterShare of the time for replacing a VM passes before a silent voter is replaced; the rest
 	// is for an election, if it was the leader.
-	replaceShare = 0.5
-	// handOverTimeout bounds the transfer of leadership at shutdown.
-	handOverTimeout = time.Second
-	// growTimeout after its leader's start the log counts as grown to all the voters it will get.
-	growTimeout = 12 * time.Second
-	// proposalLimit bounds every proposal, also the director's.
-	proposalLimit = 3 * time.Second
+	replaceVoterShare = 0.5
+	// leadershipTransferTimeout bounds the transfer of leadership at shutdown.
+	leadershipTransferTimeout = time.Second
+	// voterGrowthTimeout after its leader's start the log counts as grown to all the voters it will get.
+	voterGrowthTimeout = 12 * time.Second
+	// proposalTimeout bounds every proposal, also the director's.
+	proposalTimeout = 3 * time.Second
 )
 
-// commitBuckets reach from one sync of a disk to an operator's timeout.
-var commitBuckets = tally.DurationBuckets{
+// commitTimeBuckets reach from one sync of a disk to an operator's timeout.
+var commitTimeBuckets = tally.DurationBuckets{
 	2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond, time.Second,
 }
@@ -58,8 +58,8 @@
 	follower *laburnumfeed.Follower
 	director *laburnumdirector.Director
 	relay    *relay
-	// commits is the time to commit an operator's change.
-	commits tally.Histogram
+	// commitTimes is the time to commit an operator's change.
+	commitTimes tally.Histogram
 	// routes is the table in force.
 	routes atomic.Pointer[laburnumlever.RouteTable]
 
@@ -76,11 +76,11 @@
 func NewControl(settings laburnumsettings.Role, engines laburnumlever.ModelEngines, opts ...Option) (*Control, error) {
 	meter := laburnumcontrol.NewMeter()
 	c := &Control{process: newProcess(settings, opts), loop: laburnumcontrol.New(laburnumcontrol.WithMeter(meter)), meter: meter}
-	c.commits = c.metrics.Scope().Histogram("routes_commit_seconds", commitBuckets)
+	c.commitTimes = c.metrics.Scope().Histogram("routes_commit_seconds", commitTimeBuckets)
 	c.registry = laburnumregistry.New(time.Duration(settings.Times.Heartbeat))
 	c.source = laburnumfeed.NewSource(c.peers, c.timers, c.self, laburnumfeed.WithSourceLogger(c.logger))
-	c.relay = newRelay(c.timers, c.tellControls)
-	c.peers.Handle(methodRelay, c.handleRelay)
+	c.relay = newRelay(c.timers, c.relayToControls)
+	c.peers.Handle(methodHeartbeatRelay, c.handleRelay)
 	if err := c.buildVoter(); err != nil {
 		return nil, err
 	}
@@ -97,31 +97,31 @@
 		laburnumdirector.WithScope(c.metrics.Scope()))
 	d.SetLeaderCheck(func() bool { return c.voter.Status().Role == laburnumlog.Leader.String() })
 	d.OnOverlay(c.source.SetOverlay)
-	d.OnLeaseChange(c.directing)
-	d.OnReplaced(c.gone)
-	c.source.OnNews(c.news)
-	c.peers.Handle(methodNeed, c.handleNeed)
+	d.OnLeaseChange(c.leaseChanged)
+	d.OnReplaced(c.removeAndRelay)
+	c.source.OnNews(c.recordGatewayReport)
+	c.peers.Handle(methodAdapterNeed, c.handleAdapterNeed)
 	c.director = d
 }
 
-// news takes a gateway's report. A backend server whose address another one has now is gone, which
+// recordGatewayReport takes a gateway's report. A backend server whose address another one has now is gone, which
 // is known before its heartbeats are missed.
-func (c *Control) news(vm laburnumlever.VMID, news laburnumlever.GatewayNews) {
-	for _, id := range news.Replaced {
-		c.gone(id)
+func (c *Control) recordGatewayReport(vm laburnumlever.VMID, report laburnumlever.GatewayNews) {
+	for _, id := range report.Replaced {
+		c.removeAndRelay(id)
 	}
-	c.director.SetGatewayReport(vm, news)
+	c.director.SetGatewayReport(vm, report)
 }
 
-// gone records that an engine's address belongs to another one now.
-func (c *Control) gone(backend laburnumlever.BackendID) {
+// removeAndRelay records that an engine's address belongs to another one now.
+func (c *Control) removeAndRelay(backend laburnumlever.BackendID) {
 	c.remove(backend)
 	c.relay.addGone(backend)
 }
 
-// directing runs on the control thread.
-func (c *Control) directing(directs bool) {
-	if directs {
+// leaseChanged runs on the control thread.
+func (c *Control) leaseChanged(held bool) {
+	if held {
 		c.source.SetDirector(c.self.ID)
 		return
 	}
@@ -129,23 +129,23 @@
 	c.source.SetDirector("")
 }
 
-func (c *Control) handleNeed(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
-	var q laburnumlever.AdapterNeed
-	if err := json.Unmarshal(params, &q); err != nil {
-		return nil, &laburnumfeed.MessageError{Method: methodNeed, Cause: err}
+func (c *Control) handleAdapterNeed(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
+	var need laburnumlever.AdapterNeed
+	if err := json.Unmarshal(params, &need); err != nil {
+		return nil, &laburnumfeed.MessageError{Method: methodAdapterNeed, Cause: err}
 	}
-	backends, err := c.director.EnsureAdapter(ctx, q)
-	return needAnswer{Backends: backends}, err
+	backends, err := c.director.EnsureAdapter(ctx, need)
+	return adapterNeedAnswer{Backends: backends}, err
 }
 
 func (c *Control) buildVoter() error {
 	opts := []laburnumvoter.Option{
 		laburnumvoter.WithDataFolder(c.settings.DataFolder),
 		laburnumvoter.WithVoterTarget(voterTarget(c.settings.ControlLosses)),
-		laburnumvoter.WithFirstChangeTolerance(c.settings.ControlLosses, growTimeout),
+		laburnumvoter.WithFirstChangeTolerance(c.settings.ControlLosses, voterGrowthTimeout),
 		laburnumvoter.WithContacts(c.contacts),
-		laburnumvoter.WithReplaceAfter(time.Duration(replaceShare * float64(c.settings.Times.CatchUp))),
-		laburnumvoter.WithProposalTimeout(proposalLimit),
+		laburnumvoter.WithReplaceAfter(time.Duration(replaceVoterShare * float64(c.settings.Times.CatchUp))),
+		laburnumvoter.WithProposalTimeout(proposalTimeout),
 		laburnumvoter.WithLogger(c.logger),
 		laburnumvoter.WithScope(c.metrics.Scope()),
 	}
@@ -215,7 +215,7 @@
 
 // Shutdown transfers leadership and ends the process.
 func (c *Control) Shutdown(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
+	ctx, cancel := context.WithTimeout(ctx, leadershipTransferTimeout)
 	defer cancel()
 	if err := c.voter.HandOver(ctx); err != nil {
 		_ = level.Warn(c.logger).Log("event", laburnumlever.EventLeadershipNotHandedOver, "cause", err)
@@ -230,7 +230,7 @@
 
 // Heartbeat takes a backend server's heartbeat.
 func (c *Control) Heartbeat(_ context.Context, h laburnumlever.Heartbeat) (string, error) {
-	c.relay.add(h, c.take(h))
+	c.relay.addHeartbeat(h, c.recordHeartbeat(h))
 	return c.heartbeatAddress(h), nil
 }
 
@@ -257,82 +257,82 @@
 	return nil
 }
 
-// take records a heartbeat and reports whether it changed anything.
-func (c *Control) take(h laburnumlever.Heartbeat) bool {
+// recordHeartbeat records a heartbeat and reports whether it changed anything.
+func (c *Control) recordHeartbeat(h laburnumlever.Heartbeat) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.registry.Take(h, c.timers.Now()) {
-		c.offer(h.Backend)
+		c.publishRecord(h.Backend)
 		return true
 	}
 	c.director.SetHeartbeat(h)
 	return false
 }
 
-// takeAlive records a heartbeat that another control VM received and that changed nothing.
-func (c *Control) takeAlive(a alive) {
+// recordUnchanged records a heartbeat that another control VM received and that changed nothing.
+func (c *Control) recordUnchanged(h unchangedHeartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.registry.Alive(a.Backend, a.Born, a.Sequence, c.timers.Now()) {
-		c.offer(a.Backend)
+	if c.registry.Alive(h.Backend, h.Born, h.Sequence, c.timers.Now()) {
+		c.publishRecord(h.Backend)
 	}
-	c.director.SetHeartbeat(laburnumlever.Heartbeat{Backend: a.Backend, Born: a.Born, Sequence: a.Sequence})
+	c.director.SetHeartbeat(laburnumlever.Heartbeat{Backend: h.Backend, Born: h.Born, Sequence: h.Sequence})
 }
 
 func (c *Control) remove(backend laburnumlever.BackendID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.registry.Remove(backend, c.timers.Now()) {
-		c.offer(backend)
+		c.publishRecord(backend)
 	}
 }
 
-// offer publishes a record; mu is held.
-func (c *Control) offer(id laburnumlever.BackendID) {
+// publishRecord publishes a record; mu is held.
+func (c *Control) publishRecord(id laburnumlever.BackendID) {
 	r, ok := c.registry.Record(id)
 	if !ok {
 		return
 	}
 	c.source.SetRecord(r)
 	c.director.SetRecord(r)
-	_ = c.noteLevel(r).Log("event", laburnumlever.EventBackendKnown, "backend", id, "service", r.Heartbeat.Service,
+	_ = c.recordLogger(r).Log("event", laburnumlever.EventBackendKnown, "backend", id, "service", r.Heartbeat.Service,
 		"address", r.Heartbeat.Address, "sequence", r.Heartbeat.Sequence, "leaving", r.Heartbeat.Leaving,
 		"gone", r.Gone, "silent", r.Silent)
 }
 
-// noteLevel logs a backend server that is new, leaves or falls silent at info level, changes of
+// recordLogger logs a backend server that is new, leaves or falls silent at info level, changes of
 // its models at debug level, since orders are logged anyway.
-func (c *Control) noteLevel(r laburnumregistry.Record) log.Logger {
+func (c *Control) recordLogger(r laburnumregistry.Record) log.Logger {
 	if r.Gone || r.Silent || r.Heartbeat.Leaving || r.Heartbeat.Sequence <= 1 {
 		return level.Info(c.logger)
 	}
 	return level.Debug(c.logger)
 }
 
-// tellControls relays recent heartbeats to the other control VMs.
-func (c *Control) tellControls(news relayed) {
-	encoded, err := json.Marshal(news)
+// relayToControls relays recent heartbeats to the other control VMs.
+func (c *Control) relayToControls(batch relayBatch) {
+	encoded, err := json.Marshal(batch)
 	if err != nil {
 		_ = level.Error(c.logger).Log("event", laburnumlever.EventNewsNotEncoded, "cause", err)
 		return
 	}
 	for _, vm := range c.source.Controls() {
-		c.peers.Notify(vm.PeerAddress, methodRelay, json.RawMessage(encoded))
+		c.peers.Notify(vm.PeerAddress, methodHeartbeatRelay, json.RawMessage(encoded))
 	}
 }
 
 func (c *Control) handleRelay(_ context.Context, params laburnumlever.RawMessage) (any, error) {
-	var news relayed
-	if err := json.Unmarshal(params, &news); err != nil {
-		return nil, &laburnumfeed.MessageError{Method: methodRelay, Cause: err}
+	var batch relayBatch
+	if err := json.Unmarshal(params, &batch); err != nil {
+		return nil, &laburnumfeed.MessageError{Method: methodHeartbeatRelay, Cause: err}
 	}
-	for _, h := range news.Heartbeats {
-		c.take(h)
+	for _, h := range batch.Heartbeats {
+		c.recordHeartbeat(h)
 	}
-	for _, a := range news.Alive {
-		c.takeAlive(a)
+	for _, h := range batch.Alive {
+		c.recordUnchanged(h)
 	}
-	for _, id := range news.Gone {
+	for _, id := range batch.Gone {
 		c.remove(id)
 	}
 	return struct{}{}, nil
@@ -342,7 +342,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range c.registry.Expire(now) {
-		c.offer(id)
+		c.publishRecord(id)
 	}
 	for _, id := range c.registry.Forget(now) {
 		c.source.Forget(id)
@@ -362,7 +362,7 @@
 	}
 	began := c.timers.Now()
 	_, err = c.propose(ctx, laburnumlever.Command{Kind: laburnumlever.CommandApplyRoutes, Routes: &encoded})
-	c.commits.RecordDuration(c.timers.Now().Sub(began))
+	c.commitTimes.RecordDuration(c.timers.Now().Sub(began))
 	_ = level.Info(c.logger).Log("event", laburnumlever.EventRoutesProposed, "version", table.Version, "cause", err)
 	return err
 }
@@ -383,7 +383,7 @@
 }
 
 func (c *Control) propose(ctx context.Context, cmd laburnumlever.Command) (laburnumlever.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, operatorProposalTimeout)
 	defer cancel()
 	return c.voter.Propose(ctx, cmd)
 }
@@ -400,7 +400,7 @@
 	defer c.mu.Unlock()
 	for _, r := range a.Backends {
 		if c.registry.Adopt(r, now) {
-			c.offer(r.Heartbeat.Backend)
+			c.publishRecord(r.Heartbeat.Backend)
 		}
 	}
 }
--- a/laburnumroles/gateway.go
+++ b/laburnumroles/gateway.go
@@ -70,8 +70,8 @@
 	if address == "" {
 		return nil, &laburnumlever.NotFoundError{Kind: "control VM that gives orders", Name: "any"}
 	}
-	var answer needAnswer
-	err := g.peers.Call(ctx, address, methodNeed, need, &answer)
+	var answer adapterNeedAnswer
+	err := g.peers.Call(ctx, address, methodAdapterNeed, need, &answer)
 	var refused *laburnumlever.PeerRefusedError
 	if errors.As(err, &refused) && refused.Kind == kindNotDirector {
 		g.follower.Refused(address)
--- a/laburnumroles/platform_test.go
+++ b/laburnumroles/platform_test.go
@@ -26,12 +26,12 @@
 
 const metricsPort = 7605
 
-// patience bounds the wait for a cause, far above what a busy machine needs.
-const patience = 60 * time.Second
+// eventuallyTimeout bounds the wait for a cause, far above what a busy machine needs.
+const eventuallyTimeout = 60 * time.Second
 
-// site is a small deployment of the platform in this process: control VMs, a gateway,
+// deployment is a small deployment of the platform in this process: control VMs, a gateway,
 // and stand-ins of what is outside, all over loopback.
-type site struct {
+type deployment struct {
 	t        *testing.T
 	net      string
 	port     int
@@ -43,12 +43,12 @@
 	folders  []string
 }
 
-func newSite(t *testing.T, controls, losses int) *site {
+func newDeployment(t *testing.T, controls, losses int) *deployment {
 	addresses, err := laburnumfleet.ReservePorts(t.Context(), 1)
 	require.NoError(t, err)
 	host, _, err := net.SplitHostPort(addresses[0])
 	require.NoError(t, err)
-	s := &site{t: t, net: host[:strings.LastIndexByte(host, '.')], port: 7600}
+	s := &deployment{t: t, net: host[:strings.LastIndexByte(host, '.')], port: 7600}
 	for i := range controls {
 		s.folders = append(s.folders, t.TempDir())
 		s.startControl(i, losses, true)
@@ -57,11 +57,11 @@
 	return s
 }
 
-func (s *site) ip(i int) string { return fmt.Sprintf("%s.%d", s.net, 100+i) }
+func (s *deployment) ip(i int) string { return fmt.Sprintf("%s.%d", s.net, 100+i) }
 
-func (s *site) control(i int) string { return s.ip(i) + ":7601" }
+func (s *deployment) control(i int) string { return s.ip(i) + ":7601" }
 
-func (s *site) settings(ip string) laburnumsettings.Role {
+func (s *deployment) settings(ip string) laburnumsettings.Role {
 	second := laburnumlever.Duration(time.Second)
 	return laburnumsettings.Role{
 		VM: laburnumlever.VMID(ip), Zone: "brest", PeerPort: s.port, MetricsPort: metricsPort, Seeds: []string{s.control(0), s.control(1), s.control(2)},
@@ -70,7 +70,7 @@
 	}
 }
 
-func (s *site) startControl(i, losses int, first bool) {
+func (s *deployment) startControl(i, losses int, first bool) {
 	settings := s.settings(s.ip(i))
 	settings.Listen.Control = s.control(i)
 	settings.DataFolder, settings.FirstStart, settings.ControlLosses = s.folders[i], first, losses
@@ -88,7 +88,7 @@
 }
 
 // stop ends a control VM without a transfer of leadership.
-func (s *site) stop(i int) {
+func (s *deployment) stop(i int) {
 	if s.stopped[i] {
 		return
 	}
@@ -98,7 +98,7 @@
 	s.controls[i].Shutdown(ctx)
 }
 
-func (s *site) startGateway() {
+func (s *deployment) startGateway() {
 	ip := s.ip(50)
 	s.callers, s.ready = ip+":7602", ip+":7603"
 	settings := s.settings(ip)
@@ -112,7 +112,7 @@
 	})
 }
 
-func (s *site) call(method, url string, body []byte, headers ...string) (int, []byte) {
+func (s *deployment) call(method, url string, body []byte, headers ...string) (int, []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -131,25 +131,25 @@
 }
 
 // until repeats a call until it returns the status.
-func (s *site) until(status int, what string, call func() (int, []byte)) []byte {
+func (s *deployment) until(status int, what string, call func() (int, []byte)) []byte {
 	var body []byte
 	last := 0
 	require.Eventually(s.t, func() bool {
 		last, body = call()
 		return last == status
-	}, patience, 20*time.Millisecond, "%s: status %d", what, last)
+	}, eventuallyTimeout, 20*time.Millisecond, "%s: status %d", what, last)
 	return body
 }
 
 // status waits until a VM's status meets a condition, and returns it.
-func (s *site) status(ip string, what string, met func(laburnumlever.Status) bool) laburnumlever.Status {
+func (s *deployment) status(ip string, what string, met func(laburnumlever.Status) bool) laburnumlever.Status {
 	client := laburnumoperator.NewClient(fmt.Sprintf("%s:%d", ip, metricsPort))
 	var status laburnumlever.Status
 	require.Eventually(s.t, func() bool {
 		var err error
 		status, err = client.Status(s.t.Context())
 		return err == nil && status.Role != nil && met(status)
-	}, patience, 20*time.Millisecond, what)
+	}, eventuallyTimeout, 20*time.Millisecond, what)
 	return status
 }
 
@@ -163,22 +163,22 @@
 		"limits":{"max_header_bytes":16384,"max_body_bytes":4096,"header_timeout_ms":3000,"idle_timeout_ms":15000}}`, version, prefix)
 }
 
-// server stands in for a backend server of the platform: it announces itself, takes
+// backendServer stands in for a backend server of the platform: it announces itself, takes
 // orders if it is an engine, and answers requests.
-type server struct {
-	s        *site
-	id       string
-	service  string
-	http     *httptest.Server
-	sequence atomic.Int64
-	leaving  atomic.Bool
-	arrivals atomic.Int64
-	accepted atomic.Int64
-	adapter  atomic.Value
+type backendServer struct {
+	deployment *deployment
+	id         string
+	service    string
+	http       *httptest.Server
+	sequence   atomic.Int64
+	leaving    atomic.Bool
+	arrivals   atomic.Int64
+	accepted   atomic.Int64
+	adapter    atomic.Value
 }
 
-func (s *site) startServer(id, service string) *server {
-	x := &server{s: s, id: id, service: service}
+func (s *deployment) startBackendServer(id, service string) *backendServer {
+	x := &backendServer{deployment: s, id: id, service: service}
 	x.adapter.Store("")
 	x.http = httptest.NewServer(x)
 	s.t.Cleanup(x.http.Close)
@@ -186,7 +186,7 @@
 }
 
 // announce sends one heartbeat to the control VM given and returns the status.
-func (x *server) announce(control int) int {
+func (x *backendServer) announce(control int) int {
 	document := map[string]any{
 		"service": x.service, "address": strings.TrimPrefix(x.http.URL, "http://"), "zone": "brest", "slots": 8,
 		"state": "ready", "seq": x.sequence.Add(1),
@@ -202,12 +202,12 @@
 		document["models"] = []any{map[string]any{"name": "m0", "version": 1, "adapters": adapters}}
 	}
 	body, err := json.Marshal(document)
-	require.NoError(x.s.t, err)
-	status, _ := x.s.call("PUT", "http://"+x.s.control(control)+"/v1/instances/"+x.id, body)
+	require.NoError(x.deployment.t, err)
+	status, _ := x.deployment.call("PUT", "http://"+x.deployment.control(control)+"/v1/instances/"+x.id, body)
 	return status
 }
 
-func (x *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (x *backendServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/v1/report":
 		fmt.Fprintf(w, `{"seq":%d,"models":[{"name":"m0","version":1,"adapters":[]}]}`, x.accepted.Load())
@@ -235,8 +235,8 @@
 
 // Guards the whole path: first start, a manifest, backend servers, callers, a control VM that dies,
 // a changed manifest, a backend server that leaves.
-func TestSessionOnThePlatform(t *testing.T) {
-	s := newSite(t, 3, 1)
+func TestPlatformEndToEnd(t *testing.T) {
+	s := newDeployment(t, 3, 1)
 	put := func(control int, body []byte) func() (int, []byte) {
 		return func() (int, []byte) { return s.call("PUT", "http://"+s.control(control)+"/v1/config", body) }
 	}
@@ -256,7 +256,7 @@
 	require.Equal(t, 503, status)
 	s.until(200, "first manifest", put(2, manifest(7, "confirm")))
 
-	plain, engine := s.startServer("i-rdv", "rdv"), s.startServer("i-devis", "devis")
+	plain, engine := s.startBackendServer("i-rdv", "rdv"), s.startBackendServer("i-devis", "devis")
 	require.Equal(t, 200, plain.announce(0))
 	require.Equal(t, 200, engine.announce(1))
 	s.until(200, "ready", ready)
@@ -304,7 +304,7 @@
 }
 
 // checkStatus asks a control VM and the gateway while one backend server of each service is there.
-func (s *site) checkStatus() {
+func (s *deployment) checkStatus() {
 	services := []laburnumlever.ServiceStatus{{Service: "rdv", Serving: 1}, {Service: "devis", Serving: 1, Models: 1, Copies: 1}}
 	control := s.status(s.ip(1), "a control VM knows all", func(status laburnumlever.Status) bool {
 		return status.Role.Gateways == 1 && status.Role.Controls == 3 && status.Role.RoutesVersion == 7 && len(status.Voter.Voters) == 3
@@ -321,8 +321,8 @@
 }
 
 // Guards against losing confirmed changes while the log grows to the voters that bear two losses.
-func TestAcknowledgedChangeOutlivesTwoLostDisks(t *testing.T) {
-	s := newSite(t, 5, 2)
+func TestAcknowledgedChangeSurvivesTwoLostDisks(t *testing.T) {
+	s := newDeployment(t, 5, 2)
 	s.until(200, "first manifest", func() (int, []byte) {
 		return s.call("PUT", "http://"+s.control(4)+"/v1/config", manifest(7, "confirm"))
 	})
@@ -341,8 +341,8 @@
 }
 
 // Guards against reads of an outdated manifest on a control VM without a quorum.
-func TestControlVMWithoutQuorumIsNotSure(t *testing.T) {
-	s := newSite(t, 3, 1)
+func TestControlVMWithoutQuorumRefusesReadsAndChanges(t *testing.T) {
+	s := newDeployment(t, 3, 1)
 	s.until(200, "first manifest", func() (int, []byte) {
 		return s.call("PUT", "http://"+s.control(0)+"/v1/config", manifest(7, "confirm"))
 	})
--- a/laburnumroles/process.go
+++ b/laburnumroles/process.go
@@ -73,7 +73,7 @@
 	host, _, _ := net.SplitHostPort(p.self.PeerAddress)
 	p.peers = laburnumpeer.New(p.self.ID, laburnumpeer.WithLogger(p.logger),
 		laburnumpeer.WithScope(p.metrics.Scope()), laburnumpeer.WithLocalIP(net.ParseIP(host)),
-		laburnumpeer.WithMaxHandlers(max(leastCalls, int(callShare*float64(settings.Descriptors)))))
+		laburnumpeer.WithMaxHandlers(max(minPeerHandlers, int(peerHandlerShare*float64(settings.Descriptors)))))
 	return p
 }
 
@@ -113,17 +113,17 @@
 	}()
 }
 
-// backendShare of a process's descriptors is for backend servers and operators. After an outage
+// backendConnectionShare of a process's descriptors is for backend servers and operators. After an outage
 // thousands of backend servers try one control VM after the other; connections over the share
 // wait in the accept queue, so that gateways and control VMs can still connect.
-const backendShare = 0.5
+const backendConnectionShare = 0.5
 
 const (
-	// callShare of a process's descriptors bounds concurrent calls of other VMs: each VM has one
+	// peerHandlerShare of a process's descriptors bounds concurrent calls of other VMs: each VM has one
 	// connection with one or two polls on it.
-	callShare = 0.25
-	// leastCalls is the same without a setting for descriptors.
-	leastCalls = 512
+	peerHandlerShare = 0.25
+	// minPeerHandlers is the same without a setting for descriptors.
+	minPeerHandlers = 512
 )
 
 // serveBackends is serve for the listener of backend servers and operators.
@@ -132,8 +132,8 @@
 	if err != nil {
 		return err
 	}
-	if most := int(backendShare * float64(p.settings.Descriptors)); most > 0 {
-		ln = netutil.LimitListener(ln, most)
+	if maxConns := int(backendConnectionShare * float64(p.settings.Descriptors)); maxConns > 0 {
+		ln = netutil.LimitListener(ln, maxConns)
 	}
 	p.serveOn(ln, name, server)
 	return nil
--- a/laburnumroles/process_internal_test.go
+++ b/laburnumroles/process_internal_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards against reconnecting backend servers that take all descriptors of a control VM.
-func TestBackendServersTakeAShareOfTheDescriptorsOnly(t *testing.T) {
+func TestBackendServersCannotExhaustDescriptors(t *testing.T) {
 	const (
 		address = "127.0.0.1:17391"
 		all     = 40 // connections
@@ -36,10 +36,10 @@
 			}
 		}()
 	}
-	open := []net.Conn{<-answered, <-answered}
+	served := []net.Conn{<-answered, <-answered}
 	for range all - share {
 		require.Empty(t, answered, "more are served at once than the share")
-		require.NoError(t, open[0].Close())
-		open = append(open[1:], <-answered)
+		require.NoError(t, served[0].Close())
+		served = append(served[1:], <-answered)
 	}
 }
--- a/laburnumroles/relay.go
+++ b/laburnumroles/relay.go
@@ -15,43 +15,43 @@
 
 // relay batches heartbeats for the other control VMs. It is safe for concurrent use.
 type relay struct {
-	gather *laburnumtimer.Gatherer
-	send   func(relayed)
+	coalescer *laburnumtimer.Gatherer
+	send      func(relayBatch)
 
-	mu   sync.Mutex
-	next relayed
+	mu      sync.Mutex
+	pending relayBatch
 }
 
-func newRelay(timers laburnumlever.Timers, send func(relayed)) *relay {
+func newRelay(timers laburnumlever.Timers, send func(relayBatch)) *relay {
 	r := &relay{send: send}
-	r.gather = laburnumtimer.NewGatherer(timers, func() time.Duration { return relayPeriod }, r.flush)
+	r.coalescer = laburnumtimer.NewGatherer(timers, func() time.Duration { return relayPeriod }, r.flush)
 	return r
 }
 
-// add relays a heartbeat, whole if it changed something.
-func (r *relay) add(h laburnumlever.Heartbeat, changed bool) {
+// addHeartbeat relays a heartbeat, whole if it changed something.
+func (r *relay) addHeartbeat(h laburnumlever.Heartbeat, changed bool) {
 	r.mu.Lock()
 	if changed {
-		r.next.Heartbeats = append(r.next.Heartbeats, h)
+		r.pending.Heartbeats = append(r.pending.Heartbeats, h)
 	} else {
-		r.next.Alive = append(r.next.Alive, alive{Backend: h.Backend, Born: h.Born, Sequence: h.Sequence})
+		r.pending.Alive = append(r.pending.Alive, unchangedHeartbeat{Backend: h.Backend, Born: h.Born, Sequence: h.Sequence})
 	}
 	r.mu.Unlock()
-	r.gather.Poke()
+	r.coalescer.Poke()
 }
 
 // addGone relays a tombstone.
 func (r *relay) addGone(id laburnumlever.BackendID) {
 	r.mu.Lock()
-	r.next.Gone = append(r.next.Gone, id)
+	r.pending.Gone = append(r.pending.Gone, id)
 	r.mu.Unlock()
-	r.gather.Poke()
+	r.coalescer.Poke()
 }
 
 func (r *relay) flush() {
 	r.mu.Lock()
-	news := r.next
-	r.next = relayed{}
+	batch := r.pending
+	r.pending = relayBatch{}
 	r.mu.Unlock()
-	r.send(news)
+	r.send(batch)
 }
--- a/laburnumroles/relay_test.go
+++ b/laburnumroles/relay_test.go
@@ -11,22 +11,22 @@
 )
 
 // Guards against a relayed message for each heartbeat that changed nothing.
-func TestRelayGathersWhatIsHeard(t *testing.T) {
+func TestRelayBatchesHeartbeats(t *testing.T) {
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
-	var sent []relayed
-	r := newRelay(timers, func(news relayed) { sent = append(sent, news) })
-	r.add(laburnumlever.Heartbeat{Backend: "i-1", Sequence: 1}, true)
+	var sent []relayBatch
+	r := newRelay(timers, func(batch relayBatch) { sent = append(sent, batch) })
+	r.addHeartbeat(laburnumlever.Heartbeat{Backend: "i-1", Sequence: 1}, true)
 	timers.Advance(0)
 	require.Len(t, sent, 1, "the first news after a pause goes out at once")
 	for sequence := uint64(2); sequence <= 100; sequence++ {
-		r.add(laburnumlever.Heartbeat{Backend: "i-1", Sequence: sequence}, false)
+		r.addHeartbeat(laburnumlever.Heartbeat{Backend: "i-1", Sequence: sequence}, false)
 	}
-	r.add(laburnumlever.Heartbeat{Backend: "i-2", Sequence: 4, Leaving: true}, true)
+	r.addHeartbeat(laburnumlever.Heartbeat{Backend: "i-2", Sequence: 4, Leaving: true}, true)
 	r.addGone("i-3")
 	timers.Advance(relayPeriod)
 	require.Len(t, sent, 2)
 	require.Len(t, sent[1].Alive, 99)
-	require.Equal(t, alive{Backend: "i-1", Sequence: 100}, sent[1].Alive[98])
+	require.Equal(t, unchangedHeartbeat{Backend: "i-1", Sequence: 100}, sent[1].Alive[98])
 	require.Equal(t, []laburnumlever.Heartbeat{{Backend: "i-2", Sequence: 4, Leaving: true}}, sent[1].Heartbeats)
 	require.Equal(t, []laburnumlever.BackendID{"i-3"}, sent[1].Gone)
 	timers.Advance(time.Minute)
--- a/laburnumroles/status.go
+++ b/laburnumroles/status.go
@@ -18,13 +18,13 @@
 // serveMetrics serves the metrics and the status. A port in use is logged, and the process serves
 // callers without them.
 func (p *process) serveMetrics(status func() laburnumlever.Status) {
-	if err := p.serve("metrics", p.settings.MetricsAddress(), newServer(p.inspection(status))); err != nil {
+	if err := p.serve("metrics", p.settings.MetricsAddress(), newServer(p.metricsHandler(status))); err != nil {
 		_ = level.Error(p.logger).Log("event", laburnumlever.EventMetricsNotServed, "cause", err)
 	}
 }
 
-// inspection answers operators; any path but that of the status gets the metrics.
-func (p *process) inspection(status func() laburnumlever.Status) http.Handler {
+// metricsHandler answers operators; any path but that of the status gets the metrics.
+func (p *process) metricsHandler(status func() laburnumlever.Status) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", p.metrics.Handler())
 	mux.Handle(metricsPath, p.metrics.Handler())
