--- a/laburnumroles/control.go
+++ b/laburnumroles/control.go
@@ -25,24 +25,26 @@
 )
 
 const (
-	// operatorProposalTimeout is below an operator's own timeout of a second.
+	// operatorProposalTimeout bounds a proposal made for an operator. It is below the operator's own
+	// timeout of one second, so that the operator gets an answer.
 	operatorProposalTimeout = 900 * time.Millisecond
-	// usagePeriod is how often the control thread's use of its time is logged.
+	// usagePeriod is the interval between log lines on the control thread's usage.
 	usagePeriod = 5 * time.Second
-	// expirePeriod is how often silent backend servers are detected.
+	// expirePeriod is the interval between checks for silent backend servers.
 	expirePeriod = 500 * time.Millisecond
-	// replaceVoterShare of the time for replacing a VM passes before a silent voter is replaced; the rest
-	// is for an election, if it was the leader.
+	// replaceVoterShare is the share of the catch-up time after which a silent voter is replaced. The
+	// rest is left for an election, in case the voter was the leader.
 	replaceVoterShare = 0.5
 	// leadershipTransferTimeout bounds the transfer of leadership at shutdown.
 	leadershipTransferTimeout = time.Second
-	// voterGrowthTimeout after its leader's start the log counts as grown to all the voters it will get.
+	// voterGrowthTimeout, from the leader's start, is how long an operator's first change is rejected while
+	// the log has fewer voters than tolerate the configured loss of disks.
 	voterGrowthTimeout = 12 * time.Second
-	// proposalTimeout bounds every proposal, also the director's.
+	// proposalTimeout bounds every proposal, including the director's.
 	proposalTimeout = 3 * time.Second
 )
 
-// commitTimeBuckets reach from one sync of a disk to an operator's timeout.
+// commitTimeBuckets range from the time of one disk sync to an operator's timeout.
 var commitTimeBuckets = tally.DurationBuckets{
 	2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond, time.Second,
@@ -58,9 +60,9 @@
 	follower *laburnumfeed.Follower
 	director *laburnumdirector.Director
 	relay    *relay
-	// commitTimes is the time to commit an operator's change.
+	// commitTimes are the times to commit an operator's change.
 	commitTimes tally.Histogram
-	// routes is the table in force.
+	// routes is the route table in effect; nil before the first one.
 	routes atomic.Pointer[laburnumlever.RouteTable]
 
 	mu       sync.Mutex
@@ -104,8 +106,8 @@
 	c.director = d
 }
 
-// recordGatewayReport takes a gateway's report. A backend server whose address another one has now is gone, which
-// is known before its heartbeats are missed.
+// recordGatewayReport processes a gateway's report. A backend server whose address was taken over by
+// another one is removed at once, without waiting for its heartbeats to time out.
 func (c *Control) recordGatewayReport(vm laburnumlever.VMID, report laburnumlever.GatewayNews) {
 	for _, id := range report.Replaced {
 		c.removeAndRelay(id)
@@ -113,13 +115,14 @@
 	c.director.SetGatewayReport(vm, report)
 }
 
-// removeAndRelay records that an engine's address belongs to another one now.
+// removeAndRelay removes a backend server whose address was taken over by another one, and relays the
+// removal to the other control VMs.
 func (c *Control) removeAndRelay(backend laburnumlever.BackendID) {
 	c.remove(backend)
 	c.relay.addGone(backend)
 }
 
-// leaseChanged runs on the control thread.
+// leaseChanged announces whether this VM holds the placement lease. It runs on the control thread.
 func (c *Control) leaseChanged(held bool) {
 	if held {
 		c.source.SetDirector(c.self.ID)
@@ -161,7 +164,7 @@
 	return nil
 }
 
-// contacts returns the known control VMs, the seeds included.
+// contacts returns the known control VMs, including the seeds.
 func (c *Control) contacts() []laburnumlever.Voter {
 	var voters []laburnumlever.Voter
 	for _, v := range c.settings.SeedVoters() {
@@ -175,7 +178,7 @@
 	return voters
 }
 
-// routesApplied runs on the control thread.
+// routesApplied publishes a committed route table. It runs on the control thread.
 func (c *Control) routesApplied(t laburnumlever.RouteTable) {
 	c.routes.Store(&t)
 	c.source.SetRoutes(t)
@@ -183,7 +186,8 @@
 	_ = level.Info(c.logger).Log("event", laburnumlever.EventRoutesApplied, "version", t.Version, "routes", len(t.Routes))
 }
 
-// Start starts the control VM; handler serves the platform's calls.
+// Start starts the control VM; handler serves operators and backend servers. Errors:
+// *laburnumlever.ListenError.
 func (c *Control) Start(handler http.Handler) error {
 	if err := c.servePeers(); err != nil {
 		return err
@@ -202,7 +206,7 @@
 	return nil
 }
 
-// reportUsage logs what the control thread spent its time on.
+// reportUsage logs which events took the control thread's time.
 func (c *Control) reportUsage(time.Time) {
 	u := c.meter.Take()
 	events := make([]string, 0, len(u.Events))
@@ -213,7 +217,7 @@
 		"waited-ms", u.Waited.Milliseconds(), "longest", u.Longest.Event, "longest-ms", u.Longest.Took.Milliseconds(), "events", events)
 }
 
-// Shutdown transfers leadership and ends the process.
+// Shutdown transfers leadership of the log and stops the process. ctx bounds the transfer.
 func (c *Control) Shutdown(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leadershipTransferTimeout)
 	defer cancel()
@@ -228,29 +232,30 @@
 	_ = level.Info(c.logger).Log("event", laburnumlever.EventStopped, "role", "control")
 }
 
-// Heartbeat takes a backend server's heartbeat.
+// Heartbeat records a backend server's heartbeat and relays it to the other control VMs. It returns
+// the address for the next heartbeats, or "" for no change.
 func (c *Control) Heartbeat(_ context.Context, h laburnumlever.Heartbeat) (string, error) {
 	c.relay.addHeartbeat(h, c.recordHeartbeat(h))
 	return c.heartbeatAddress(h), nil
 }
 
-// heartbeatAddress is where a backend server should send later heartbeats: a control VM of its own
-// availability zone. Without it, backend servers stay with the one that answered first, which
-// may end up with most of the connections.
+// heartbeatAddress returns the control VM, in the backend server's own availability zone, to which it
+// should send its next heartbeats. Without this, backend servers stay with the control VM that answered
+// first, and one VM may end up with most of the connections.
 func (c *Control) heartbeatAddress(h laburnumlever.Heartbeat) string {
 	peer := c.source.Nearest(h.Zone, string(h.Backend))
 	host, _, err := net.SplitHostPort(peer)
 	if err != nil {
 		return ""
 	}
-	_, port, err := net.SplitHostPort(c.settings.Listen.Control) // the same on all VMs
+	_, port, err := net.SplitHostPort(c.settings.Listen.Control) // the port is the same on all control VMs
 	if err != nil {
 		return ""
 	}
 	return net.JoinHostPort(host, port)
 }
 
-// Remove takes a backend server's deregistration.
+// Remove deregisters a backend server here and on the other control VMs.
 func (c *Control) Remove(_ context.Context, backend laburnumlever.BackendID) error {
 	c.remove(backend)
 	c.relay.addGone(backend)
@@ -269,7 +274,7 @@
 	return false
 }
 
-// recordUnchanged records a heartbeat that another control VM received and that changed nothing.
+// recordUnchanged records a heartbeat, received by another control VM, without changed content.
 func (c *Control) recordUnchanged(h unchangedHeartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -287,7 +292,7 @@
 	}
 }
 
-// publishRecord publishes a record; mu is held.
+// publishRecord publishes a backend server's record to the feed and the director. The caller holds mu.
 func (c *Control) publishRecord(id laburnumlever.BackendID) {
 	r, ok := c.registry.Record(id)
 	if !ok {
@@ -300,8 +305,8 @@
 		"gone", r.Gone, "silent", r.Silent)
 }
 
-// recordLogger logs a backend server that is new, leaves or falls silent at info level, changes of
-// its models at debug level, since orders are logged anyway.
+// recordLogger returns the logger for a record: info level for a backend server that is new, leaving,
+// silent or gone, and debug level for changes of its models, since orders are logged separately.
 func (c *Control) recordLogger(r laburnumregistry.Record) log.Logger {
 	if r.Gone || r.Silent || r.Heartbeat.Leaving || r.Heartbeat.Sequence <= 1 {
 		return level.Info(c.logger)
@@ -309,7 +314,7 @@
 	return level.Debug(c.logger)
 }
 
-// relayToControls relays recent heartbeats to the other control VMs.
+// relayToControls sends a batch of heartbeats to the other control VMs.
 func (c *Control) relayToControls(batch relayBatch) {
 	encoded, err := json.Marshal(batch)
 	if err != nil {
@@ -350,7 +355,7 @@
 	}
 }
 
-// ApplyRoutes commits a table to the log.
+// ApplyRoutes validates a route table and commits it to the log.
 func (c *Control) ApplyRoutes(ctx context.Context, table laburnumlever.RouteTable) error {
 	if err := laburnumroutes.Check(table); err != nil {
 		_ = level.Info(c.logger).Log("event", laburnumlever.EventRoutesRefused, "version", table.Version, "cause", err)
@@ -367,10 +372,10 @@
 	return err
 }
 
-// voterTarget is how many voters tolerate the loss of some of them with their disks.
+// voterTarget is the number of voters that tolerates a number of lost voters, disks included.
 func voterTarget(losses int) int { return 2*losses + 1 }
 
-// ReadRoutes is a linearizable read of the table; on a VM without a quorum it fails.
+// ReadRoutes is a linearizable read of the route table; it fails without a quorum.
 func (c *Control) ReadRoutes(ctx context.Context) (laburnumlever.RouteTable, error) {
 	result, err := c.propose(ctx, laburnumlever.Command{Kind: laburnumlever.CommandReadRoutes})
 	if err != nil {
@@ -388,7 +393,7 @@
 	return c.voter.Propose(ctx, cmd)
 }
 
-// Learn takes changes from another control VM.
+// Learn applies changes received from another control VM.
 func (c *Control) Learn(_ string, a laburnumfeed.Answer) {
 	for _, vm := range a.Controls {
 		if vm.HasDisk {
@@ -414,10 +419,10 @@
 // RoutesVersion keeps the follower from fetching routes, which come from the log.
 func (c *Control) RoutesVersion() uint64 { return ^uint64(0) }
 
-// News is empty: callers are served by gateways.
+// News is empty: only gateways serve callers and have backend state to report.
 func (c *Control) News() laburnumlever.GatewayNews { return laburnumlever.GatewayNews{} }
 
-// Reload applies changed settings: new seeds are polled beside the known control VMs.
+// Reload applies changed settings: new seeds are polled in addition to the known control VMs.
 func (c *Control) Reload(settings laburnumsettings.Role) {
 	c.reload(settings, c.follower)
 }
--- a/laburnumroles/gateway.go
+++ b/laburnumroles/gateway.go
@@ -16,10 +16,10 @@
 	"github.com/go-kit/log/level"
 )
 
-// kindNotDirector is the kind of a *laburnumdirector.NotDirectorError on the wire.
+// kindNotDirector identifies a *laburnumdirector.NotDirectorError on the wire.
 const kindNotDirector = "not-director"
 
-// sweepPeriod is how often idle connections are closed.
+// sweepPeriod is the interval between sweeps that close idle connections.
 const sweepPeriod = time.Second
 
 // Gateway is a gateway VM's process.
@@ -48,7 +48,8 @@
 	return g
 }
 
-// Start starts the gateway; ready serves the balancer's readiness check.
+// Start starts the gateway. ready makes the handler of the load balancer's readiness check. Errors:
+// *laburnumlever.ListenError.
 func (g *Gateway) Start(ready func(ready func() bool) http.Handler) error {
 	g.follower = laburnumfeed.NewFollower(g.peers, g.timers, g.self, g.seedPeers(), g.fleet,
 		laburnumfeed.WithLogger(g.logger))
@@ -64,11 +65,12 @@
 	return nil
 }
 
-// EnsureLoaded asks the director for an adapter.
+// EnsureLoaded asks the director to load an adapter and returns the engines that hold it. Errors:
+// *laburnumlever.NotFoundError while no director is known, and those of a call to another VM.
 func (g *Gateway) EnsureLoaded(ctx context.Context, need laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
 	address := g.follower.Director()
 	if address == "" {
-		return nil, &laburnumlever.NotFoundError{Kind: "control VM that gives orders", Name: "any"}
+		return nil, &laburnumlever.NotFoundError{Kind: "placement leader", Name: "any"}
 	}
 	var answer adapterNeedAnswer
 	err := g.peers.Call(ctx, address, methodAdapterNeed, need, &answer)
@@ -79,7 +81,7 @@
 	return answer.Backends, err
 }
 
-// Shutdown drains the gateway until ctx ends, and ends it.
+// Shutdown drains the gateway, at most until ctx ends, and stops it.
 func (g *Gateway) Shutdown(ctx context.Context) {
 	g.gateway.Drain(ctx)
 	g.follower.Close()
@@ -87,5 +89,5 @@
 	_ = level.Info(g.logger).Log("event", laburnumlever.EventStopped, "role", "gateway")
 }
 
-// Reload applies changed settings: new seeds are polled beside the known control VMs.
+// Reload applies changed settings: new seeds are polled in addition to the known control VMs.
 func (g *Gateway) Reload(settings laburnumsettings.Role) { g.reload(settings, g.follower) }
--- a/laburnumroles/messages.go
+++ b/laburnumroles/messages.go
@@ -2,27 +2,28 @@
 
 import "laburnumlever"
 
-// Methods between VMs.
+// JSON-RPC methods between VMs.
 const (
 	methodAdapterNeed    = "adapter-need"
 	methodHeartbeatRelay = "heartbeat-relay"
 )
 
-// adapterNeedAnswer names the engines that hold the adapter.
+// adapterNeedAnswer lists the engines that hold the adapter.
 type adapterNeedAnswer struct {
 	Backends []laburnumlever.BackendID `json:"backends"`
 }
 
-// relayBatch are heartbeats that another control VM received.
+// relayBatch is a batch of heartbeats and removals that one control VM relays to the others.
 type relayBatch struct {
-	// Heartbeats are those that changed something.
+	// Heartbeats are the heartbeats with changed content.
 	Heartbeats []laburnumlever.Heartbeat `json:"heartbeats,omitempty"`
-	// Alive are the backend servers whose heartbeats changed nothing.
-	Alive []unchangedHeartbeat      `json:"alive,omitempty"`
-	Gone  []laburnumlever.BackendID `json:"gone,omitempty"`
+	// Alive are the heartbeats without changed content.
+	Alive []unchangedHeartbeat `json:"alive,omitempty"`
+	// Gone are the removed backend servers.
+	Gone []laburnumlever.BackendID `json:"gone,omitempty"`
 }
 
-// unchangedHeartbeat is a heartbeat that changed nothing.
+// unchangedHeartbeat identifies a heartbeat whose content is the same as that of the one before.
 type unchangedHeartbeat struct {
 	Backend  laburnumlever.BackendID `json:"backend"`
 	Born     uint64                  `json:"born,omitempty"`
--- a/laburnumroles/platform_test.go
+++ b/laburnumroles/platform_test.go
@@ -26,11 +26,11 @@
 
 const metricsPort = 7605
 
-// eventuallyTimeout bounds the wait for a cause, far above what a busy machine needs.
+// eventuallyTimeout bounds the wait for a condition; it is far above what a busy machine needs.
 const eventuallyTimeout = 60 * time.Second
 
-// deployment is a small deployment of the platform in this process: control VMs, a gateway,
-// and stand-ins of what is outside, all over loopback.
+// deployment is a small deployment of the platform in this process, over loopback: control VMs, a
+// gateway and stand-ins for backend servers.
 type deployment struct {
 	t        *testing.T
 	net      string
@@ -87,7 +87,7 @@
 	s.t.Cleanup(func() { s.stop(i) })
 }
 
-// stop ends a control VM without a transfer of leadership.
+// stop stops a control VM without a leadership transfer.
 func (s *deployment) stop(i int) {
 	if s.stopped[i] {
 		return
@@ -130,7 +130,7 @@
 	return resp.StatusCode, text
 }
 
-// until repeats a call until it returns the status.
+// until repeats a call until it returns the expected status, and returns the body.
 func (s *deployment) until(status int, what string, call func() (int, []byte)) []byte {
 	var body []byte
 	last := 0
@@ -163,7 +163,7 @@
 		"limits":{"max_header_bytes":16384,"max_body_bytes":4096,"header_timeout_ms":3000,"idle_timeout_ms":15000}}`, version, prefix)
 }
 
-// backendServer stands in for a backend server of the platform: it announces itself, takes
+// backendServer stands in for a backend server of the platform: it announces itself, accepts
 // orders if it is an engine, and answers requests.
 type backendServer struct {
 	deployment *deployment
@@ -185,7 +185,7 @@
 	return x
 }
 
-// announce sends one heartbeat to the control VM given and returns the status.
+// announce sends one heartbeat to a control VM and returns the HTTP status.
 func (x *backendServer) announce(control int) int {
 	document := map[string]any{
 		"service": x.service, "address": strings.TrimPrefix(x.http.URL, "http://"), "zone": "brest", "slots": 8,
@@ -233,8 +233,8 @@
 	_, _ = io.WriteString(w, "confirmed")
 }
 
-// Guards the whole path: first start, a manifest, backend servers, callers, a control VM that dies,
-// a changed manifest, a backend server that leaves.
+// Guards the path from first start to serving: a manifest, backend servers, callers, the loss of a
+// control VM, a changed manifest, a leaving backend server.
 func TestPlatformEndToEnd(t *testing.T) {
 	s := newDeployment(t, 3, 1)
 	put := func(control int, body []byte) func() (int, []byte) {
@@ -273,13 +273,13 @@
 	require.Equal(t, 404, status)
 
 	for i := range 3 {
-		require.Equal(t, string(manifest(7, "confirm")), string(s.until(200, "read", read(i))), "as it was sent")
+		require.Equal(t, string(manifest(7, "confirm")), string(s.until(200, "read", read(i))), "manifest unchanged")
 	}
-	s.until(200, "an older one is acknowledged", put(0, manifest(3, "old")))
-	s.until(200, "other content under the same number", put(0, manifest(7, "other")))
-	require.Equal(t, string(manifest(7, "confirm")), string(s.until(200, "and changes nothing", read(1))))
+	s.until(200, "older manifest is acknowledged", put(0, manifest(3, "old")))
+	s.until(200, "same version with other content is acknowledged", put(0, manifest(7, "other")))
+	require.Equal(t, string(manifest(7, "confirm")), string(s.until(200, "manifest still unchanged", read(1))))
 	for name, bad := range map[string]string{
-		"torn": string(manifest(9, "x"))[:100], "unknown service": strings.Replace(string(manifest(9, "x")), `"service":"rdv"`, `"service":"none"`, 1),
+		"truncated": string(manifest(9, "x"))[:100], "unknown service": strings.Replace(string(manifest(9, "x")), `"service":"rdv"`, `"service":"none"`, 1),
 		"no timeout": strings.Replace(string(manifest(9, "x")), `"timeout_ms":3000`, `"timeout_ms":0`, 1),
 	} {
 		status, _ := put(1, []byte(bad))()
@@ -287,14 +287,14 @@
 	}
 
 	s.stop(0)
-	s.until(200, "a change with one control VM gone", put(1, manifest(12, "visits")))
-	s.until(200, "in force at the gateway", confirm("/visits/x"))
+	s.until(200, "change with one control VM stopped", put(1, manifest(12, "visits")))
+	s.until(200, "in effect at the gateway", confirm("/visits/x"))
 	status, _ = confirm("/confirm/x")()
 	require.Equal(t, 404, status)
 
 	plain.leaving.Store(true)
 	require.Equal(t, 200, plain.announce(2))
-	s.until(503, "nothing goes to one that leaves", confirm("/visits/x"))
+	s.until(503, "no request is sent to a leaving backend server", confirm("/visits/x"))
 	before := plain.arrivals.Load()
 	for range 5 {
 		status, _ = confirm("/visits/x")()
@@ -303,15 +303,15 @@
 	require.Equal(t, before, plain.arrivals.Load())
 }
 
-// checkStatus asks a control VM and the gateway while one backend server of each service is there.
+// checkStatus checks the status of a control VM and the gateway, with one backend server of each service.
 func (s *deployment) checkStatus() {
 	services := []laburnumlever.ServiceStatus{{Service: "rdv", Serving: 1}, {Service: "devis", Serving: 1, Models: 1, Copies: 1}}
-	control := s.status(s.ip(1), "a control VM knows all", func(status laburnumlever.Status) bool {
+	control := s.status(s.ip(1), "control VM knows the whole fleet", func(status laburnumlever.Status) bool {
 		return status.Role.Gateways == 1 && status.Role.Controls == 3 && status.Role.RoutesVersion == 7 && len(status.Voter.Voters) == 3
 	})
 	require.Equal(s.t, "control", control.Role.Role)
 	require.Equal(s.t, services, control.Role.Services)
-	gateway := s.status(s.ip(50), "the gateway knows the director", func(status laburnumlever.Status) bool { return status.Role.Director != "" })
+	gateway := s.status(s.ip(50), "gateway knows the director", func(status laburnumlever.Status) bool { return status.Role.Director != "" })
 	require.Equal(s.t, "gateway", gateway.Role.Role)
 	require.True(s.t, gateway.Role.Ready)
 	require.Equal(s.t, services, gateway.Role.Services)
@@ -320,7 +320,7 @@
 	require.Contains(s.t, string(text), "laburnumlever_requests")
 }
 
-// Guards against losing confirmed changes while the log grows to the voters that bear two losses.
+// Guards against losing acknowledged changes while the log grows to the voters that tolerate two losses.
 func TestAcknowledgedChangeSurvivesTwoLostDisks(t *testing.T) {
 	s := newDeployment(t, 5, 2)
 	s.until(200, "first manifest", func() (int, []byte) {
@@ -331,16 +331,16 @@
 		s.folders[i] = t.TempDir()
 		s.startControl(i, 2, false)
 	}
-	body := s.until(200, "read after the loss", func() (int, []byte) {
+	body := s.until(200, "read after two lost disks", func() (int, []byte) {
 		return s.call("GET", "http://"+s.control(0)+"/v1/config", nil)
 	})
 	require.Equal(t, string(manifest(7, "confirm")), string(body))
-	s.until(200, "a change after the loss", func() (int, []byte) {
+	s.until(200, "change after two lost disks", func() (int, []byte) {
 		return s.call("PUT", "http://"+s.control(1)+"/v1/config", manifest(8, "visits"))
 	})
 }
 
-// Guards against reads of an outdated manifest on a control VM without a quorum.
+// Guards against stale reads of the manifest on a control VM without a quorum.
 func TestControlVMWithoutQuorumRefusesReadsAndChanges(t *testing.T) {
 	s := newDeployment(t, 3, 1)
 	s.until(200, "first manifest", func() (int, []byte) {
@@ -356,8 +356,8 @@
 	}
 }
 
-// BenchmarkHeartbeat is the processor time of a heartbeat on a control VM, from the call's bytes to
-// the answer.
+// BenchmarkHeartbeat measures the processor time of a heartbeat on a control VM, from the request's
+// bytes to the response.
 func BenchmarkHeartbeat(b *testing.B) {
 	settings := laburnumsettings.Role{
 		VM: "127.0.0.1", Zone: "brest", PeerPort: 7600, Seeds: []string{"127.0.0.1:7601"}, DataFolder: b.TempDir(),
--- a/laburnumroles/process.go
+++ b/laburnumroles/process.go
@@ -19,11 +19,11 @@
 	"golang.org/x/net/netutil"
 )
 
-// headerTimeout closes connections that never send a whole request.
+// headerTimeout bounds the time for a request's headers, so that half-open connections are closed.
 const headerTimeout = 5 * time.Second
 
-// idleTimeout is about three heartbeats. Backend servers that turned to another control VM leave
-// their connections open, and thousands of them exhaust a control VM's memory.
+// idleTimeout is a few heartbeat periods. Backend servers that switched to another control VM leave
+// their connections open, and thousands of these exhaust a control VM's memory.
 const idleTimeout = 4 * time.Second
 
 // process is the part common to both kinds of VM.
@@ -35,22 +35,22 @@
 	self     laburnumlever.VM
 	peers    *laburnumpeer.Peers
 	servers  []*http.Server
-	// peerListener is closed before the links, so that a restarted process finds the address free.
+	// peerListener is closed before the links, so that the address is free for a restarted process.
 	peerListener net.Listener
 }
 
-// Option changes a new process.
+// Option configures a process.
 type Option func(*process)
 
-// WithLogger sets the log; without it nothing is logged.
+// WithLogger sets the logger; the default discards everything.
 func WithLogger(logger log.Logger) Option { return func(p *process) { p.logger = logger } }
 
-// WithMetrics sets the process's metrics.
+// WithMetrics sets the metrics; the default is a new laburnummetrics.Metrics.
 func WithMetrics(metrics *laburnummetrics.Metrics) Option {
 	return func(p *process) { p.metrics = metrics }
 }
 
-// WithTimers sets the timer service; the default is the machine's clock.
+// WithTimers sets the timer service; the default uses the machine's clock.
 func WithTimers(timers laburnumlever.Timers) Option {
 	return func(p *process) { p.timers = timers }
 }
@@ -90,7 +90,7 @@
 	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 }
 
-// serve listens on an address and serves it; an empty one is not served.
+// serve listens on an address and serves it; with an empty address it does nothing.
 func (p *process) serve(name, address string, server *http.Server) error {
 	if address == "" {
 		return nil
@@ -103,7 +103,6 @@
 	return nil
 }
 
-// serveOn serves a listener.
 func (p *process) serveOn(ln net.Listener, name string, server *http.Server) {
 	p.servers = append(p.servers, server)
 	go func() {
@@ -113,20 +112,20 @@
 	}()
 }
 
-// backendConnectionShare of a process's descriptors is for backend servers and operators. After an outage
-// thousands of backend servers try one control VM after the other; connections over the share
-// wait in the accept queue, so that gateways and control VMs can still connect.
+// backendConnectionShare is the share of a process's file descriptors available to backend servers and
+// operators. After an outage thousands of backend servers try one control VM after the other;
+// connections over the share wait in the accept queue, so that gateways and control VMs can still connect.
 const backendConnectionShare = 0.5
 
 const (
-	// peerHandlerShare of a process's descriptors bounds concurrent calls of other VMs: each VM has one
-	// connection with one or two polls on it.
+	// peerHandlerShare is the share of a process's file descriptors that bounds concurrent calls from
+	// other VMs: each VM has one connection with one or two long polls on it.
 	peerHandlerShare = 0.25
-	// minPeerHandlers is the same without a setting for descriptors.
+	// minPeerHandlers is the least bound; it applies when the number of descriptors is not set.
 	minPeerHandlers = 512
 )
 
-// serveBackends is serve for the listener of backend servers and operators.
+// serveBackends serves backend servers and operators, with the limit of backendConnectionShare.
 func (p *process) serveBackends(name, address string, server *http.Server) error {
 	ln, err := listen(name, address)
 	if err != nil {
@@ -139,7 +138,7 @@
 	return nil
 }
 
-// servePeers listens for the other VMs.
+// servePeers serves calls from the other VMs.
 func (p *process) servePeers() error {
 	ln, err := listen("peers", p.settings.PeerListen())
 	if err != nil {
@@ -173,8 +172,7 @@
 	_ = p.peers.Close()
 }
 
-// reload applies changed settings: the seeds. Listeners and the data folder can't change while
-// the process runs.
+// reload applies changed seeds. Listeners and the data folder can't change while the process runs.
 func (p *process) reload(settings laburnumsettings.Role, follower *laburnumfeed.Follower) {
 	for _, v := range settings.SeedVoters() {
 		follower.Follow(v.PeerAddress)
--- a/laburnumroles/process_internal_test.go
+++ b/laburnumroles/process_internal_test.go
@@ -12,12 +12,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against reconnecting backend servers that take all descriptors of a control VM.
+// Guards against reconnecting backend servers that use up all descriptors of a control VM.
 func TestBackendServersCannotExhaustDescriptors(t *testing.T) {
 	const (
 		address = "127.0.0.1:17391"
 		all     = 40 // connections
-		share   = 2  // of the descriptors
+		share   = 2  // connections served at once
 	)
 	p := process{settings: laburnumsettings.Role{Descriptors: 2 * share}, logger: log.NewNopLogger()}
 	require.NoError(t, p.serveBackends("control", address, newServer(http.NotFoundHandler())))
@@ -38,7 +38,7 @@
 	}
 	served := []net.Conn{<-answered, <-answered}
 	for range all - share {
-		require.Empty(t, answered, "more are served at once than the share")
+		require.Empty(t, answered, "more connections are served at once than the share allows")
 		require.NoError(t, served[0].Close())
 		served = append(served[1:], <-answered)
 	}
--- a/laburnumroles/relay.go
+++ b/laburnumroles/relay.go
@@ -8,9 +8,9 @@
 	"laburnumlever/laburnumtimer"
 )
 
-// relayPeriod batches heartbeats for the other control VMs: a fortieth of the two seconds in which
-// a leaving backend server must be known everywhere. One message for each heartbeat would make
-// each control VM's work grow with the whole fleet's heartbeats.
+// relayPeriod is the shortest interval between batches to the other control VMs: a fortieth of the two
+// seconds within which every control VM must know of a leaving backend server. With one message for
+// each heartbeat, each control VM's message rate would grow with the number of backend servers.
 const relayPeriod = 50 * time.Millisecond
 
 // relay batches heartbeats for the other control VMs. It is safe for concurrent use.
@@ -28,7 +28,7 @@
 	return r
 }
 
-// addHeartbeat relays a heartbeat, whole if it changed something.
+// addHeartbeat adds a heartbeat to the batch: in full if its content changed, else only its sequence.
 func (r *relay) addHeartbeat(h laburnumlever.Heartbeat, changed bool) {
 	r.mu.Lock()
 	if changed {
@@ -40,7 +40,7 @@
 	r.coalescer.Poke()
 }
 
-// addGone relays a tombstone.
+// addGone adds the removal of a backend server to the batch.
 func (r *relay) addGone(id laburnumlever.BackendID) {
 	r.mu.Lock()
 	r.pending.Gone = append(r.pending.Gone, id)
--- a/laburnumroles/relay_test.go
+++ b/laburnumroles/relay_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a relayed message for each heartbeat that changed nothing.
+// Guards against one relay message for each heartbeat without changed content.
 func TestRelayBatchesHeartbeats(t *testing.T) {
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
 	var sent []relayBatch
 	r := newRelay(timers, func(batch relayBatch) { sent = append(sent, batch) })
 	r.addHeartbeat(laburnumlever.Heartbeat{Backend: "i-1", Sequence: 1}, true)
 	timers.Advance(0)
-	require.Len(t, sent, 1, "the first news after a pause goes out at once")
+	require.Len(t, sent, 1, "the first batch after a pause is sent at once")
 	for sequence := uint64(2); sequence <= 100; sequence++ {
 		r.addHeartbeat(laburnumlever.Heartbeat{Backend: "i-1", Sequence: sequence}, false)
 	}
@@ -30,5 +30,5 @@
 	require.Equal(t, []laburnumlever.Heartbeat{{Backend: "i-2", Sequence: 4, Leaving: true}}, sent[1].Heartbeats)
 	require.Equal(t, []laburnumlever.BackendID{"i-3"}, sent[1].Gone)
 	timers.Advance(time.Minute)
-	require.Len(t, sent, 2, "nothing heard, nothing sent")
+	require.Len(t, sent, 2, "no heartbeat, no batch")
 }
--- a/laburnumroles/status.go
+++ b/laburnumroles/status.go
@@ -9,33 +9,33 @@
 	"github.com/go-kit/log/level"
 )
 
-// Paths of the listener for metrics.
+// Paths of the metrics listener.
 const (
 	metricsPath = "/metrics"
 	statusPath  = "/status"
 )
 
-// serveMetrics serves the metrics and the status. A port in use is logged, and the process serves
-// callers without them.
+// serveMetrics serves the metrics and the status. If the port is in use, it logs this and the process
+// runs without them.
 func (p *process) serveMetrics(status func() laburnumlever.Status) {
 	if err := p.serve("metrics", p.settings.MetricsAddress(), newServer(p.metricsHandler(status))); err != nil {
 		_ = level.Error(p.logger).Log("event", laburnumlever.EventMetricsNotServed, "cause", err)
 	}
 }
 
-// metricsHandler answers operators; any path but that of the status gets the metrics.
+// metricsHandler serves the status at statusPath and the metrics at every other path.
 func (p *process) metricsHandler(status func() laburnumlever.Status) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", p.metrics.Handler())
 	mux.Handle(metricsPath, p.metrics.Handler())
 	mux.HandleFunc("GET "+statusPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(status()) // an error means that the asker is gone
+		_ = json.NewEncoder(w).Encode(status()) // an error means that the client disconnected
 	})
 	return mux
 }
 
-// status is what the gateway knows of itself and of the fleet.
+// status returns the gateway's own state and its view of the fleet.
 func (g *Gateway) status() laburnumlever.Status {
 	role := g.fleet.Status()
 	role.Role, role.VM, role.Zone = "gateway", g.self.ID, g.self.Zone
@@ -43,7 +43,7 @@
 	return laburnumlever.Status{Role: &role}
 }
 
-// status is what the control VM knows of itself and of the fleet.
+// status returns the control VM's own state and its view of the fleet.
 func (c *Control) status() laburnumlever.Status {
 	role := laburnumlever.RoleStatus{Role: "control", VM: c.self.ID, Zone: c.self.Zone, Director: string(c.source.Director())}
 	role.Gateways, role.Controls = c.source.Gateways(), len(c.source.Controls())+1
