--- a/laburnumnode/backendhandler.go
+++ b/laburnumnode/backendhandler.go
@@ -9,18 +9,18 @@
 	"laburnumlever"
 )
 
-// maxNewsBytes bounds one message of a backend server: an inventory of a few
+// maxMessageBytes bounds one message of a backend server: an inventory of a few
 // hundred models with their adapters is well under it.
-const maxNewsBytes = 1 << 20
+const maxMessageBytes = 1 << 20
 
-// leaveNews is a backend server's word that it takes no new work.
-type leaveNews struct {
+// leaveRequest is a backend server's word that it takes no new work.
+type leaveRequest struct {
 	Backend     laburnumlever.BackendID `json:"backend"`
 	Incarnation uint64                  `json:"incarnation"`
 }
 
-// newsError is the body of a refusal to a backend server.
-type newsError struct {
+// errorResponse is the body of a refusal to a backend server.
+type errorResponse struct {
 	Type    string `json:"type"`
 	Message string `json:"message"`
 }
@@ -29,27 +29,27 @@
 func newBackendHandler(registry laburnumlever.BackendRegistry) (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
-	app.Use(iris.LimitRequestBodySize(maxNewsBytes))
+	app.Use(iris.LimitRequestBodySize(maxMessageBytes))
 	app.Post("/backend/announce", func(ctx iris.Context) {
 		var a laburnumlever.Announcement
-		if !readNews(ctx, &a) {
+		if !readMessage(ctx, &a) {
 			return
 		}
-		answerNews(ctx, registry.Announce(ctx.Request().Context(), a))
+		writeResult(ctx, registry.Announce(ctx.Request().Context(), a))
 	})
 	app.Post("/backend/report", func(ctx iris.Context) {
 		var r laburnumlever.LoadReport
-		if !readNews(ctx, &r) {
+		if !readMessage(ctx, &r) {
 			return
 		}
-		answerNews(ctx, registry.Report(ctx.Request().Context(), r))
+		writeResult(ctx, registry.Report(ctx.Request().Context(), r))
 	})
 	app.Post("/backend/leave", func(ctx iris.Context) {
-		var l leaveNews
-		if !readNews(ctx, &l) {
+		var l leaveRequest
+		if !readMessage(ctx, &l) {
 			return
 		}
-		answerNews(ctx, registry.Leave(ctx.Request().Context(), l.Backend, l.Incarnation))
+		writeResult(ctx, registry.Leave(ctx.Request().Context(), l.Backend, l.Incarnation))
 	})
 	if err := app.Build(); err != nil {
 		return nil, &laburnumlever.StartError{Part: "backends handler", Cause: err}
@@ -57,29 +57,29 @@
 	return app, nil
 }
 
-func readNews(ctx iris.Context, news any) bool {
-	if err := ctx.ReadJSON(news); err != nil {
-		refuseNews(ctx, http.StatusBadRequest, "bad-request", err)
+func readMessage(ctx iris.Context, message any) bool {
+	if err := ctx.ReadJSON(message); err != nil {
+		writeError(ctx, http.StatusBadRequest, "bad-request", err)
 		return false
 	}
 	return true
 }
 
-func answerNews(ctx iris.Context, err error) {
+func writeResult(ctx iris.Context, err error) {
 	var stale *laburnumlever.StaleNewsError
 	var invalid *laburnumlever.InvalidValueError
 	switch {
 	case err == nil:
 		ctx.StatusCode(http.StatusNoContent)
 	case errors.As(err, &stale):
-		refuseNews(ctx, http.StatusConflict, "stale-news", err)
+		writeError(ctx, http.StatusConflict, "stale-news", err)
 	case errors.As(err, &invalid):
-		refuseNews(ctx, http.StatusBadRequest, "invalid-value", err)
+		writeError(ctx, http.StatusBadRequest, "invalid-value", err)
 	default:
-		refuseNews(ctx, http.StatusServiceUnavailable, "unavailable", err)
+		writeError(ctx, http.StatusServiceUnavailable, "unavailable", err)
 	}
 }
 
-func refuseNews(ctx iris.Context, status int, kind string, err error) {
-	_ = ctx.StopWithJSON(status, newsError{Type: kind, Message: err.Error()})
+func writeError(ctx iris.Context, status int, kind string, err error) {
+	_ = ctx.StopWithJSON(status, errorResponse{Type: kind, Message: err.Error()})
 }
--- a/laburnumnode/fleet_test.go
+++ b/laburnumnode/fleet_test.go
@@ -20,9 +20,9 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// eventuallyLimit is when a test gives up on a cause: far above what a busy machine
+// eventuallyTimeout is when a test gives up on a cause: far above what a busy machine
 // needs, since nothing is proved by it.
-const eventuallyLimit = 30 * time.Second
+const eventuallyTimeout = 30 * time.Second
 
 // fleet is a handful of nodes and stand-ins in this process, over loopback.
 type fleet struct {
@@ -100,7 +100,7 @@
 	f.t.Cleanup(func() { f.service.Close(); ln.Close() })
 }
 
-func carpetCatalogue() laburnumlever.Catalogue {
+func testCatalogue() laburnumlever.Catalogue {
 	return laburnumlever.Catalogue{
 		Deployment: laburnumlever.Deployment{
 			Name: "armor-pose", Zones: []laburnumlever.ZoneName{"rennes-a"}, MoveCost: 1,
@@ -126,31 +126,31 @@
 // eventually waits for a cause, polling what the caller would see.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	require.Eventually(t, ok, eventuallyLimit, 10*time.Millisecond, what)
+	require.Eventually(t, ok, eventuallyTimeout, 10*time.Millisecond, what)
 }
 
 func (f *fleet) apply(node int, changeID string, revision uint64) (laburnumlever.ApplyAnswer, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	return f.nodes[node].Apply(ctx, laburnumlever.ApplyRequest{ApplyCatalogue: laburnumlever.ApplyCatalogue{
-		ChangeID: changeID, ExpectedRevision: revision, Catalogue: carpetCatalogue(),
+		ChangeID: changeID, ExpectedRevision: revision, Catalogue: testCatalogue(),
 	}})
 }
 
-// applyOnceKnown applies the catalogue as soon as the engines have announced
+// applyWhenEnginesKnown applies the catalogue as soon as the engines have announced
 // themselves, since one that does not fit yet is refused.
-func (f *fleet) applyOnceKnown(node int) {
+func (f *fleet) applyWhenEnginesKnown(node int) {
 	var last error
 	require.Eventuallyf(f.t, func() bool {
 		_, last = f.apply(node, "change-1", 0)
 		return last == nil
-	}, eventuallyLimit, 10*time.Millisecond, "catalogue accepted; last refusal: %v", lazily(func() error { return last }))
+	}, eventuallyTimeout, 10*time.Millisecond, "catalogue accepted; last refusal: %v", lazyError(func() error { return last }))
 }
 
-// lazily formats an error as it is when the message is made.
-type lazily func() error
+// lazyError formats an error as it is when the message is made.
+type lazyError func() error
 
-func (l lazily) String() string { return fmt.Sprint(l()) }
+func (l lazyError) String() string { return fmt.Sprint(l()) }
 
 func (f *fleet) waitServing(node int) {
 	eventually(f.t, "model served", func() bool {
--- a/laburnumnode/listeners.go
+++ b/laburnumnode/listeners.go
@@ -22,7 +22,7 @@
 
 func openListeners(ctx context.Context, listen laburnumsettings.Listen) (*listeners, error) {
 	l := &listeners{}
-	for _, one := range []struct {
+	for _, spec := range []struct {
 		name, address string
 		into          *net.Listener
 	}{
@@ -32,12 +32,12 @@
 		{"peers", listen.Peers, &l.peers},
 	} {
 		var cfg net.ListenConfig
-		ln, err := cfg.Listen(ctx, "tcp", one.address)
+		ln, err := cfg.Listen(ctx, "tcp", spec.address)
 		if err != nil {
 			l.close()
-			return nil, &laburnumlever.ListenError{Name: one.name, Address: one.address, Cause: err}
+			return nil, &laburnumlever.ListenError{Name: spec.name, Address: spec.address, Cause: err}
 		}
-		*one.into = ln
+		*spec.into = ln
 	}
 	return l, nil
 }
--- a/laburnumnode/node_test.go
+++ b/laburnumnode/node_test.go
@@ -22,9 +22,9 @@
 // An operator applies a catalogue through one VM; the model is loaded by orders;
 // a caller gets a streamed completion through each VM; a booking sent twice with
 // one key through two VMs runs once.
-func TestWholePath(t *testing.T) {
+func TestEndToEnd(t *testing.T) {
 	f := newFleet(t, 3)
-	f.applyOnceKnown(0)
+	f.applyWhenEnginesKnown(0)
 	for i := range f.nodes {
 		f.waitServing(i)
 		got := f.post(i, "/v1/completions", completion{Model: "quote-small", Prompt: "oak floor, 20 m2", MaxTokens: 5, Stream: true}, nil)
@@ -50,9 +50,9 @@
 
 // A resend of an accepted change gets the same answer, and an operator who holds
 // an old revision gets the conflict with the current one.
-func TestApplyResentAndRaced(t *testing.T) {
+func TestApplyResendAndConflict(t *testing.T) {
 	f := newFleet(t, 1)
-	f.applyOnceKnown(0)
+	f.applyWhenEnginesKnown(0)
 	again, err := f.apply(0, "change-1", 0)
 	require.NoError(t, err)
 	require.True(t, again.Repeated)
@@ -64,7 +64,7 @@
 // whole answer, and the next request is refused as not run.
 func TestShutdownFinishesStreams(t *testing.T) {
 	f := newFleet(t, 1)
-	f.applyOnceKnown(0)
+	f.applyWhenEnginesKnown(0)
 	f.waitServing(0)
 	got := make(chan answer)
 	go func() {
@@ -80,9 +80,9 @@
 
 // A VM is stopped in good order. The others must hear that it left, not find out by
 // their probes: until then they would send it calls and hold its zone's lease for lost.
-func TestStoppedVMIsKnownToHaveLeft(t *testing.T) {
+func TestShutdownIsSeenAsLeft(t *testing.T) {
 	f := newFleet(t, 3)
-	f.applyOnceKnown(0)
+	f.applyWhenEnginesKnown(0)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	require.NoError(t, f.nodes[2].Shutdown(ctx))
--- a/laburnumnode/operations.go
+++ b/laburnumnode/operations.go
@@ -19,7 +19,7 @@
 		return laburnumlever.ApplyAnswer{Revision: view.Catalogue.Revision, Warnings: warnings}, fitErr
 	}
 	if fitErr != nil {
-		return n.repeatedOr(ctx, req, fitErr)
+		return n.resentOr(ctx, req, fitErr)
 	}
 	result, err := n.propose(ctx, req.ApplyCatalogue)
 	if err != nil {
@@ -28,10 +28,10 @@
 	return applyAnswer(req.ApplyCatalogue, result, warnings)
 }
 
-// repeatedOr answers a resend of an accepted change as accepted even if the fleet
+// resentOr answers a resend of an accepted change as accepted even if the fleet
 // has shrunk since and the change would be refused today: otherwise an operator
 // who lost the first answer would take an accepted change for a refused one.
-func (n *Node) repeatedOr(ctx context.Context, req laburnumlever.ApplyRequest, fitErr error) (laburnumlever.ApplyAnswer, error) {
+func (n *Node) resentOr(ctx context.Context, req laburnumlever.ApplyRequest, fitErr error) (laburnumlever.ApplyAnswer, error) {
 	result, err := n.propose(ctx, req.WithAskOnly(true))
 	if err == nil && result.Code == laburnumlever.ResultRepeated {
 		return applyAnswer(req.ApplyCatalogue, result, nil)
--- a/laburnumnode/publisher_internal_test.go
+++ b/laburnumnode/publisher_internal_test.go
@@ -14,7 +14,7 @@
 // Thousands of backend servers report all the time, and a view of them takes 5 ms to
 // build. If each report made a view, the control thread would do nothing else; the
 // heartbeats behind them in its queue would be late and the VM taken for dead.
-func TestViewsTakeABoundedShareOfTheControlThread(t *testing.T) {
+func TestViewRebuildsAreRateLimited(t *testing.T) {
 	const cost = 5 * time.Millisecond
 	timers := laburnumtimer.NewManual(time.Unix(0, 0))
 	loop := laburnumcontrol.New()
--- a/laburnumnode/shutdown.go
+++ b/laburnumnode/shutdown.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// closeTimeout bounds the farewell to the other VMs after the last request.
-	closeTimeout = 3 * time.Second
-	// leaveTime is how long the word of leaving gets to spread before the links
+	// handOverTimeout bounds the farewell to the other VMs after the last request.
+	handOverTimeout = 3 * time.Second
+	// leaveGossipTime is how long the word of leaving gets to spread before the links
 	// close; cut short, the others would find out by their probes, seconds later.
-	leaveTime = time.Second
+	leaveGossipTime = time.Second
 )
 
 // Shutdown ends the node in order: the readiness check fails first, so that the
@@ -22,14 +22,14 @@
 // in flight finish, up to the settings' limit; only then the VM hands over what it
 // holds and leaves. Cancelling ctx ends at once. Errors: *ShutdownError.
 func (n *Node) Shutdown(ctx context.Context) error {
-	n.onControl(func() {
+	n.runOnControlThread(func() {
 		n.notReady = notReadyDraining
 		n.publisher.markDirty()
 	})
 	n.log(level.InfoValue(), "msg", "draining", "grace", n.settings.Shutdown.Grace)
 	laburnumtimer.Wait(ctx.Done(), n.timers, time.Duration(n.settings.Shutdown.Grace))
 	err := n.drain(ctx)
-	n.farewell()
+	n.handOver()
 	n.Close()
 	return err
 }
@@ -56,19 +56,19 @@
 }
 
 func (n *Node) drain(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, time.Duration(n.settings.Shutdown.Limit))
+	drainCtx, cancel := context.WithTimeout(ctx, time.Duration(n.settings.Shutdown.Limit))
 	defer cancel()
-	if err := n.proxy.Drain(limited); err != nil {
+	if err := n.proxy.Drain(drainCtx); err != nil {
 		return &ShutdownError{InFlight: n.proxy.InFlight(), Cause: err}
 	}
 	return nil
 }
 
-// farewell hands over what the VM holds: the zone lease, the leadership of the log,
+// handOver hands over what the VM holds: the zone lease, the leadership of the log,
 // its place in the membership. Each step only saves the others a timeout, so a
 // failure is logged and the end goes on.
-func (n *Node) farewell() {
-	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
+func (n *Node) handOver() {
+	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
 	n.owner.Close()
 	if err := n.voter.HandOver(ctx); err != nil {
@@ -76,7 +76,7 @@
 	}
 	n.membership.LeaveFleet()
 	if len(n.publisher.View().VMs) > 1 {
-		laburnumtimer.Wait(ctx.Done(), n.timers, leaveTime)
+		laburnumtimer.Wait(ctx.Done(), n.timers, leaveGossipTime)
 	}
 }
 
--- a/laburnumnode/tls_test.go
+++ b/laburnumnode/tls_test.go
@@ -45,10 +45,10 @@
 // The VMs of a fleet talk by mutual TLS. A VM with a certificate of its own making
 // names them as its seeds: it must get neither their catalogue nor a place among
 // them, and be not ready rather than wrong; the fleet goes on.
-func TestFleetWithTLSTurnsAStrangerAway(t *testing.T) {
+func TestFleetRejectsForeignCertificate(t *testing.T) {
 	files := selfSigned(t)
 	f := newFleet(t, 3, func(s *laburnumsettings.Settings) { s.TLS = files })
-	f.applyOnceKnown(0)
+	f.applyWhenEnginesKnown(0)
 	for i := range f.nodes {
 		f.waitServing(i)
 	}
@@ -68,7 +68,7 @@
 	require.Len(t, f.nodes[0].Status().View.VMs, 3)
 }
 
-func TestWrongTLSFilesShowAtTheStart(t *testing.T) {
+func TestWrongTLSFilesFailAtStart(t *testing.T) {
 	settings := laburnumsettings.Default()
 	settings.VM, settings.TLS = "a", selfSigned(t)
 	settings.TLS.Key = filepath.Join(t.TempDir(), "none.pem")
--- a/laburnumnode/wiring.go
+++ b/laburnumnode/wiring.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	n.publisher.publish()
-	n.buildTraffic()
+	n.buildProxyAndOwner()
 	return nil
 }
 
@@ -86,7 +86,7 @@
 func (n *Node) buildVoter() error {
 	voter, err := laburnumvoter.New(n.loop, n.timers, n.peers, n.self,
 		laburnumvoter.WithDataFolder(n.settings.DataFolder),
-		laburnumvoter.WithVoters(n.firstVoters()),
+		laburnumvoter.WithVoters(n.initialVoters()),
 		laburnumvoter.WithCandidates(n.voterCandidates),
 		laburnumvoter.WithLogger(n.logger),
 		laburnumvoter.WithScope(n.metrics.Scope()),
@@ -99,9 +99,9 @@
 	return nil
 }
 
-// firstVoters are those of the settings. A VM with a disk that is told of no voters
+// initialVoters are those of the settings. A VM with a disk that is told of no voters
 // and of no other VM is alone, as in the quickstart, and starts a log of its own.
-func (n *Node) firstVoters() []laburnumlever.Voter {
+func (n *Node) initialVoters() []laburnumlever.Voter {
 	alone := len(n.settings.Voters) == 0 && len(n.settings.Seeds) == 0
 	if alone && n.self.HasDisk {
 		return []laburnumlever.Voter{{VM: n.self.ID, PeerAddress: n.self.PeerAddress}}
@@ -120,7 +120,7 @@
 	return candidates
 }
 
-func (n *Node) buildTraffic() {
+func (n *Node) buildProxyAndOwner() {
 	scope := n.metrics.Scope()
 	n.proxy = laburnumproxy.New(n.publisher, n.timers, n.voter,
 		laburnumproxy.WithLogger(n.logger),
@@ -139,19 +139,19 @@
 	n.membership.Start()
 	n.spread.Start()
 	n.owner.Start()
-	n.onControl(func() {
+	n.runOnControlThread(func() {
 		n.notReady = ""
 		n.publisher.markDirty()
 	})
-	n.cancels = append(n.cancels, n.timers.Every(demandPeriod, n.shareDemand))
+	n.cancels = append(n.cancels, n.timers.Every(demandPeriod, n.publishDemand))
 }
 
-// shareDemand hands the membership what this VM's callers asked for, and whether
+// publishDemand hands the membership what this VM's callers asked for, and whether
 // this VM owns its zone, so that the zones' owners hear of both.
-func (n *Node) shareDemand(time.Time) {
+func (n *Node) publishDemand(time.Time) {
 	rows := n.proxy.Demand()
 	owns := n.owner.Owns()
-	n.loop.Post(runner{}, run{work: func() {
+	n.loop.Post(workRunner{}, workEvent{work: func() {
 		n.membership.SetDemand(rows)
 		if n.membership.Self().OwnsZone != owns {
 			n.membership.SetSelf(func(vm laburnumlever.VM) laburnumlever.VM { return vm.WithOwnsZone(owns) })
@@ -207,30 +207,30 @@
 	}
 }
 
-// onControl runs work on the control thread and waits for it.
-func (n *Node) onControl(work func()) {
+// runOnControlThread runs work on the control thread and waits for it.
+func (n *Node) runOnControlThread(work func()) {
 	done := make(chan struct{})
-	n.loop.Post(runner{}, run{work: work, done: done})
+	n.loop.Post(workRunner{}, workEvent{work: work, done: done})
 	select {
 	case <-done:
 	case <-n.loop.Done():
 	}
 }
 
-// run is the node's own work on the control thread; done may be nil.
-type run struct {
+// workEvent is the node's own work on the control thread; done may be nil.
+type workEvent struct {
 	work func()
 	done chan struct{}
 }
 
 // EventName names the event.
-func (run) EventName() string { return "run" }
+func (workEvent) EventName() string { return "run" }
 
-type runner struct{}
+type workRunner struct{}
 
 // Handle runs the work.
-func (runner) Handle(ev laburnumlever.Event) {
-	r, ok := ev.(run)
+func (workRunner) Handle(ev laburnumlever.Event) {
+	r, ok := ev.(workEvent)
 	if !ok {
 		return
 	}
