--- a/laburnumnode/backendhandler.go
+++ b/laburnumnode/backendhandler.go
@@ -9,23 +9,24 @@
 	"laburnumlever"
 )
 
-// maxMessageBytes bounds one message of a backend server: an inventory of a few
-// hundred models with their adapters is well under it.
+// maxMessageBytes bounds the body of a backend server's request. The inventory of an
+// engine with a few hundred models and their adapters is well below it.
 const maxMessageBytes = 1 << 20
 
-// leaveRequest is a backend server's word that it takes no new work.
+// leaveRequest announces that a backend server accepts no new work.
 type leaveRequest struct {
 	Backend     laburnumlever.BackendID `json:"backend"`
 	Incarnation uint64                  `json:"incarnation"`
 }
 
-// errorResponse is the body of a refusal to a backend server.
+// errorResponse is the body of an error response to a backend server.
 type errorResponse struct {
 	Type    string `json:"type"`
 	Message string `json:"message"`
 }
 
-// newBackendHandler serves the paths where backend servers announce themselves.
+// newBackendHandler returns the handler through which backend servers announce
+// themselves, report their load and leave. Errors: *laburnumlever.StartError.
 func newBackendHandler(registry laburnumlever.BackendRegistry) (http.Handler, error) {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
--- a/laburnumnode/doc.go
+++ b/laburnumnode/doc.go
@@ -1,18 +1,20 @@
-// Package laburnumnode puts one entry VM's process together: it listens, wires
-// the parts to the control thread, publishes the view that traffic reads, and ends
-// in order.
+// Package laburnumnode assembles the process of one entry VM: it opens the listeners,
+// connects the components to the control thread, publishes the view that the proxy
+// reads, and shuts down gracefully.
 //
 // # Usage
 //
 //	node, err := laburnumnode.New(settings, laburnumnode.WithLogger(logger))
 //	err = node.Start()
 //	…
-//	err = node.Shutdown(ctx) // graceful; cancel ctx to end at once
+//	err = node.Shutdown(ctx) // graceful; cancel ctx to skip the drain
 //
-// The way of the data: backend servers announce themselves to the backends
-// listener; membership spreads what they say; an operator's catalogue goes through
-// the replicated log (laburnumvoter) and from there to every VM (laburnumspread);
-// the control thread builds one immutable View out of both and stores it; callers'
-// requests read it in laburnumproxy. The zone's owner (laburnumorder) compares it
-// with what the engines hold and sends orders.
+// # Data flow
+//
+// Backend servers announce themselves on the backends listener, and laburnummembership
+// gossips their state to the other VMs. An operator's catalogue is committed to the
+// replicated log (laburnumvoter) and distributed to every VM (laburnumspread). The
+// control thread builds one immutable View from both; laburnumproxy routes callers'
+// requests by it. The zone's owner (laburnumorder) compares it with the engines'
+// inventories and sends load and unload orders.
 package laburnumnode
--- a/laburnumnode/errors.go
+++ b/laburnumnode/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// ShutdownError is a shutdown whose limit passed with requests still in flight.
+// ShutdownError reports that the shutdown limit passed with requests in flight.
 type ShutdownError struct {
 	InFlight int
 	Cause    error
--- a/laburnumnode/fleet_test.go
+++ b/laburnumnode/fleet_test.go
@@ -20,11 +20,11 @@
 	"laburnumlever/laburnumstandin"
 )
 
-// eventuallyTimeout is when a test gives up on a cause: far above what a busy machine
-// needs, since nothing is proved by it.
+// eventuallyTimeout bounds the wait for a condition. It is far above what a busy machine
+// needs, since no test checks a duration by it.
 const eventuallyTimeout = 30 * time.Second
 
-// fleet is a handful of nodes and stand-ins in this process, over loopback.
+// fleet is a set of nodes and stand-in backend servers in this process, over loopback.
 type fleet struct {
 	t       *testing.T
 	nodes   []*laburnumnode.Node
@@ -32,8 +32,8 @@
 	service *laburnumstandin.Service
 }
 
-// newFleet starts n nodes, all in one zone and all voters, two engines and a
-// plain service that announce themselves to every node.
+// newFleet starts n nodes, all voters in one zone, and two engines and a plain service
+// that announce themselves to every node.
 func newFleet(t *testing.T, n int, change ...func(*laburnumsettings.Settings)) *fleet {
 	t.Helper()
 	f := &fleet{t: t}
@@ -123,7 +123,7 @@
 	}
 }
 
-// eventually waits for a cause, polling what the caller would see.
+// eventually polls until a condition holds.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	require.Eventually(t, ok, eventuallyTimeout, 10*time.Millisecond, what)
@@ -137,17 +137,17 @@
 	}})
 }
 
-// applyWhenEnginesKnown applies the catalogue as soon as the engines have announced
-// themselves, since one that does not fit yet is refused.
+// applyWhenEnginesKnown applies the catalogue, with retries until the engines have
+// announced themselves: before, it is rejected since it does not fit.
 func (f *fleet) applyWhenEnginesKnown(node int) {
 	var last error
 	require.Eventuallyf(f.t, func() bool {
 		_, last = f.apply(node, "change-1", 0)
 		return last == nil
-	}, eventuallyTimeout, 10*time.Millisecond, "catalogue accepted; last refusal: %v", lazyError(func() error { return last }))
+	}, eventuallyTimeout, 10*time.Millisecond, "catalogue accepted; last error: %v", lazyError(func() error { return last }))
 }
 
-// lazyError formats an error as it is when the message is made.
+// lazyError formats an error with its value at the time of formatting.
 type lazyError func() error
 
 func (l lazyError) String() string { return fmt.Sprint(l()) }
--- a/laburnumnode/listeners.go
+++ b/laburnumnode/listeners.go
@@ -11,11 +11,11 @@
 )
 
 // headerTimeout bounds how long a connection may take to send its headers, so
-// that idle half-open connections do not pile up.
+// that half-open connections do not accumulate.
 const headerTimeout = 10 * time.Second
 
-// listeners are the sockets of one process, opened together so that a taken
-// address shows before any part starts.
+// listeners are the sockets of one process, opened together so that an address in
+// use is reported before any component starts.
 type listeners struct {
 	callers, operators, backends, peers net.Listener
 }
@@ -42,7 +42,7 @@
 	return l, nil
 }
 
-// addresses are the actual ones, which matter where the settings say port 0.
+// addresses returns the bound addresses; they differ from the settings for port 0.
 func (l *listeners) addresses() laburnumsettings.Listen {
 	return laburnumsettings.Listen{
 		Callers:   l.callers.Addr().String(),
@@ -64,7 +64,7 @@
 	return &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 }
 
-// listenerIP is the IP number that a listener is bound to, nil when it has none.
+// listenerIP returns the IP address that a listener is bound to; nil if it is not TCP.
 func listenerIP(ln net.Listener) net.IP {
 	addr, ok := ln.Addr().(*net.TCPAddr)
 	if !ok {
--- a/laburnumnode/node.go
+++ b/laburnumnode/node.go
@@ -42,12 +42,14 @@
 	owner      *laburnumorder.Owner
 	proxy      *laburnumproxy.Proxy
 
-	// notReady is why the VM may not serve; control thread only.
+	// notReady is the reason that the VM does not serve callers, empty if it does.
+	// Only the control thread uses it.
 	notReady string
 	cancels  []func()
 }
 
-// New makes a node that does not run yet. Errors: *ListenError, *StartError.
+// New returns a node that is not started; its listeners are open. Errors:
+// *laburnumlever.ListenError, *laburnumlever.StartError.
 func New(settings laburnumsettings.Settings, opts ...Option) (*Node, error) {
 	n := &Node{
 		settings: settings,
@@ -76,10 +78,11 @@
 	return n, nil
 }
 
-// Addresses are the addresses that the node really listens on.
+// Addresses returns the addresses that the listeners are bound to.
 func (n *Node) Addresses() laburnumsettings.Listen { return n.listeners.addresses() }
 
-// Start runs the node; it returns once all listeners take connections.
+// Start starts the node and returns once all listeners accept connections. Errors:
+// *laburnumlever.StartError.
 func (n *Node) Start() error {
 	go n.loop.Run()
 	go n.servePeers()
@@ -104,8 +107,8 @@
 		PeerAddress:   peerAddress,
 		CallerAddress: addresses.Callers,
 		HasDisk:       n.settings.DataFolder != "",
-		// The wall clock grows from one start to the next; where it went back, the
-		// others' refutation raises the incarnation over what they hold.
+		// The wall clock is usually later at each start. If it was set back, this VM
+		// raises its incarnation once it learns that the others know a higher one.
 		Incarnation: uint64(time.Now().UnixMilli()),
 	}
 }
--- a/laburnumnode/node_test.go
+++ b/laburnumnode/node_test.go
@@ -19,9 +19,9 @@
 	Stream    bool   `json:"stream"`
 }
 
-// An operator applies a catalogue through one VM; the model is loaded by orders;
-// a caller gets a streamed completion through each VM; a booking sent twice with
-// one key through two VMs runs once.
+// Guards the path of a request through the whole process: a catalogue applied on one VM,
+// a model loaded by order, a streamed completion through each VM, and a request sent twice
+// under one idempotency key, through two VMs, that must run once.
 func TestEndToEnd(t *testing.T) {
 	f := newFleet(t, 3)
 	f.applyWhenEnginesKnown(0)
@@ -42,14 +42,14 @@
 	}
 }
 
-// promptHash is the hash that the stand-in engine put into the first token.
+// promptHash returns the hash of the prompt in the stand-in engine's first token.
 func promptHash(body string) string {
 	_, after, _ := strings.Cut(body, "t0-")
 	return after[:min(8, len(after))]
 }
 
-// A resend of an accepted change gets the same answer, and an operator who holds
-// an old revision gets the conflict with the current one.
+// Guards against a resent change that is applied twice or rejected, and against a change
+// on top of an outdated revision.
 func TestApplyResendAndConflict(t *testing.T) {
 	f := newFleet(t, 1)
 	f.applyWhenEnginesKnown(0)
@@ -60,8 +60,7 @@
 	require.ErrorContains(t, err, "the current one is 1")
 }
 
-// A VM is told to stop while a long stream is under way: the caller still gets the
-// whole answer, and the next request is refused as not run.
+// Guards against a shutdown that cuts off a stream in flight.
 func TestShutdownFinishesStreams(t *testing.T) {
 	f := newFleet(t, 1)
 	f.applyWhenEnginesKnown(0)
@@ -71,24 +70,24 @@
 		defer close(got)
 		got <- f.post(0, "/v1/completions", completion{Model: "quote-small", Prompt: "long", MaxTokens: 4000, Stream: true}, nil)
 	}()
-	eventually(t, "stream under way", func() bool { return f.nodes[0].InFlight() == 1 })
+	eventually(t, "stream in flight", func() bool { return f.nodes[0].InFlight() == 1 })
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	require.NoError(t, f.nodes[0].Shutdown(ctx))
 	require.Contains(t, (<-got).body, "data: [DONE]")
 }
 
-// A VM is stopped in good order. The others must hear that it left, not find out by
-// their probes: until then they would send it calls and hold its zone's lease for lost.
+// Guards against a stopped VM that the others notice only by failed probes: until then they
+// would send it calls and consider its zone's lease lost.
 func TestShutdownIsSeenAsLeft(t *testing.T) {
 	f := newFleet(t, 3)
 	f.applyWhenEnginesKnown(0)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	require.NoError(t, f.nodes[2].Shutdown(ctx))
-	// Not heard of, it would become suspect and down, and never be known as left.
+	// Without the announcement it would become suspect and down, never left.
 	for _, node := range f.nodes[:2] {
-		eventually(t, "known to have left", func() bool {
+		eventually(t, "VM seen as left", func() bool {
 			return slices.ContainsFunc(node.Status().View.VMs, func(vm laburnumlever.VM) bool {
 				return vm.ID == vmName(2) && vm.State == laburnumlever.VMLeft
 			})
--- a/laburnumnode/operations.go
+++ b/laburnumnode/operations.go
@@ -8,7 +8,8 @@
 	"laburnumlever/laburnumsettings"
 )
 
-// Apply changes the catalogue; see laburnumlever.Operations for its errors.
+// Apply validates a catalogue and commits it to the log, or only validates it in a dry
+// run. See laburnumlever.Operations for its errors.
 func (n *Node) Apply(ctx context.Context, req laburnumlever.ApplyRequest) (laburnumlever.ApplyAnswer, error) {
 	if faults := laburnumsettings.CheckCatalogue(req.Catalogue); len(faults) > 0 {
 		return laburnumlever.ApplyAnswer{}, &laburnumlever.CatalogueInvalidError{Faults: faults}
@@ -28,9 +29,9 @@
 	return applyAnswer(req.ApplyCatalogue, result, warnings)
 }
 
-// resentOr answers a resend of an accepted change as accepted even if the fleet
-// has shrunk since and the change would be refused today: otherwise an operator
-// who lost the first answer would take an accepted change for a refused one.
+// resentOr returns the first answer to a change that was accepted before and is
+// resent, and fitErr for any other change. Without it, an operator who lost the first
+// answer would see an accepted change rejected if the fleet has shrunk since then.
 func (n *Node) resentOr(ctx context.Context, req laburnumlever.ApplyRequest, fitErr error) (laburnumlever.ApplyAnswer, error) {
 	result, err := n.propose(ctx, req.WithAskOnly(true))
 	if err == nil && result.Code == laburnumlever.ResultRepeated {
@@ -63,10 +64,10 @@
 	}
 }
 
-// Catalogue is the one in force on this VM.
+// Catalogue returns the catalogue in effect on this VM.
 func (n *Node) Catalogue() laburnumlever.Catalogue { return n.publisher.View().Catalogue }
 
-// Status is this VM's account of itself and of what it sees.
+// Status returns this VM's own state and its view of the fleet.
 func (n *Node) Status() laburnumlever.Status {
 	return laburnumlever.Status{
 		View:       *n.publisher.View(),
@@ -89,7 +90,7 @@
 	return owners
 }
 
-// ExplainModel says why each copy of a model is where it is. Errors:
+// ExplainModel explains the placement of each copy of a model. Errors:
 // *laburnumlever.NotFoundError.
 func (n *Node) ExplainModel(name laburnumlever.ModelName) (laburnumlever.Explanation, error) {
 	if e, ok := n.owner.Explain(name); ok {
@@ -98,8 +99,8 @@
 	return laburnumlever.Explanation{}, &laburnumlever.NotFoundError{Kind: "model", Name: string(name)}
 }
 
-// ExplainRequest says what became of a request that this VM took lately. Errors:
-// *laburnumlever.NotFoundError.
+// ExplainRequest explains the outcome of a request that this VM received recently.
+// Errors: *laburnumlever.NotFoundError.
 func (n *Node) ExplainRequest(id string) (laburnumlever.Explanation, error) {
 	if e, ok := n.proxy.Explain(id); ok {
 		return e, nil
@@ -107,5 +108,6 @@
 	return laburnumlever.Explanation{}, &laburnumlever.NotFoundError{Kind: "request", Name: id}
 }
 
-// SetLogLevel changes the level at run time.
+// SetLogLevel changes the log level at run time. Errors: those of the function set
+// by WithLevel.
 func (n *Node) SetLogLevel(level string) error { return n.setLevel(level) }
--- a/laburnumnode/publisher.go
+++ b/laburnumnode/publisher.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// minPublishInterval is the least time between two views. Load reports of thousands of
-	// backend servers would otherwise make a view each; 20 ms is small beside the
-	// reports' own lag.
+	// minPublishInterval is the least time between two views. Otherwise each load report
+	// of thousands of backend servers would build a view. 20 ms is small compared with
+	// the age of the reports themselves.
 	minPublishInterval = 20 * time.Millisecond
-	// publishCostFactor is how many times as long as building a view took the next one
-	// waits at least: the cost grows with the fleet, and so bounded it takes at most
-	// a two-hundredth of a core whatever the size.
+	// publishCostFactor is the least time between two views, as a multiple of the time
+	// that the last one took to build. This time grows with the fleet; the factor
+	// bounds it to 1/200 of a core for any fleet size.
 	publishCostFactor = 200
 )
 
-// publisher holds the current view and rebuilds it on the control thread when
-// something in it has changed.
+// publisher holds the current view, and rebuilds it on the control thread after a
+// change.
 type publisher struct {
 	current       atomic.Pointer[laburnumlever.View]
 	loop          laburnumlever.Loop
@@ -36,16 +36,17 @@
 // EventName names the event.
 func (publishDue) EventName() string { return "publish-due" }
 
-// View is the snapshot for traffic.
+// View returns the current view; it is safe for concurrent use.
 func (p *publisher) View() *laburnumlever.View { return p.current.Load() }
 
-// markDirty asks for a new view; control thread only.
+// markDirty requests a new view. Only the control thread calls it.
 func (p *publisher) markDirty() { p.dirty = true }
 
-// Handle publishes what was held back by the gap.
+// Handle ends the wait for the interval, so that publishIfDirty publishes the view.
 func (p *publisher) Handle(laburnumlever.Event) { p.scheduled = false }
 
-// publishIfDirty runs after each event on the control thread.
+// publishIfDirty builds a requested view unless the interval has not passed yet. It
+// runs after each event on the control thread.
 func (p *publisher) publishIfDirty() {
 	if !p.dirty || p.scheduled {
 		return
--- a/laburnumnode/publisher_internal_test.go
+++ b/laburnumnode/publisher_internal_test.go
@@ -11,9 +11,8 @@
 	"laburnumlever/laburnumtimer"
 )
 
-// Thousands of backend servers report all the time, and a view of them takes 5 ms to
-// build. If each report made a view, the control thread would do nothing else; the
-// heartbeats behind them in its queue would be late and the VM taken for dead.
+// Guards against a view rebuild for each of thousands of backend servers' reports: at 5 ms a
+// view, heartbeats would wait in the control thread's queue and the VM be suspected dead.
 func TestViewRebuildsAreRateLimited(t *testing.T) {
 	const cost = 5 * time.Millisecond
 	timers := laburnumtimer.NewManual(time.Unix(0, 0))
@@ -24,7 +23,7 @@
 		timers.Advance(cost)
 		return laburnumlever.View{}
 	}}
-	for range 10_000 { // ten seconds of a report each millisecond
+	for range 10_000 { // ten seconds with one report each millisecond
 		p.markDirty()
 		p.publishIfDirty()
 		timers.Advance(time.Millisecond)
--- a/laburnumnode/shutdown.go
+++ b/laburnumnode/shutdown.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// handOverTimeout bounds the farewell to the other VMs after the last request.
+	// handOverTimeout bounds the hand-over to the other VMs after the last request.
 	handOverTimeout = 3 * time.Second
-	// leaveGossipTime is how long the word of leaving gets to spread before the links
-	// close; cut short, the others would find out by their probes, seconds later.
+	// leaveGossipTime is the time for gossip to spread that this VM left, before the
+	// links close. Otherwise the other VMs notice by failed probes, seconds later.
 	leaveGossipTime = time.Second
 )
 
-// Shutdown ends the node in order: the readiness check fails first, so that the
-// balancer stops sending; after the grace new work is refused as not run; requests
-// in flight finish, up to the settings' limit; only then the VM hands over what it
-// holds and leaves. Cancelling ctx ends at once. Errors: *ShutdownError.
+// Shutdown stops the node gracefully: the readiness check fails, so that the load
+// balancer stops sending; after the grace period new requests are refused as not run;
+// requests in flight finish, up to the limit in the settings; then the VM hands over
+// its leases, leaves the membership and closes. Cancelling ctx skips the grace period and
+// aborts the requests in flight. Errors: *ShutdownError.
 func (n *Node) Shutdown(ctx context.Context) error {
 	n.runOnControlThread(func() {
 		n.notReady = notReadyDraining
@@ -34,7 +35,7 @@
 	return err
 }
 
-// Close ends the node at once; what is in flight is cut off.
+// Close stops the node at once and aborts requests in flight.
 func (n *Node) Close() {
 	for _, cancel := range n.cancels {
 		cancel()
@@ -64,9 +65,9 @@
 	return nil
 }
 
-// handOver hands over what the VM holds: the zone lease, the leadership of the log,
-// its place in the membership. Each step only saves the others a timeout, so a
-// failure is logged and the end goes on.
+// handOver gives up the zone lease, transfers the leadership of the log and leaves the
+// membership. Each step only saves the other VMs a timeout, so a failed transfer is
+// logged and the shutdown continues.
 func (n *Node) handOver() {
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
@@ -80,5 +81,5 @@
 	}
 }
 
-// InFlight counts the callers' requests under way.
+// InFlight returns the number of callers' requests in flight.
 func (n *Node) InFlight() int { return n.proxy.InFlight() }
--- a/laburnumnode/tls_test.go
+++ b/laburnumnode/tls_test.go
@@ -20,7 +20,7 @@
 	"laburnumlever/laburnumsettings"
 )
 
-// selfSigned writes a certificate for 127.0.0.1 that is its own authority.
+// selfSigned writes a self-signed certificate for 127.0.0.1.
 func selfSigned(t *testing.T) laburnumsettings.TLS {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -42,9 +42,8 @@
 	return files
 }
 
-// The VMs of a fleet talk by mutual TLS. A VM with a certificate of its own making
-// names them as its seeds: it must get neither their catalogue nor a place among
-// them, and be not ready rather than wrong; the fleet goes on.
+// Guards against a VM with a certificate from another authority, seeded with the fleet's
+// addresses, joining the fleet or receiving its catalogue. It must stay not ready.
 func TestFleetRejectsForeignCertificate(t *testing.T) {
 	files := selfSigned(t)
 	f := newFleet(t, 3, func(s *laburnumsettings.Settings) { s.TLS = files })
@@ -60,14 +59,15 @@
 	require.NoError(t, err)
 	require.NoError(t, stranger.Start())
 	t.Cleanup(stranger.Close)
-	_, err = f.apply(1, "change-2", 1) // the fleet's news has gone round once more
+	_, err = f.apply(1, "change-2", 1) // by the time it is everywhere, gossip has passed between all members
 	require.NoError(t, err)
-	eventually(t, "the change is everywhere", func() bool { return f.nodes[2].Catalogue().Revision == 2 })
+	eventually(t, "second catalogue on all VMs", func() bool { return f.nodes[2].Catalogue().Revision == 2 })
 	require.Zero(t, stranger.Catalogue().Revision)
 	require.NotEmpty(t, stranger.Status().View.NotReady)
 	require.Len(t, f.nodes[0].Status().View.VMs, 3)
 }
 
+// Guards against a missing TLS key that is noticed only at the first connection.
 func TestWrongTLSFilesFailAtStart(t *testing.T) {
 	settings := laburnumsettings.Default()
 	settings.VM, settings.TLS = "a", selfSigned(t)
--- a/laburnumnode/wiring.go
+++ b/laburnumnode/wiring.go
@@ -20,18 +20,19 @@
 	"laburnumlever/laburnumvoter"
 )
 
-// The reasons for which a VM is not ready.
+// Reasons for a VM to be not ready.
 const (
 	notReadyStarting    = "starting"
 	notReadyNoCatalogue = "no catalogue yet: neither the data folder nor a peer has given one"
 	notReadyDraining    = "draining"
 )
 
-// demandPeriod is how often demand is counted and shared: a tenfold rise within an
-// hour shows within seconds, and a row for each model asked for costs little.
+// demandPeriod is the interval at which demand is measured and gossiped: a tenfold rise
+// within an hour is noticed in seconds, at the small cost of a row for each requested
+// model.
 const demandPeriod = time.Second
 
-// build makes the parts in the order in which they need each other.
+// build creates the components in the order of their dependencies.
 func (n *Node) build() error {
 	n.notReady = notReadyStarting
 	n.publisher = &publisher{timers: n.timers, build: n.buildView}
@@ -99,8 +100,9 @@
 	return nil
 }
 
-// initialVoters are those of the settings. A VM with a disk that is told of no voters
-// and of no other VM is alone, as in the quickstart, and starts a log of its own.
+// initialVoters returns the voters in the settings. A VM with a disk and neither voters
+// nor seeds in its settings, as in the quickstart, starts a log with itself as the only
+// voter.
 func (n *Node) initialVoters() []laburnumlever.Voter {
 	alone := len(n.settings.Voters) == 0 && len(n.settings.Seeds) == 0
 	if alone && n.self.HasDisk {
@@ -109,7 +111,7 @@
 	return n.settings.Voters
 }
 
-// voterCandidates are the living VMs with a disk; control thread only.
+// voterCandidates returns the alive VMs with a disk. It runs on the control thread.
 func (n *Node) voterCandidates() []laburnumlever.Voter {
 	var candidates []laburnumlever.Voter
 	for _, vm := range n.membership.VMs() {
@@ -133,7 +135,7 @@
 	)
 }
 
-// startParts starts each part's timers. Messages from peers may arrive before.
+// startParts starts the components' timers. Messages from peers may arrive before that.
 func (n *Node) startParts() {
 	n.voter.Start()
 	n.membership.Start()
@@ -146,8 +148,8 @@
 	n.cancels = append(n.cancels, n.timers.Every(demandPeriod, n.publishDemand))
 }
 
-// publishDemand hands the membership what this VM's callers asked for, and whether
-// this VM owns its zone, so that the zones' owners hear of both.
+// publishDemand gives the membership this VM's demand and whether this VM owns its
+// zone, for gossip to the zones' owners.
 func (n *Node) publishDemand(time.Time) {
 	rows := n.proxy.Demand()
 	owns := n.owner.Owns()
@@ -190,7 +192,8 @@
 	}()
 }
 
-// buildView runs on the control thread, or before it has started.
+// buildView returns the current view. It runs on the control thread, or before its
+// start.
 func (n *Node) buildView() laburnumlever.View {
 	catalogue, known := n.spread.Catalogue()
 	notReady := n.notReady
@@ -207,7 +210,8 @@
 	}
 }
 
-// runOnControlThread runs work on the control thread and waits for it.
+// runOnControlThread runs work on the control thread and returns when it has finished
+// or the control thread has stopped.
 func (n *Node) runOnControlThread(work func()) {
 	done := make(chan struct{})
 	n.loop.Post(workRunner{}, workEvent{work: work, done: done})
@@ -217,7 +221,8 @@
 	}
 }
 
-// workEvent is the node's own work on the control thread; done may be nil.
+// workEvent is a function to run on the control thread. done, which may be nil, is
+// closed afterwards.
 type workEvent struct {
 	work func()
 	done chan struct{}
@@ -228,7 +233,7 @@
 
 type workRunner struct{}
 
-// Handle runs the work.
+// Handle runs the function.
 func (workRunner) Handle(ev laburnumlever.Event) {
 	r, ok := ev.(workEvent)
 	if !ok {
