--- a/laburnumoperator/client.go
+++ b/laburnumoperator/client.go
@@ -105,15 +105,15 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return c.transportError(method, err)
+		return c.sendError(method, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return c.read(method, resp, into)
+	return c.decodeResponse(method, resp, into)
 }
 
-// transportError tells apart what was never sent from what may have arrived:
+// sendError tells apart what was never sent from what may have arrived:
 // only a failed dial is sure.
-func (c *Client) transportError(method string, err error) error {
+func (c *Client) sendError(method string, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" || method == http.MethodGet {
 		return &UnreachableError{Address: c.address, Cause: errors.UnwrapAll(err)}
@@ -121,10 +121,10 @@
 	return &laburnumlever.OutcomeUnknownError{Detail: "no answer from " + c.address + ": " + errors.UnwrapAll(err).Error()}
 }
 
-func (c *Client) read(method string, resp *http.Response, into any) error {
+func (c *Client) decodeResponse(method string, resp *http.Response, into any) error {
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return c.transportError(method, err)
+		return c.sendError(method, err)
 	}
 	if _, isHealth := into.(*Health); !isHealth && resp.StatusCode != http.StatusOK {
 		var body ErrorBody
--- a/laburnumoperator/handler.go
+++ b/laburnumoperator/handler.go
@@ -13,9 +13,9 @@
 	"laburnumlever/laburnumsettings"
 )
 
-// maxBody bounds the body of a change. The largest catalogue planned for, 370
+// maxBodyBytes bounds the body of a change. The largest catalogue planned for, 370
 // models with their adapters, is below 1 MiB.
-const maxBody = 16 << 20
+const maxBodyBytes = 16 << 20
 
 // handler answers operators for one VM.
 type handler struct {
@@ -55,9 +55,9 @@
 func (h *handler) routes(app *iris.Application) {
 	app.Get("/healthz", h.health)
 	app.Get("/readyz", h.ready)
-	app.Get("/catalogue", func(c iris.Context) { h.answer(c, h.ops.Catalogue(), nil) })
+	app.Get("/catalogue", func(c iris.Context) { h.writeResult(c, h.ops.Catalogue(), nil) })
 	app.Post("/catalogue", h.apply)
-	app.Get("/status", func(c iris.Context) { h.answer(c, h.ops.Status(), nil) })
+	app.Get("/status", func(c iris.Context) { h.writeResult(c, h.ops.Status(), nil) })
 	app.Get("/explain/model/{name}", h.explainModel)
 	app.Get("/explain/request/{id}", h.explainRequest)
 	app.Put("/log-level", h.setLogLevel)
@@ -65,20 +65,20 @@
 		app.Get("/metrics", iris.FromStd(h.metrics))
 	}
 	app.OnErrorCode(http.StatusNotFound, func(c iris.Context) {
-		h.answer(c, nil, &laburnumlever.NotFoundError{Kind: "path", Name: c.Path()})
+		h.writeResult(c, nil, &laburnumlever.NotFoundError{Kind: "path", Name: c.Path()})
 	})
 }
 
 // health says that the process answers; whether it may serve is ready's to say.
-func (h *handler) health(c iris.Context) { h.answer(c, Health{Status: "ok"}, nil) }
+func (h *handler) health(c iris.Context) { h.writeResult(c, Health{Status: "ok"}, nil) }
 
 func (h *handler) ready(c iris.Context) {
 	reason := h.ops.Status().View.NotReady
 	if reason == "" {
-		h.answer(c, Health{Status: "ready"}, nil)
+		h.writeResult(c, Health{Status: "ready"}, nil)
 		return
 	}
-	h.write(c, http.StatusServiceUnavailable, Health{Status: "not-ready", Reason: reason})
+	h.writeJSON(c, http.StatusServiceUnavailable, Health{Status: "not-ready", Reason: reason})
 }
 
 // Health is the body of /healthz and /readyz.
@@ -92,20 +92,20 @@
 func (h *handler) apply(c iris.Context) {
 	var req laburnumlever.ApplyRequest
 	if err := readBody(c, &req); err != nil {
-		h.answer(c, nil, err)
+		h.writeResult(c, nil, err)
 		return
 	}
 	if req.ChangeID == "" {
-		h.answer(c, nil, &BadRequestError{Detail: "change-id is missing"})
+		h.writeResult(c, nil, &BadRequestError{Detail: "change-id is missing"})
 		return
 	}
 	if faults := laburnumsettings.CheckCatalogue(req.Catalogue); len(faults) > 0 {
-		h.answer(c, nil, &laburnumlever.CatalogueInvalidError{Faults: faults})
+		h.writeResult(c, nil, &laburnumlever.CatalogueInvalidError{Faults: faults})
 		return
 	}
 	answer, err := h.ops.Apply(c.Request().Context(), req)
 	h.logApply(req, answer, err)
-	h.answer(c, answer, err)
+	h.writeResult(c, answer, err)
 }
 
 func (h *handler) logApply(req laburnumlever.ApplyRequest, answer laburnumlever.ApplyAnswer, err error) {
@@ -122,12 +122,12 @@
 
 func (h *handler) explainModel(c iris.Context) {
 	explanation, err := h.ops.ExplainModel(laburnumlever.ModelName(c.Params().Get("name")))
-	h.answer(c, explanation, err)
+	h.writeResult(c, explanation, err)
 }
 
 func (h *handler) explainRequest(c iris.Context) {
 	explanation, err := h.ops.ExplainRequest(c.Params().Get("id"))
-	h.answer(c, explanation, err)
+	h.writeResult(c, explanation, err)
 }
 
 // LogLevel is the body of a change of the log level.
@@ -137,18 +137,18 @@
 }
 
 func (h *handler) setLogLevel(c iris.Context) {
-	var wanted LogLevel
-	if err := readBody(c, &wanted); err != nil {
-		h.answer(c, nil, err)
+	var req LogLevel
+	if err := readBody(c, &req); err != nil {
+		h.writeResult(c, nil, err)
 		return
 	}
-	h.answer(c, wanted, h.ops.SetLogLevel(wanted.Level))
+	h.writeResult(c, req, h.ops.SetLogLevel(req.Level))
 }
 
 // readBody is strict: an unknown key in a change is an error, since a misspelt
 // key would otherwise be a change that does less than was asked.
 func readBody(c iris.Context, into any) error {
-	decoder := json.NewDecoder(http.MaxBytesReader(c.ResponseWriter(), c.Request().Body, maxBody))
+	decoder := json.NewDecoder(http.MaxBytesReader(c.ResponseWriter(), c.Request().Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
 		return &BadRequestError{Detail: errors.UnwrapAll(err).Error()}
@@ -156,16 +156,16 @@
 	return nil
 }
 
-func (h *handler) answer(c iris.Context, body any, err error) {
+func (h *handler) writeResult(c iris.Context, body any, err error) {
 	if err == nil {
-		h.write(c, http.StatusOK, body)
+		h.writeJSON(c, http.StatusOK, body)
 		return
 	}
 	status, wire := encodeError(err)
-	h.write(c, status, ErrorBody{Error: wire})
+	h.writeJSON(c, status, ErrorBody{Error: wire})
 }
 
-func (h *handler) write(c iris.Context, status int, body any) {
+func (h *handler) writeJSON(c iris.Context, status int, body any) {
 	c.StatusCode(status)
 	c.ContentType("application/json")
 	encoder := json.NewEncoder(c.ResponseWriter())
--- a/laburnumoperator/handler_test.go
+++ b/laburnumoperator/handler_test.go
@@ -56,7 +56,7 @@
 	return laburnumoperator.NewClient(server.Listener.Addr().String()), server.URL
 }
 
-func valid() laburnumlever.ApplyRequest {
+func validRequest() laburnumlever.ApplyRequest {
 	var req laburnumlever.ApplyRequest
 	req.ChangeID = "change-1"
 	req.ExpectedRevision = 7
@@ -69,7 +69,7 @@
 
 // Each error type of an operation comes out of the client as the same type with
 // the same fields.
-func TestErrorsKeepTheirTypeOverTheWire(t *testing.T) {
+func TestErrorTypesRoundTrip(t *testing.T) {
 	for _, want := range []error{
 		&laburnumlever.ConflictError{Expected: 7, Current: 8},
 		&laburnumlever.MismatchError{Key: "change-1"},
@@ -81,23 +81,23 @@
 		&laburnumlever.InvalidValueError{Name: "level", Value: "loud", Want: "debug"},
 	} {
 		client, _ := serve(t, &fakeOperations{err: want})
-		_, err := client.Apply(context.Background(), valid())
+		_, err := client.Apply(context.Background(), validRequest())
 		require.Equal(t, want, err)
 		_, err = client.ExplainModel(context.Background(), "quote-small")
 		require.Equal(t, want, err)
 	}
 }
 
-func TestChangesAreReadStrictly(t *testing.T) {
+func TestInvalidChangesAreRejected(t *testing.T) {
 	ops := &fakeOperations{}
 	client, url := serve(t, ops)
-	answer, err := client.Apply(context.Background(), valid())
+	answer, err := client.Apply(context.Background(), validRequest())
 	require.NoError(t, err)
 	require.Equal(t, uint64(8), answer.Revision)
 
-	nameless := valid()
-	nameless.Catalogue.Deployment.Name = ""
-	_, err = client.Apply(context.Background(), nameless)
+	withoutName := validRequest()
+	withoutName.Catalogue.Deployment.Name = ""
+	_, err = client.Apply(context.Background(), withoutName)
 	var invalid *laburnumlever.CatalogueInvalidError
 	require.ErrorAs(t, err, &invalid)
 	require.Equal(t, "deployment.name", invalid.Faults[0].Key)
@@ -111,7 +111,7 @@
 	require.Len(t, ops.applied, 1, "only the good change may reach the VM")
 }
 
-func TestPlatformSeesReadinessAndMetrics(t *testing.T) {
+func TestReadinessAndMetricsEndpoints(t *testing.T) {
 	for notReady, status := range map[string]int{"": http.StatusOK, "no catalogue yet": http.StatusServiceUnavailable} {
 		client, url := serve(t, &fakeOperations{notReady: notReady})
 		reason, err := client.Ready(context.Background())
@@ -131,7 +131,7 @@
 // An operator sends a change and the VM is killed before it answers. The change
 // may have been accepted, so the client must not say that nothing was changed;
 // only a VM that took no connection surely took no change.
-func TestLostAnswerIsUnknownAndFailedDialIsNot(t *testing.T) {
+func TestLostAnswerIsUnknownAndFailedDialIsUnreachable(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go func() {
@@ -142,12 +142,12 @@
 		}
 	}()
 	client := laburnumoperator.NewClient(ln.Addr().String())
-	_, err = client.Apply(context.Background(), valid())
+	_, err = client.Apply(context.Background(), validRequest())
 	var unknown *laburnumlever.OutcomeUnknownError
 	require.ErrorAs(t, err, &unknown)
 
 	require.NoError(t, ln.Close())
-	_, err = client.Apply(context.Background(), valid())
+	_, err = client.Apply(context.Background(), validRequest())
 	var unreachable *laburnumoperator.UnreachableError
 	require.ErrorAs(t, err, &unreachable)
 }
--- a/laburnumoperator/wire.go
+++ b/laburnumoperator/wire.go
@@ -49,7 +49,7 @@
 func encodeError(err error) (int, WireError) {
 	status, wire := encodeChangeError(err)
 	if status == 0 {
-		status, wire = encodeQuestionError(err)
+		status, wire = encodeQueryError(err)
 	}
 	wire.Message = err.Error()
 	return status, wire
@@ -83,7 +83,7 @@
 	}
 }
 
-func encodeQuestionError(err error) (int, WireError) {
+func encodeQueryError(err error) (int, WireError) {
 	var (
 		notFound *laburnumlever.NotFoundError
 		invalid  *laburnumlever.InvalidValueError
