--- a/laburnumoperator/client.go
+++ b/laburnumoperator/client.go
@@ -14,22 +14,22 @@
 	"laburnumlever"
 )
 
-// Client asks one VM.
+// Client calls the operators' interface of one VM.
 type Client struct {
 	address string
 	http    *http.Client
 }
 
-// ClientOption changes a Client while it is built.
+// ClientOption configures a Client.
 type ClientOption func(*Client)
 
-// WithHTTPClient sets the HTTP client, for timeouts or TLS.
+// WithHTTPClient sets the HTTP client, for timeouts or TLS. The default has no timeout.
 func WithHTTPClient(client *http.Client) ClientOption {
 	return func(c *Client) { c.http = client }
 }
 
-// NewClient returns a client of the VM whose operators listener is at the IP
-// address and port.
+// NewClient returns a client for the VM whose operators listener has the address, an
+// IP address and port.
 func NewClient(address string, opts ...ClientOption) *Client {
 	c := &Client{address: address, http: &http.Client{}}
 	for _, opt := range opts {
@@ -38,29 +38,30 @@
 	return c
 }
 
-// Apply sends a change. An answer that got lost is a
-// *laburnumlever.OutcomeUnknownError: the same request may be sent again.
+// Apply sends a change of the catalogue. It returns a
+// *laburnumlever.OutcomeUnknownError if the answer is lost; the same request can then
+// safely be resent.
 func (c *Client) Apply(ctx context.Context, req laburnumlever.ApplyRequest) (laburnumlever.ApplyAnswer, error) {
 	var answer laburnumlever.ApplyAnswer
 	err := c.call(ctx, http.MethodPost, "/catalogue", req, &answer)
 	return answer, err
 }
 
-// Catalogue reads the catalogue in force on the VM.
+// Catalogue reads the catalogue in effect on the VM.
 func (c *Client) Catalogue(ctx context.Context) (laburnumlever.Catalogue, error) {
 	var catalogue laburnumlever.Catalogue
 	err := c.call(ctx, http.MethodGet, "/catalogue", nil, &catalogue)
 	return catalogue, err
 }
 
-// Status reads the VM's account of itself.
+// Status reads the VM's own state and its view of the fleet.
 func (c *Client) Status(ctx context.Context) (laburnumlever.Status, error) {
 	var status laburnumlever.Status
 	err := c.call(ctx, http.MethodGet, "/status", nil, &status)
 	return status, err
 }
 
-// Ready asks whether the VM may serve; the reason is empty if so.
+// Ready returns the reason that the VM is not ready to serve, empty if it is ready.
 func (c *Client) Ready(ctx context.Context) (reason string, err error) {
 	var health Health
 	if err := c.call(ctx, http.MethodGet, "/readyz", nil, &health); err != nil {
@@ -69,14 +70,14 @@
 	return health.Reason, nil
 }
 
-// ExplainModel asks why a model is where it is.
+// ExplainModel reads the explanation of a model's placement.
 func (c *Client) ExplainModel(ctx context.Context, name laburnumlever.ModelName) (laburnumlever.Explanation, error) {
 	var explanation laburnumlever.Explanation
 	err := c.call(ctx, http.MethodGet, "/explain/model/"+url.PathEscape(string(name)), nil, &explanation)
 	return explanation, err
 }
 
-// ExplainRequest asks what became of a request.
+// ExplainRequest reads the explanation of a request's outcome.
 func (c *Client) ExplainRequest(ctx context.Context, id string) (laburnumlever.Explanation, error) {
 	var explanation laburnumlever.Explanation
 	err := c.call(ctx, http.MethodGet, "/explain/request/"+url.PathEscape(id), nil, &explanation)
@@ -111,8 +112,9 @@
 	return c.decodeResponse(method, resp, into)
 }
 
-// sendError tells apart what was never sent from what may have arrived:
-// only a failed dial is sure.
+// sendError returns an *UnreachableError for a request that changed nothing, which is
+// certain only for a failed dial or a GET, and a *laburnumlever.OutcomeUnknownError
+// otherwise.
 func (c *Client) sendError(method string, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" || method == http.MethodGet {
--- a/laburnumoperator/doc.go
+++ b/laburnumoperator/doc.go
@@ -1,15 +1,15 @@
-// Package laburnumoperator is the operators' HTTP interface: a handler that
-// answers for one VM and a client that speaks to it.
+// Package laburnumoperator is the operators' HTTP interface of a VM: a handler and its
+// client.
 //
-// Errors travel as a body with their kind in kebab case and the fields of the
-// error type, so that the client gives back the same type that the VM's
-// operation returned, and errors.As works across the wire:
+// An error is sent as a JSON body with its kind in kebab case and the fields of the
+// error type. The client returns the error type that the VM's operation returned, so
+// that errors.As works across the wire:
 //
 //	{"error": {"kind": "conflict", "message": "…", "expected": 7, "current": 8}}
 //
-// A change whose answer is lost may or may not have been accepted: the client
-// returns a *laburnumlever.OutcomeUnknownError, and sending it again under the
-// same change id is safe.
+// A change whose answer is lost may have been accepted: the client then returns a
+// *laburnumlever.OutcomeUnknownError. Resending the change under the same change ID is
+// safe.
 //
 // # Usage
 //
--- a/laburnumoperator/errors.go
+++ b/laburnumoperator/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// UnreachableError says that the VM could not be asked: nothing was sent.
+// UnreachableError reports that the VM could not be reached and nothing was changed.
 type UnreachableError struct {
 	Address string
 	Cause   error
@@ -15,13 +15,13 @@
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// BadRequestError is a request that the VM could not read.
+// BadRequestError reports a request that could not be encoded or decoded.
 type BadRequestError struct{ Detail string }
 
 func (e *BadRequestError) Error() string { return "bad request: " + e.Detail }
 
-// UnexpectedAnswerError is an answer that this client does not know: something
-// else listens there, or another version.
+// UnexpectedAnswerError reports a response that the client cannot decode: the server is
+// not a VM of this project, or runs another version.
 type UnexpectedAnswerError struct {
 	Address string
 	Status  int
--- a/laburnumoperator/handler.go
+++ b/laburnumoperator/handler.go
@@ -13,31 +13,33 @@
 	"laburnumlever/laburnumsettings"
 )
 
-// maxBodyBytes bounds the body of a change. The largest catalogue planned for, 370
-// models with their adapters, is below 1 MiB.
+// maxBodyBytes bounds the body of a request. The largest planned catalogue, 370 models
+// with their adapters, is below 1 MiB.
 const maxBodyBytes = 16 << 20
 
-// handler answers operators for one VM.
+// handler serves the operators' interface of one VM.
 type handler struct {
 	ops     laburnumlever.Operations
 	logger  log.Logger
 	metrics http.Handler
 }
 
-// Option changes a handler while it is built.
+// Option configures a handler.
 type Option func(*handler)
 
-// WithMetrics shows the handler at /metrics.
+// WithMetrics sets the handler for /metrics; without it the path is not found.
 func WithMetrics(metrics http.Handler) Option {
 	return func(h *handler) { h.metrics = metrics }
 }
 
-// WithLogger logs changes and answers that could not be written.
+// WithLogger sets the logger for changes and for responses that could not be written;
+// the default discards everything.
 func WithLogger(logger log.Logger) Option {
 	return func(h *handler) { h.logger = logger }
 }
 
-// NewHandler returns the operators' and the platform's interface to a VM.
+// NewHandler returns the handler of the operators listener, which also serves the
+// platform's health checks.
 func NewHandler(ops laburnumlever.Operations, opts ...Option) http.Handler {
 	h := &handler{ops: ops, logger: log.NewNopLogger()}
 	for _, opt := range opts {
@@ -47,7 +49,7 @@
 	app.Logger().SetLevel("disable")
 	h.routes(app)
 	if err := app.Build(); err != nil {
-		_ = level.Error(h.logger).Log("msg", "operators interface cannot be built", "err", err)
+		_ = level.Error(h.logger).Log("msg", "cannot build operators interface", "err", err)
 	}
 	return app
 }
@@ -69,7 +71,7 @@
 	})
 }
 
-// health says that the process answers; whether it may serve is ready's to say.
+// health reports that the process responds; ready reports whether it serves callers.
 func (h *handler) health(c iris.Context) { h.writeResult(c, Health{Status: "ok"}, nil) }
 
 func (h *handler) ready(c iris.Context) {
@@ -85,7 +87,7 @@
 type Health struct {
 	// Status is ok, ready or not-ready.
 	Status string `json:"status"`
-	// Reason says why not.
+	// Reason is why the VM is not ready; empty otherwise.
 	Reason string `json:"reason,omitempty"`
 }
 
@@ -130,7 +132,7 @@
 	h.writeResult(c, explanation, err)
 }
 
-// LogLevel is the body of a change of the log level.
+// LogLevel is the body of a request to change the log level.
 type LogLevel struct {
 	// Level is debug, info, warn or error.
 	Level string `json:"level"`
@@ -145,8 +147,8 @@
 	h.writeResult(c, req, h.ops.SetLogLevel(req.Level))
 }
 
-// readBody is strict: an unknown key in a change is an error, since a misspelt
-// key would otherwise be a change that does less than was asked.
+// readBody decodes a request's body. An unknown key is an error, since a misspelt key
+// would otherwise silently drop a part of the change.
 func readBody(c iris.Context, into any) error {
 	decoder := json.NewDecoder(http.MaxBytesReader(c.ResponseWriter(), c.Request().Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
@@ -171,6 +173,6 @@
 	encoder := json.NewEncoder(c.ResponseWriter())
 	encoder.SetEscapeHTML(false)
 	if err := encoder.Encode(body); err != nil {
-		_ = level.Debug(h.logger).Log("msg", "answer not written", "err", err)
+		_ = level.Debug(h.logger).Log("msg", "response not written", "err", err)
 	}
 }
--- a/laburnumoperator/handler_test.go
+++ b/laburnumoperator/handler_test.go
@@ -16,7 +16,7 @@
 	"laburnumlever/laburnumoperator"
 )
 
-// fakeOperations answers every question with the same error, or well.
+// fakeOperations returns err from every operation that can fail.
 type fakeOperations struct {
 	err      error
 	notReady string
@@ -67,8 +67,7 @@
 	return req
 }
 
-// Each error type of an operation comes out of the client as the same type with
-// the same fields.
+// Guards against an error type or field that is lost between the VM and the client.
 func TestErrorTypesRoundTrip(t *testing.T) {
 	for _, want := range []error{
 		&laburnumlever.ConflictError{Expected: 7, Current: 8},
@@ -88,6 +87,7 @@
 	}
 }
 
+// Guards against a misspelt key or an invalid catalogue that reaches the VM.
 func TestInvalidChangesAreRejected(t *testing.T) {
 	ops := &fakeOperations{}
 	client, url := serve(t, ops)
@@ -108,7 +108,7 @@
 	require.NoError(t, err)
 	require.Equal(t, http.StatusBadRequest, resp.StatusCode)
 	require.Contains(t, string(body), "dry-rum")
-	require.Len(t, ops.applied, 1, "only the good change may reach the VM")
+	require.Len(t, ops.applied, 1, "only the valid change reaches the VM")
 }
 
 func TestReadinessAndMetricsEndpoints(t *testing.T) {
@@ -128,9 +128,8 @@
 	}
 }
 
-// An operator sends a change and the VM is killed before it answers. The change
-// may have been accepted, so the client must not say that nothing was changed;
-// only a VM that took no connection surely took no change.
+// Guards against a client that reports a change as not made when the VM was killed before it
+// answered. Only a failed dial proves that the change was not made.
 func TestLostAnswerIsUnknownAndFailedDialIsUnreachable(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/laburnumoperator/wire.go
+++ b/laburnumoperator/wire.go
@@ -8,7 +8,7 @@
 	"laburnumlever"
 )
 
-// The kinds of error on the wire.
+// Error kinds on the wire.
 const (
 	kindConflict         = "conflict"
 	kindMismatch         = "mismatch"
@@ -22,12 +22,12 @@
 	kindInternal         = "internal"
 )
 
-// ErrorBody is the body of every answer that is not a success.
+// ErrorBody is the body of every response that is not a success.
 type ErrorBody struct {
 	Error WireError `json:"error"`
 }
 
-// WireError is an error type and its fields; those of other kinds are absent.
+// WireError is the wire form of an error. Only the fields of its kind are set.
 type WireError struct {
 	Kind    string `json:"kind"`
 	Message string `json:"message"`
@@ -45,7 +45,7 @@
 	Want         string                    `json:"want,omitempty"`
 }
 
-// encodeError gives an error its wire form and HTTP status.
+// encodeError returns an error's HTTP status and wire form.
 func encodeError(err error) (int, WireError) {
 	status, wire := encodeChangeError(err)
 	if status == 0 {
@@ -55,7 +55,7 @@
 	return status, wire
 }
 
-// encodeChangeError encodes the errors of Apply; status 0 for all others.
+// encodeChangeError encodes the errors of a change; the status is 0 for other errors.
 func encodeChangeError(err error) (int, WireError) {
 	var (
 		conflict *laburnumlever.ConflictError
@@ -83,6 +83,7 @@
 	}
 }
 
+// encodeQueryError encodes the errors of queries and requests; any other is internal.
 func encodeQueryError(err error) (int, WireError) {
 	var (
 		notFound *laburnumlever.NotFoundError
@@ -101,7 +102,8 @@
 	}
 }
 
-// decodeError rebuilds the error that the VM's operation returned.
+// decodeError returns the error that the VM's operation returned, or an
+// *UnexpectedAnswerError for an unknown kind.
 func decodeError(address string, status int, w WireError) error {
 	switch w.Kind {
 	case kindConflict:
