--- a/laburnumcontrol/loop.go
+++ b/laburnumcontrol/loop.go
@@ -23,13 +23,13 @@
 // peers and workers whose own queues are, and to drop one (a finished fsync)
 // would stop the log for good.
 type Loop struct {
-	mu      sync.Mutex
-	ready   *sync.Cond
-	queue   []entry
-	stopped bool
-	done    chan struct{}
-	after   func(ev laburnumlever.Event)
-	meter   *Meter
+	mu         sync.Mutex
+	ready      *sync.Cond
+	queue      []entry
+	stopped    bool
+	done       chan struct{}
+	afterEvent func(ev laburnumlever.Event)
+	meter      *Meter
 }
 
 type entry struct {
@@ -44,7 +44,7 @@
 // WithAfter sets a function that runs on the control thread after each event,
 // such as publishing a new view.
 func WithAfter(after func(ev laburnumlever.Event)) Option {
-	return func(l *Loop) { l.after = after }
+	return func(l *Loop) { l.afterEvent = after }
 }
 
 // WithMeter sets what counts the time that events take.
@@ -52,7 +52,7 @@
 
 // New makes a loop that does not run yet.
 func New(opts ...Option) *Loop {
-	l := &Loop{done: make(chan struct{}), after: func(laburnumlever.Event) {}, meter: NewMeter()}
+	l := &Loop{done: make(chan struct{}), afterEvent: func(laburnumlever.Event) {}, meter: NewMeter()}
 	l.ready = sync.NewCond(&l.mu)
 	for _, opt := range opts {
 		opt(l)
@@ -75,11 +75,11 @@
 func (l *Loop) Run() {
 	defer close(l.done)
 	for {
-		batch := l.take()
+		batch := l.takeBatch()
 		if batch == nil {
 			return
 		}
-		l.handle(batch)
+		l.handleBatch(batch)
 	}
 }
 
@@ -93,7 +93,7 @@
 		if len(batch) == 0 {
 			return
 		}
-		l.handle(batch)
+		l.handleBatch(batch)
 	}
 }
 
@@ -117,18 +117,18 @@
 	return len(l.queue)
 }
 
-func (l *Loop) handle(batch []entry) {
+func (l *Loop) handleBatch(batch []entry) {
 	began := time.Now()
 	for _, e := range batch {
 		e.to.Handle(e.ev)
-		l.after(e.ev)
+		l.afterEvent(e.ev)
 		ended := time.Now()
-		l.meter.handled(e.ev.EventName(), began.Sub(e.at), ended.Sub(began))
+		l.meter.record(e.ev.EventName(), began.Sub(e.at), ended.Sub(began))
 		began = ended
 	}
 }
 
-func (l *Loop) take() []entry {
+func (l *Loop) takeBatch() []entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.queue) == 0 && !l.stopped {
--- a/laburnumcontrol/loop_test.go
+++ b/laburnumcontrol/loop_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestDrainHandlesWhatEventsQueue(t *testing.T) {
+func TestDrainHandlesEventsPostedByEvents(t *testing.T) {
 	after := 0
 	loop := laburnumcontrol.New(laburnumcontrol.WithAfter(func(laburnumlever.Event) { after++ }))
 	part := &recorder{loop: loop}
@@ -40,7 +40,7 @@
 	require.Equal(t, 3, after)
 }
 
-func TestStopDropsWhatIsQueuedLater(t *testing.T) {
+func TestPostAfterStopIsDropped(t *testing.T) {
 	loop := laburnumcontrol.New()
 	go loop.Run()
 	loop.Stop()
--- a/laburnumcontrol/meter.go
+++ b/laburnumcontrol/meter.go
@@ -65,7 +65,7 @@
 	return usage
 }
 
-func (m *Meter) handled(event string, waited, took time.Duration) {
+func (m *Meter) record(event string, waited, took time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.usage.Busy += took
--- a/laburnumcontrol/meter_test.go
+++ b/laburnumcontrol/meter_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestMeterTellsWhatTookTheTime(t *testing.T) {
+func TestMeterAttributesTimeToEvents(t *testing.T) {
 	meter := laburnumcontrol.NewMeter()
 	loop := laburnumcontrol.New(laburnumcontrol.WithMeter(meter))
 	loop.Post(sleeper{}, slow{})
