--- a/laburnumtimer/coalescer_test.go
+++ b/laburnumtimer/coalescer_test.go
@@ -11,7 +11,7 @@
 
 // The first poke after a pause runs at once; those that follow within the period are
 // done together at its end, so a thousand of them cost one run.
-func TestGathererRunsOnceAPeriod(t *testing.T) {
+func TestCoalescerRunsOncePerPeriod(t *testing.T) {
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
 	runs := 0
 	g := laburnumtimer.NewGatherer(timers, func() time.Duration { return 100 * time.Millisecond }, func() { runs++ })
--- a/laburnumtimer/manualtimers.go
+++ b/laburnumtimer/manualtimers.go
@@ -8,10 +8,10 @@
 
 // Manual is a timer service whose time moves only by Advance.
 type Manual struct {
-	mu       sync.Mutex
-	now      time.Time
-	schedule schedule
-	order    uint64
+	mu           sync.Mutex
+	now          time.Time
+	schedule     schedule
+	lastSequence uint64
 }
 
 // NewManual starts at the given time.
@@ -57,8 +57,8 @@
 func (m *Manual) add(wait, period time.Duration, fn func(now time.Time)) func() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.order++
-	sub := &subscription{due: m.now.Add(wait), order: m.order, period: period, fn: fn}
+	m.lastSequence++
+	sub := &subscription{due: m.now.Add(wait), sequence: m.lastSequence, period: period, fn: fn}
 	heap.Push(&m.schedule, sub)
 	return func() {
 		m.mu.Lock()
@@ -74,7 +74,7 @@
 		if m.schedule[0].due.After(m.now) {
 			m.now = m.schedule[0].due
 		}
-		sub, _ := m.schedule.takeDue(m.now)
+		sub, _ := m.schedule.popDue(m.now)
 		return sub, m.now
 	}
 	m.now = end
--- a/laburnumtimer/realtimers.go
+++ b/laburnumtimer/realtimers.go
@@ -11,12 +11,12 @@
 
 // Timers is the timer service on the machine's clock.
 type Timers struct {
-	mu       sync.Mutex
-	schedule schedule
-	order    uint64
-	wake     chan struct{}
-	done     chan struct{}
-	closed   sync.Once
+	mu           sync.Mutex
+	schedule     schedule
+	lastSequence uint64
+	wake         chan struct{}
+	done         chan struct{}
+	closed       sync.Once
 }
 
 // New starts a timer service; Close ends it.
@@ -47,11 +47,11 @@
 
 func (t *Timers) add(wait, period time.Duration, fn func(now time.Time)) func() {
 	t.mu.Lock()
-	t.order++
-	sub := &subscription{due: time.Now().Add(wait), order: t.order, period: period, fn: fn}
+	t.lastSequence++
+	sub := &subscription{due: time.Now().Add(wait), sequence: t.lastSequence, period: period, fn: fn}
 	heap.Push(&t.schedule, sub)
 	t.mu.Unlock()
-	t.poke()
+	t.wakeUp()
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-func (t *Timers) poke() {
+func (t *Timers) wakeUp() {
 	select {
 	case t.wake <- struct{}{}:
 	default:
@@ -100,7 +100,7 @@
 	default:
 	}
 	now := time.Now()
-	if sub, ok := t.schedule.takeDue(now); ok {
+	if sub, ok := t.schedule.popDue(now); ok {
 		return sub, 0
 	}
 	if len(t.schedule) == 0 {
--- a/laburnumtimer/schedule.go
+++ b/laburnumtimer/schedule.go
@@ -7,11 +7,11 @@
 
 // subscription is one function waiting for its time. A period of 0 means once.
 type subscription struct {
-	due    time.Time
-	order  uint64 // breaks ties, so that equal times run in the order subscribed
-	period time.Duration
-	fn     func(now time.Time)
-	index  int // place in the heap, -1 when not in it
+	due      time.Time
+	sequence uint64 // breaks ties, so that equal times run in the order subscribed
+	period   time.Duration
+	fn       func(now time.Time)
+	index    int // place in the heap, -1 when not in it
 }
 
 // schedule is a heap of subscriptions, the earliest first.
@@ -21,7 +21,7 @@
 
 func (s schedule) Less(i, j int) bool {
 	if s[i].due.Equal(s[j].due) {
-		return s[i].order < s[j].order
+		return s[i].sequence < s[j].sequence
 	}
 	return s[i].due.Before(s[j].due)
 }
@@ -49,9 +49,9 @@
 	return last
 }
 
-// takeDue removes the earliest subscription if its time has come, and puts a
+// popDue removes the earliest subscription if its time has come, and puts a
 // periodic one back for its next time.
-func (s *schedule) takeDue(now time.Time) (*subscription, bool) {
+func (s *schedule) popDue(now time.Time) (*subscription, bool) {
 	if len(*s) == 0 || (*s)[0].due.After(now) {
 		return nil, false
 	}
--- a/laburnumtimer/timers_test.go
+++ b/laburnumtimer/timers_test.go
@@ -32,7 +32,7 @@
 	require.Equal(t, 1, runs)
 }
 
-func TestRealRunsAndStops(t *testing.T) {
+func TestTimersRunAndCancel(t *testing.T) {
 	timers := laburnumtimer.New()
 	defer timers.Close()
 	ran := make(chan struct{})
