--- a/laburnummetrics/metrics.go
+++ b/laburnummetrics/metrics.go
@@ -66,7 +66,7 @@
 	m.runtime.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	m.reporter = prometheus.NewReporter(prometheus.Options{
 		Registerer:      m.registry,
-		OnRegisterError: m.registerFailed,
+		OnRegisterError: m.logRegisterError,
 	})
 	sanitize := prometheus.DefaultSanitizerOpts
 	// Label values are ours and any text is valid there: kebab-case names stay whole.
@@ -94,9 +94,9 @@
 	}
 }
 
-// registerFailed keeps a clash of metric names from ending the process, which
+// logRegisterError keeps a clash of metric names from ending the process, which
 // is what the reporter does by default: the metric is lost, the traffic goes on.
-func (m *Metrics) registerFailed(err error) {
+func (m *Metrics) logRegisterError(err error) {
 	_ = level.Error(m.logger).Log("msg", "metric cannot be shown", "err", err)
 }
 
--- a/laburnummetrics/metrics_test.go
+++ b/laburnummetrics/metrics_test.go
@@ -14,8 +14,8 @@
 	"laburnumlever/laburnummetrics"
 )
 
-// patience is far above the period in which metrics are reported.
-const patience = 20 * time.Second
+// eventuallyTimeout is far above the period in which metrics are reported.
+const eventuallyTimeout = 20 * time.Second
 
 func text(m *laburnummetrics.Metrics) string {
 	w := httptest.NewRecorder()
@@ -23,7 +23,7 @@
 	return w.Body.String()
 }
 
-func TestEveryReasonHasACounterFromTheStart(t *testing.T) {
+func TestReasonCountersStartAtZero(t *testing.T) {
 	metrics := laburnummetrics.New()
 	defer metrics.Close()
 	for _, reason := range laburnumlever.RefusalReasonStrings() {
@@ -36,7 +36,7 @@
 
 // Two parts use one name with different labels: the second metric can't be shown,
 // and the reporter's default would end the process in the middle of traffic.
-func TestClashOfNamesIsNoPanic(t *testing.T) {
+func TestConflictingLabelsDoNotPanic(t *testing.T) {
 	metrics := laburnummetrics.New()
 	metrics.Scope().Counter("kebab-name").Inc(3)
 	require.NotPanics(t, func() { metrics.Scope().Tagged(map[string]string{"zone": "brest"}).Counter("kebab-name").Inc(1) })
@@ -46,11 +46,11 @@
 
 // Monitoring that keeps only the start of an answer showed an incident's first responders
 // the garbage collector and not one counter of the parts: the runtime's came first.
-func TestPartsAreShownBeforeTheRuntime(t *testing.T) {
+func TestOwnMetricsPrecedeRuntimeMetrics(t *testing.T) {
 	metrics := laburnummetrics.New()
 	defer metrics.Close()
 	metrics.Scope().Gauge("losses_borne").Update(1)
-	require.Eventually(t, func() bool { return strings.Contains(text(metrics), "losses_borne 1") }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(text(metrics), "losses_borne 1") }, eventuallyTimeout, time.Millisecond)
 	shown := text(metrics)
 	require.Contains(t, shown, "go_goroutines")
 	require.Less(t, strings.LastIndex(shown, "laburnumlever_"), strings.Index(shown, "go_"))
