--- a/laburnumlogging/logger.go
+++ b/laburnumlogging/logger.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// defaultSize bounds the bytes that wait to be written: some seconds of a busy
+	// defaultMaxBytes bounds the bytes that wait to be written: some seconds of a busy
 	// gateway's lines, and little beside its memory.
-	defaultSize = 1 << 20
+	defaultMaxBytes = 1 << 20
 	// routineShare of the buffer is for lines about what went well.
 	routineShare = 0.5
 	// maxWrite bounds one write. A pipe takes so many bytes whole: more may be torn, or mixed
@@ -32,34 +32,34 @@
 	eventKey = "event"
 )
 
-// routine are the events that say that all went well; there are as many as requests.
-var routine = []string{
+// routineEvents are the events that say that all went well; there are as many as requests.
+var routineEvents = []string{
 	laburnumlever.EventRequestServed.String(), laburnumlever.EventAdapterThere.String(), laburnumlever.EventOrderAnswered.String(),
 }
 
 // Logger is a bounded log. It implements log.Logger and may be used from any goroutine.
 type Logger struct {
-	out     io.Writer
-	size    int
-	scope   tally.Scope
-	options atomic.Pointer[filter]
-
-	mu      sync.Mutex
-	ready   *sync.Cond
-	waiting [][]byte
-	bytes   int
-	dropped map[string]int
-	closed  bool
-	done    chan struct{}
+	out      io.Writer
+	maxBytes int
+	scope    tally.Scope
+	filter   atomic.Pointer[levelFilter]
+
+	mu           sync.Mutex
+	ready        *sync.Cond
+	pending      [][]byte
+	pendingBytes int
+	dropped      map[string]int
+	closed       bool
+	done         chan struct{}
 }
 
-type filter struct{ log.Logger }
+type levelFilter struct{ log.Logger }
 
 // Option changes a new logger.
 type Option func(*Logger)
 
 // WithSize bounds the bytes that wait to be written.
-func WithSize(n int) Option { return func(l *Logger) { l.size = n } }
+func WithSize(n int) Option { return func(l *Logger) { l.maxBytes = n } }
 
 // WithScope sets where dropped lines are counted; without it nowhere.
 func WithScope(scope tally.Scope) Option { return func(l *Logger) { l.scope = scope } }
@@ -67,7 +67,7 @@
 // New starts a logger with the level debug, info, warn or error. An error is a
 // *laburnumlever.InvalidValueError.
 func New(out io.Writer, levelName string, opts ...Option) (*Logger, error) {
-	l := &Logger{out: out, size: defaultSize, scope: tally.NoopScope, dropped: map[string]int{}, done: make(chan struct{})}
+	l := &Logger{out: out, maxBytes: defaultMaxBytes, scope: tally.NoopScope, dropped: map[string]int{}, done: make(chan struct{})}
 	for _, opt := range opts {
 		opt(l)
 	}
@@ -86,12 +86,12 @@
 	if err != nil {
 		return &laburnumlever.InvalidValueError{Name: "level", Value: name, Want: "debug, info, warn or error"}
 	}
-	l.options.Store(&filter{Logger: level.NewFilter(encoder{logger: l}, level.Allow(value))})
+	l.filter.Store(&levelFilter{Logger: level.NewFilter(encoder{logger: l}, level.Allow(value))})
 	return nil
 }
 
 // Log puts a line into the buffer, or drops it. It never waits for the output.
-func (l *Logger) Log(keyvals ...any) error { return l.options.Load().Log(keyvals...) }
+func (l *Logger) Log(keyvals ...any) error { return l.filter.Load().Log(keyvals...) }
 
 // Close writes what waits, for a short time, and ends the logger.
 func (l *Logger) Close() {
@@ -113,17 +113,17 @@
 	var line bytes.Buffer
 	fields := append([]any{"ts", log.DefaultTimestampUTC}, keyvals...)
 	for i := 1; i < len(fields); i += 2 {
-		fields[i] = plain(fields[i])
+		fields[i] = evaluate(fields[i])
 	}
 	if err := log.NewJSONLogger(&line).Log(fields...); err != nil {
 		return err
 	}
-	e.logger.put(eventOf(keyvals), line.Bytes())
+	e.logger.enqueue(eventOf(keyvals), line.Bytes())
 	return nil
 }
 
-// plain evaluates values that are made when they are logged.
-func plain(v any) any {
+// evaluate evaluates values that are made when they are logged.
+func evaluate(v any) any {
 	if valuer, ok := v.(log.Valuer); ok {
 		return valuer()
 	}
@@ -139,20 +139,20 @@
 	return "unnamed"
 }
 
-func (l *Logger) put(event string, line []byte) {
+func (l *Logger) enqueue(event string, line []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	limit := l.size
-	if slices.Contains(routine, event) {
-		limit = int(routineShare * float64(l.size))
+	limit := l.maxBytes
+	if slices.Contains(routineEvents, event) {
+		limit = int(routineShare * float64(l.maxBytes))
 	}
-	if l.bytes+len(line) > limit || l.closed {
+	if l.pendingBytes+len(line) > limit || l.closed {
 		l.dropped[event]++
 		l.scope.Tagged(map[string]string{"event": event}).Counter("log-lines-dropped").Inc(1)
 		return
 	}
-	l.waiting = append(l.waiting, line)
-	l.bytes += len(line)
+	l.pending = append(l.pending, line)
+	l.pendingBytes += len(line)
 	l.ready.Signal()
 }
 
@@ -161,20 +161,20 @@
 func (l *Logger) run() {
 	defer close(l.done)
 	for {
-		lines, ok := l.take()
+		lines, ok := l.takePending()
 		if !ok {
 			return
 		}
 		for len(lines) > 0 {
-			n := wholeLines(lines)
+			n := wholeLinesLen(lines)
 			_, _ = l.out.Write(lines[:n])
 			lines = lines[n:]
 		}
 	}
 }
 
-// wholeLines is the length of the first lines that fit into one write, or of the first line.
-func wholeLines(lines []byte) int {
+// wholeLinesLen is the length of the first lines that fit into one write, or of the first line.
+func wholeLinesLen(lines []byte) int {
 	if len(lines) <= maxWrite {
 		return len(lines)
 	}
@@ -187,26 +187,26 @@
 	return len(lines)
 }
 
-// take waits for lines and returns all that wait as one, with a word on those dropped.
-func (l *Logger) take() ([]byte, bool) {
+// takePending waits for lines and returns all that wait as one, with a word on those dropped.
+func (l *Logger) takePending() ([]byte, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for len(l.waiting) == 0 && !l.closed {
+	for len(l.pending) == 0 && !l.closed {
 		l.ready.Wait()
 	}
-	if len(l.waiting) == 0 {
+	if len(l.pending) == 0 {
 		return nil, false
 	}
-	lines := bytes.Join(l.waiting, nil)
-	l.waiting, l.bytes = nil, 0
+	lines := bytes.Join(l.pending, nil)
+	l.pending, l.pendingBytes = nil, 0
 	if len(l.dropped) > 0 {
-		lines = append(lines, l.droppedLine()...)
+		lines = append(lines, l.summarizeDropped()...)
 		clear(l.dropped)
 	}
 	return lines, true
 }
 
-func (l *Logger) droppedLine() []byte {
+func (l *Logger) summarizeDropped() []byte {
 	var counts []string
 	for event, n := range l.dropped {
 		counts = append(counts, fmt.Sprintf("%s=%d", event, n))
--- a/laburnumlogging/logger_test.go
+++ b/laburnumlogging/logger_test.go
@@ -14,8 +14,8 @@
 	"laburnumlever/laburnumlogging"
 )
 
-// stuckWriter takes nothing until it is released.
-type stuckWriter struct {
+// blockedWriter takes nothing until it is released.
+type blockedWriter struct {
 	release chan struct{}
 	entered chan struct{}
 	once    sync.Once
@@ -23,11 +23,11 @@
 	out     bytes.Buffer
 }
 
-func newStuckWriter() *stuckWriter {
-	return &stuckWriter{release: make(chan struct{}), entered: make(chan struct{})}
+func newBlockedWriter() *blockedWriter {
+	return &blockedWriter{release: make(chan struct{}), entered: make(chan struct{})}
 }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
+func (w *blockedWriter) Write(p []byte) (int, error) {
 	w.once.Do(func() { close(w.entered) })
 	<-w.release
 	w.mu.Lock()
@@ -35,7 +35,7 @@
 	return w.out.Write(p)
 }
 
-func (w *stuckWriter) lines() []string {
+func (w *blockedWriter) lines() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return strings.Split(strings.TrimSpace(w.out.String()), "\n")
@@ -44,8 +44,8 @@
 // Whatever reads the process's output stands still. Callers must not notice: their
 // requests go on at once, the memory stays bounded, and of the lines that do not fit
 // those on failures are kept before those on successes.
-func TestStuckOutputHoldsNobodyUp(t *testing.T) {
-	w := newStuckWriter()
+func TestBlockedOutputDoesNotBlockCallers(t *testing.T) {
+	w := newBlockedWriter()
 	logger, err := laburnumlogging.New(w, "info", laburnumlogging.WithSize(16<<10))
 	require.NoError(t, err)
 	require.NoError(t, level.Info(logger).Log("event", "started"))
@@ -77,7 +77,7 @@
 }
 
 func TestLevelChangesAtRunTime(t *testing.T) {
-	w := newStuckWriter()
+	w := newBlockedWriter()
 	close(w.release)
 	logger, err := laburnumlogging.New(w, "info")
 	require.NoError(t, err)
@@ -90,8 +90,8 @@
 	require.Contains(t, w.lines()[0], `"avoid":["i-1"]`)
 }
 
-// BenchmarkLine is the processor time that a line costs whoever logs it.
-func BenchmarkLine(b *testing.B) {
+// BenchmarkLog is the processor time that a line costs whoever logs it.
+func BenchmarkLog(b *testing.B) {
 	logger, err := laburnumlogging.New(&bytes.Buffer{}, "info")
 	require.NoError(b, err)
 	defer logger.Close()
@@ -101,28 +101,28 @@
 	}
 }
 
-// sizeWriter notes whether each write is a line, or whole lines that a pipe takes whole.
-type sizeWriter struct {
-	mu    sync.Mutex
-	whole bool
-	out   bytes.Buffer
+// atomicityWriter notes whether each write is a line, or whole lines that a pipe takes whole.
+type atomicityWriter struct {
+	mu     sync.Mutex
+	atomic bool
+	out    bytes.Buffer
 	// logged is closed once all lines wait.
-	logged chan struct{}
+	enqueued chan struct{}
 }
 
-func (w *sizeWriter) Write(p []byte) (int, error) {
-	<-w.logged
+func (w *atomicityWriter) Write(p []byte) (int, error) {
+	<-w.enqueued
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	const pipe = 4096
-	w.whole = w.whole && bytes.HasSuffix(p, []byte("\n")) && (len(p) <= pipe || bytes.Count(p, []byte("\n")) == 1)
+	w.atomic = w.atomic && bytes.HasSuffix(p, []byte("\n")) && (len(p) <= pipe || bytes.Count(p, []byte("\n")) == 1)
 	return w.out.Write(p)
 }
 
 // Guards against lines that lose their middle: written hundreds at once, they are more than a
 // pipe takes whole.
-func TestWritesAreWholeLinesThatAPipeTakesWhole(t *testing.T) {
-	w := &sizeWriter{whole: true, logged: make(chan struct{})}
+func TestPipeWritesAreAtomicWholeLines(t *testing.T) {
+	w := &atomicityWriter{atomic: true, enqueued: make(chan struct{})}
 	logger, err := laburnumlogging.New(w, "info")
 	require.NoError(t, err)
 	const lines, long = 400, 9000
@@ -130,8 +130,8 @@
 		require.NoError(t, level.Info(logger).Log("event", "some", "n", i))
 	}
 	require.NoError(t, level.Info(logger).Log("event", "long", "text", strings.Repeat("x", long)))
-	close(w.logged)
+	close(w.enqueued)
 	logger.Close()
 	require.Equal(t, lines+1, bytes.Count(w.out.Bytes(), []byte("\n")))
-	require.True(t, w.whole)
+	require.True(t, w.atomic)
 }
