--- a/laburnumcontrol/loop.go
+++ b/laburnumcontrol/loop.go
@@ -1,5 +1,5 @@
-// Package laburnumcontrol runs the control thread: one goroutine that hands
-// typed events to the parts that own control state, one at a time.
+// Package laburnumcontrol is the event loop of the control thread: one goroutine that
+// dispatches typed events, one at a time, to the components that own control state.
 //
 // # Usage
 //
@@ -8,8 +8,8 @@
 //	loop.Post(membership, announced{…})
 //	defer loop.Stop()
 //
-// In tests Drain runs what is queued on the caller's goroutine instead, so that
-// the order is the same in every run.
+// Tests call Drain instead of Run: it handles queued events on the caller's goroutine,
+// so that the order is deterministic.
 package laburnumcontrol
 
 import (
@@ -19,38 +19,38 @@
 	"laburnumlever"
 )
 
-// Loop is the control thread's queue. It is not bounded: events come from timers,
-// peers and workers whose own queues are, and to drop one (a finished fsync)
-// would stop the log for good.
+// Loop is the control thread's event queue. It is unbounded: the queues of the timers,
+// peers and workers that post events are bounded, and dropping an event such as a
+// finished fsync would block the log forever. It is safe for concurrent use.
 type Loop struct {
 	mu         sync.Mutex
 	ready      *sync.Cond
-	queue      []entry
+	queue      []queuedEvent
 	stopped    bool
 	done       chan struct{}
 	afterEvent func(ev laburnumlever.Event)
 	meter      *Meter
 }
 
-type entry struct {
-	to laburnumlever.Part
-	ev laburnumlever.Event
-	at time.Time
+type queuedEvent struct {
+	to       laburnumlever.Part
+	ev       laburnumlever.Event
+	postedAt time.Time
 }
 
-// Option changes a new loop.
+// Option configures a loop.
 type Option func(*Loop)
 
-// WithAfter sets a function that runs on the control thread after each event,
-// such as publishing a new view.
+// WithAfterEvent sets a function that runs on the control thread after each event, for
+// example to publish a new view.
 func WithAfter(after func(ev laburnumlever.Event)) Option {
 	return func(l *Loop) { l.afterEvent = after }
 }
 
-// WithMeter sets what counts the time that events take.
+// WithMeter sets the meter that records how long events take.
 func WithMeter(m *Meter) Option { return func(l *Loop) { l.meter = m } }
 
-// New makes a loop that does not run yet.
+// New returns a loop that is not running.
 func New(opts ...Option) *Loop {
 	l := &Loop{done: make(chan struct{}), afterEvent: func(laburnumlever.Event) {}, meter: NewMeter()}
 	l.ready = sync.NewCond(&l.mu)
@@ -60,14 +60,14 @@
 	return l
 }
 
-// Post queues an event for a part.
+// Post queues an event for a component. After Stop it does nothing.
 func (l *Loop) Post(to laburnumlever.Part, ev laburnumlever.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.stopped {
 		return
 	}
-	l.queue = append(l.queue, entry{to: to, ev: ev, at: time.Now()})
+	l.queue = append(l.queue, queuedEvent{to: to, ev: ev, postedAt: time.Now()})
 	l.ready.Signal()
 }
 
@@ -83,7 +83,7 @@
 	}
 }
 
-// Drain handles all that is queued, and what that queues in turn, then returns.
+// Drain handles all queued events, including those that they post, and returns.
 func (l *Loop) Drain() {
 	for {
 		l.mu.Lock()
@@ -97,8 +97,8 @@
 	}
 }
 
-// Stop ends Run after the events it has taken, and drops the rest. It does not
-// wait: call Done for that.
+// Stop ends Run after its current batch of events and drops the others. It doesn't wait
+// for Run to return; use Done for that.
 func (l *Loop) Stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,28 +107,28 @@
 	l.ready.Broadcast()
 }
 
-// Done is closed once Run has returned.
+// Done returns a channel that is closed once Run has returned.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// Len is the number of events waiting.
+// Len returns the number of queued events.
 func (l *Loop) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue)
 }
 
-func (l *Loop) handleBatch(batch []entry) {
+func (l *Loop) handleBatch(batch []queuedEvent) {
 	began := time.Now()
 	for _, e := range batch {
 		e.to.Handle(e.ev)
 		l.afterEvent(e.ev)
 		ended := time.Now()
-		l.meter.record(e.ev.EventName(), began.Sub(e.at), ended.Sub(began))
+		l.meter.record(e.ev.EventName(), began.Sub(e.postedAt), ended.Sub(began))
 		began = ended
 	}
 }
 
-func (l *Loop) takeBatch() []entry {
+func (l *Loop) takeBatch() []queuedEvent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.queue) == 0 && !l.stopped {
--- a/laburnumcontrol/loop_test.go
+++ b/laburnumcontrol/loop_test.go
@@ -29,6 +29,7 @@
 	}
 }
 
+// Guards against events that a handler posts and that Drain leaves in the queue.
 func TestDrainHandlesEventsPostedByEvents(t *testing.T) {
 	after := 0
 	loop := laburnumcontrol.New(laburnumcontrol.WithAfter(func(laburnumlever.Event) { after++ }))
@@ -40,6 +41,7 @@
 	require.Equal(t, 3, after)
 }
 
+// Guards against a queue that grows after the loop was stopped.
 func TestPostAfterStopIsDropped(t *testing.T) {
 	loop := laburnumcontrol.New()
 	go loop.Run()
--- a/laburnumcontrol/meter.go
+++ b/laburnumcontrol/meter.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Meter counts what the control thread spends its time on. It may be used from any goroutine.
+// Meter records how the control thread spends its time, by event name. It is safe for concurrent use.
 type Meter struct {
 	mu     sync.Mutex
 	since  time.Time
@@ -16,38 +16,38 @@
 	usage  Usage
 }
 
-// NewMeter makes a meter for one loop.
+// NewMeter returns a meter for one loop.
 func NewMeter() *Meter { return &Meter{since: time.Now(), events: map[string]EventTime{}} }
 
-// EventTime is the time that events of one name took.
+// EventTime is the number of events with one name and the total time to handle them.
 type EventTime struct {
 	Event string
 	Count int
 	Took  time.Duration
 }
 
-// String is the form for logs.
+// String formats the value for logs, for example "run 3x 12ms".
 func (e EventTime) String() string {
 	return fmt.Sprintf("%s %dx %dms", e.Event, e.Count, e.Took.Milliseconds())
 }
 
-// Usage is what a control thread did over a span of time.
+// Usage is the control thread's use of a span of time.
 type Usage struct {
 	Span time.Duration
-	// Busy is the time spent on events.
+	// Busy is the total time to handle events.
 	Busy time.Duration
-	// Longest is the event that took most time, Waited the longest that one waited for its
-	// turn.
+	// Longest is the single event that took longest to handle, MaxWait the longest time that
+	// an event was queued.
 	Longest EventTime
 	Waited  time.Duration
-	// Events are those that took most time, the most first.
+	// Events are the event names with the largest total times, in descending order.
 	Events []EventTime
 }
 
-// maxEvents bounds the names that a usage lists.
+// maxEvents bounds the number of event names in a Usage.
 const maxEvents = 5
 
-// Take returns the usage since the last call.
+// Take returns the usage since the last call and resets the meter.
 func (m *Meter) Take() Usage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/laburnumcontrol/meter_test.go
+++ b/laburnumcontrol/meter_test.go
@@ -22,6 +22,7 @@
 	}
 }
 
+// Guards against a usage that attributes time or waits to the wrong events.
 func TestMeterAttributesTimeToEvents(t *testing.T) {
 	meter := laburnumcontrol.NewMeter()
 	loop := laburnumcontrol.New(laburnumcontrol.WithMeter(meter))
@@ -34,6 +35,6 @@
 	require.Equal(t, []string{"slow", "number"}, []string{usage.Events[0].Event, usage.Events[1].Event})
 	require.Equal(t, 2, usage.Events[1].Count)
 	require.GreaterOrEqual(t, usage.Busy, 10*time.Millisecond)
-	require.GreaterOrEqual(t, usage.Waited, 10*time.Millisecond, "the numbers waited for the slow event")
+	require.GreaterOrEqual(t, usage.Waited, 10*time.Millisecond, "the number events were queued behind the slow event")
 	require.Zero(t, meter.Take().Busy)
 }
