--- a/laburnumtimer/coalescer.go
+++ b/laburnumtimer/coalescer.go
@@ -7,9 +7,9 @@
 	"laburnumlever"
 )
 
-// Gatherer runs a function soon after Poke, at most once in a period: whatever is
-// poked meanwhile is done by the one run at the period's end. It may be used from any
-// goroutine, also while the caller holds a lock that the function takes.
+// Coalescer runs a function after Trigger, at most once per period: all triggers within
+// a period cause one run at its end. It is safe for concurrent use, also by a caller
+// that holds a lock which the function acquires.
 type Gatherer struct {
 	timers laburnumlever.Timers
 	period func() time.Duration
@@ -20,12 +20,13 @@
 	pending bool
 }
 
-// NewGatherer makes a gatherer; the period is asked for at each run.
+// NewCoalescer returns a coalescer for fn. period is called for each run.
 func NewGatherer(timers laburnumlever.Timers, period func() time.Duration, fn func()) *Gatherer {
 	return &Gatherer{timers: timers, period: period, fn: fn}
 }
 
-// Poke asks for a run: at once if the last one is a period ago, else when it is.
+// Trigger schedules a run: at once if the last one started at least a period ago, else
+// when that period ends. It does nothing while a run is scheduled.
 func (g *Gatherer) Poke() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/laburnumtimer/coalescer_test.go
+++ b/laburnumtimer/coalescer_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The first poke after a pause runs at once; those that follow within the period are
-// done together at its end, so a thousand of them cost one run.
+// Guards against a run for each trigger: the first trigger after a pause runs at once, all
+// later ones in the period together at its end.
 func TestCoalescerRunsOncePerPeriod(t *testing.T) {
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
 	runs := 0
--- a/laburnumtimer/manualtimers.go
+++ b/laburnumtimer/manualtimers.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Manual is a timer service whose time moves only by Advance.
+// Manual is a timer service whose time is changed only by Advance. It is safe for
+// concurrent use.
 type Manual struct {
 	mu           sync.Mutex
 	now          time.Time
@@ -14,35 +15,36 @@
 	lastSequence uint64
 }
 
-// NewManual starts at the given time.
+// NewManual returns a timer service whose clock shows the start time.
 func NewManual(start time.Time) *Manual { return &Manual{now: start} }
 
-// Now is the time that Advance has reached.
+// Now returns the time that Advance has reached.
 func (m *Manual) Now() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.now
 }
 
-// Pending is how many subscriptions wait for their time: a test that Advances before
-// another goroutine has begun its wait would pass nothing.
+// Pending returns the number of subscriptions. A test uses it to wait until another
+// goroutine has subscribed: an earlier Advance would not count for that subscription.
 func (m *Manual) Pending() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.schedule)
 }
 
-// Every calls fn once each period until cancel is called.
+// Every calls fn once per period until cancel is called.
 func (m *Manual) Every(period time.Duration, fn func(now time.Time)) (cancel func()) {
 	return m.add(period, period, fn)
 }
 
-// After calls fn once after d unless cancel is called before.
+// After calls fn once, after d, unless cancel is called first.
 func (m *Manual) After(d time.Duration, fn func(now time.Time)) (cancel func()) {
 	return m.add(d, 0, fn)
 }
 
-// Advance moves the time on, stopping at each due time to run what is due then.
+// Advance advances the clock by d and runs due functions, each with the clock at its
+// due time.
 func (m *Manual) Advance(d time.Duration) {
 	end := m.Now().Add(d)
 	for {
--- a/laburnumtimer/realtimers.go
+++ b/laburnumtimer/realtimers.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// idleWait is how long the service sleeps when nothing is subscribed.
+// idleWait is how long the service sleeps without subscriptions.
 const idleWait = time.Hour
 
-// Timers is the timer service on the machine's clock.
+// Timers is the timer service on the machine's clock. It is safe for concurrent use.
+// Functions run on one goroutine, one at a time.
 type Timers struct {
 	mu           sync.Mutex
 	schedule     schedule
@@ -19,28 +20,28 @@
 	closed       sync.Once
 }
 
-// New starts a timer service; Close ends it.
+// New starts a timer service; Close stops it.
 func New() *Timers {
 	t := &Timers{wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go t.run()
 	return t
 }
 
-// Now is the machine's time with its monotonic reading.
+// Now returns the machine's time with its monotonic clock reading.
 func (t *Timers) Now() time.Time { return time.Now() }
 
-// Every calls fn once each period until cancel is called.
+// Every calls fn once per period until cancel is called.
 func (t *Timers) Every(period time.Duration, fn func(now time.Time)) (cancel func()) {
 	return t.add(period, period, fn)
 }
 
-// After calls fn once after d unless cancel is called before.
+// After calls fn once, after d, unless cancel is called first.
 func (t *Timers) After(d time.Duration, fn func(now time.Time)) (cancel func()) {
 	return t.add(d, 0, fn)
 }
 
-// Close ends the service; no function starts after it returns, but one may
-// still be running.
+// Close stops the service. No function starts after it returns, but one may still be
+// running.
 func (t *Timers) Close() {
 	t.closed.Do(func() { close(t.done) })
 }
@@ -80,7 +81,7 @@
 	}
 }
 
-// runDue runs all that is due and returns how long to wait for the next.
+// runDue runs all due functions and returns the time until the next one is due.
 func (t *Timers) runDue() time.Duration {
 	for {
 		sub, wait := t.next()
--- a/laburnumtimer/schedule.go
+++ b/laburnumtimer/schedule.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// subscription is one function waiting for its time. A period of 0 means once.
+// subscription is a scheduled function. With a period of 0 it runs once.
 type subscription struct {
 	due      time.Time
-	sequence uint64 // breaks ties, so that equal times run in the order subscribed
+	sequence uint64 // orders subscriptions with equal due times
 	period   time.Duration
 	fn       func(now time.Time)
-	index    int // place in the heap, -1 when not in it
+	index    int // in the heap; -1 if not in it
 }
 
-// schedule is a heap of subscriptions, the earliest first.
+// schedule is a min-heap of subscriptions by due time.
 type schedule []*subscription
 
 func (s schedule) Len() int { return len(s) }
@@ -32,14 +32,14 @@
 	s[j].index = j
 }
 
-// Push is for container/heap only.
+// Push implements heap.Interface.
 func (s *schedule) Push(x any) {
 	sub := x.(*subscription) //nolint:forcetypeassert // heap.Push is only called with subscriptions
 	sub.index = len(*s)
 	*s = append(*s, sub)
 }
 
-// Pop is for container/heap only.
+// Pop implements heap.Interface.
 func (s *schedule) Pop() any {
 	old := *s
 	last := old[len(old)-1]
@@ -49,8 +49,8 @@
 	return last
 }
 
-// popDue removes the earliest subscription if its time has come, and puts a
-// periodic one back for its next time.
+// popDue removes and returns the earliest subscription if it is due. A periodic one
+// stays, with its next due time.
 func (s *schedule) popDue(now time.Time) (*subscription, bool) {
 	if len(*s) == 0 || (*s)[0].due.After(now) {
 		return nil, false
@@ -65,8 +65,9 @@
 	return sub, true
 }
 
-// nextDue skips the times that a late run has missed: a VM that was frozen for a
-// minute would otherwise run each second's work sixty times at once.
+// nextDue returns the next due time after now and skips missed ones. Otherwise, after a
+// VM was frozen for a minute, a function with a period of a second would run 60 times
+// in a row.
 func nextDue(due time.Time, period time.Duration, now time.Time) time.Time {
 	next := due.Add(period)
 	if next.After(now) {
--- a/laburnumtimer/timers_test.go
+++ b/laburnumtimer/timers_test.go
@@ -11,6 +11,7 @@
 
 var start = time.Date(2026, 12, 2, 4, 0, 0, 0, time.UTC)
 
+// Guards against functions that run out of order, or after their cancellation.
 func TestManualRunsInOrderOfTime(t *testing.T) {
 	m := laburnumtimer.NewManual(start)
 	var got []string
@@ -23,6 +24,7 @@
 	require.Equal(t, start.Add(10*time.Second), m.Now())
 }
 
+// Guards against a deadlock, or another run, when a function cancels itself.
 func TestManualCancelFromWithinAFunction(t *testing.T) {
 	m := laburnumtimer.NewManual(start)
 	runs := 0
@@ -32,12 +34,13 @@
 	require.Equal(t, 1, runs)
 }
 
+// Guards against functions on the machine's clock that do not run or ignore cancellation.
 func TestTimersRunAndCancel(t *testing.T) {
 	timers := laburnumtimer.New()
 	defer timers.Close()
 	ran := make(chan struct{})
 	timers.After(time.Millisecond, func(time.Time) { close(ran) })
 	<-ran
-	cancelled := timers.After(time.Hour, func(time.Time) { t.Error("cancelled, yet it ran") })
+	cancelled := timers.After(time.Hour, func(time.Time) { t.Error("function ran after its cancellation") })
 	cancelled()
 }
--- a/laburnumtimer/wait.go
+++ b/laburnumtimer/wait.go
@@ -6,15 +6,15 @@
 	"laburnumlever"
 )
 
-// Passed returns a channel that is closed once the time d has passed on the timer service,
-// unless cancel is called before.
+// AfterChannel returns a channel that is closed once d has passed on the timer service. It is
+// never closed if cancel is called first.
 func Passed(timers laburnumlever.Timers, d time.Duration) (passed <-chan struct{}, cancel func()) {
 	over := make(chan struct{})
 	return over, timers.After(d, func(time.Time) { close(over) })
 }
 
-// Wait passes the time d on the timer service, or less if done is closed before;
-// it tells whether the whole time has passed.
+// Wait waits until d has passed on the timer service or done is closed. It reports
+// whether d has passed.
 func Wait(done <-chan struct{}, timers laburnumlever.Timers, d time.Duration) bool {
 	passed, cancel := Passed(timers, d)
 	defer cancel()
