--- a/laburnummetrics/metrics.go
+++ b/laburnummetrics/metrics.go
@@ -1,9 +1,9 @@
-// Package laburnummetrics gives the parts a tally scope and shows what they
-// counted as Prometheus text.
+// Package laburnummetrics provides components with a tally scope and exports its metrics
+// in the Prometheus text format.
 //
-// Every process has one Metrics. Names and labels are written with underscores,
-// since the Prometheus format allows no hyphens; a hyphen in a name is replaced,
-// label values stay as they are.
+// Every process has one Metrics. Metric and label names are exported with underscores
+// in place of hyphens, which the Prometheus format doesn't allow; label values are
+// exported unchanged.
 //
 // # Usage
 //
@@ -32,32 +32,32 @@
 
 const (
 	prefix = "laburnumlever"
-	// reportInterval is how far /metrics may lag behind what was counted. A second is
-	// well below any usual scrape interval, and the walk over all counters
-	// costs little at that rate.
+	// reportInterval is the interval between reports to /metrics. A second is well below
+	// usual scrape intervals, and iterating over all counters once a second costs
+	// little.
 	reportInterval = time.Second
 )
 
-// Metrics holds all that one process counts.
+// Metrics holds the metrics of one process.
 type Metrics struct {
 	logger   log.Logger
 	registry *prom.Registry
-	runtime  *prom.Registry // what the language's runtime and the kernel tell of the process
+	runtime  *prom.Registry // metrics of the Go runtime and of the operating-system process
 	reporter prometheus.Reporter
 	scope    tally.Scope
 	closer   io.Closer
 }
 
-// Option changes a Metrics while it is built.
+// Option configures a Metrics.
 type Option func(*Metrics)
 
-// WithLogger logs metrics that cannot be shown, such as one name with two sets
-// of labels.
+// WithLogger sets the logger for metrics that cannot be registered, such as one name
+// with two sets of labels; the default discards everything.
 func WithLogger(logger log.Logger) Option {
 	return func(m *Metrics) { m.logger = logger }
 }
 
-// New returns an empty Metrics; Close ends it.
+// New returns a Metrics that reports until Close.
 func New(opts ...Option) *Metrics {
 	m := &Metrics{logger: log.NewNopLogger(), registry: prom.NewRegistry(), runtime: prom.NewRegistry()}
 	for _, opt := range opts {
@@ -69,7 +69,7 @@
 		OnRegisterError: m.logRegisterError,
 	})
 	sanitize := prometheus.DefaultSanitizerOpts
-	// Label values are ours and any text is valid there: kebab-case names stay whole.
+	// Prometheus allows any text in label values; keep kebab-case values and addresses.
 	sanitize.ValueCharacters = tally.ValidCharacters{Characters: []rune{'-', '.', '/', ':'}, Ranges: tally.AlphanumericRange}
 	m.scope, m.closer = tally.NewRootScope(tally.ScopeOptions{
 		Prefix:                 prefix,
@@ -82,9 +82,9 @@
 	return m
 }
 
-// declareReasons makes a counter for each reason of a refusal or a retry, at 0:
-// an alert on a rate needs the counter before the first event, and a reason that has
-// never occurred would otherwise look like one that is not counted.
+// declareReasons creates the counter of each refusal and retry reason at 0. An alert on
+// a rate needs the counter before the first event, and a missing counter would not tell
+// a reason that never occurred from one that is not counted.
 func (m *Metrics) declareReasons() {
 	for _, reason := range laburnumlever.RefusalReasonStrings() {
 		m.scope.Tagged(map[string]string{"reason": reason}).Counter("refusals").Inc(0)
@@ -94,22 +94,23 @@
 	}
 }
 
-// logRegisterError keeps a clash of metric names from ending the process, which
-// is what the reporter does by default: the metric is lost, the traffic goes on.
+// logRegisterError logs a conflict of metric names. The reporter's default handler would
+// panic; here only the conflicting metric is lost.
 func (m *Metrics) logRegisterError(err error) {
-	_ = level.Error(m.logger).Log("msg", "metric cannot be shown", "err", err)
+	_ = level.Error(m.logger).Log("msg", "cannot register metric", "err", err)
 }
 
-// Scope is the root scope that parts count in.
+// Scope returns the root scope for the components' metrics.
 func (m *Metrics) Scope() tally.Scope { return m.scope }
 
-// Handler shows everything in the Prometheus text format.
+// Handler serves all metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(prom.GathererFunc(m.gather), promhttp.HandlerOpts{})
 }
 
-// gather puts what the parts counted first: some monitoring keeps only the first few
-// kilobytes of an answer, and the runtime's metrics alone fill them.
+// gather returns the components' metrics before those of the runtime: some monitoring
+// systems keep only the first few kilobytes of a response, which the runtime's metrics
+// alone would fill.
 func (m *Metrics) gather() ([]*dto.MetricFamily, error) {
 	own, err := m.registry.Gather()
 	if err != nil {
@@ -119,5 +120,5 @@
 	return append(own, process...), err
 }
 
-// Close reports what is still pending and ends the reporting.
+// Close reports pending values and stops the reports.
 func (m *Metrics) Close() error { return m.closer.Close() }
--- a/laburnummetrics/metrics_test.go
+++ b/laburnummetrics/metrics_test.go
@@ -14,7 +14,7 @@
 	"laburnumlever/laburnummetrics"
 )
 
-// eventuallyTimeout is far above the period in which metrics are reported.
+// eventuallyTimeout bounds the wait for a report; it is far above the report interval.
 const eventuallyTimeout = 20 * time.Second
 
 func text(m *laburnummetrics.Metrics) string {
@@ -23,6 +23,7 @@
 	return w.Body.String()
 }
 
+// Guards against a reason whose counter is missing until its first event.
 func TestReasonCountersStartAtZero(t *testing.T) {
 	metrics := laburnummetrics.New()
 	defer metrics.Close()
@@ -34,8 +35,8 @@
 	}
 }
 
-// Two parts use one name with different labels: the second metric can't be shown,
-// and the reporter's default would end the process in the middle of traffic.
+// Guards against a process that panics because two components use one metric name with
+// different labels, as the reporter does by default.
 func TestConflictingLabelsDoNotPanic(t *testing.T) {
 	metrics := laburnummetrics.New()
 	metrics.Scope().Counter("kebab-name").Inc(3)
@@ -44,8 +45,8 @@
 	require.Contains(t, text(metrics), "laburnumlever_kebab_name 3\n")
 }
 
-// Monitoring that keeps only the start of an answer showed an incident's first responders
-// the garbage collector and not one counter of the parts: the runtime's came first.
+// Guards against runtime metrics that come first: monitoring that truncates the response then
+// showed garbage collector metrics during an incident and none of the components' counters.
 func TestOwnMetricsPrecedeRuntimeMetrics(t *testing.T) {
 	metrics := laburnummetrics.New()
 	defer metrics.Close()
