--- a/laburnumlogging/doc.go
+++ b/laburnumlogging/doc.go
@@ -1,14 +1,14 @@
-// Package laburnumlogging writes a process's log: one JSON object a line, bounded, and
-// never in the way of the work.
+// Package laburnumlogging writes a process's log, one JSON object per line, without
+// blocking the callers and with bounded memory.
 //
-// Who logs only puts the line into a buffer; a goroutine of its own writes it out. When
-// the output does not take the lines as fast as they come, or at all, the buffer fills.
-// Then lines about requests that went well are dropped first, and lines of any kind only
-// when there is no room left; what was dropped is counted by event, and said in one line
-// once there is room again.
+// Log appends the line to a buffer, and a separate goroutine writes it to the output. If
+// the output is slow or blocked, the buffer fills up. Lines about successful operations
+// are dropped once half of the buffer is used, lines of any kind once it is full. Dropped
+// lines are counted by event, and one line with the counts follows once the output
+// accepts lines again.
 //
-// JSON was chosen over logfmt since values hold lists and quoted causes, which JSON
-// readers take apart without guessing.
+// The format is JSON rather than logfmt since values include lists and quoted causes,
+// which JSON parsers decode unambiguously.
 //
 // # Usage
 //
--- a/laburnumlogging/logger.go
+++ b/laburnumlogging/logger.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	// defaultMaxBytes bounds the bytes that wait to be written: some seconds of a busy
-	// gateway's lines, and little beside its memory.
+	// defaultMaxBytes is the default size of the buffer in bytes: a few seconds of log
+	// lines on a busy gateway, and small compared with its memory.
 	defaultMaxBytes = 1 << 20
-	// routineShare of the buffer is for lines about what went well.
+	// routineShare is the share of the buffer available to routine events.
 	routineShare = 0.5
-	// maxWrite bounds one write. A pipe takes so many bytes whole: more may be torn, or mixed
-	// with those of another process.
+	// maxWrite bounds one write, in bytes. Writes to a pipe are atomic up to this size
+	// (PIPE_BUF); larger ones may be split or interleaved with those of another process.
 	maxWrite = 4096
-	// closeTimeout bounds the wait for the last lines at the end.
+	// closeTimeout bounds how long Close waits for pending lines to be written.
 	closeTimeout = 500 * time.Millisecond
-	// eventKey is the field that names what happened.
+	// eventKey is the key of the event's name.
 	eventKey = "event"
 )
 
-// routineEvents are the events that say that all went well; there are as many as requests.
+// routineEvents are the events of successful operations; they are as frequent as requests.
 var routineEvents = []string{
 	laburnumlever.EventRequestServed.String(), laburnumlever.EventAdapterThere.String(), laburnumlever.EventOrderAnswered.String(),
 }
 
-// Logger is a bounded log. It implements log.Logger and may be used from any goroutine.
+// Logger is a log with a bounded buffer. It implements log.Logger and is safe for concurrent use.
 type Logger struct {
 	out      io.Writer
 	maxBytes int
@@ -55,16 +55,16 @@
 
 type levelFilter struct{ log.Logger }
 
-// Option changes a new logger.
+// Option configures a logger.
 type Option func(*Logger)
 
-// WithSize bounds the bytes that wait to be written.
+// WithSize sets the size of the buffer in bytes; the default is 1 MiB.
 func WithSize(n int) Option { return func(l *Logger) { l.maxBytes = n } }
 
-// WithScope sets where dropped lines are counted; without it nowhere.
+// WithScope sets the scope that counts dropped lines; the default is no metrics.
 func WithScope(scope tally.Scope) Option { return func(l *Logger) { l.scope = scope } }
 
-// New starts a logger with the level debug, info, warn or error. An error is a
+// New starts a logger with the level debug, info, warn or error. Close stops it. Errors:
 // *laburnumlever.InvalidValueError.
 func New(out io.Writer, levelName string, opts ...Option) (*Logger, error) {
 	l := &Logger{out: out, maxBytes: defaultMaxBytes, scope: tally.NoopScope, dropped: map[string]int{}, done: make(chan struct{})}
@@ -79,8 +79,7 @@
 	return l, nil
 }
 
-// SetLevel changes the level at run time. An error is a
-// *laburnumlever.InvalidValueError.
+// SetLevel changes the level at run time. Errors: *laburnumlever.InvalidValueError.
 func (l *Logger) SetLevel(name string) error {
 	value, err := level.Parse(name)
 	if err != nil {
@@ -90,10 +89,11 @@
 	return nil
 }
 
-// Log puts a line into the buffer, or drops it. It never waits for the output.
+// Log appends a line to the buffer, or drops it if there is no space. It never waits for
+// the output.
 func (l *Logger) Log(keyvals ...any) error { return l.filter.Load().Log(keyvals...) }
 
-// Close writes what waits, for a short time, and ends the logger.
+// Close stops the logger. It waits at most closeTimeout until pending lines are written.
 func (l *Logger) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -105,10 +105,10 @@
 	}
 }
 
-// encoder turns fields into lines.
+// encoder encodes fields as JSON lines and enqueues them.
 type encoder struct{ logger *Logger }
 
-// Log encodes a line on the caller's goroutine: its values may change afterwards.
+// Log encodes a line on the caller's goroutine, since its values may change afterwards.
 func (e encoder) Log(keyvals ...any) error {
 	var line bytes.Buffer
 	fields := append([]any{"ts", log.DefaultTimestampUTC}, keyvals...)
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// evaluate evaluates values that are made when they are logged.
+// evaluate calls a log.Valuer and returns any other value unchanged.
 func evaluate(v any) any {
 	if valuer, ok := v.(log.Valuer); ok {
 		return valuer()
@@ -156,8 +156,8 @@
 	l.ready.Signal()
 }
 
-// run writes until Close. A write that fails is not repeated: there is nowhere to say
-// so.
+// run writes pending lines until Close. A failed write is neither retried nor reported:
+// there is no other place to log it.
 func (l *Logger) run() {
 	defer close(l.done)
 	for {
@@ -173,7 +173,8 @@
 	}
 }
 
-// wholeLinesLen is the length of the first lines that fit into one write, or of the first line.
+// wholeLinesLen returns the length of the leading lines that fit into one write, or of the
+// first line if it is longer.
 func wholeLinesLen(lines []byte) int {
 	if len(lines) <= maxWrite {
 		return len(lines)
@@ -187,7 +188,8 @@
 	return len(lines)
 }
 
-// takePending waits for lines and returns all that wait as one, with a word on those dropped.
+// takePending waits for pending lines and returns all of them, followed by a summary of
+// dropped lines if there are any. It returns false once the logger is closed and empty.
 func (l *Logger) takePending() ([]byte, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/laburnumlogging/logger_test.go
+++ b/laburnumlogging/logger_test.go
@@ -14,7 +14,7 @@
 	"laburnumlever/laburnumlogging"
 )
 
-// blockedWriter takes nothing until it is released.
+// blockedWriter blocks every write until it is released.
 type blockedWriter struct {
 	release chan struct{}
 	entered chan struct{}
@@ -41,9 +41,9 @@
 	return strings.Split(strings.TrimSpace(w.out.String()), "\n")
 }
 
-// Whatever reads the process's output stands still. Callers must not notice: their
-// requests go on at once, the memory stays bounded, and of the lines that do not fit
-// those on failures are kept before those on successes.
+// Guards against a blocked reader of the process's output that blocks callers or lets memory
+// grow. When the buffer is full, lines about failures are kept in preference to those about
+// successes.
 func TestBlockedOutputDoesNotBlockCallers(t *testing.T) {
 	w := newBlockedWriter()
 	logger, err := laburnumlogging.New(w, "info", laburnumlogging.WithSize(16<<10))
@@ -76,6 +76,7 @@
 	require.Contains(t, dropped, "request-served=")
 }
 
+// Guards against a level that is fixed at start, or an unknown one that is accepted.
 func TestLevelChangesAtRunTime(t *testing.T) {
 	w := newBlockedWriter()
 	close(w.release)
@@ -90,7 +91,7 @@
 	require.Contains(t, w.lines()[0], `"avoid":["i-1"]`)
 }
 
-// BenchmarkLog is the processor time that a line costs whoever logs it.
+// BenchmarkLog measures the processor time of Log in the caller.
 func BenchmarkLog(b *testing.B) {
 	logger, err := laburnumlogging.New(&bytes.Buffer{}, "info")
 	require.NoError(b, err)
@@ -101,12 +102,13 @@
 	}
 }
 
-// atomicityWriter notes whether each write is a line, or whole lines that a pipe takes whole.
+// atomicityWriter checks that each write is one line, or several whole lines of at most the
+// size that a pipe writes atomically.
 type atomicityWriter struct {
 	mu     sync.Mutex
 	atomic bool
 	out    bytes.Buffer
-	// logged is closed once all lines wait.
+	// enqueued is closed once all lines are in the buffer.
 	enqueued chan struct{}
 }
 
@@ -119,8 +121,8 @@
 	return w.out.Write(p)
 }
 
-// Guards against lines that lose their middle: written hundreds at once, they are more than a
-// pipe takes whole.
+// Guards against split or interleaved lines: hundreds of lines in one write exceed the size that
+// a pipe writes atomically.
 func TestPipeWritesAreAtomicWholeLines(t *testing.T) {
 	w := &atomicityWriter{atomic: true, enqueued: make(chan struct{})}
 	logger, err := laburnumlogging.New(w, "info")
