--- a/laburnumcontrol/loop_test.go
+++ b/laburnumcontrol/loop_test.go
@@ -29,7 +29,8 @@
 	}
 }
 
-func TestDrainHandlesWhatEventsQueue(t *testing.T) {
+// Guards against events that a handler posts and that Drain leaves in the queue.
+func TestDrainHandlesEventsPostedByEvents(t *testing.T) {
 	after := 0
 	loop := laburnumcontrol.New(laburnumcontrol.WithAfter(func(laburnumlever.Event) { after++ }))
 	part := &recorder{loop: loop}
@@ -40,7 +41,8 @@
 	require.Equal(t, 3, after)
 }
 
-func TestStopDropsWhatIsQueuedLater(t *testing.T) {
+// Guards against a queue that grows after the loop was stopped.
+func TestPostAfterStopIsDropped(t *testing.T) {
 	loop := laburnumcontrol.New()
 	go loop.Run()
 	loop.Stop()
--- a/laburnumlogging/logger.go
+++ b/laburnumlogging/logger.go
@@ -18,56 +18,56 @@
 )
 
 const (
-	// defaultSize bounds the bytes that wait to be written: some seconds of a busy
-	// gateway's lines, and little beside its memory.
-	defaultSize = 1 << 20
-	// routineShare of the buffer is for lines about what went well.
+	// defaultMaxBytes is the default size of the buffer in bytes: a few seconds of log
+	// lines on a busy gateway, and small compared with its memory.
+	defaultMaxBytes = 1 << 20
+	// routineShare is the share of the buffer available to routine events.
 	routineShare = 0.5
-	// maxWrite bounds one write. A pipe takes so many bytes whole: more may be torn, or mixed
-	// with those of another process.
+	// maxWrite bounds one write, in bytes. Writes to a pipe are atomic up to this size
+	// (PIPE_BUF); larger ones may be split or interleaved with those of another process.
 	maxWrite = 4096
-	// closeTimeout bounds the wait for the last lines at the end.
+	// closeTimeout bounds how long Close waits for pending lines to be written.
 	closeTimeout = 500 * time.Millisecond
-	// eventKey is the field that names what happened.
+	// eventKey is the key of the event's name.
 	eventKey = "event"
 )
 
-// routine are the events that say that all went well; there are as many as requests.
-var routine = []string{
+// routineEvents are the events of successful operations; they are as frequent as requests.
+var routineEvents = []string{
 	laburnumlever.EventRequestServed.String(), laburnumlever.EventAdapterThere.String(), laburnumlever.EventOrderAnswered.String(),
 }
 
-// Logger is a bounded log. It implements log.Logger and may be used from any goroutine.
+// Logger is a log with a bounded buffer. It implements log.Logger and is safe for concurrent use.
 type Logger struct {
-	out     io.Writer
-	size    int
-	scope   tally.Scope
-	options atomic.Pointer[filter]
-
-	mu      sync.Mutex
-	ready   *sync.Cond
-	waiting [][]byte
-	bytes   int
-	dropped map[string]int
-	closed  bool
-	done    chan struct{}
+	out      io.Writer
+	maxBytes int
+	scope    tally.Scope
+	filter   atomic.Pointer[levelFilter]
+
+	mu           sync.Mutex
+	ready        *sync.Cond
+	pending      [][]byte
+	pendingBytes int
+	dropped      map[string]int
+	closed       bool
+	done         chan struct{}
 }
 
-type filter struct{ log.Logger }
+type levelFilter struct{ log.Logger }
 
-// Option changes a new logger.
+// Option configures a logger.
 type Option func(*Logger)
 
-// WithSize bounds the bytes that wait to be written.
-func WithSize(n int) Option { return func(l *Logger) { l.size = n } }
+// WithSize sets the size of the buffer in bytes; the default is 1 MiB.
+func WithSize(n int) Option { return func(l *Logger) { l.maxBytes = n } }
 
-// WithScope sets where dropped lines are counted; without it nowhere.
+// WithScope sets the scope that counts dropped lines; the default is no metrics.
 func WithScope(scope tally.Scope) Option { return func(l *Logger) { l.scope = scope } }
 
-// New starts a logger with the level debug, info, warn or error. An error is a
+// New starts a logger with the level debug, info, warn or error. Close stops it. Errors:
 // *laburnumlever.InvalidValueError.
 func New(out io.Writer, levelName string, opts ...Option) (*Logger, error) {
-	l := &Logger{out: out, size: defaultSize, scope: tally.NoopScope, dropped: map[string]int{}, done: make(chan struct{})}
+	l := &Logger{out: out, maxBytes: defaultMaxBytes, scope: tally.NoopScope, dropped: map[string]int{}, done: make(chan struct{})}
 	for _, opt := range opts {
 		opt(l)
 	}
@@ -79,21 +79,21 @@
 	return l, nil
 }
 
-// SetLevel changes the level at run time. An error is a
-// *laburnumlever.InvalidValueError.
+// SetLevel changes the level at run time. Errors: *laburnumlever.InvalidValueError.
 func (l *Logger) SetLevel(name string) error {
 	value, err := level.Parse(name)
 	if err != nil {
 		return &laburnumlever.InvalidValueError{Name: "level", Value: name, Want: "debug, info, warn or error"}
 	}
-	l.options.Store(&filter{Logger: level.NewFilter(encoder{logger: l}, level.Allow(value))})
+	l.filter.Store(&levelFilter{Logger: level.NewFilter(encoder{logger: l}, level.Allow(value))})
 	return nil
 }
 
-// Log puts a line into the buffer, or drops it. It never waits for the output.
-func (l *Logger) Log(keyvals ...any) error { return l.options.Load().Log(keyvals...) }
+// Log appends a line to the buffer, or drops it if there is no space. It never waits for
+// the output.
+func (l *Logger) Log(keyvals ...any) error { return l.filter.Load().Log(keyvals...) }
 
-// Close writes what waits, for a short time, and ends the logger.
+// Close stops the logger. It waits at most closeTimeout until pending lines are written.
 func (l *Logger) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -105,25 +105,25 @@
 	}
 }
 
-// encoder turns fields into lines.
+// encoder encodes fields as JSON lines and enqueues them.
 type encoder struct{ logger *Logger }
 
-// Log encodes a line on the caller's goroutine: its values may change afterwards.
+// Log encodes a line on the caller's goroutine, since its values may change afterwards.
 func (e encoder) Log(keyvals ...any) error {
 	var line bytes.Buffer
 	fields := append([]any{"ts", log.DefaultTimestampUTC}, keyvals...)
 	for i := 1; i < len(fields); i += 2 {
-		fields[i] = plain(fields[i])
+		fields[i] = evaluate(fields[i])
 	}
 	if err := log.NewJSONLogger(&line).Log(fields...); err != nil {
 		return err
 	}
-	e.logger.put(eventOf(keyvals), line.Bytes())
+	e.logger.enqueue(eventOf(keyvals), line.Bytes())
 	return nil
 }
 
-// plain evaluates values that are made when they are logged.
-func plain(v any) any {
+// evaluate calls a log.Valuer and returns any other value unchanged.
+func evaluate(v any) any {
 	if valuer, ok := v.(log.Valuer); ok {
 		return valuer()
 	}
@@ -139,42 +139,43 @@
 	return "unnamed"
 }
 
-func (l *Logger) put(event string, line []byte) {
+func (l *Logger) enqueue(event string, line []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	limit := l.size
-	if slices.Contains(routine, event) {
-		limit = int(routineShare * float64(l.size))
+	limit := l.maxBytes
+	if slices.Contains(routineEvents, event) {
+		limit = int(routineShare * float64(l.maxBytes))
 	}
-	if l.bytes+len(line) > limit || l.closed {
+	if l.pendingBytes+len(line) > limit || l.closed {
 		l.dropped[event]++
 		l.scope.Tagged(map[string]string{"event": event}).Counter("log-lines-dropped").Inc(1)
 		return
 	}
-	l.waiting = append(l.waiting, line)
-	l.bytes += len(line)
+	l.pending = append(l.pending, line)
+	l.pendingBytes += len(line)
 	l.ready.Signal()
 }
 
-// run writes until Close. A write that fails is not repeated: there is nowhere to say
-// so.
+// run writes pending lines until Close. A failed write is neither retried nor reported:
+// there is no other place to log it.
 func (l *Logger) run() {
 	defer close(l.done)
 	for {
-		lines, ok := l.take()
+		lines, ok := l.takePending()
 		if !ok {
 			return
 		}
 		for len(lines) > 0 {
-			n := wholeLines(lines)
+			n := wholeLinesLen(lines)
 			_, _ = l.out.Write(lines[:n])
 			lines = lines[n:]
 		}
 	}
 }
 
-// wholeLines is the length of the first lines that fit into one write, or of the first line.
-func wholeLines(lines []byte) int {
+// wholeLinesLen returns the length of the leading lines that fit into one write, or of the
+// first line if it is longer.
+func wholeLinesLen(lines []byte) int {
 	if len(lines) <= maxWrite {
 		return len(lines)
 	}
@@ -187,26 +188,27 @@
 	return len(lines)
 }
 
-// take waits for lines and returns all that wait as one, with a word on those dropped.
-func (l *Logger) take() ([]byte, bool) {
+// takePending waits for pending lines and returns all of them, followed by a summary of
+// dropped lines if there are any. It returns false once the logger is closed and empty.
+func (l *Logger) takePending() ([]byte, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for len(l.waiting) == 0 && !l.closed {
+	for len(l.pending) == 0 && !l.closed {
 		l.ready.Wait()
 	}
-	if len(l.waiting) == 0 {
+	if len(l.pending) == 0 {
 		return nil, false
 	}
-	lines := bytes.Join(l.waiting, nil)
-	l.waiting, l.bytes = nil, 0
+	lines := bytes.Join(l.pending, nil)
+	l.pending, l.pendingBytes = nil, 0
 	if len(l.dropped) > 0 {
-		lines = append(lines, l.droppedLine()...)
+		lines = append(lines, l.summarizeDropped()...)
 		clear(l.dropped)
 	}
 	return lines, true
 }
 
-func (l *Logger) droppedLine() []byte {
+func (l *Logger) summarizeDropped() []byte {
 	var counts []string
 	for event, n := range l.dropped {
 		counts = append(counts, fmt.Sprintf("%s=%d", event, n))
--- a/laburnummetrics/metrics_test.go
+++ b/laburnummetrics/metrics_test.go
@@ -14,8 +14,8 @@
 	"laburnumlever/laburnummetrics"
 )
 
-// patience is far above the period in which metrics are reported.
-const patience = 20 * time.Second
+// eventuallyTimeout bounds the wait for a report; it is far above the report interval.
+const eventuallyTimeout = 20 * time.Second
 
 func text(m *laburnummetrics.Metrics) string {
 	w := httptest.NewRecorder()
@@ -23,7 +23,8 @@
 	return w.Body.String()
 }
 
-func TestEveryReasonHasACounterFromTheStart(t *testing.T) {
+// Guards against a reason whose counter is missing until its first event.
+func TestReasonCountersStartAtZero(t *testing.T) {
 	metrics := laburnummetrics.New()
 	defer metrics.Close()
 	for _, reason := range laburnumlever.RefusalReasonStrings() {
@@ -34,9 +35,9 @@
 	}
 }
 
-// Two parts use one name with different labels: the second metric can't be shown,
-// and the reporter's default would end the process in the middle of traffic.
-func TestClashOfNamesIsNoPanic(t *testing.T) {
+// Guards against a process that panics because two components use one metric name with
+// different labels, as the reporter does by default.
+func TestConflictingLabelsDoNotPanic(t *testing.T) {
 	metrics := laburnummetrics.New()
 	metrics.Scope().Counter("kebab-name").Inc(3)
 	require.NotPanics(t, func() { metrics.Scope().Tagged(map[string]string{"zone": "brest"}).Counter("kebab-name").Inc(1) })
@@ -44,13 +45,13 @@
 	require.Contains(t, text(metrics), "laburnumlever_kebab_name 3\n")
 }
 
-// Monitoring that keeps only the start of an answer showed an incident's first responders
-// the garbage collector and not one counter of the parts: the runtime's came first.
-func TestPartsAreShownBeforeTheRuntime(t *testing.T) {
+// Guards against runtime metrics that come first: monitoring that truncates the response then
+// showed garbage collector metrics during an incident and none of the components' counters.
+func TestOwnMetricsPrecedeRuntimeMetrics(t *testing.T) {
 	metrics := laburnummetrics.New()
 	defer metrics.Close()
 	metrics.Scope().Gauge("losses_borne").Update(1)
-	require.Eventually(t, func() bool { return strings.Contains(text(metrics), "losses_borne 1") }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(text(metrics), "losses_borne 1") }, eventuallyTimeout, time.Millisecond)
 	shown := text(metrics)
 	require.Contains(t, shown, "go_goroutines")
 	require.Less(t, strings.LastIndex(shown, "laburnumlever_"), strings.Index(shown, "go_"))
--- a/laburnumnode/shutdown.go
+++ b/laburnumnode/shutdown.go
@@ -10,31 +10,32 @@
 )
 
 const (
-	// closeTimeout bounds the farewell to the other VMs after the last request.
-	closeTimeout = 3 * time.Second
-	// leaveTime is how long the word of leaving gets to spread before the links
-	// close; cut short, the others would find out by their probes, seconds later.
-	leaveTime = time.Second
+	// handOverTimeout bounds the hand-over to the other VMs after the last request.
+	handOverTimeout = 3 * time.Second
+	// leaveGossipTime is the time for gossip to spread that this VM left, before the
+	// links close. Otherwise the other VMs notice by failed probes, seconds later.
+	leaveGossipTime = time.Second
 )
 
-// Shutdown ends the node in order: the readiness check fails first, so that the
-// balancer stops sending; after the grace new work is refused as not run; requests
-// in flight finish, up to the settings' limit; only then the VM hands over what it
-// holds and leaves. Cancelling ctx ends at once. Errors: *ShutdownError.
+// Shutdown stops the node gracefully: the readiness check fails, so that the load
+// balancer stops sending; after the grace period new requests are refused as not run;
+// requests in flight finish, up to the limit in the settings; then the VM hands over
+// its leases, leaves the membership and closes. Cancelling ctx skips the grace period and
+// aborts the requests in flight. Errors: *ShutdownError.
 func (n *Node) Shutdown(ctx context.Context) error {
-	n.onControl(func() {
+	n.runOnControlThread(func() {
 		n.notReady = notReadyDraining
 		n.publisher.markDirty()
 	})
 	n.log(level.InfoValue(), "msg", "draining", "grace", n.settings.Shutdown.Grace)
 	laburnumtimer.Wait(ctx.Done(), n.timers, time.Duration(n.settings.Shutdown.Grace))
 	err := n.drain(ctx)
-	n.farewell()
+	n.handOver()
 	n.Close()
 	return err
 }
 
-// Close ends the node at once; what is in flight is cut off.
+// Close stops the node at once and aborts requests in flight.
 func (n *Node) Close() {
 	for _, cancel := range n.cancels {
 		cancel()
@@ -56,19 +57,19 @@
 }
 
 func (n *Node) drain(ctx context.Context) error {
-	limited, cancel := context.WithTimeout(ctx, time.Duration(n.settings.Shutdown.Limit))
+	drainCtx, cancel := context.WithTimeout(ctx, time.Duration(n.settings.Shutdown.Limit))
 	defer cancel()
-	if err := n.proxy.Drain(limited); err != nil {
+	if err := n.proxy.Drain(drainCtx); err != nil {
 		return &ShutdownError{InFlight: n.proxy.InFlight(), Cause: err}
 	}
 	return nil
 }
 
-// farewell hands over what the VM holds: the zone lease, the leadership of the log,
-// its place in the membership. Each step only saves the others a timeout, so a
-// failure is logged and the end goes on.
-func (n *Node) farewell() {
-	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
+// handOver gives up the zone lease, transfers the leadership of the log and leaves the
+// membership. Each step only saves the other VMs a timeout, so a failed transfer is
+// logged and the shutdown continues.
+func (n *Node) handOver() {
+	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
 	n.owner.Close()
 	if err := n.voter.HandOver(ctx); err != nil {
@@ -76,9 +77,9 @@
 	}
 	n.membership.LeaveFleet()
 	if len(n.publisher.View().VMs) > 1 {
-		laburnumtimer.Wait(ctx.Done(), n.timers, leaveTime)
+		laburnumtimer.Wait(ctx.Done(), n.timers, leaveGossipTime)
 	}
 }
 
-// InFlight counts the callers' requests under way.
+// InFlight returns the number of callers' requests in flight.
 func (n *Node) InFlight() int { return n.proxy.InFlight() }
--- a/laburnumroles/messages.go
+++ b/laburnumroles/messages.go
@@ -2,28 +2,29 @@
 
 import "laburnumlever"
 
-// Methods between VMs.
+// JSON-RPC methods between VMs.
 const (
-	methodNeed  = "adapter-need"
-	methodRelay = "heartbeat-relay"
+	methodAdapterNeed    = "adapter-need"
+	methodHeartbeatRelay = "heartbeat-relay"
 )
 
-// needAnswer names the engines that hold the adapter.
-type needAnswer struct {
+// adapterNeedAnswer lists the engines that hold the adapter.
+type adapterNeedAnswer struct {
 	Backends []laburnumlever.BackendID `json:"backends"`
 }
 
-// relayed are heartbeats that another control VM received.
-type relayed struct {
-	// Heartbeats are those that changed something.
+// relayBatch is a batch of heartbeats and removals that one control VM relays to the others.
+type relayBatch struct {
+	// Heartbeats are the heartbeats with changed content.
 	Heartbeats []laburnumlever.Heartbeat `json:"heartbeats,omitempty"`
-	// Alive are the backend servers whose heartbeats changed nothing.
-	Alive []alive                   `json:"alive,omitempty"`
-	Gone  []laburnumlever.BackendID `json:"gone,omitempty"`
+	// Alive are the heartbeats without changed content.
+	Alive []unchangedHeartbeat `json:"alive,omitempty"`
+	// Gone are the removed backend servers.
+	Gone []laburnumlever.BackendID `json:"gone,omitempty"`
 }
 
-// alive is a heartbeat that changed nothing.
-type alive struct {
+// unchangedHeartbeat identifies a heartbeat whose content is the same as that of the one before.
+type unchangedHeartbeat struct {
 	Backend  laburnumlever.BackendID `json:"backend"`
 	Born     uint64                  `json:"born,omitempty"`
 	Sequence uint64                  `json:"sequence"`
--- a/laburnumroles/platform_test.go
+++ b/laburnumroles/platform_test.go
@@ -26,12 +26,12 @@
 
 const metricsPort = 7605
 
-// patience bounds the wait for a cause, far above what a busy machine needs.
-const patience = 60 * time.Second
+// eventuallyTimeout bounds the wait for a condition; it is far above what a busy machine needs.
+const eventuallyTimeout = 60 * time.Second
 
-// site is a small deployment of the platform in this process: control VMs, a gateway,
-// and stand-ins of what is outside, all over loopback.
-type site struct {
+// deployment is a small deployment of the platform in this process, over loopback: control VMs, a
+// gateway and stand-ins for backend servers.
+type deployment struct {
 	t        *testing.T
 	net      string
 	port     int
@@ -43,12 +43,12 @@
 	folders  []string
 }
 
-func newSite(t *testing.T, controls, losses int) *site {
+func newDeployment(t *testing.T, controls, losses int) *deployment {
 	addresses, err := laburnumfleet.ReservePorts(t.Context(), 1)
 	require.NoError(t, err)
 	host, _, err := net.SplitHostPort(addresses[0])
 	require.NoError(t, err)
-	s := &site{t: t, net: host[:strings.LastIndexByte(host, '.')], port: 7600}
+	s := &deployment{t: t, net: host[:strings.LastIndexByte(host, '.')], port: 7600}
 	for i := range controls {
 		s.folders = append(s.folders, t.TempDir())
 		s.startControl(i, losses, true)
@@ -57,11 +57,11 @@
 	return s
 }
 
-func (s *site) ip(i int) string { return fmt.Sprintf("%s.%d", s.net, 100+i) }
+func (s *deployment) ip(i int) string { return fmt.Sprintf("%s.%d", s.net, 100+i) }
 
-func (s *site) control(i int) string { return s.ip(i) + ":7601" }
+func (s *deployment) control(i int) string { return s.ip(i) + ":7601" }
 
-func (s *site) settings(ip string) laburnumsettings.Role {
+func (s *deployment) settings(ip string) laburnumsettings.Role {
 	second := laburnumlever.Duration(time.Second)
 	return laburnumsettings.Role{
 		VM: laburnumlever.VMID(ip), Zone: "brest", PeerPort: s.port, MetricsPort: metricsPort, Seeds: []string{s.control(0), s.control(1), s.control(2)},
@@ -70,7 +70,7 @@
 	}
 }
 
-func (s *site) startControl(i, losses int, first bool) {
+func (s *deployment) startControl(i, losses int, first bool) {
 	settings := s.settings(s.ip(i))
 	settings.Listen.Control = s.control(i)
 	settings.DataFolder, settings.FirstStart, settings.ControlLosses = s.folders[i], first, losses
@@ -87,8 +87,8 @@
 	s.t.Cleanup(func() { s.stop(i) })
 }
 
-// stop ends a control VM without a transfer of leadership.
-func (s *site) stop(i int) {
+// stop stops a control VM without a leadership transfer.
+func (s *deployment) stop(i int) {
 	if s.stopped[i] {
 		return
 	}
@@ -98,7 +98,7 @@
 	s.controls[i].Shutdown(ctx)
 }
 
-func (s *site) startGateway() {
+func (s *deployment) startGateway() {
 	ip := s.ip(50)
 	s.callers, s.ready = ip+":7602", ip+":7603"
 	settings := s.settings(ip)
@@ -112,7 +112,7 @@
 	})
 }
 
-func (s *site) call(method, url string, body []byte, headers ...string) (int, []byte) {
+func (s *deployment) call(method, url string, body []byte, headers ...string) (int, []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -130,26 +130,26 @@
 	return resp.StatusCode, text
 }
 
-// until repeats a call until it returns the status.
-func (s *site) until(status int, what string, call func() (int, []byte)) []byte {
+// until repeats a call until it returns the expected status, and returns the body.
+func (s *deployment) until(status int, what string, call func() (int, []byte)) []byte {
 	var body []byte
 	last := 0
 	require.Eventually(s.t, func() bool {
 		last, body = call()
 		return last == status
-	}, patience, 20*time.Millisecond, "%s: status %d", what, last)
+	}, eventuallyTimeout, 20*time.Millisecond, "%s: status %d", what, last)
 	return body
 }
 
 // status waits until a VM's status meets a condition, and returns it.
-func (s *site) status(ip string, what string, met func(laburnumlever.Status) bool) laburnumlever.Status {
+func (s *deployment) status(ip string, what string, met func(laburnumlever.Status) bool) laburnumlever.Status {
 	client := laburnumoperator.NewClient(fmt.Sprintf("%s:%d", ip, metricsPort))
 	var status laburnumlever.Status
 	require.Eventually(s.t, func() bool {
 		var err error
 		status, err = client.Status(s.t.Context())
 		return err == nil && status.Role != nil && met(status)
-	}, patience, 20*time.Millisecond, what)
+	}, eventuallyTimeout, 20*time.Millisecond, what)
 	return status
 }
 
@@ -163,30 +163,30 @@
 		"limits":{"max_header_bytes":16384,"max_body_bytes":4096,"header_timeout_ms":3000,"idle_timeout_ms":15000}}`, version, prefix)
 }
 
-// server stands in for a backend server of the platform: it announces itself, takes
+// backendServer stands in for a backend server of the platform: it announces itself, accepts
 // orders if it is an engine, and answers requests.
-type server struct {
-	s        *site
-	id       string
-	service  string
-	http     *httptest.Server
-	sequence atomic.Int64
-	leaving  atomic.Bool
-	arrivals atomic.Int64
-	accepted atomic.Int64
-	adapter  atomic.Value
+type backendServer struct {
+	deployment *deployment
+	id         string
+	service    string
+	http       *httptest.Server
+	sequence   atomic.Int64
+	leaving    atomic.Bool
+	arrivals   atomic.Int64
+	accepted   atomic.Int64
+	adapter    atomic.Value
 }
 
-func (s *site) startServer(id, service string) *server {
-	x := &server{s: s, id: id, service: service}
+func (s *deployment) startBackendServer(id, service string) *backendServer {
+	x := &backendServer{deployment: s, id: id, service: service}
 	x.adapter.Store("")
 	x.http = httptest.NewServer(x)
 	s.t.Cleanup(x.http.Close)
 	return x
 }
 
-// announce sends one heartbeat to the control VM given and returns the status.
-func (x *server) announce(control int) int {
+// announce sends one heartbeat to a control VM and returns the HTTP status.
+func (x *backendServer) announce(control int) int {
 	document := map[string]any{
 		"service": x.service, "address": strings.TrimPrefix(x.http.URL, "http://"), "zone": "brest", "slots": 8,
 		"state": "ready", "seq": x.sequence.Add(1),
@@ -202,12 +202,12 @@
 		document["models"] = []any{map[string]any{"name": "m0", "version": 1, "adapters": adapters}}
 	}
 	body, err := json.Marshal(document)
-	require.NoError(x.s.t, err)
-	status, _ := x.s.call("PUT", "http://"+x.s.control(control)+"/v1/instances/"+x.id, body)
+	require.NoError(x.deployment.t, err)
+	status, _ := x.deployment.call("PUT", "http://"+x.deployment.control(control)+"/v1/instances/"+x.id, body)
 	return status
 }
 
-func (x *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (x *backendServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/v1/report":
 		fmt.Fprintf(w, `{"seq":%d,"models":[{"name":"m0","version":1,"adapters":[]}]}`, x.accepted.Load())
@@ -233,10 +233,10 @@
 	_, _ = io.WriteString(w, "confirmed")
 }
 
-// Guards the whole path: first start, a manifest, backend servers, callers, a control VM that dies,
-// a changed manifest, a backend server that leaves.
-func TestSessionOnThePlatform(t *testing.T) {
-	s := newSite(t, 3, 1)
+// Guards the path from first start to serving: a manifest, backend servers, callers, the loss of a
+// control VM, a changed manifest, a leaving backend server.
+func TestPlatformEndToEnd(t *testing.T) {
+	s := newDeployment(t, 3, 1)
 	put := func(control int, body []byte) func() (int, []byte) {
 		return func() (int, []byte) { return s.call("PUT", "http://"+s.control(control)+"/v1/config", body) }
 	}
@@ -256,7 +256,7 @@
 	require.Equal(t, 503, status)
 	s.until(200, "first manifest", put(2, manifest(7, "confirm")))
 
-	plain, engine := s.startServer("i-rdv", "rdv"), s.startServer("i-devis", "devis")
+	plain, engine := s.startBackendServer("i-rdv", "rdv"), s.startBackendServer("i-devis", "devis")
 	require.Equal(t, 200, plain.announce(0))
 	require.Equal(t, 200, engine.announce(1))
 	s.until(200, "ready", ready)
@@ -273,13 +273,13 @@
 	require.Equal(t, 404, status)
 
 	for i := range 3 {
-		require.Equal(t, string(manifest(7, "confirm")), string(s.until(200, "read", read(i))), "as it was sent")
+		require.Equal(t, string(manifest(7, "confirm")), string(s.until(200, "read", read(i))), "manifest unchanged")
 	}
-	s.until(200, "an older one is acknowledged", put(0, manifest(3, "old")))
-	s.until(200, "other content under the same number", put(0, manifest(7, "other")))
-	require.Equal(t, string(manifest(7, "confirm")), string(s.until(200, "and changes nothing", read(1))))
+	s.until(200, "older manifest is acknowledged", put(0, manifest(3, "old")))
+	s.until(200, "same version with other content is acknowledged", put(0, manifest(7, "other")))
+	require.Equal(t, string(manifest(7, "confirm")), string(s.until(200, "manifest still unchanged", read(1))))
 	for name, bad := range map[string]string{
-		"torn": string(manifest(9, "x"))[:100], "unknown service": strings.Replace(string(manifest(9, "x")), `"service":"rdv"`, `"service":"none"`, 1),
+		"truncated": string(manifest(9, "x"))[:100], "unknown service": strings.Replace(string(manifest(9, "x")), `"service":"rdv"`, `"service":"none"`, 1),
 		"no timeout": strings.Replace(string(manifest(9, "x")), `"timeout_ms":3000`, `"timeout_ms":0`, 1),
 	} {
 		status, _ := put(1, []byte(bad))()
@@ -287,14 +287,14 @@
 	}
 
 	s.stop(0)
-	s.until(200, "a change with one control VM gone", put(1, manifest(12, "visits")))
-	s.until(200, "in force at the gateway", confirm("/visits/x"))
+	s.until(200, "change with one control VM stopped", put(1, manifest(12, "visits")))
+	s.until(200, "in effect at the gateway", confirm("/visits/x"))
 	status, _ = confirm("/confirm/x")()
 	require.Equal(t, 404, status)
 
 	plain.leaving.Store(true)
 	require.Equal(t, 200, plain.announce(2))
-	s.until(503, "nothing goes to one that leaves", confirm("/visits/x"))
+	s.until(503, "no request is sent to a leaving backend server", confirm("/visits/x"))
 	before := plain.arrivals.Load()
 	for range 5 {
 		status, _ = confirm("/visits/x")()
@@ -303,15 +303,15 @@
 	require.Equal(t, before, plain.arrivals.Load())
 }
 
-// checkStatus asks a control VM and the gateway while one backend server of each service is there.
-func (s *site) checkStatus() {
+// checkStatus checks the status of a control VM and the gateway, with one backend server of each service.
+func (s *deployment) checkStatus() {
 	services := []laburnumlever.ServiceStatus{{Service: "rdv", Serving: 1}, {Service: "devis", Serving: 1, Models: 1, Copies: 1}}
-	control := s.status(s.ip(1), "a control VM knows all", func(status laburnumlever.Status) bool {
+	control := s.status(s.ip(1), "control VM knows the whole fleet", func(status laburnumlever.Status) bool {
 		return status.Role.Gateways == 1 && status.Role.Controls == 3 && status.Role.RoutesVersion == 7 && len(status.Voter.Voters) == 3
 	})
 	require.Equal(s.t, "control", control.Role.Role)
 	require.Equal(s.t, services, control.Role.Services)
-	gateway := s.status(s.ip(50), "the gateway knows the director", func(status laburnumlever.Status) bool { return status.Role.Director != "" })
+	gateway := s.status(s.ip(50), "gateway knows the director", func(status laburnumlever.Status) bool { return status.Role.Director != "" })
 	require.Equal(s.t, "gateway", gateway.Role.Role)
 	require.True(s.t, gateway.Role.Ready)
 	require.Equal(s.t, services, gateway.Role.Services)
@@ -320,9 +320,9 @@
 	require.Contains(s.t, string(text), "laburnumlever_requests")
 }
 
-// Guards against losing confirmed changes while the log grows to the voters that bear two losses.
-func TestAcknowledgedChangeOutlivesTwoLostDisks(t *testing.T) {
-	s := newSite(t, 5, 2)
+// Guards against losing acknowledged changes while the log grows to the voters that tolerate two losses.
+func TestAcknowledgedChangeSurvivesTwoLostDisks(t *testing.T) {
+	s := newDeployment(t, 5, 2)
 	s.until(200, "first manifest", func() (int, []byte) {
 		return s.call("PUT", "http://"+s.control(4)+"/v1/config", manifest(7, "confirm"))
 	})
@@ -331,18 +331,18 @@
 		s.folders[i] = t.TempDir()
 		s.startControl(i, 2, false)
 	}
-	body := s.until(200, "read after the loss", func() (int, []byte) {
+	body := s.until(200, "read after two lost disks", func() (int, []byte) {
 		return s.call("GET", "http://"+s.control(0)+"/v1/config", nil)
 	})
 	require.Equal(t, string(manifest(7, "confirm")), string(body))
-	s.until(200, "a change after the loss", func() (int, []byte) {
+	s.until(200, "change after two lost disks", func() (int, []byte) {
 		return s.call("PUT", "http://"+s.control(1)+"/v1/config", manifest(8, "visits"))
 	})
 }
 
-// Guards against reads of an outdated manifest on a control VM without a quorum.
-func TestControlVMWithoutQuorumIsNotSure(t *testing.T) {
-	s := newSite(t, 3, 1)
+// Guards against stale reads of the manifest on a control VM without a quorum.
+func TestControlVMWithoutQuorumRefusesReadsAndChanges(t *testing.T) {
+	s := newDeployment(t, 3, 1)
 	s.until(200, "first manifest", func() (int, []byte) {
 		return s.call("PUT", "http://"+s.control(0)+"/v1/config", manifest(7, "confirm"))
 	})
@@ -356,8 +356,8 @@
 	}
 }
 
-// BenchmarkHeartbeat is the processor time of a heartbeat on a control VM, from the call's bytes to
-// the answer.
+// BenchmarkHeartbeat measures the processor time of a heartbeat on a control VM, from the request's
+// bytes to the response.
 func BenchmarkHeartbeat(b *testing.B) {
 	settings := laburnumsettings.Role{
 		VM: "127.0.0.1", Zone: "brest", PeerPort: 7600, Seeds: []string{"127.0.0.1:7601"}, DataFolder: b.TempDir(),
