--- a/laburnumfeed/director_test.go
+++ b/laburnumfeed/director_test.go
@@ -26,8 +26,8 @@
 	f.noteDirector(first, answer(""))
 	require.Empty(t, f.Director())
 	f.noteDirector(second, answer("b"))
-	f.Refused(first)
+	f.ForgetDirector(first)
 	require.Equal(t, second, f.Director(), "a late refusal by the former director changes nothing")
-	f.Refused(second)
+	f.ForgetDirector(second)
 	require.Empty(t, f.Director())
 }
--- a/laburnumfeed/follower.go
+++ b/laburnumfeed/follower.go
@@ -28,15 +28,15 @@
 // Sink receives a follower's updates. Methods may be called from any goroutine.
 type Sink interface {
 	// HandleAnswer receives an answer of the control VM at the address.
-	Learn(address string, a Answer)
+	HandleAnswer(address string, a Answer)
 	// ControlLost is called when the control VM at the address stops answering.
-	Lost(address string)
+	ControlLost(address string)
 	// HandleRoutes receives a route table.
-	LearnRoutes(t laburnumlever.RouteTable)
+	HandleRoutes(t laburnumlever.RouteTable)
 	// RoutesVersion returns the version of the current route table; 0 for none.
 	RoutesVersion() uint64
 	// GatewayReport returns the gateway's report to the director.
-	News() laburnumlever.GatewayNews
+	GatewayReport() laburnumlever.GatewayNews
 }
 
 // Follower polls all known control VMs. It is safe for concurrent use.
@@ -161,7 +161,7 @@
 	case before.lost == (err != nil):
 	case err != nil:
 		_ = level.Warn(f.logger).Log("event", laburnumlever.EventControlLost, "address", c.address, "cause", err)
-		f.sink.Lost(c.address)
+		f.sink.ControlLost(c.address)
 	default:
 		_ = level.Info(f.logger).Log("event", laburnumlever.EventControlRegained, "address", c.address)
 	}
@@ -180,7 +180,7 @@
 	defer cancel()
 	q := f.nextRequest(c)
 	if f.isDirector(c.address) {
-		q.News = f.sink.News()
+		q.GatewayReport = f.sink.GatewayReport()
 	}
 	var a Answer
 	if err := f.peers.Call(ctx, c.address, methodPoll, q, &a); err != nil {
@@ -223,7 +223,7 @@
 
 // ForgetDirector clears the director if it is the control VM at the address. A late refusal by a
 // former director leaves the current one.
-func (f *Follower) Refused(address string) {
+func (f *Follower) ForgetDirector(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.addresses[f.director] == address {
@@ -236,7 +236,7 @@
 		f.follow(vm.PeerAddress, vm.Zone)
 	}
 	f.noteDirector(address, a)
-	f.sink.Learn(address, a)
+	f.sink.HandleAnswer(address, a)
 	if a.RoutesVersion > f.sink.RoutesVersion() {
 		f.fetchRoutes(address)
 	}
@@ -277,5 +277,5 @@
 		_ = level.Warn(f.logger).Log("event", laburnumlever.EventRoutesNotFetched, "address", address, "cause", err)
 		return
 	}
-	f.sink.LearnRoutes(t)
+	f.sink.HandleRoutes(t)
 }
--- a/laburnumfeed/follower_test.go
+++ b/laburnumfeed/follower_test.go
@@ -28,11 +28,11 @@
 // sinkAtVersion is a sink with a route table of the given version.
 type sinkAtVersion uint64
 
-func (sinkAtVersion) Learn(string, Answer)                 {}
-func (sinkAtVersion) Lost(string)                          {}
-func (sinkAtVersion) LearnRoutes(laburnumlever.RouteTable) {}
-func (v sinkAtVersion) RoutesVersion() uint64              { return uint64(v) }
-func (sinkAtVersion) News() laburnumlever.GatewayNews      { return laburnumlever.GatewayNews{} }
+func (sinkAtVersion) HandleAnswer(string, Answer)              {}
+func (sinkAtVersion) ControlLost(string)                       {}
+func (sinkAtVersion) HandleRoutes(laburnumlever.RouteTable)    {}
+func (v sinkAtVersion) RoutesVersion() uint64                  { return uint64(v) }
+func (sinkAtVersion) GatewayReport() laburnumlever.GatewayNews { return laburnumlever.GatewayNews{} }
 
 // countPolls returns how often a VM with the given route version polls an unreachable control VM in
 // one second.
--- a/laburnumfeed/source.go
+++ b/laburnumfeed/source.go
@@ -26,7 +26,7 @@
 )
 
 // GatewayReportFunc receives a gateway's report.
-type NewsFunc func(vm laburnumlever.VMID, report laburnumlever.GatewayNews)
+type GatewayReportFunc func(vm laburnumlever.VMID, report laburnumlever.GatewayNews)
 
 // Source answers polls on a control VM. It is safe for concurrent use.
 type Source struct {
@@ -34,7 +34,7 @@
 	logger          log.Logger
 	self            laburnumlever.VM
 	boot            uint64
-	onGatewayReport NewsFunc
+	onGatewayReport GatewayReportFunc
 	batcher         *laburnumtimer.Gatherer
 
 	mu     sync.Mutex
@@ -90,7 +90,7 @@
 }
 
 // OnGatewayReport sets the function that receives gateways' reports; call it before serving.
-func (s *Source) OnNews(fn NewsFunc) { s.onGatewayReport = fn }
+func (s *Source) OnGatewayReport(fn GatewayReportFunc) { s.onGatewayReport = fn }
 
 // SetRecord publishes a backend server's record.
 func (s *Source) SetRecord(r laburnumregistry.Record) {
@@ -194,7 +194,7 @@
 // ControlInZone returns the peer address of a reachable control VM in an availability zone, possibly
 // this one, chosen by a rendezvous hash of the key. It is empty if the zone has none or this VM is
 // isolated.
-func (s *Source) Nearest(zone laburnumlever.ZoneName, key string) string {
+func (s *Source) ControlInZone(zone laburnumlever.ZoneName, key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.timers.Now()
@@ -232,8 +232,8 @@
 	if err := json.Unmarshal(params, &q); err != nil {
 		return nil, &MessageError{Method: methodPoll, Cause: err}
 	}
-	if !q.News.IsZero() {
-		s.onGatewayReport(q.From.ID, q.News)
+	if !q.GatewayReport.IsZero() {
+		s.onGatewayReport(q.From.ID, q.GatewayReport)
 	}
 	s.notePoller(q.From)
 	expired, cancel := laburnumtimer.Passed(s.timers, longPollTimeout)
--- a/laburnumgateway/fakes_test.go
+++ b/laburnumgateway/fakes_test.go
@@ -155,8 +155,8 @@
 
 func newHarness(t testing.TB, records ...laburnumregistry.Record) *harness {
 	b := newUnconfiguredHarness(t, laburnumgateway.WithRetryBudget(laburnumgateway.RetryBudget{Window: 10 * time.Second, Ratio: 0.2, Slack: 50}))
-	b.fleet.LearnRoutes(testRoutes())
-	b.fleet.Learn("", laburnumfeed.Answer{Backends: records})
+	b.fleet.HandleRoutes(testRoutes())
+	b.fleet.HandleAnswer("", laburnumfeed.Answer{Backends: records})
 	return b
 }
 
--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -63,8 +63,8 @@
 	return f
 }
 
-// Learn merges the answer of a control VM's feed.
-func (f *Fleet) Learn(_ string, a laburnumfeed.Answer) {
+// HandleAnswer merges the answer of a control VM's feed.
+func (f *Fleet) HandleAnswer(_ string, a laburnumfeed.Answer) {
 	now := f.timers.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,11 +85,11 @@
 	f.serveQueue()
 }
 
-// Lost does nothing when a feed breaks off, as the other control VMs have the same state.
-func (f *Fleet) Lost(string) {}
+// ControlLost does nothing when a feed breaks off, as the other control VMs have the same state.
+func (f *Fleet) ControlLost(string) {}
 
-// LearnRoutes puts a route table into effect if it is newer than the current one.
-func (f *Fleet) LearnRoutes(t laburnumlever.RouteTable) {
+// HandleRoutes puts a route table into effect if it is newer than the current one.
+func (f *Fleet) HandleRoutes(t laburnumlever.RouteTable) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.RoutesVersion() >= t.Version {
@@ -127,9 +127,9 @@
 	return 0
 }
 
-// News returns the gateway's report to the control VMs: demand, adapter use, failures and replaced
+// GatewayReport returns the gateway's report to the control VMs: demand, adapter use, failures and replaced
 // backend servers since the last call, and the backend servers that can't be connected to.
-func (f *Fleet) News() laburnumlever.GatewayNews {
+func (f *Fleet) GatewayReport() laburnumlever.GatewayNews {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.timers.Now()
--- a/laburnumgateway/gateway_test.go
+++ b/laburnumgateway/gateway_test.go
@@ -119,8 +119,8 @@
 	require.Equal(t, http.StatusServiceUnavailable, b.send("POST", "/confirm/x", "visit").status)
 	require.Equal(t, http.StatusServiceUnavailable, b.send("POST", "/confirm/x", "visit").status)
 	require.Len(t, replaced.requests(), 1)
-	require.Equal(t, []laburnumlever.BackendID{"i-old"}, b.fleet.News().Replaced, "must be reported to the control VMs")
-	require.Empty(t, b.fleet.News().Replaced, "must be reported once")
+	require.Equal(t, []laburnumlever.BackendID{"i-old"}, b.fleet.GatewayReport().Replaced, "must be reported to the control VMs")
+	require.Empty(t, b.fleet.GatewayReport().Replaced, "must be reported once")
 }
 
 // An engine closes the connection within an event: the caller must get each event complete and once,
@@ -325,8 +325,8 @@
 	got := make(chan callerResponse, 1)
 	go func() { got <- b.send("POST", "/confirm/x", "visit") }()
 	require.Eventually(t, func() bool { return b.gateway.InFlight() == 1 }, 5*time.Second, time.Millisecond)
-	b.fleet.Learn("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{server.heartbeat("booking")}})
-	b.fleet.LearnRoutes(testRoutes())
+	b.fleet.HandleAnswer("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{server.heartbeat("booking")}})
+	b.fleet.HandleRoutes(testRoutes())
 	require.Equal(t, 200, (<-got).status)
 }
 
@@ -362,8 +362,8 @@
 	})
 	timers := laburnumtimer.NewManual(time.Now())
 	b := newUnconfiguredHarnessWith(t, timers)
-	b.fleet.LearnRoutes(testRoutes())
-	b.fleet.Learn("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{server.heartbeat("booking")}})
+	b.fleet.HandleRoutes(testRoutes())
+	b.fleet.HandleAnswer("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{server.heartbeat("booking")}})
 	idle := timers.Pending()
 	drained := make(chan struct{})
 	go func() {
@@ -452,8 +452,8 @@
 	server := newBackend(t, "i-1", func(net.Conn, receivedRequest, int) {})
 	loader := fakeAdapterLoader{requests: make(chan laburnumlever.AdapterNeed, 10_000), holder: "i-9"}
 	b := newUnconfiguredHarness(t, laburnumgateway.WithAdapterLoader(loader))
-	b.fleet.LearnRoutes(testRoutes())
-	b.fleet.Learn("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{server.heartbeat("quotes", "m0")}})
+	b.fleet.HandleRoutes(testRoutes())
+	b.fleet.HandleAnswer("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{server.heartbeat("quotes", "m0")}})
 	start := time.Now()
 	got := b.send("POST", "/quote/x", "oak", "X-Laburnumlever-Model", "m0/a1")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
@@ -466,6 +466,6 @@
 	server := newBackend(t, "i-1", func(conn net.Conn, a receivedRequest, _ int) { writeAnswer(conn, a, 500, "broken") })
 	b := newHarness(t, server.heartbeat("booking"))
 	require.Equal(t, 500, b.send("POST", "/confirm/x", "visit").status)
-	require.Equal(t, []laburnumlever.BackendOutcome{{Backend: "i-1", Failed: 1}}, b.fleet.News().Outcomes)
-	require.Empty(t, b.fleet.News().Outcomes)
+	require.Equal(t, []laburnumlever.BackendOutcome{{Backend: "i-1", Failed: 1}}, b.fleet.GatewayReport().Outcomes)
+	require.Empty(t, b.fleet.GatewayReport().Outcomes)
 }
--- a/laburnumgateway/reserve_test.go
+++ b/laburnumgateway/reserve_test.go
@@ -34,8 +34,8 @@
 	table := testRoutes()
 	table.Services[1].Engine.ReserveLimit = laburnumlever.Duration(2 * time.Second)
 	table.Routes[2].Priority, table.Routes[3].Priority = 1, 0 // quotes, drafts
-	b.fleet.LearnRoutes(table)
-	b.fleet.Learn("", laburnumfeed.Answer{Backends: records})
+	b.fleet.HandleRoutes(table)
+	b.fleet.HandleAnswer("", laburnumfeed.Answer{Backends: records})
 	return b
 }
 
--- a/laburnumgateway/sweep_test.go
+++ b/laburnumgateway/sweep_test.go
@@ -19,12 +19,12 @@
 func TestSweepKeepsSilentBackends(t *testing.T) {
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
 	fleet := laburnumgateway.NewFleet(timers, laburnumlever.VM{ID: "10.0.0.1", Zone: "brest"}, time.Second, 1)
-	fleet.LearnRoutes(testRoutes())
+	fleet.HandleRoutes(testRoutes())
 	h := laburnumlever.Heartbeat{Backend: "i-1", Service: "booking", Address: "10.0.0.9:80", Zone: "brest", Sequence: 1, Slots: 8}
-	fleet.Learn("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{{Heartbeat: h, Silent: true}}})
+	fleet.HandleAnswer("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{{Heartbeat: h, Silent: true}}})
 	timers.Advance(10 * time.Minute)
 	fleet.Sweep()
 	require.True(t, fleet.Ready(), "the only backend server must still be known")
-	fleet.Learn("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{{Heartbeat: h, Gone: true}}})
+	fleet.HandleAnswer("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{{Heartbeat: h, Gone: true}}})
 	require.False(t, fleet.Ready())
 }
--- a/laburnumroles/control.go
+++ b/laburnumroles/control.go
@@ -99,7 +99,7 @@
 	d.OnOverlay(c.source.SetOverlay)
 	d.OnLeaseChange(c.directing)
 	d.OnReplaced(c.gone)
-	c.source.OnNews(c.news)
+	c.source.OnGatewayReport(c.news)
 	c.peers.Handle(methodNeed, c.handleNeed)
 	c.director = d
 }
@@ -238,7 +238,7 @@
 // availability zone. Without it, backend servers stay with the one that answered first, which
 // may end up with most of the connections.
 func (c *Control) heartbeatAddress(h laburnumlever.Heartbeat) string {
-	peer := c.source.Nearest(h.Zone, string(h.Backend))
+	peer := c.source.ControlInZone(h.Zone, string(h.Backend))
 	host, _, err := net.SplitHostPort(peer)
 	if err != nil {
 		return ""
@@ -388,8 +388,8 @@
 	return c.voter.Propose(ctx, cmd)
 }
 
-// Learn takes changes from another control VM.
-func (c *Control) Learn(_ string, a laburnumfeed.Answer) {
+// HandleAnswer takes changes from another control VM.
+func (c *Control) HandleAnswer(_ string, a laburnumfeed.Answer) {
 	for _, vm := range a.Controls {
 		if vm.HasDisk {
 			c.source.NoteControl(vm)
@@ -405,17 +405,17 @@
 	}
 }
 
-// Lost does nothing: other control VMs are polled until they answer.
-func (c *Control) Lost(string) {}
+// ControlLost does nothing: other control VMs are polled until they answer.
+func (c *Control) ControlLost(string) {}
 
-// LearnRoutes does nothing: a control VM gets routes from the log.
-func (c *Control) LearnRoutes(laburnumlever.RouteTable) {}
+// HandleRoutes does nothing: a control VM gets routes from the log.
+func (c *Control) HandleRoutes(laburnumlever.RouteTable) {}
 
 // RoutesVersion keeps the follower from fetching routes, which come from the log.
 func (c *Control) RoutesVersion() uint64 { return ^uint64(0) }
 
-// News is empty: callers are served by gateways.
-func (c *Control) News() laburnumlever.GatewayNews { return laburnumlever.GatewayNews{} }
+// GatewayReport is empty: callers are served by gateways.
+func (c *Control) GatewayReport() laburnumlever.GatewayNews { return laburnumlever.GatewayNews{} }
 
 // Reload applies changed settings: new seeds are polled beside the known control VMs.
 func (c *Control) Reload(settings laburnumsettings.Role) {
--- a/laburnumroles/gateway.go
+++ b/laburnumroles/gateway.go
@@ -74,7 +74,7 @@
 	err := g.peers.Call(ctx, address, methodNeed, need, &answer)
 	var refused *laburnumlever.PeerRefusedError
 	if errors.As(err, &refused) && refused.Kind == kindNotDirector {
-		g.follower.Refused(address)
+		g.follower.ForgetDirector(address)
 	}
 	return answer.Backends, err
 }
