--- a/backend.go
+++ b/backend.go
@@ -112,8 +112,8 @@
 	Down bool `json:"down"`
 }
 
-// TakesWork tells whether new work may be sent to the backend server.
-func (b Backend) TakesWork() bool { return !b.Leaving && !b.Down }
+// AcceptsRequests tells whether new work may be sent to the backend server.
+func (b Backend) AcceptsRequests() bool { return !b.Leaving && !b.Down }
 
 // Serves tells whether the backend server holds a ready copy of the model.
 func (b Backend) Serves(model ModelName) bool {
--- a/laburnumbalance/balance.go
+++ b/laburnumbalance/balance.go
@@ -173,7 +173,7 @@
 func (t *Table) Set(r laburnumregistry.Record) {
 	id := r.Heartbeat.Backend
 	s := t.servers[id]
-	if !r.TakesWork() {
+	if !r.AcceptsRequests() {
 		t.remove(id)
 		return
 	}
--- a/laburnumdirector/cluster_test.go
+++ b/laburnumdirector/cluster_test.go
@@ -225,7 +225,7 @@
 	e.sequence++
 	h := e.heartbeat()
 	for _, n := range e.w.directors {
-		if n.registry.Take(h, e.w.timers.Now()) && !e.losesRecords {
+		if n.registry.ApplyHeartbeat(h, e.w.timers.Now()) && !e.losesRecords {
 			n.director.SetRecord(laburnumregistry.Record{Heartbeat: h})
 		} else {
 			n.director.SetHeartbeat(h)
--- a/laburnumdirector/director.go
+++ b/laburnumdirector/director.go
@@ -220,7 +220,7 @@
 
 func (d *Director) onRecord(r laburnumregistry.Record) {
 	id := r.Heartbeat.Backend
-	if !r.TakesWork() {
+	if !r.AcceptsRequests() {
 		delete(d.records, id)
 		d.engines.remove(id)
 		return
--- a/laburnumfleet/actions.go
+++ b/laburnumfleet/actions.go
@@ -113,7 +113,7 @@
 
 func anyBackend(view laburnumlever.View, serves func(laburnumlever.Backend) bool) bool {
 	for _, b := range view.Backends {
-		if b.TakesWork() && serves(b) {
+		if b.AcceptsRequests() && serves(b) {
 			return true
 		}
 	}
--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -116,7 +116,7 @@
 func (f *Fleet) Sweep() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.registry.ForgetGone(f.timers.Now())
+	f.registry.PruneTombstones(f.timers.Now())
 }
 
 // RoutesVersion returns the version of the route table in effect; 0 for none.
--- a/laburnummembership/failures_test.go
+++ b/laburnummembership/failures_test.go
@@ -63,7 +63,7 @@
 		f.Advance(1500 * time.Millisecond) // it has announced and reported by then
 		eventually(t, f, 3*time.Second, "inventory", func(n *fleetVM) bool {
 			b, _ := f.Backend(n, id)
-			return b.Serves("model-006") && b.TakesWork()
+			return b.Serves("model-006") && b.AcceptsRequests()
 		})
 		f.ChangeInventory(e)
 		changed := e.Report.Loaded
@@ -189,7 +189,7 @@
 	e.Restart()
 	eventually(t, f, 5*time.Second, "new incarnation", func(n *fleetVM) bool {
 		b, _ := f.Backend(n, id)
-		return b.TakesWork() && b.Announcement.Incarnation == e.Announcement.Incarnation && len(b.Report.Loaded) == 0
+		return b.AcceptsRequests() && b.Announcement.Incarnation == e.Announcement.Incarnation && len(b.Report.Loaded) == 0
 	})
 }
 
@@ -231,7 +231,7 @@
 	never(t, f, 30*time.Second, "an older state undid the leaving", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return !b.Leaving && n != f.VMs[5] })
 	eventually(t, f, 0, "leaving on the healed VM", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return b.Leaving })
 	e.Restart()
-	eventually(t, f, 3*time.Second, "new incarnation takes work", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return b.TakesWork() })
+	eventually(t, f, 3*time.Second, "new incarnation takes work", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return b.AcceptsRequests() })
 }
 
 // With a third of all messages lost, no VM may be marked as down and load must still arrive
--- a/laburnummembership/membership_test.go
+++ b/laburnummembership/membership_test.go
@@ -114,7 +114,7 @@
 	for _, n := range nodes {
 		require.Eventually(t, func() bool {
 			b, ok := n.backend("e1")
-			return ok && b.TakesWork() && b.Serves("m") && b.Report.InFlight == 2 && b.Report.Fence == 5
+			return ok && b.AcceptsRequests() && b.Serves("m") && b.Report.InFlight == 2 && b.Report.Fence == 5
 		}, testTimeout, 20*time.Millisecond)
 	}
 	require.NoError(t, registry.Leave(ctx, "e1", 7))
--- a/laburnumnode/fleet_test.go
+++ b/laburnumnode/fleet_test.go
@@ -156,7 +156,7 @@
 	eventually(f.t, "model served", func() bool {
 		view := f.nodes[node].Status().View
 		for _, b := range view.Backends {
-			if b.Serves("quote-small") && b.TakesWork() && view.NotReady == "" {
+			if b.Serves("quote-small") && b.AcceptsRequests() && view.NotReady == "" {
 				return true
 			}
 		}
--- a/laburnumorder/plan.go
+++ b/laburnumorder/plan.go
@@ -65,7 +65,7 @@
 
 // applyLedger replaces the engine's reported copies by those in the ledger.
 func (o *Owner) applyLedger(e *laburnumplacement.Engine, own *engine, b laburnumlever.Backend, now time.Time) {
-	e.AcceptsOrders = b.TakesWork() && own.orderable && o.leasePermits(own, now)
+	e.AcceptsOrders = b.AcceptsRequests() && own.orderable && o.leasePermits(own, now)
 	if !own.orderable {
 		return
 	}
--- a/laburnumplacement/fits.go
+++ b/laburnumplacement/fits.go
@@ -25,7 +25,7 @@
 func emptyEngines(backends []laburnumlever.Backend) []Engine {
 	var engines []Engine
 	for _, b := range backends {
-		if b.Announcement.Kind == laburnumlever.Engine && b.TakesWork() {
+		if b.Announcement.Kind == laburnumlever.Engine && b.AcceptsRequests() {
 			engines = append(engines, EngineOf(b))
 		}
 	}
@@ -40,7 +40,7 @@
 	a := b.Announcement
 	e := Engine{
 		ID: a.Backend, Zone: a.Zone, Accelerators: a.Accelerators,
-		Serving: !b.Down, Leaving: b.Leaving, AcceptsOrders: b.TakesWork(),
+		Serving: !b.Down, Leaving: b.Leaving, AcceptsOrders: b.AcceptsRequests(),
 		TokensPerSecond: a.TokensPerSecond, PrefillTokensPerSecond: a.PrefillTokensPerSecond,
 	}
 	if b.Report.Incarnation != a.Incarnation {
--- a/laburnumregistry/registry.go
+++ b/laburnumregistry/registry.go
@@ -29,7 +29,7 @@
 
 // AcceptsRequests reports whether new requests may be sent to the backend server. A silent one is
 // included: it may be partitioned from the control VMs only.
-func (r Record) TakesWork() bool { return !r.Gone && !r.Heartbeat.Leaving }
+func (r Record) AcceptsRequests() bool { return !r.Gone && !r.Heartbeat.Leaving }
 
 type entry struct {
 	record  Record
@@ -51,7 +51,7 @@
 
 // ApplyHeartbeat applies a heartbeat and reports whether the record changed in more than the sequence
 // or was silent before, so that other VMs must get it.
-func (t *Table) Take(h laburnumlever.Heartbeat, now time.Time) bool {
+func (t *Table) ApplyHeartbeat(h laburnumlever.Heartbeat, now time.Time) bool {
 	e := t.entries[h.Backend]
 	if e == nil || h.Born > e.record.Heartbeat.Born {
 		// A restart under the same identity is a new backend server: a tombstone of an earlier
@@ -73,7 +73,7 @@
 // there. It reports whether the record was silent before, so that other VMs must get it. Unknown
 // backend servers, tombstones and other incarnations are ignored, and the content of an older
 // heartbeat is kept: the VM that received the newer one sends its content.
-func (t *Table) Alive(id laburnumlever.BackendID, born, sequence uint64, now time.Time) bool {
+func (t *Table) KeepAlive(id laburnumlever.BackendID, born, sequence uint64, now time.Time) bool {
 	e := t.entries[id]
 	if e == nil || e.record.Gone || e.record.Heartbeat.Born != born || sequence <= max(e.relayedSequence, e.record.Heartbeat.Sequence) {
 		return false
@@ -96,7 +96,7 @@
 		e.record.Silent = r.Silent
 		return true
 	}
-	changed := t.Take(r.Heartbeat, now)
+	changed := t.ApplyHeartbeat(r.Heartbeat, now)
 	if e = t.entries[id]; changed && e.record.Silent != r.Silent {
 		e.record.Silent = r.Silent
 	}
@@ -123,7 +123,7 @@
 // MergeFromControl applies a record from another control VM and reports whether it changed. Each
 // control VM detects silence from the heartbeats it receives itself: if control VMs took it from each
 // other, the record of a stopped backend server would flap between silent and alive for ever.
-func (t *Table) Adopt(r Record, now time.Time) bool {
+func (t *Table) MergeFromControl(r Record, now time.Time) bool {
 	e := t.entries[r.Heartbeat.Backend]
 	if e != nil && !r.Gone && !r.Heartbeat.NewerThan(e.record.Heartbeat) {
 		return false
@@ -155,7 +155,7 @@
 
 // MarkSilent marks backend servers without a heartbeat for three periods as silent and returns the
 // newly marked ones, ordered by identity.
-func (t *Table) Expire(now time.Time) []laburnumlever.BackendID {
+func (t *Table) MarkSilent(now time.Time) []laburnumlever.BackendID {
 	var changed []laburnumlever.BackendID
 	for id, e := range t.entries {
 		if !e.record.Silent && !e.record.Gone && now.Sub(e.heardAt) > silentPeriods*t.period {
@@ -170,13 +170,13 @@
 // Prune drops tombstones and records of silent backend servers after two minutes and returns their
 // identities in order. Each start of a backend server has its own identity, so the table would
 // otherwise grow with every release. Prune is for VMs that receive heartbeats themselves.
-func (t *Table) Forget(now time.Time) []laburnumlever.BackendID {
+func (t *Table) Prune(now time.Time) []laburnumlever.BackendID {
 	return t.prune(now, func(r Record) bool { return r.Gone || r.Silent })
 }
 
 // PruneTombstones is Prune for VMs that get records from other VMs only. They get none while nothing
 // changes, so the age of a silent record means nothing and only tombstones are dropped.
-func (t *Table) ForgetGone(now time.Time) {
+func (t *Table) PruneTombstones(now time.Time) {
 	t.prune(now, func(r Record) bool { return r.Gone })
 }
 
--- a/laburnumregistry/registry_test.go
+++ b/laburnumregistry/registry_test.go
@@ -27,20 +27,20 @@
 // Guards against a late heartbeat that revives a backend server which is leaving.
 func TestLateHeartbeatDoesNotUndoLeaving(t *testing.T) {
 	table := laburnumregistry.New(period)
-	require.True(t, table.Take(heartbeat(1), start))
-	require.True(t, table.Take(heartbeat(5, leaving), start.Add(time.Second)))
-	require.False(t, table.Take(heartbeat(4), start.Add(2*time.Second)))
-	table.Take(heartbeat(6), start.Add(3*time.Second)) // a newer heartbeat without the flag
+	require.True(t, table.ApplyHeartbeat(heartbeat(1), start))
+	require.True(t, table.ApplyHeartbeat(heartbeat(5, leaving), start.Add(time.Second)))
+	require.False(t, table.ApplyHeartbeat(heartbeat(4), start.Add(2*time.Second)))
+	table.ApplyHeartbeat(heartbeat(6), start.Add(3*time.Second)) // a newer heartbeat without the flag
 	r, ok := table.Record("i-1")
 	require.True(t, ok)
-	require.False(t, r.TakesWork())
+	require.False(t, r.AcceptsRequests())
 }
 
 // Guards against a late heartbeat that revives a stopped backend server.
 func TestLateHeartbeatDoesNotReviveTombstone(t *testing.T) {
 	table := laburnumregistry.New(period)
 	require.True(t, table.Remove("i-1", start))
-	require.False(t, table.Take(heartbeat(9), start.Add(time.Second)))
+	require.False(t, table.ApplyHeartbeat(heartbeat(9), start.Add(time.Second)))
 	r, _ := table.Record("i-1")
 	require.True(t, r.Gone)
 }
@@ -48,13 +48,13 @@
 // Guards against removing backend servers from service because the control VMs can't reach them.
 func TestSilentServerStillAcceptsRequests(t *testing.T) {
 	table := laburnumregistry.New(period)
-	table.Take(heartbeat(1), start)
-	require.Empty(t, table.Expire(start.Add(3*period)))
-	require.Equal(t, []laburnumlever.BackendID{"i-1"}, table.Expire(start.Add(3*period+time.Millisecond)))
+	table.ApplyHeartbeat(heartbeat(1), start)
+	require.Empty(t, table.MarkSilent(start.Add(3*period)))
+	require.Equal(t, []laburnumlever.BackendID{"i-1"}, table.MarkSilent(start.Add(3*period+time.Millisecond)))
 	r, _ := table.Record("i-1")
 	require.True(t, r.Silent)
-	require.True(t, r.TakesWork())
-	require.True(t, table.Take(heartbeat(2), start.Add(4*period)))
+	require.True(t, r.AcceptsRequests())
+	require.True(t, table.ApplyHeartbeat(heartbeat(2), start.Add(4*period)))
 	r, _ = table.Record("i-1")
 	require.False(t, r.Silent)
 }
@@ -62,9 +62,9 @@
 // Guards against sending unchanged heartbeats on to gateways.
 func TestUnchangedHeartbeatIsNoChange(t *testing.T) {
 	table := laburnumregistry.New(period)
-	table.Take(heartbeat(1), start)
+	table.ApplyHeartbeat(heartbeat(1), start)
 	for i := uint64(2); i < 50; i++ {
-		require.False(t, table.Take(heartbeat(i), start.Add(time.Duration(i)*period/2)))
+		require.False(t, table.ApplyHeartbeat(heartbeat(i), start.Add(time.Duration(i)*period/2)))
 	}
 }
 
@@ -97,14 +97,14 @@
 // VMs merge each other's view.
 func TestControlVMsAgreeOnSilence(t *testing.T) {
 	one, two := laburnumregistry.New(period), laburnumregistry.New(period)
-	one.Take(heartbeat(1), start)
-	two.Take(heartbeat(1), start.Add(period))
+	one.ApplyHeartbeat(heartbeat(1), start)
+	two.ApplyHeartbeat(heartbeat(1), start.Add(period))
 	changes := 0
 	for now := start; now.Before(start.Add(20 * period)); now = now.Add(period / 2) {
 		for _, pair := range [][2]*laburnumregistry.Table{{one, two}, {two, one}} {
-			changes += len(pair[0].Expire(now))
+			changes += len(pair[0].MarkSilent(now))
 			r, _ := pair[0].Record("i-1")
-			if pair[1].Adopt(r, now) {
+			if pair[1].MergeFromControl(r, now) {
 				changes++
 			}
 		}
@@ -112,7 +112,7 @@
 	require.Equal(t, 2, changes, "each control VM detects the silence once")
 	r, _ := one.Record("i-1")
 	require.True(t, r.Silent)
-	require.True(t, one.Adopt(laburnumregistry.Record{Heartbeat: heartbeat(2)}, start.Add(20*period)), "a newer heartbeat counts")
+	require.True(t, one.MergeFromControl(laburnumregistry.Record{Heartbeat: heartbeat(2)}, start.Add(20*period)), "a newer heartbeat counts")
 	r, _ = one.Record("i-1")
 	require.False(t, r.Silent)
 }
@@ -120,11 +120,11 @@
 // Guards against an outdated record that undoes a control VM's detection of silence.
 func TestOutdatedRecordDoesNotClearSilence(t *testing.T) {
 	one, two := laburnumregistry.New(period), laburnumregistry.New(period)
-	one.Take(heartbeat(1), start)
-	two.Take(heartbeat(1), start)
+	one.ApplyHeartbeat(heartbeat(1), start)
+	two.ApplyHeartbeat(heartbeat(1), start)
 	outdated, _ := two.Record("i-1")
-	require.Len(t, one.Expire(start.Add(4*period)), 1)
-	require.False(t, one.Adopt(outdated, start.Add(4*period)))
+	require.Len(t, one.MarkSilent(start.Add(4*period)), 1)
+	require.False(t, one.MergeFromControl(outdated, start.Add(4*period)))
 	r, _ := one.Record("i-1")
 	require.True(t, r.Silent)
 }
@@ -133,15 +133,15 @@
 func TestTombstonesAndSilentRecordsArePruned(t *testing.T) {
 	table := laburnumregistry.New(period)
 	other := func(h *laburnumlever.Heartbeat) { h.Backend = "i-2" }
-	table.Take(heartbeat(1), start)
-	table.Take(heartbeat(1, other), start)
+	table.ApplyHeartbeat(heartbeat(1), start)
+	table.ApplyHeartbeat(heartbeat(1, other), start)
 	table.Remove("i-1", start.Add(time.Second))
-	require.Empty(t, table.Forget(start.Add(time.Minute)), "a late heartbeat must still find the tombstone")
-	require.Equal(t, []laburnumlever.BackendID{"i-1"}, table.Forget(start.Add(3*time.Minute)))
+	require.Empty(t, table.Prune(start.Add(time.Minute)), "a late heartbeat must still find the tombstone")
+	require.Equal(t, []laburnumlever.BackendID{"i-1"}, table.Prune(start.Add(3*time.Minute)))
 	require.Len(t, table.Records(), 1)
-	require.Empty(t, table.Forget(start.Add(time.Hour)), "a record not yet marked silent is kept")
-	table.Expire(start.Add(time.Hour))
-	require.Equal(t, []laburnumlever.BackendID{"i-2"}, table.Forget(start.Add(time.Hour)))
+	require.Empty(t, table.Prune(start.Add(time.Hour)), "a record not yet marked silent is kept")
+	table.MarkSilent(start.Add(time.Hour))
+	require.Equal(t, []laburnumlever.BackendID{"i-2"}, table.Prune(start.Add(time.Hour)))
 }
 
 // Guards against marking a backend server silent whose heartbeats only another control VM receives,
@@ -151,21 +151,21 @@
 	now := time.Unix(1_000_000, 0)
 	table := laburnumregistry.New(period)
 	h := laburnumlever.Heartbeat{Backend: "i-1", Service: "quotes", Sequence: 5}
-	require.True(t, table.Take(h, now))
+	require.True(t, table.ApplyHeartbeat(h, now))
 	for sequence := uint64(6); sequence < 20; sequence++ {
 		now = now.Add(period)
-		require.False(t, table.Alive("i-1", 0, sequence, now))
-		require.Empty(t, table.Expire(now))
+		require.False(t, table.KeepAlive("i-1", 0, sequence, now))
+		require.Empty(t, table.MarkSilent(now))
 	}
 	for range 4 {
 		now = now.Add(period)
-		require.False(t, table.Alive("i-1", 0, 7, now), "an old sequence")
+		require.False(t, table.KeepAlive("i-1", 0, 7, now), "an old sequence")
 	}
-	require.Equal(t, []laburnumlever.BackendID{"i-1"}, table.Expire(now))
-	require.True(t, table.Alive("i-1", 0, 20, now), "no longer silent, which is a change")
+	require.Equal(t, []laburnumlever.BackendID{"i-1"}, table.MarkSilent(now))
+	require.True(t, table.KeepAlive("i-1", 0, 20, now), "no longer silent, which is a change")
 	require.True(t, table.Remove("i-1", now))
-	require.False(t, table.Alive("i-1", 0, 21, now))
-	require.False(t, table.Alive("i-2", 0, 1, now), "unknown backend server")
+	require.False(t, table.KeepAlive("i-1", 0, 21, now))
+	require.False(t, table.KeepAlive("i-2", 0, 1, now), "unknown backend server")
 }
 
 // Guards against discarding heartbeats of a restarted engine as late ones of its earlier incarnation.
@@ -174,17 +174,17 @@
 		return func(h *laburnumlever.Heartbeat) { h.Born = at }
 	}
 	table := laburnumregistry.New(period)
-	require.True(t, table.Take(heartbeat(40, born(100)), start))
-	require.True(t, table.Take(heartbeat(1, born(200)), start))
-	require.False(t, table.Take(heartbeat(41, born(100)), start), "a late one of the earlier incarnation")
-	require.False(t, table.Alive("i-1", 100, 50, start))
+	require.True(t, table.ApplyHeartbeat(heartbeat(40, born(100)), start))
+	require.True(t, table.ApplyHeartbeat(heartbeat(1, born(200)), start))
+	require.False(t, table.ApplyHeartbeat(heartbeat(41, born(100)), start), "a late one of the earlier incarnation")
+	require.False(t, table.KeepAlive("i-1", 100, 50, start))
 	gone := laburnumregistry.Record{Heartbeat: heartbeat(41, born(100)), Gone: true}
 	require.False(t, table.Merge(gone, start), "a tombstone of the earlier incarnation")
 	r, _ := table.Record("i-1")
 	require.Equal(t, laburnumregistry.Record{Heartbeat: heartbeat(1, born(200))}, r)
 	require.True(t, table.Remove("i-1", start))
-	require.False(t, table.Take(heartbeat(2, born(200)), start), "its own tombstone is final")
-	require.True(t, table.Take(heartbeat(1, born(300)), start))
+	require.False(t, table.ApplyHeartbeat(heartbeat(2, born(200)), start), "its own tombstone is final")
+	require.True(t, table.ApplyHeartbeat(heartbeat(1, born(300)), start))
 	require.True(t, table.Merge(laburnumregistry.Record{Heartbeat: heartbeat(9, born(400)), Gone: true}, start))
-	require.False(t, table.Take(heartbeat(8, born(400)), start))
+	require.False(t, table.ApplyHeartbeat(heartbeat(8, born(400)), start))
 }
--- a/laburnumregistry/summary.go
+++ b/laburnumregistry/summary.go
@@ -20,7 +20,7 @@
 		if c == nil || e.record.Gone {
 			continue
 		}
-		if !e.record.TakesWork() {
+		if !e.record.AcceptsRequests() {
 			c.Leaving++
 			continue
 		}
--- a/laburnumregistry/summary_test.go
+++ b/laburnumregistry/summary_test.go
@@ -20,7 +20,7 @@
 		for _, m := range models {
 			h.Models = append(h.Models, laburnumlever.HeldModel{Name: m})
 		}
-		require.True(t, table.Take(h, now))
+		require.True(t, table.ApplyHeartbeat(h, now))
 	}
 	take("i-1", false, "m0", "m1")
 	take("i-2", false, "m0")
@@ -59,7 +59,7 @@
 		for k := range each {
 			h.Models = append(h.Models, laburnumlever.HeldModel{Name: class.Models[(i*each+k)%models].Name})
 		}
-		table.Take(h, time.Unix(1_000_000, 0))
+		table.ApplyHeartbeat(h, time.Unix(1_000_000, 0))
 	}
 	for b.Loop() {
 		table.Summary([]laburnumlever.RoutedService{{Name: "quotes", Engine: class}})
--- a/laburnumroles/control.go
+++ b/laburnumroles/control.go
@@ -261,7 +261,7 @@
 func (c *Control) take(h laburnumlever.Heartbeat) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.registry.Take(h, c.timers.Now()) {
+	if c.registry.ApplyHeartbeat(h, c.timers.Now()) {
 		c.offer(h.Backend)
 		return true
 	}
@@ -273,7 +273,7 @@
 func (c *Control) takeAlive(a alive) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.registry.Alive(a.Backend, a.Born, a.Sequence, c.timers.Now()) {
+	if c.registry.KeepAlive(a.Backend, a.Born, a.Sequence, c.timers.Now()) {
 		c.offer(a.Backend)
 	}
 	c.director.SetHeartbeat(laburnumlever.Heartbeat{Backend: a.Backend, Born: a.Born, Sequence: a.Sequence})
@@ -341,10 +341,10 @@
 func (c *Control) expire(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, id := range c.registry.Expire(now) {
+	for _, id := range c.registry.MarkSilent(now) {
 		c.offer(id)
 	}
-	for _, id := range c.registry.Forget(now) {
+	for _, id := range c.registry.Prune(now) {
 		c.source.Forget(id)
 		c.director.SetRecord(laburnumregistry.Record{Heartbeat: laburnumlever.Heartbeat{Backend: id}, Gone: true})
 	}
@@ -399,7 +399,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range a.Backends {
-		if c.registry.Adopt(r, now) {
+		if c.registry.MergeFromControl(r, now) {
 			c.offer(r.Heartbeat.Backend)
 		}
 	}
--- a/laburnumrouter/index.go
+++ b/laburnumrouter/index.go
@@ -19,7 +19,7 @@
 		services: make(map[laburnumlever.ServiceName][]int, len(view.Catalogue.Services)),
 	}
 	for i := range view.Backends {
-		if view.Backends[i].TakesWork() {
+		if view.Backends[i].AcceptsRequests() {
 			ix.add(i)
 		}
 	}
--- a/laburnumsimulation/control.go
+++ b/laburnumsimulation/control.go
@@ -104,7 +104,7 @@
 
 // hear takes a heartbeat.
 func (c *control) hear(h laburnumlever.Heartbeat) {
-	if c.registry.Take(h, c.sim.now()) {
+	if c.registry.ApplyHeartbeat(h, c.sim.now()) {
 		c.offer(h.Backend)
 	} else {
 		c.director.SetHeartbeat(h)
@@ -120,7 +120,7 @@
 }
 
 func (c *control) expire(now time.Time) {
-	for _, id := range c.registry.Expire(now) {
+	for _, id := range c.registry.MarkSilent(now) {
 		c.offer(id)
 	}
 	c.loop.Drain()
