--- a/laburnummembership/backends.go
+++ b/laburnummembership/backends.go
@@ -139,13 +139,13 @@
 // becomePublisher makes this VM the publisher of a backend server that is in contact with it,
 // if the backend server has no live publisher or is published as suspected or down.
 func (c *core) becomePublisher(r *backendRecord, now time.Time) {
-	if c.hasLivePublisher(r) && r.state.Health == healthHeard {
+	if c.hasLivePublisher(r) && r.state.Health == healthReachable {
 		return
 	}
 	next := r.state
 	next.StateVersion++
 	next.Publisher = c.self.ID
-	next.Health = healthHeard
+	next.Health = healthReachable
 	c.backends.change(r, next, now)
 	c.publishStatus(r.state.Backend)
 	c.publishInventory(r, now)
@@ -202,7 +202,7 @@
 		case silence >= backendTimeout+backendSuspicion:
 			c.lowerHealth(r, healthDown, now)
 		default:
-			c.lowerHealth(r, healthDoubted, now)
+			c.lowerHealth(r, healthSuspected, now)
 		}
 	}
 }
--- a/laburnummembership/bench_test.go
+++ b/laburnummembership/bench_test.go
@@ -71,14 +71,14 @@
 	f, engines := fleetOf(vms)
 	if os.Getenv("LABURNUM_COLD") != "" {
 		took, ok := f.Until(2*time.Minute, func() bool {
-			return f.All(func(n *fleetVM) bool { return n.Knows() == vms && n.Known() == len(engines) })
+			return f.All(func(n *fleetVM) bool { return n.AliveCount() == vms && n.BackendCount() == len(engines) })
 		})
 		t.Logf("%d VMs, %d engines: all known after %v (%v)", vms, len(engines), took, ok)
 		return
 	}
 	t.Logf("%d VMs, %d engines", vms, len(engines))
 	f.Advance(2 * time.Second) // every engine has announced and reported by then
-	f.Warm()
+	f.ShareAllFacts()
 	f.Every(time.Second/changesPerSecond, func() { f.ChangeInventory(engines[f.Random.IntN(len(engines))]) })
 	f.Advance(10 * time.Second)
 	const window = 10 * time.Second
--- a/laburnummembership/failures_test.go
+++ b/laburnummembership/failures_test.go
@@ -21,7 +21,7 @@
 func newJoinedFleet(t *testing.T, seed uint64) *fleet {
 	t.Helper()
 	f := laburnummembership.NewFleet(6, 3, seed)
-	_, ok := f.Until(10*time.Second, func() bool { return f.All(func(n *fleetVM) bool { return n.Knows() == 6 }) })
+	_, ok := f.Until(10*time.Second, func() bool { return f.All(func(n *fleetVM) bool { return n.AliveCount() == 6 }) })
 	require.True(t, ok, "join")
 	return f
 }
@@ -90,7 +90,7 @@
 	f.VMs[4].Dead = true
 	eventually(t, f, 8*time.Second, "down everywhere", func(n *fleetVM) bool { return n.State(f.VMs[4]) == laburnumlever.VMDown })
 	f.Restart(f.VMs[4])
-	eventually(t, f, 5*time.Second, "alive again", func(n *fleetVM) bool { return n.Knows() == 6 })
+	eventually(t, f, 5*time.Second, "alive again", func(n *fleetVM) bool { return n.AliveCount() == 6 })
 }
 
 // A VM is paused (SIGSTOP) for 30 s and marked as down. When it resumes, all its timers and
@@ -111,7 +111,7 @@
 		return b.Down || marksAnyDown(f)(resumed)
 	})
 	require.False(t, bad, "the resumed VM marked others as down")
-	eventually(t, f, 5*time.Second, "alive again", func(n *fleetVM) bool { return n.Knows() == 6 })
+	eventually(t, f, 5*time.Second, "alive again", func(n *fleetVM) bool { return n.AliveCount() == 6 })
 }
 
 // Links fail in one direction: one VM to another, one to all, or all to one. Guards against
@@ -142,7 +142,7 @@
 				return false
 			})
 			f.Blocked = func(_, _ *fleetVM) bool { return false }
-			eventually(t, f, 10*time.Second, "healed", func(n *fleetVM) bool { return n.Knows() == 6 })
+			eventually(t, f, 10*time.Second, "healed", func(n *fleetVM) bool { return n.AliveCount() == 6 })
 		})
 	}
 }
@@ -156,9 +156,9 @@
 	f.Blocked = func(from, to *fleetVM) bool { return inside(from) != inside(to) }
 	eventually(t, f, 15*time.Second, "each side holds the other as down", func(n *fleetVM) bool {
 		if inside(n) {
-			return n.Knows() == 2
+			return n.AliveCount() == 2
 		}
-		return n.Knows() == 4
+		return n.AliveCount() == 4
 	})
 	in := f.AddEngine(1, "zone-0", f.VMs[0], f.VMs[3])
 	out := f.AddEngine(2, "zone-1", f.VMs[1], f.VMs[4])
@@ -169,7 +169,7 @@
 	eventually(t, f, 15*time.Second, "healed", func(n *fleetVM) bool {
 		_, knowsIn := f.Backend(n, in.Announcement.Backend)
 		_, knowsOut := f.Backend(n, out.Announcement.Backend)
-		return n.Knows() == 6 && knowsIn && knowsOut
+		return n.AliveCount() == 6 && knowsIn && knowsOut
 	})
 }
 
@@ -205,7 +205,7 @@
 			if name == "publisher dead" {
 				f.VMs[1].Dead = true
 			} else {
-				e.Hears = func(n *fleetVM) bool { return n != f.VMs[1] }
+				e.Reaches = func(n *fleetVM) bool { return n != f.VMs[1] }
 			}
 			never(t, f, time.Minute, "a running engine was marked as down", func(n *fleetVM) bool { b, _ := f.Backend(n, id); return b.Down })
 			sequence := e.Report.Sequence
@@ -274,7 +274,7 @@
 		eventually(t, f, 5*time.Second, "known", func(n *fleetVM) bool { _, ok := f.Backend(n, e.Announcement.Backend); return ok })
 		reports := e.Report.Sequence
 		eventually(t, f, 2*time.Second, "reports", func(*fleetVM) bool { return e.Report.Sequence > reports })
-		e.Quiet = true
+		e.NoReports = true
 		f.Loss = 0.8
 		f.Advance(time.Second)
 		f.Loss = 0
@@ -311,7 +311,7 @@
 	f.SetOwner(f.VMs[1])
 	f.Advance(2 * time.Second)
 	rows := []laburnumlever.ModelDemand{{Model: "m", VM: "vm-004", Sequence: 1, RequestsPerSecond: 7}}
-	f.VMs[4].Demands(rows)
+	f.VMs[4].SetDemand(rows)
 	f.Advance(2 * time.Second)
 	require.Equal(t, rows, f.DemandAt(f.VMs[1]))
 	f.VMs[4].Dead = true
--- a/laburnummembership/fleet_test.go
+++ b/laburnummembership/fleet_test.go
@@ -292,7 +292,7 @@
 }
 
 // AliveCount returns how many VMs this VM holds as alive, itself included.
-func (n *FleetVM) Knows() (alive int) {
+func (n *FleetVM) AliveCount() (alive int) {
 	for _, vm := range n.vmList() {
 		if vm.State == laburnumlever.VMAlive {
 			alive++
--- a/laburnummembership/fleetengine_test.go
+++ b/laburnummembership/fleetengine_test.go
@@ -14,15 +14,15 @@
 	Report       laburnumlever.LoadReport
 	To           []*FleetVM
 	// A Silent engine sends nothing, one with NoReports only announcements.
-	Silent, Quiet bool
+	Silent, NoReports bool
 	// Reaches tells which of the VMs its messages reach.
-	Hears func(n *FleetVM) bool
+	Reaches func(n *FleetVM) bool
 }
 
 // AddEngine starts an engine with the given VMs as its addresses.
 func (f *Fleet) AddEngine(i int, zone laburnumlever.ZoneName, to ...*FleetVM) *Engine {
 	id := laburnumlever.BackendID(fmt.Sprintf("engine-%04d", i))
-	e := &Engine{To: to, Hears: func(*FleetVM) bool { return true }}
+	e := &Engine{To: to, Reaches: func(*FleetVM) bool { return true }}
 	e.Announcement = laburnumlever.Announcement{
 		Backend: id, Zone: zone, Incarnation: uint64(f.Now.UnixMilli()), Slots: 32,
 		Address:       fmt.Sprintf("10.1.%d.%d:8000", i/200, i%200),
@@ -44,7 +44,7 @@
 		e.sendTo(func(n *FleetVM) { _ = n.announce(e.Announcement, f.Now) }, f)
 	})
 	f.Every(500*time.Millisecond, func() {
-		if e.Quiet {
+		if e.NoReports {
 			return
 		}
 		e.Report.Sequence++
@@ -56,7 +56,7 @@
 
 func (e *Engine) sendTo(fn func(n *FleetVM), f *Fleet) {
 	for _, n := range e.To {
-		if !e.Silent && !n.Dead && !n.Frozen && e.Hears(n) {
+		if !e.Silent && !n.Dead && !n.Frozen && e.Reaches(n) {
 			f.step(n, func() { fn(n) })
 		}
 	}
@@ -89,7 +89,7 @@
 func (n *FleetVM) Members() []laburnumlever.VM { return n.vmList() }
 
 // BackendCount returns how many backend servers this VM knows with their inventory.
-func (n *FleetVM) Known() (count int) {
+func (n *FleetVM) BackendCount() (count int) {
 	for _, r := range n.backends.records {
 		if r.inventorySequence > 0 {
 			count++
@@ -128,7 +128,7 @@
 }
 
 // ShareAllFacts gives every VM all facts at once, instead of a cold start of the fleet.
-func (f *Fleet) Warm() {
+func (f *Fleet) ShareAllFacts() {
 	var all packedUpdates
 	for _, n := range f.VMs {
 		all.VMs = append(all.VMs, n.self)
@@ -165,7 +165,7 @@
 }
 
 // SetDemand sets a VM's own demand.
-func (n *FleetVM) Demands(rows []laburnumlever.ModelDemand) { n.demand.setOwn(rows) }
+func (n *FleetVM) SetDemand(rows []laburnumlever.ModelDemand) { n.demand.setOwn(rows) }
 
 // DemandAt returns all demand known to a VM.
 func (f *Fleet) DemandAt(n *FleetVM) []laburnumlever.ModelDemand { return n.demand.list(f.Now) }
