--- a/laburnumproxy/options.go
+++ b/laburnumproxy/options.go
@@ -12,9 +12,9 @@
 	// DefaultMaxBody, in bytes, is large enough for room photos in a request.
 	DefaultMaxBody = 16 << 20
 	// DefaultStallTimeout is how long a request may make no progress on either side.
-	DefaultStall = 30 * time.Second
+	DefaultStallTimeout = 30 * time.Second
 	// DefaultRequestTimeout is the longest time that a request may take in total.
-	DefaultLimit = 30 * time.Minute
+	DefaultRequestTimeout = 30 * time.Minute
 )
 
 type settings struct {
@@ -32,7 +32,7 @@
 func newSettings(opts []Option) settings {
 	cfg := settings{
 		logger: log.NewNopLogger(), scope: tally.NoopScope,
-		maxBody: DefaultMaxBody, stallTimeout: DefaultStall, requestTimeout: DefaultLimit, seed: 1,
+		maxBody: DefaultMaxBody, stallTimeout: DefaultStallTimeout, requestTimeout: DefaultRequestTimeout, seed: 1,
 	}
 	for _, opt := range opts {
 		opt(&cfg)
@@ -52,10 +52,12 @@
 
 // WithStallTimeout bounds how long a request may make no progress: no byte from the
 // caller, from the backend server, or accepted by the caller.
-func WithStall(d time.Duration) Option { return func(cfg *settings) { cfg.stallTimeout = d } }
+func WithStallTimeout(d time.Duration) Option { return func(cfg *settings) { cfg.stallTimeout = d } }
 
 // WithRequestTimeout bounds the total time of a request.
-func WithLimit(d time.Duration) Option { return func(cfg *settings) { cfg.requestTimeout = d } }
+func WithRequestTimeout(d time.Duration) Option {
+	return func(cfg *settings) { cfg.requestTimeout = d }
+}
 
 // WithSeed seeds the random choices, so that a test is repeatable.
 func WithSeed(seed uint64) Option { return func(cfg *settings) { cfg.seed = seed } }
--- a/laburnumproxy/outcome_test.go
+++ b/laburnumproxy/outcome_test.go
@@ -181,7 +181,7 @@
 	got := make(chan reply)
 	go func() { got <- b.post("/services/booking/visits", "") }()
 	<-started
-	b.timers.Advance(laburnumproxy.DefaultStall + time.Second)
+	b.timers.Advance(laburnumproxy.DefaultStallTimeout + time.Second)
 	(<-got).requireRefusal(t, "deadline", "unknown")
 }
 
@@ -215,7 +215,7 @@
 			last = now // still flowing: let the socket buffers fill up
 			return false
 		}
-		b.timers.Advance(laburnumproxy.DefaultStall + time.Second)
+		b.timers.Advance(laburnumproxy.DefaultStallTimeout + time.Second)
 		return b.proxy.InFlight() == 0
 	}, 30*time.Second, 50*time.Millisecond)
 	<-ended
