--- a/laburnumnode/operations.go
+++ b/laburnumnode/operations.go
@@ -72,7 +72,7 @@
 		View:       *n.publisher.View(),
 		Voter:      n.voter.Status(),
 		ZoneOwners: n.zoneOwners(),
-		Moves:      n.owner.Moves(),
+		Moves:      n.owner.LoadsDone(),
 	}
 }
 
--- a/laburnumorder/engine.go
+++ b/laburnumorder/engine.go
@@ -130,7 +130,7 @@
 		o.releaseLease()
 		return
 	}
-	read, number, to := e.activeRead, Number(o.lease.fence, e.count), e.announcement
+	read, number, to := e.activeRead, FencingNumber(o.lease.fence, e.count), e.announcement
 	o.call(func(ctx context.Context) {
 		began := o.timers.Now()
 		inventory, err := o.client.Claim(ctx, to, number)
@@ -144,7 +144,7 @@
 		return
 	}
 	e.activeRead = 0
-	if LeaseOf(ev.number) != o.lease.fence {
+	if LeaseNumber(ev.number) != o.lease.fence {
 		return
 	}
 	now := o.timers.Now()
@@ -152,7 +152,7 @@
 		_ = level.Debug(o.logger).Log("event", laburnumlever.EventInventoryNotRead, "backend", ev.backend, "err", err)
 		return
 	}
-	o.ledger.Read(ev.backend, ev.inventory, ev.began)
+	o.ledger.ApplyInventory(ev.backend, ev.inventory, ev.began)
 	e.incarnation = ev.inventory.Incarnation
 	e.orderable = e.announcement.ChecksFencing || !ev.began.Before(o.earlierOrdersUntil)
 	o.settleOrders(e, ev)
@@ -194,7 +194,7 @@
 }
 
 func (o *Owner) readPeriod(e *engine) time.Duration {
-	if len(e.loading) > 0 || len(e.intents) > 0 || e.order != nil || len(o.ledger.Unsettled(e.announcement.Backend)) > 0 {
+	if len(e.loading) > 0 || len(e.intents) > 0 || e.order != nil || len(o.ledger.PendingOrders(e.announcement.Backend)) > 0 {
 		return busyReadPeriod
 	}
 	return idleReadPeriod
--- a/laburnumorder/errors.go
+++ b/laburnumorder/errors.go
@@ -9,13 +9,13 @@
 
 // LeaseExpiredError means that an order was not sent because the zone's lease may have
 // expired. ExpiredFor is the time since the end of the lease, less its margin.
-type LeaseOverError struct {
-	Zone laburnumlever.ZoneName
-	Over time.Duration
+type LeaseExpiredError struct {
+	Zone       laburnumlever.ZoneName
+	ExpiredFor time.Duration
 }
 
-func (e *LeaseOverError) Error() string {
-	return fmt.Sprintf("the lease of zone %q expired %s ago", e.Zone, e.Over)
+func (e *LeaseExpiredError) Error() string {
+	return fmt.Sprintf("the lease of zone %q expired %s ago", e.Zone, e.ExpiredFor)
 }
 
 // EngineAnswerError is a failed call to an engine. Status is the HTTP status, 0 when there
--- a/laburnumorder/harness_test.go
+++ b/laburnumorder/harness_test.go
@@ -149,7 +149,7 @@
 	}
 	v.owner = laburnumorder.New(v, w.timers, &proposer{v}, &engineClient{v}, v, v.id,
 		laburnumorder.WithRunner(func(work func()) { v.work = append(v.work, work) }),
-		laburnumorder.WithUnderWay(maxOrderDelay))
+		laburnumorder.WithMaxOrderDelay(maxOrderDelay))
 	w.vms[i] = v
 	v.owner.Start()
 }
--- a/laburnumorder/lease.go
+++ b/laburnumorder/lease.go
@@ -113,8 +113,8 @@
 	if e.order != nil && e.order.order.ID == intent.Order.ID {
 		return
 	}
-	o.ledger.Open(intent.Backend, intent.Order)
-	o.ledger.Sent(intent.Backend, intent.Order.ID, o.earlierOrdersUntil)
+	o.ledger.AddOrder(intent.Backend, intent.Order)
+	o.ledger.SetSettleTime(intent.Backend, intent.Order.ID, o.earlierOrdersUntil)
 	e.intents[intent.Order.ID] = intent
 }
 
--- a/laburnumorder/ledger.go
+++ b/laburnumorder/ledger.go
@@ -17,11 +17,11 @@
 type account struct {
 	accelerators []laburnumlever.Accelerator
 	loaded       []laburnumlever.Loaded
-	pending      []Entry
+	pending      []PendingOrder
 }
 
 // PendingOrder is a load order that may still take effect.
-type Entry struct {
+type PendingOrder struct {
 	Order laburnumlever.Order
 	// SettleAfter is the time from which it can no longer arrive. Zero until it is sent
 	// and answered or its outcome is unknown.
@@ -41,16 +41,16 @@
 }
 
 // AddOrder adds a load order. Other orders and known ones are ignored.
-func (l *Ledger) Open(backend laburnumlever.BackendID, order laburnumlever.Order) {
+func (l *Ledger) AddOrder(backend laburnumlever.BackendID, order laburnumlever.Order) {
 	a := l.account(backend)
 	if order.Kind != laburnumlever.Load || a.indexOf(order.ID) >= 0 {
 		return
 	}
-	a.pending = append(a.pending, Entry{Order: order})
+	a.pending = append(a.pending, PendingOrder{Order: order})
 }
 
 // SetSettleTime sets the time from which a sent order can no longer arrive.
-func (l *Ledger) Sent(backend laburnumlever.BackendID, id laburnumlever.OrderID, settleAfter time.Time) {
+func (l *Ledger) SetSettleTime(backend laburnumlever.BackendID, id laburnumlever.OrderID, settleAfter time.Time) {
 	a := l.account(backend)
 	if i := a.indexOf(id); i >= 0 {
 		a.pending[i].SettleAfter = settleAfter
@@ -58,7 +58,7 @@
 }
 
 // RemoveOrder removes an order that was certainly never sent.
-func (l *Ledger) Drop(backend laburnumlever.BackendID, id laburnumlever.OrderID) {
+func (l *Ledger) RemoveOrder(backend laburnumlever.BackendID, id laburnumlever.OrderID) {
 	a := l.account(backend)
 	if i := a.indexOf(id); i >= 0 {
 		a.pending = slices.Delete(a.pending, i, i+1)
@@ -67,31 +67,31 @@
 
 // SetLoaded replaces the loaded copies by those in the answer to an order. Pending orders
 // stay counted: a duplicate may still be in flight.
-func (l *Ledger) Answered(backend laburnumlever.BackendID, loaded []laburnumlever.Loaded) {
+func (l *Ledger) SetLoaded(backend laburnumlever.BackendID, loaded []laburnumlever.Loaded) {
 	l.account(backend).loaded = loaded
 }
 
 // ApplyInventory replaces the inventory by one whose read started at began, and removes
 // the orders that could no longer arrive by then.
-func (l *Ledger) Read(backend laburnumlever.BackendID, inventory laburnumlever.Inventory, began time.Time) {
+func (l *Ledger) ApplyInventory(backend laburnumlever.BackendID, inventory laburnumlever.Inventory, began time.Time) {
 	a := l.account(backend)
 	a.loaded = inventory.Loaded
 	a.accelerators = inventory.Accelerators
-	a.pending = slices.DeleteFunc(a.pending, func(e Entry) bool {
+	a.pending = slices.DeleteFunc(a.pending, func(e PendingOrder) bool {
 		return !e.SettleAfter.IsZero() && !began.Before(e.SettleAfter)
 	})
 }
 
 // HasOrder reports whether an order is pending.
-func (l *Ledger) Counts(backend laburnumlever.BackendID, id laburnumlever.OrderID) bool {
+func (l *Ledger) HasOrder(backend laburnumlever.BackendID, id laburnumlever.OrderID) bool {
 	return l.account(backend).indexOf(id) >= 0
 }
 
 // HasOrderFor reports whether a load order for the copy is pending, so that unloading the
 // copy frees no memory yet.
-func (l *Ledger) CountsCopy(backend laburnumlever.BackendID, c laburnumlever.Loaded) bool {
+func (l *Ledger) HasOrderFor(backend laburnumlever.BackendID, c laburnumlever.Loaded) bool {
 	key := copyKey(c)
-	return slices.ContainsFunc(l.account(backend).pending, func(e Entry) bool { return copyKey(e.Order.Copy) == key })
+	return slices.ContainsFunc(l.account(backend).pending, func(e PendingOrder) bool { return copyKey(e.Order.Copy) == key })
 }
 
 // Loaded returns the copies in the engine's last inventory.
@@ -105,7 +105,7 @@
 }
 
 // PendingOrders returns the engine's pending orders.
-func (l *Ledger) Unsettled(backend laburnumlever.BackendID) []Entry {
+func (l *Ledger) PendingOrders(backend laburnumlever.BackendID) []PendingOrder {
 	return l.account(backend).pending
 }
 
@@ -154,7 +154,7 @@
 }
 
 func (a *account) indexOf(id laburnumlever.OrderID) int {
-	return slices.IndexFunc(a.pending, func(e Entry) bool { return e.Order.ID == id })
+	return slices.IndexFunc(a.pending, func(e PendingOrder) bool { return e.Order.ID == id })
 }
 
 // copyKey identifies a copy within an engine: it holds a version of a model on the same
--- a/laburnumorder/number.go
+++ b/laburnumorder/number.go
@@ -11,7 +11,7 @@
 // the high bits, so that all numbers of a later owner are higher, and the owner's own
 // count in the low bits. The count guards against delayed and duplicated orders of the
 // same owner: the engine has seen a higher number by then and refuses them.
-func Number(lease, count uint64) uint64 { return lease<<countBits | min(count, maxCount) }
+func FencingNumber(lease, count uint64) uint64 { return lease<<countBits | min(count, maxCount) }
 
 // LeaseNumber returns the lease's number within a fencing number.
-func LeaseOf(number uint64) uint64 { return number >> countBits }
+func LeaseNumber(number uint64) uint64 { return number >> countBits }
--- a/laburnumorder/options.go
+++ b/laburnumorder/options.go
@@ -70,7 +70,7 @@
 
 // WithMaxOrderDelay sets the longest time from sending an order to its arrival at the
 // engine. It must exceed the call timeout. The default is 30 s.
-func WithUnderWay(d time.Duration) Option { return func(o *Owner) { o.maxOrderDelay = d } }
+func WithMaxOrderDelay(d time.Duration) Option { return func(o *Owner) { o.maxOrderDelay = d } }
 
 // WithCallTimeout sets the timeout of calls to engines and to the log. The default is 10 s.
 func WithCallTimeout(d time.Duration) Option { return func(o *Owner) { o.callTimeout = d } }
--- a/laburnumorder/owner.go
+++ b/laburnumorder/owner.go
@@ -117,7 +117,7 @@
 
 // LoadsDone returns the number of load orders that engines have accepted from this owner.
 // It is safe for concurrent use.
-func (o *Owner) Moves() uint64 { return o.loadsDone.Load() }
+func (o *Owner) LoadsDone() uint64 { return o.loadsDone.Load() }
 
 // Handle handles one of the owner's events. Only the control thread may call it.
 func (o *Owner) Handle(ev laburnumlever.Event) {
--- a/laburnumorder/owner_test.go
+++ b/laburnumorder/owner_test.go
@@ -19,7 +19,7 @@
 		w.requireAllReachable()
 		require.NotEqual(t, w.vms[0].owner.Owns(), w.vms[1].owner.Owns())
 		owner := w.vms[0].owner
-		require.Positive(t, owner.Moves())
+		require.Positive(t, owner.LoadsDone())
 		e, ok := owner.Explain("m0")
 		require.True(t, ok)
 		require.Contains(t, e.Lines[1], "ready: version v1 on")
--- a/laburnumorder/plan.go
+++ b/laburnumorder/plan.go
@@ -72,7 +72,7 @@
 	e.Accelerators = o.ledger.Accelerators(e.ID)
 	e.Copies = nil
 	for _, l := range o.ledger.Loaded(e.ID) {
-		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: l, Unloading: own.isUnloading(l), StaysReserved: o.ledger.CountsCopy(e.ID, l)})
+		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: l, Unloading: own.isUnloading(l), StaysReserved: o.ledger.HasOrderFor(e.ID, l)})
 	}
 	if coming, ok := own.pendingLoad(); ok && !containsCopy(e.Copies, coming) {
 		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: coming})
--- a/laburnumorder/send.go
+++ b/laburnumorder/send.go
@@ -27,7 +27,7 @@
 	order := laburnumlever.Order{
 		ID:    laburnumlever.OrderID(fmt.Sprintf("%s-%d-%d", o.self.ID, o.self.Incarnation, o.orders)),
 		Kind:  m.Kind,
-		Fence: Number(o.lease.fence, e.count),
+		Fence: FencingNumber(o.lease.fence, e.count),
 		Copy:  m.Copy,
 	}
 	o.recordMove(m, order.ID, now)
@@ -35,7 +35,7 @@
 		order.Fence = o.lease.fence
 	}
 	e.order = newTrackedOrder(order)
-	o.ledger.Open(m.Engine, order)
+	o.ledger.AddOrder(m.Engine, order)
 	if m.Kind == laburnumlever.Load {
 		e.loading[copyKey(m.Copy)] = now
 		e.updates[copyKey(m.Copy)] = m.Copy
@@ -100,7 +100,7 @@
 	order, to := e.order.order, e.announcement
 	o.call(func(ctx context.Context) {
 		if over := o.lease.until.expiredFor(o.timers.Now()); !to.ChecksFencing && over >= 0 {
-			err := &laburnumlever.NotSentError{Cause: &LeaseOverError{Zone: o.self.Zone, Over: over}}
+			err := &laburnumlever.NotSentError{Cause: &LeaseExpiredError{Zone: o.self.Zone, ExpiredFor: over}}
 			o.loop.Post(o, orderAnswered{backend: to.Backend, order: order.ID, err: err})
 			return
 		}
@@ -124,7 +124,7 @@
 	case ev.err != nil || ev.answer.ID != ev.order:
 		o.advance(e, "answer-lost")
 		_ = level.Warn(o.logger).Log("event", laburnumlever.EventOrderOutcomeUnknown, "backend", ev.backend, "order", ev.order, "err", ev.err)
-		o.ledger.Sent(ev.backend, ev.order, now.Add(o.maxOrderDelay))
+		o.ledger.SetSettleTime(ev.backend, ev.order, now.Add(o.maxOrderDelay))
 		e.order.settleAfter = now.Add(o.maxOrderDelay)
 		e.nextRead = now
 	default:
@@ -136,8 +136,8 @@
 	o.advance(e, "answered")
 	order := e.order.order
 	backend := e.announcement.Backend
-	o.ledger.Sent(backend, order.ID, now.Add(o.maxOrderDelay))
-	o.ledger.Answered(backend, answer.Loaded)
+	o.ledger.SetSettleTime(backend, order.ID, now.Add(o.maxOrderDelay))
+	o.ledger.SetLoaded(backend, answer.Loaded)
 	e.order = nil
 	o.scope.Tagged(map[string]string{"kind": order.Kind.String(), "outcome": answer.Outcome.String()}).Counter("orders").Inc(1)
 	switch answer.Outcome {
@@ -162,7 +162,7 @@
 // dropOrder removes an order that was certainly never sent.
 func (o *Owner) dropOrder(e *engine) {
 	order := e.order.order
-	o.ledger.Drop(e.announcement.Backend, order.ID)
+	o.ledger.RemoveOrder(e.announcement.Backend, order.ID)
 	delete(e.loading, copyKey(order.Copy))
 	delete(e.updates, copyKey(order.Copy))
 	e.order = nil
@@ -183,7 +183,7 @@
 	}
 	for id := range e.intents {
 		current := e.order != nil && e.order.order.ID == id
-		if !current && !o.ledger.Counts(ev.backend, id) && !ev.began.Before(o.earlierOrdersUntil) {
+		if !current && !o.ledger.HasOrder(ev.backend, id) && !ev.began.Before(o.earlierOrdersUntil) {
 			o.resolveIntent(e, id)
 		}
 	}
