--- a/laburnumdispatch/dispatcher.go
+++ b/laburnumdispatch/dispatcher.go
@@ -147,7 +147,7 @@
 	q := &t.Request
 	item := &laburnumqueue.Item{
 		Owner: q.Owner, Key: q.Key, Entry: q.entry(), Priority: q.Class.Priority,
-		Cost: q.cost(), Deadline: q.deadline(), Tag: t,
+		Cost: q.cost(), Deadline: q.deadline(), Value: t,
 	}
 	turn := d.expectedWait(item)
 	if now.Add(turn).After(item.Deadline) {
@@ -155,7 +155,7 @@
 	}
 	t.item = item
 	if evicted := d.queue.Push(item); evicted != nil {
-		loser := evicted.Tag.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
+		loser := evicted.Value.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
 		loser.item = nil
 		refusal := loser.refusal(laburnumlever.RefusedQueueFull, turn, "the queue is full")
 		if loser == t {
@@ -168,7 +168,7 @@
 
 // expectedWait estimates the item's time in the queue; 0 while the start rate is unknown.
 func (d *Dispatcher) expectedWait(item *laburnumqueue.Item) time.Duration {
-	ahead := d.queue.Ahead(item)
+	ahead := d.queue.CostAhead(item)
 	if ahead == item.Cost {
 		delete(d.startRates, item.Entry) // no request was queued for the entry, so the old measurement is invalid
 	}
@@ -191,7 +191,7 @@
 // Tick refuses queued requests whose deadline has passed and assigns others to free slots.
 func (d *Dispatcher) Tick(now time.Time) {
 	for _, item := range d.queue.Expire(now) {
-		t := item.Tag.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
+		t := item.Value.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
 		t.item = nil
 		d.refuseQueued(t, t.refusal(laburnumlever.RefusedQueueTimeout, time.Second, "it waited until its deadline"), now)
 	}
@@ -214,7 +214,7 @@
 		if item == nil {
 			return
 		}
-		t := item.Tag.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
+		t := item.Value.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
 		t.item = nil
 		d.recordStart(item, now)
 		d.assign(t, now)
@@ -231,7 +231,7 @@
 	if full[i.Entry] {
 		return false
 	}
-	t := i.Tag.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
+	t := i.Value.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
 	if d.router.HasRoom(t.query, now) {
 		return true
 	}
--- a/laburnumqueue/queue.go
+++ b/laburnumqueue/queue.go
@@ -34,7 +34,7 @@
 	// Deadline is when the item expires.
 	Deadline time.Time
 	// Value is for the user of the queue, which does not use it itself.
-	Tag any
+	Value any
 
 	flow *flow
 }
@@ -203,7 +203,7 @@
 // CostAhead estimates the cost, in tokens, of the work up to and including an item that is
 // pushed now. Every flow of the same entry counts with its queued cost, but with no more
 // than the item's own flow, because flows share the slots fairly.
-func (q *Queue) Ahead(item *Item) int {
+func (q *Queue) CostAhead(item *Item) int {
 	own := item.Cost
 	if f := q.byID[q.flowIDOf(item)]; f != nil {
 		own += f.cost
