--- a/laburnumdispatch/dispatcher.go
+++ b/laburnumdispatch/dispatcher.go
@@ -120,7 +120,7 @@
 func (d *Dispatcher) Submit(t *Ticket, now time.Time) error {
 	q := &t.Request
 	t.query = laburnumrouter.Query{Model: q.Model, Service: q.Service, Prefix: q.Prefix}
-	if !d.router.Known(t.query) {
+	if !d.router.HasServer(t.query) {
 		return t.refusal(laburnumlever.RefusedNoBackend, time.Second, "no backend server takes work for it now")
 	}
 	t.admission = laburnumadmission.Request{
@@ -130,7 +130,7 @@
 		return err
 	}
 	d.budget.FirstAttempt()
-	if d.queue.Len() == 0 && d.router.HasRoom(t.query, now) {
+	if d.queue.Len() == 0 && d.router.HasFreeSlot(t.query, now) {
 		d.assign(t, now)
 		return nil
 	}
@@ -232,7 +232,7 @@
 		return false
 	}
 	t := i.Value.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
-	if d.router.HasRoom(t.query, now) {
+	if d.router.HasFreeSlot(t.query, now) {
 		return true
 	}
 	full[i.Entry] = true
--- a/laburnumproxy/forward.go
+++ b/laburnumproxy/forward.go
@@ -138,9 +138,9 @@
 	before := out.tokens
 	fail := p.exchange(ctx, q, out, to, resume)
 	now := p.timers.Now()
-	sample := laburnumrouter.Sample{Took: now.Sub(start), Prompt: max(1, q.promptTokens), Answer: max(1, q.answerTokens)}
+	sample := laburnumrouter.Sample{Duration: now.Sub(start), PromptTokens: max(1, q.promptTokens), AnswerTokens: max(1, q.answerTokens)}
 	if out.eventStream {
-		sample.Answer = out.tokens - before
+		sample.AnswerTokens = out.tokens - before
 	}
 	if fail != nil {
 		reason := fail.refusal.Reason
--- a/laburnumrouter/router.go
+++ b/laburnumrouter/router.go
@@ -118,13 +118,13 @@
 }
 
 // HasFreeSlot reports whether a server for the query has a free slot.
-func (r *Router) HasRoom(q Query, now time.Time) bool {
+func (r *Router) HasFreeSlot(q Query, now time.Time) bool {
 	g := r.group(q)
 	return g != nil && r.findFreeSlot(g, q, now) != nil
 }
 
 // HasServer reports whether any server accepts requests for the query.
-func (r *Router) Known(q Query) bool { return r.group(q) != nil }
+func (r *Router) HasServer(q Query) bool { return r.group(q) != nil }
 
 // Pick selects a server, preferably one with a free slot. It returns false when no server
 // accepts requests for the query.
--- a/laburnumrouter/router_test.go
+++ b/laburnumrouter/router_test.go
@@ -61,7 +61,7 @@
 }
 
 func normalSample(laburnumlever.BackendID) laburnumrouter.Sample {
-	return laburnumrouter.Sample{Took: time.Second, Prompt: 8, Answer: 100}
+	return laburnumrouter.Sample{Duration: time.Second, PromptTokens: 8, AnswerTokens: 100}
 }
 
 func TestLeavingAndDownServersGetNoRequests(t *testing.T) {
@@ -77,7 +77,7 @@
 	view := fleet(9, 1, 1)
 	r := newRouter(view)
 	bad := func(id laburnumlever.BackendID) laburnumrouter.Sample {
-		return laburnumrouter.Sample{Took: time.Second, Prompt: 8, Answer: 100, Failed: id == "0"}
+		return laburnumrouter.Sample{Duration: time.Second, PromptTokens: 8, AnswerTokens: 100, Failed: id == "0"}
 	}
 	sendRequests(r, start, bad)
 	require.Less(t, sendRequests(r, start, bad)["0"], 20)
@@ -95,7 +95,7 @@
 	slow := func(id laburnumlever.BackendID) laburnumrouter.Sample {
 		s := normalSample(id)
 		if id == "0" {
-			s.Took *= 10
+			s.Duration *= 10
 		}
 		return s
 	}
@@ -154,7 +154,7 @@
 				now := start.Add(time.Duration(i) * time.Microsecond)
 				s, _ := r.Pick(q, now)
 				s.Begin(now)
-				s.End(laburnumrouter.Sample{Took: time.Second, Prompt: 8, Answer: 100}, now)
+				s.End(laburnumrouter.Sample{Duration: time.Second, PromptTokens: 8, AnswerTokens: 100}, now)
 			}
 		})
 	}
--- a/laburnumrouter/server.go
+++ b/laburnumrouter/server.go
@@ -32,10 +32,10 @@
 // Sample is the result of an attempt.
 type Sample struct {
 	// Duration is the time from the attempt's start to the end of its answer.
-	Took time.Duration
+	Duration time.Duration
 	// PromptTokens and AnswerTokens are 1 each for a request to a plain service.
-	Prompt int
-	Answer int
+	PromptTokens int
+	AnswerTokens int
 	// Failed means that it could not be sent or its answer broke off. Cancelled requests and
 	// error statuses from plain services are not failures.
 	Failed bool
@@ -95,8 +95,8 @@
 		return
 	}
 	s.failures -= failureWeight * s.failures
-	tokens := float64(sample.Prompt)/promptTokensPerAnswerToken + float64(sample.Answer)
-	tokenTime := sample.Took.Seconds() / max(1, tokens)
+	tokens := float64(sample.PromptTokens)/promptTokensPerAnswerToken + float64(sample.AnswerTokens)
+	tokenTime := sample.Duration.Seconds() / max(1, tokens)
 	if s.tokenTime == 0 {
 		s.tokenTime = tokenTime
 		return
