--- a/laburnumdispatch/announcement_test.go
+++ b/laburnumdispatch/announcement_test.go
@@ -27,7 +27,7 @@
 	d.Update(view("10.0.0.1:80"), share, start)
 	ticket := &laburnumdispatch.Ticket{Request: laburnumdispatch.Request{Service: "booking", Received: start}}
 	require.NoError(t, d.Submit(ticket, start))
-	require.True(t, ticket.Placed())
+	require.True(t, ticket.Assigned())
 	updated := make(chan struct{})
 	go func() {
 		defer close(updated)
--- a/laburnumdispatch/dispatcher.go
+++ b/laburnumdispatch/dispatcher.go
@@ -21,17 +21,17 @@
 // Request holds the properties of a request that decisions depend on. Prompt and Answer
 // are estimates in tokens.
 type Request struct {
-	Owner       laburnumlever.OwnerName
-	OwnerLimits laburnumlever.Limits
-	EntryLimits laburnumlever.Limits
-	Key         string
-	Model       laburnumlever.ModelName
-	Service     laburnumlever.ServiceName
-	Class       laburnumlever.Class
-	Prefix      uint64
-	Prompt      int
-	Answer      int
-	Received    time.Time
+	Owner        laburnumlever.OwnerName
+	OwnerLimits  laburnumlever.Limits
+	EntryLimits  laburnumlever.Limits
+	Key          string
+	Model        laburnumlever.ModelName
+	Service      laburnumlever.ServiceName
+	Class        laburnumlever.Class
+	Prefix       uint64
+	PromptTokens int
+	AnswerTokens int
+	Received     time.Time
 }
 
 func (q *Request) entry() string {
@@ -41,7 +41,7 @@
 	return string(q.Service)
 }
 
-func (q *Request) cost() int { return q.Prompt + q.Answer }
+func (q *Request) cost() int { return q.PromptTokens + q.AnswerTokens }
 
 func (q *Request) deadline() time.Time {
 	wait := time.Duration(q.Class.FirstToken)
@@ -74,7 +74,7 @@
 }
 
 // Assigned reports whether the request is assigned to a server and occupies a slot there.
-func (t *Ticket) Placed() bool { return t.server != nil }
+func (t *Ticket) Assigned() bool { return t.server != nil }
 
 // setServer assigns the request to a server.
 func (t *Ticket) setServer(server *laburnumrouter.Server) {
@@ -83,7 +83,7 @@
 }
 
 // Queued reports whether the request is in the queue.
-func (t *Ticket) Waiting() bool { return t.item != nil }
+func (t *Ticket) Queued() bool { return t.item != nil }
 
 // Dispatcher admits, queues and routes the requests of one VM.
 type Dispatcher struct {
@@ -113,7 +113,7 @@
 }
 
 // QueueLen returns the number of queued requests.
-func (d *Dispatcher) Waiting() int { return d.queue.Len() }
+func (d *Dispatcher) QueueLen() int { return d.queue.Len() }
 
 // Submit admits a request and assigns it to a server or queues it. Otherwise it returns a
 // *laburnumlever.RefusalError, and Finish must not be called.
--- a/laburnumdispatch/policies_test.go
+++ b/laburnumdispatch/policies_test.go
@@ -21,7 +21,7 @@
 
 func (v *dispatcherPolicy) arrive(c *call) {
 	t := &laburnumdispatch.Ticket{Request: laburnumdispatch.Request{
-		Owner: "o", Key: c.key, Model: "m", Class: c.class, Prompt: c.prompt, Answer: c.answer, Received: c.at,
+		Owner: "o", Key: c.key, Model: "m", Class: c.class, PromptTokens: c.prompt, AnswerTokens: c.answer, Received: c.at,
 	}}
 	c.ticket = t
 	t.Wake = func() {
@@ -34,7 +34,7 @@
 	var refusal *laburnumlever.RefusalError
 	if errors.As(v.d.Submit(t, v.p.now), &refusal) {
 		v.refused(c, refusal)
-	} else if t.Placed() {
+	} else if t.Assigned() {
 		v.send(c, t)
 	}
 }
--- a/laburnumproxy/forward.go
+++ b/laburnumproxy/forward.go
@@ -50,7 +50,7 @@
 	return &laburnumdispatch.Ticket{Request: laburnumdispatch.Request{
 		Owner: q.owner, OwnerLimits: q.ownerLimits, EntryLimits: q.limits, Key: q.callerKey,
 		Model: q.model, Service: q.service, Class: q.class, Prefix: q.prefix,
-		Prompt: max(1, q.promptTokens), Answer: max(1, q.answerTokens), Received: q.received,
+		PromptTokens: max(1, q.promptTokens), AnswerTokens: max(1, q.answerTokens), Received: q.received,
 	}}
 }
 
@@ -87,7 +87,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	err = p.dispatch.Submit(ticket, now)
-	return err == nil && ticket.Waiting(), err
+	return err == nil && ticket.Queued(), err
 }
 
 // settle finishes the ticket with the tokens that the request really used.
@@ -97,7 +97,7 @@
 	case out.eventStream:
 		used = q.promptTokens + out.tokens
 	case out.started || q.maybeSent:
-		used = ticket.Request.Prompt + ticket.Request.Answer
+		used = ticket.Request.PromptTokens + ticket.Request.AnswerTokens
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
