--- a/laburnumnode/node.go
+++ b/laburnumnode/node.go
@@ -37,7 +37,7 @@
 
 	peers      *laburnumpeer.Peers
 	membership *laburnummembership.Membership
-	spread     *laburnumspread.Spread
+	spread     *laburnumspread.Distributor
 	voter      *laburnumvoter.Voter
 	owner      *laburnumorder.Owner
 	proxy      *laburnumproxy.Proxy
--- a/laburnumnode/wiring.go
+++ b/laburnumnode/wiring.go
@@ -80,7 +80,7 @@
 		laburnumspread.WithLogger(n.logger),
 		laburnumspread.WithScope(scope),
 	)
-	n.spread.OnNewer(func(laburnumlever.Catalogue) { n.publisher.markDirty() })
+	n.spread.OnNewRevision(func(laburnumlever.Catalogue) { n.publisher.markDirty() })
 }
 
 func (n *Node) buildVoter() error {
@@ -94,7 +94,7 @@
 	if err != nil {
 		return &laburnumlever.StartError{Part: "voter", Cause: err}
 	}
-	voter.OnCatalogue(n.spread.Offer)
+	voter.OnCatalogue(n.spread.Publish)
 	n.voter = voter
 	return nil
 }
--- a/laburnumspread/errors.go
+++ b/laburnumspread/errors.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// BodyError reports a catalogue from another VM that can't be decoded.
-type BodyError struct {
+// DecodeError reports a catalogue from another VM that can't be decoded.
+type DecodeError struct {
 	Revision uint64
 	Cause    error
 }
 
-func (e *BodyError) Error() string {
+func (e *DecodeError) Error() string {
 	return fmt.Sprintf("decode catalogue revision %d from another VM: %v", e.Revision, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *BodyError) Unwrap() error { return e.Cause }
+func (e *DecodeError) Unwrap() error { return e.Cause }
 
 // NoCatalogueError is the answer to a pull from a VM that has no catalogue yet.
 type NoCatalogueError struct{}
--- a/laburnumspread/failures_test.go
+++ b/laburnumspread/failures_test.go
@@ -34,12 +34,12 @@
 // partition heals, or reverting to an older one that is offered late.
 func TestPartitionedZoneKeepsItsRevisionAndCatchesUp(t *testing.T) {
 	f := laburnumspread.NewFleet(6, 1)
-	f.Offer(0, emptyCatalogue(5))
+	f.Publish(0, emptyCatalogue(5))
 	_, ok := f.Until(7*time.Second, allHold(f, 5))
 	require.True(t, ok)
 	inside := func(i int) bool { return i >= 4 }
 	f.Blocked = func(from, to int) bool { return inside(from) != inside(to) }
-	f.Offer(0, emptyCatalogue(6))
+	f.Publish(0, emptyCatalogue(6))
 	f.Restart(5)
 	_, ok = f.Until(7*time.Second, func() bool {
 		return f.Revision(1) == 6 && f.Revision(2) == 6 && f.Revision(3) == 6 && f.Revision(5) == 5
@@ -47,7 +47,7 @@
 	require.True(t, ok)
 	require.EqualValues(t, 5, f.Revision(4))
 	f.Blocked = func(_, _ int) bool { return false }
-	f.Offer(4, emptyCatalogue(4))
+	f.Publish(4, emptyCatalogue(4))
 	_, ok = f.Until(7*time.Second, allHold(f, 6))
 	require.True(t, ok)
 }
@@ -82,13 +82,13 @@
 	var bytes, bodies, busiest int
 	for seed := range uint64(runs) {
 		f := laburnumspread.NewFleet(vms, seed)
-		f.Offer(0, emptyCatalogue(1))
+		f.Publish(0, emptyCatalogue(1))
 		_, ok := f.Until(time.Minute, allHold(f, 1))
 		require.True(t, ok)
 		f.Loss = loss
 		clear(f.Bytes)
 		clear(f.Bodies)
-		f.Offer(int(seed)%vms, designCatalogue().WithRevision(2))
+		f.Publish(int(seed)%vms, designCatalogue().WithRevision(2))
 		took, ok := f.Until(time.Minute, allHold(f, 2))
 		require.True(t, ok)
 		times = append(times, took)
--- a/laburnumspread/fleet_test.go
+++ b/laburnumspread/fleet_test.go
@@ -71,7 +71,7 @@
 func (f *Fleet) Restart(i int) { f.Cores[i] = &core{random: f.Cores[i].random} }
 
 // Publish hands in a catalogue on one VM.
-func (f *Fleet) Offer(i int, c laburnumlever.Catalogue) {
+func (f *Fleet) Publish(i int, c laburnumlever.Catalogue) {
 	f.Cores[i].adopt(&catalogueBody{catalogue: c}, f.others(i))
 	f.send(i)
 }
--- a/laburnumspread/spread.go
+++ b/laburnumspread/spread.go
@@ -14,9 +14,9 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Spread owns the catalogue in effect on this VM and distributes new revisions to other
+// Distributor owns the catalogue in effect on this VM and distributes new revisions to other
 // VMs. It runs on the control thread.
-type Spread struct {
+type Distributor struct {
 	loop    laburnumlever.Loop
 	timers  laburnumlever.Timers
 	peers   laburnumlever.Peers
@@ -29,23 +29,23 @@
 	stop    func()
 }
 
-var _ laburnumlever.Part = (*Spread)(nil)
+var _ laburnumlever.Part = (*Distributor)(nil)
 
 // Option configures a Distributor.
-type Option func(*Spread)
+type Option func(*Distributor)
 
 // WithLogger sets the logger; the default discards everything.
-func WithLogger(logger log.Logger) Option { return func(s *Spread) { s.logger = logger } }
+func WithLogger(logger log.Logger) Option { return func(s *Distributor) { s.logger = logger } }
 
 // WithScope sets the scope for metrics; the default discards them.
-func WithScope(scope tally.Scope) Option { return func(s *Spread) { s.scope = scope } }
+func WithScope(scope tally.Scope) Option { return func(s *Distributor) { s.scope = scope } }
 
 // WithSelf sets this VM's id, so that it sends no offers to itself.
-func WithSelf(self laburnumlever.VMID) Option { return func(s *Spread) { s.self = self } }
+func WithSelf(self laburnumlever.VMID) Option { return func(s *Distributor) { s.self = self } }
 
 // WithRandomSeed makes the choice of VMs reproducible.
 func WithRandomSeed(seed uint64) Option {
-	return func(s *Spread) { s.core.random = newRandom(seed) }
+	return func(s *Distributor) { s.core.random = newRandom(seed) }
 }
 
 func newRandom(seed uint64) *rand.Rand {
@@ -54,8 +54,8 @@
 
 // New creates a distributor without a catalogue and registers its handlers with peers. vms
 // returns the known VMs and is called on the control thread.
-func New(loop laburnumlever.Loop, timers laburnumlever.Timers, peers laburnumlever.Peers, vms func() []laburnumlever.VM, opts ...Option) *Spread {
-	s := &Spread{
+func New(loop laburnumlever.Loop, timers laburnumlever.Timers, peers laburnumlever.Peers, vms func() []laburnumlever.VM, opts ...Option) *Distributor {
+	s := &Distributor{
 		loop:   loop,
 		timers: timers,
 		peers:  peers,
@@ -73,28 +73,30 @@
 	return s
 }
 
-// OnNewer adds a function that is called on the control thread with each revision that
+// OnNewRevision adds a function that is called on the control thread with each revision that
 // takes effect on this VM.
-func (s *Spread) OnNewer(fn func(laburnumlever.Catalogue)) { s.onNewer = append(s.onNewer, fn) }
+func (s *Distributor) OnNewRevision(fn func(laburnumlever.Catalogue)) {
+	s.onNewer = append(s.onNewer, fn)
+}
 
 // Start begins to compare revisions with other VMs.
-func (s *Spread) Start() {
+func (s *Distributor) Start() {
 	s.stop = s.timers.Every(tickPeriod, func(now time.Time) { s.loop.Post(s, ticked{now: now}) })
 }
 
 // Close stops the periodic work.
-func (s *Spread) Close() {
+func (s *Distributor) Close() {
 	if s.stop != nil {
 		s.stop()
 	}
 }
 
-// Offer hands in a committed catalogue. A catalogue that is not newer than the current one is
+// Publish hands in a committed catalogue. A catalogue that is not newer than the current one is
 // ignored. Control thread only.
-func (s *Spread) Offer(c laburnumlever.Catalogue) { s.adopt(&catalogueBody{catalogue: c}) }
+func (s *Distributor) Publish(c laburnumlever.Catalogue) { s.adopt(&catalogueBody{catalogue: c}) }
 
 // Catalogue returns the current catalogue, or false if there is none yet. Control thread only.
-func (s *Spread) Catalogue() (laburnumlever.Catalogue, bool) {
+func (s *Distributor) Catalogue() (laburnumlever.Catalogue, bool) {
 	if s.core.current == nil {
 		return laburnumlever.Catalogue{}, false
 	}
@@ -102,7 +104,7 @@
 }
 
 // Handle handles an event on the control thread.
-func (s *Spread) Handle(ev laburnumlever.Event) {
+func (s *Distributor) Handle(ev laburnumlever.Event) {
 	now := s.timers.Now()
 	switch e := ev.(type) {
 	case ticked:
@@ -121,7 +123,7 @@
 	s.send()
 }
 
-func (s *Spread) adopt(b *catalogueBody) {
+func (s *Distributor) adopt(b *catalogueBody) {
 	if !s.core.adopt(b, s.others()) {
 		return
 	}
@@ -133,7 +135,7 @@
 	s.send()
 }
 
-func (s *Spread) others() []laburnumlever.VM {
+func (s *Distributor) others() []laburnumlever.VM {
 	all := s.vms()
 	out := make([]laburnumlever.VM, 0, len(all))
 	for _, vm := range all {
@@ -144,7 +146,7 @@
 	return out
 }
 
-func (s *Spread) send() {
+func (s *Distributor) send() {
 	for _, m := range s.core.drainOutbox() {
 		go s.call(m)
 	}
@@ -152,7 +154,7 @@
 
 // call sends one message and posts the result. A failed call is not repeated: the next
 // comparison makes up for it.
-func (s *Spread) call(m message) {
+func (s *Distributor) call(m message) {
 	if m.method == methodOffer {
 		ctx, cancel := context.WithTimeout(context.Background(), offerTimeout)
 		defer cancel()
@@ -170,7 +172,7 @@
 	}
 }
 
-func (s *Spread) transfer(ctx context.Context, m message) error {
+func (s *Distributor) transfer(ctx context.Context, m message) error {
 	if m.method == methodPush {
 		e, err := m.body.envelope()
 		if err != nil {
@@ -185,7 +187,7 @@
 	return s.receive(e)
 }
 
-func (s *Spread) receive(e envelope) error {
+func (s *Distributor) receive(e envelope) error {
 	b, err := e.unpack()
 	if err != nil {
 		return err
@@ -194,7 +196,7 @@
 	return nil
 }
 
-func (s *Spread) handleOffer(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
+func (s *Distributor) handleOffer(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
 	var o offer
 	if err := json.Unmarshal(params, &o); err != nil {
 		return nil, errors.Wrap(err, "offer")
@@ -209,7 +211,7 @@
 	}
 }
 
-func (s *Spread) handlePush(_ context.Context, params laburnumlever.RawMessage) (any, error) {
+func (s *Distributor) handlePush(_ context.Context, params laburnumlever.RawMessage) (any, error) {
 	var e envelope
 	if err := json.Unmarshal(params, &e); err != nil {
 		return nil, errors.Wrap(err, "push")
@@ -217,7 +219,7 @@
 	return struct{}{}, s.receive(e)
 }
 
-func (s *Spread) handlePull(ctx context.Context, _ laburnumlever.RawMessage) (any, error) {
+func (s *Distributor) handlePull(ctx context.Context, _ laburnumlever.RawMessage) (any, error) {
 	answer := make(chan *catalogueBody, 1)
 	s.loop.Post(s, pullRequested{answer: answer})
 	select {
--- a/laburnumspread/spread_test.go
+++ b/laburnumspread/spread_test.go
@@ -16,7 +16,7 @@
 )
 
 type offerEvent struct {
-	spread    *laburnumspread.Spread
+	spread    *laburnumspread.Distributor
 	catalogue laburnumlever.Catalogue
 }
 
@@ -26,7 +26,7 @@
 
 func (offerer) Handle(ev laburnumlever.Event) {
 	e := ev.(offerEvent)
-	e.spread.Offer(e.catalogue)
+	e.spread.Publish(e.catalogue)
 }
 
 func TestRevisionsReachAllVMsAndNeverRevert(t *testing.T) {
@@ -40,12 +40,12 @@
 		vms = append(vms, laburnumlever.VM{ID: laburnumlever.VMID(ln.Addr().String()), PeerAddress: ln.Addr().String()})
 	}
 	revisions := make([]atomic.Uint64, count)
-	spreads := make([]*laburnumspread.Spread, count)
+	spreads := make([]*laburnumspread.Distributor, count)
 	loops := make([]*laburnumcontrol.Loop, count)
 	for i, ln := range listeners {
 		loop, timers, peers := laburnumcontrol.New(), laburnumtimer.New(), laburnumpeer.New(vms[i].ID)
 		s := laburnumspread.New(loop, timers, peers, func() []laburnumlever.VM { return vms }, laburnumspread.WithSelf(vms[i].ID))
-		s.OnNewer(func(c laburnumlever.Catalogue) {
+		s.OnNewRevision(func(c laburnumlever.Catalogue) {
 			require.Greater(t, c.Revision, revisions[i].Load())
 			revisions[i].Store(c.Revision)
 		})
