--- a/laburnumspread/spread_test.go
+++ b/laburnumdistribution/distributor_test.go
@@ -1,4 +1,4 @@
-package laburnumspread_test
+package laburnumdistribution_test
 
 import (
 	"net"
@@ -8,16 +8,16 @@
 
 	"laburnumlever"
 	"laburnumlever/laburnumcontrol"
+	"laburnumlever/laburnumdistribution"
 	"laburnumlever/laburnumpeer"
-	"laburnumlever/laburnumspread"
 	"laburnumlever/laburnumtimer"
 
 	"github.com/stretchr/testify/require"
 )
 
 type offerEvent struct {
-	spread    *laburnumspread.Distributor
-	catalogue laburnumlever.Catalogue
+	distributor *laburnumdistribution.Distributor
+	catalogue   laburnumlever.Catalogue
 }
 
 func (offerEvent) EventName() string { return "offer" }
@@ -26,7 +26,7 @@
 
 func (offerer) Handle(ev laburnumlever.Event) {
 	e := ev.(offerEvent)
-	e.spread.Publish(e.catalogue)
+	e.distributor.Publish(e.catalogue)
 }
 
 func TestRevisionsReachAllVMsAndNeverRevert(t *testing.T) {
@@ -40,19 +40,19 @@
 		vms = append(vms, laburnumlever.VM{ID: laburnumlever.VMID(ln.Addr().String()), PeerAddress: ln.Addr().String()})
 	}
 	revisions := make([]atomic.Uint64, count)
-	spreads := make([]*laburnumspread.Distributor, count)
+	distributors := make([]*laburnumdistribution.Distributor, count)
 	loops := make([]*laburnumcontrol.Loop, count)
 	for i, ln := range listeners {
 		loop, timers, peers := laburnumcontrol.New(), laburnumtimer.New(), laburnumpeer.New(vms[i].ID)
-		s := laburnumspread.New(loop, timers, peers, func() []laburnumlever.VM { return vms }, laburnumspread.WithSelf(vms[i].ID))
-		s.OnNewRevision(func(c laburnumlever.Catalogue) {
+		d := laburnumdistribution.New(loop, timers, peers, func() []laburnumlever.VM { return vms }, laburnumdistribution.WithSelf(vms[i].ID))
+		d.OnNewRevision(func(c laburnumlever.Catalogue) {
 			require.Greater(t, c.Revision, revisions[i].Load())
 			revisions[i].Store(c.Revision)
 		})
-		spreads[i], loops[i] = s, loop
+		distributors[i], loops[i] = d, loop
 		go loop.Run()
 		go func() { _ = peers.Serve(ln) }()
-		s.Start()
+		d.Start()
 		t.Cleanup(func() {
 			timers.Close()
 			_ = peers.Close()
@@ -62,7 +62,7 @@
 	}
 	offer := func(i int, revision uint64) {
 		catalogue := laburnumlever.Catalogue{Revision: revision, Models: []laburnumlever.Model{{Name: "m"}}}
-		loops[i].Post(offerer{}, offerEvent{spread: spreads[i], catalogue: catalogue})
+		loops[i].Post(offerer{}, offerEvent{distributor: distributors[i], catalogue: catalogue})
 	}
 	offer(0, 4)
 	offer(1, 3)
--- a/laburnumspread/doc.go
+++ b/laburnumdistribution/doc.go
@@ -1,8 +1,8 @@
-// Package laburnumspread distributes each new revision of the catalogue to every VM.
+// Package laburnumdistribution distributes each new revision of the catalogue to every VM.
 //
 // # Usage
 //
-//	d := laburnumspread.New(loop, timers, peers, membership.VMs)
+//	d := laburnumdistribution.New(loop, timers, peers, membership.VMs)
 //	d.OnNewRevision(publishView) // on the control thread
 //	d.Start()
 //	d.Publish(catalogue) // on a voter: each revision that the log has committed
@@ -27,4 +27,4 @@
 // the partition has healed is ignored. A VM that starts without a catalogue sends offers
 // until a VM answers with a revision; until the catalogue arrives, Catalogue reports that
 // there is none.
-package laburnumspread
+package laburnumdistribution
--- a/laburnumspread/failures_test.go
+++ b/laburnumdistribution/failures_test.go
@@ -1,4 +1,4 @@
-package laburnumspread_test
+package laburnumdistribution_test
 
 import (
 	"encoding/json"
@@ -11,14 +11,14 @@
 	"time"
 
 	"laburnumlever"
-	"laburnumlever/laburnumspread"
+	"laburnumlever/laburnumdistribution"
 
 	"github.com/stretchr/testify/require"
 )
 
 func emptyCatalogue(n uint64) laburnumlever.Catalogue { return laburnumlever.Catalogue{Revision: n} }
 
-func allHold(f *laburnumspread.Fleet, n uint64) func() bool {
+func allHold(f *laburnumdistribution.Fleet, n uint64) func() bool {
 	return func() bool {
 		for i := range f.VMs {
 			if f.Revision(i) != n {
@@ -33,7 +33,7 @@
 // Guards against VMs of the zone losing the last revision, missing the new one after the
 // partition heals, or reverting to an older one that is offered late.
 func TestPartitionedZoneKeepsItsRevisionAndCatchesUp(t *testing.T) {
-	f := laburnumspread.NewFleet(6, 1)
+	f := laburnumdistribution.NewFleet(6, 1)
 	f.Publish(0, emptyCatalogue(5))
 	_, ok := f.Until(7*time.Second, allHold(f, 5))
 	require.True(t, ok)
@@ -55,7 +55,7 @@
 // All VMs of a cut-off zone restart without a disk. Guards against inventing a revision that no
 // VM holds.
 func TestPartitionedVMsWithoutCatalogueReportNone(t *testing.T) {
-	f := laburnumspread.NewFleet(2, 2)
+	f := laburnumdistribution.NewFleet(2, 2)
 	_, ok := f.Until(30*time.Second, func() bool { return f.Revision(0)+f.Revision(1) > 0 })
 	require.False(t, ok)
 }
@@ -81,7 +81,7 @@
 	var times []time.Duration
 	var bytes, bodies, busiest int
 	for seed := range uint64(runs) {
-		f := laburnumspread.NewFleet(vms, seed)
+		f := laburnumdistribution.NewFleet(vms, seed)
 		f.Publish(0, emptyCatalogue(1))
 		_, ok := f.Until(time.Minute, allHold(f, 1))
 		require.True(t, ok)
--- a/laburnumspread/fleet_test.go
+++ b/laburnumdistribution/fleet_test.go
@@ -1,4 +1,4 @@
-package laburnumspread
+package laburnumdistribution
 
 import (
 	"encoding/json"
--- a/laburnumnode/doc.go
+++ b/laburnumnode/doc.go
@@ -11,7 +11,7 @@
 //
 // The way of the data: backend servers announce themselves to the backends
 // listener; membership spreads what they say; an operator's catalogue goes through
-// the replicated log (laburnumvoter) and from there to every VM (laburnumspread);
+// the replicated log (laburnumvoter) and from there to every VM (laburnumdistribution);
 // the control thread builds one immutable View out of both and stores it; callers'
 // requests read it in laburnumproxy. The zone's owner (laburnumorder) compares it
 // with what the engines hold and sends orders.
--- a/laburnumnode/node.go
+++ b/laburnumnode/node.go
@@ -10,13 +10,13 @@
 
 	"laburnumlever"
 	"laburnumlever/laburnumcontrol"
+	"laburnumlever/laburnumdistribution"
 	"laburnumlever/laburnummembership"
 	"laburnumlever/laburnummetrics"
 	"laburnumlever/laburnumorder"
 	"laburnumlever/laburnumpeer"
 	"laburnumlever/laburnumproxy"
 	"laburnumlever/laburnumsettings"
-	"laburnumlever/laburnumspread"
 	"laburnumlever/laburnumtimer"
 	"laburnumlever/laburnumvoter"
 )
@@ -37,7 +37,7 @@
 
 	peers      *laburnumpeer.Peers
 	membership *laburnummembership.Membership
-	spread     *laburnumspread.Distributor
+	spread     *laburnumdistribution.Distributor
 	voter      *laburnumvoter.Voter
 	owner      *laburnumorder.Owner
 	proxy      *laburnumproxy.Proxy
--- a/laburnumnode/wiring.go
+++ b/laburnumnode/wiring.go
@@ -10,13 +10,13 @@
 
 	"laburnumlever"
 	"laburnumlever/laburnumcontrol"
+	"laburnumlever/laburnumdistribution"
 	"laburnumlever/laburnummembership"
 	"laburnumlever/laburnumoperator"
 	"laburnumlever/laburnumorder"
 	"laburnumlever/laburnumpeer"
 	"laburnumlever/laburnumproxy"
 	"laburnumlever/laburnumsettings"
-	"laburnumlever/laburnumspread"
 	"laburnumlever/laburnumvoter"
 )
 
@@ -75,10 +75,10 @@
 		laburnummembership.WithScope(scope),
 	)
 	n.membership.OnChange(n.publisher.markDirty)
-	n.spread = laburnumspread.New(n.loop, n.timers, n.peers, n.membership.VMs,
-		laburnumspread.WithSelf(n.self.ID),
-		laburnumspread.WithLogger(n.logger),
-		laburnumspread.WithScope(scope),
+	n.spread = laburnumdistribution.New(n.loop, n.timers, n.peers, n.membership.VMs,
+		laburnumdistribution.WithSelf(n.self.ID),
+		laburnumdistribution.WithLogger(n.logger),
+		laburnumdistribution.WithScope(scope),
 	)
 	n.spread.OnNewRevision(func(laburnumlever.Catalogue) { n.publisher.markDirty() })
 }
