--- a/laburnumdispatch/dispatcher.go
+++ b/laburnumdispatch/dispatcher.go
@@ -263,25 +263,25 @@
 	d.startQueued(now)
 }
 
-// Retry decides on another attempt after a failure. With the verdict Again the request is
+// Retry decides on another attempt after a failure. With the decision Retry the request is
 // assigned to a server. A stream is resumed on its last server even if that has no free
 // slot.
-func (d *Dispatcher) Retry(t *Ticket, s laburnumretry.FailedRequest, now time.Time) (laburnumlever.RetryReason, laburnumretry.Decision) {
-	s.Attempts = t.Attempts
-	reason, verdict := d.budget.Decide(s)
-	if verdict != laburnumretry.Retry {
-		return reason, verdict
+func (d *Dispatcher) Retry(t *Ticket, f laburnumretry.FailedRequest, now time.Time) (laburnumlever.RetryReason, laburnumretry.Decision) {
+	f.Attempts = t.Attempts
+	reason, decision := d.budget.Decide(f)
+	if decision != laburnumretry.Retry {
+		return reason, decision
 	}
 	if reason == laburnumlever.RetryStreamResumed {
 		t.lastServer.Begin(now)
 		t.setServer(t.lastServer)
 		t.Attempts++
-		return reason, verdict
+		return reason, decision
 	}
 	if !d.assign(t, now) {
 		return reason, laburnumretry.GiveUp
 	}
-	return reason, verdict
+	return reason, decision
 }
 
 // Finish ends a request that Submit admitted; used is its actual cost in tokens. A request
--- a/laburnumdispatch/policies_test.go
+++ b/laburnumdispatch/policies_test.go
@@ -52,8 +52,8 @@
 
 func (v *dispatcherPolicy) ended(c *call, _ *engine) {
 	t := c.ticket.(*laburnumdispatch.Ticket)
-	took := v.p.now.Sub(c.first) + time.Duration(float64(c.prompt)/4000*float64(time.Second))
-	v.d.EndAttempt(t, laburnumrouter.Sample{Duration: took, PromptTokens: c.prompt, AnswerTokens: c.answer}, v.p.now)
+	duration := v.p.now.Sub(c.first) + time.Duration(float64(c.prompt)/4000*float64(time.Second))
+	v.d.EndAttempt(t, laburnumrouter.Sample{Duration: duration, PromptTokens: c.prompt, AnswerTokens: c.answer}, v.p.now)
 	v.d.Finish(t, c.prompt+c.answer, v.p.now)
 }
 
--- a/laburnumdistribution/distributor_test.go
+++ b/laburnumdistribution/distributor_test.go
@@ -15,17 +15,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-type offerEvent struct {
+type publishEvent struct {
 	distributor *laburnumdistribution.Distributor
 	catalogue   laburnumlever.Catalogue
 }
 
-func (offerEvent) EventName() string { return "offer" }
+func (publishEvent) EventName() string { return "offer" }
 
-type offerer struct{}
+type publisher struct{}
 
-func (offerer) Handle(ev laburnumlever.Event) {
-	e := ev.(offerEvent)
+func (publisher) Handle(ev laburnumlever.Event) {
+	e := ev.(publishEvent)
 	e.distributor.Publish(e.catalogue)
 }
 
@@ -60,14 +60,14 @@
 			<-loop.Done()
 		})
 	}
-	offer := func(i int, revision uint64) {
+	publish := func(i int, revision uint64) {
 		catalogue := laburnumlever.Catalogue{Revision: revision, Models: []laburnumlever.Model{{Name: "m"}}}
-		loops[i].Post(offerer{}, offerEvent{distributor: distributors[i], catalogue: catalogue})
+		loops[i].Post(publisher{}, publishEvent{distributor: distributors[i], catalogue: catalogue})
 	}
-	offer(0, 4)
-	offer(1, 3)
-	offer(2, 9)
-	offer(2, 8)
+	publish(0, 4)
+	publish(1, 3)
+	publish(2, 9)
+	publish(2, 8)
 	for i := range revisions {
 		require.Eventually(t, func() bool { return revisions[i].Load() == 9 }, 30*time.Second, 10*time.Millisecond)
 	}
--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -188,11 +188,11 @@
 }
 
 // release frees the slot of an attempt and records its outcome.
-func (f *Fleet) release(q *request, t *laburnumbalance.Ticket, s laburnumbalance.AttemptResult) {
+func (f *Fleet) release(q *request, t *laburnumbalance.Ticket, result laburnumbalance.AttemptResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.adapters.RequestEnded(q.caller.Model, q.caller.Adapter, f.timers.Now())
-	f.balance.End(t, s, f.timers.Now())
+	f.balance.End(t, result, f.timers.Now())
 	f.serveQueue()
 }
 
--- a/laburnumlog/values.go
+++ b/laburnumlog/values.go
@@ -176,7 +176,7 @@
 // MajorityMargin returns how many agreeing voters exceed a majority, in a joint configuration the
 // smaller number of both voter sets. It is negative when there is no majority.
 func (c Configuration) MajorityMargin(agrees func(Member) bool) int {
-	spare := len(c.Members)
+	margin := len(c.Members)
 	for _, voters := range c.voterSets() {
 		n := 0
 		for _, m := range voters {
@@ -184,9 +184,9 @@
 				n++
 			}
 		}
-		spare = min(spare, n-majority(len(voters)))
+		margin = min(margin, n-majority(len(voters)))
 	}
-	return spare
+	return margin
 }
 
 // HasMajority reports whether a majority agrees, in a joint configuration one of each voter set.
--- a/laburnumorder/lease.go
+++ b/laburnumorder/lease.go
@@ -96,7 +96,7 @@
 	o.granted.Store(o.lease.fence)
 	o.owns.Store(true)
 	o.earlierOrdersUntil = now.Add(o.ttl + o.maxOrderDelay)
-	o.resetPace = true
+	o.resetLimiter = true
 	for _, e := range o.engines {
 		e.resetClaim()
 	}
--- a/laburnumorder/ledger.go
+++ b/laburnumorder/ledger.go
@@ -77,8 +77,8 @@
 	a := l.account(backend)
 	a.loaded = inventory.Loaded
 	a.accelerators = inventory.Accelerators
-	a.pending = slices.DeleteFunc(a.pending, func(e PendingOrder) bool {
-		return !e.SettleAfter.IsZero() && !began.Before(e.SettleAfter)
+	a.pending = slices.DeleteFunc(a.pending, func(p PendingOrder) bool {
+		return !p.SettleAfter.IsZero() && !began.Before(p.SettleAfter)
 	})
 }
 
@@ -91,7 +91,7 @@
 // copy frees no memory yet.
 func (l *Ledger) HasOrderFor(backend laburnumlever.BackendID, c laburnumlever.Loaded) bool {
 	key := copyKey(c)
-	return slices.ContainsFunc(l.account(backend).pending, func(e PendingOrder) bool { return copyKey(e.Order.Copy) == key })
+	return slices.ContainsFunc(l.account(backend).pending, func(p PendingOrder) bool { return copyKey(p.Order.Copy) == key })
 }
 
 // Loaded returns the copies in the engine's last inventory.
@@ -140,8 +140,8 @@
 	for _, c := range a.loaded {
 		count(c)
 	}
-	for _, e := range a.pending {
-		count(e.Order.Copy)
+	for _, p := range a.pending {
+		count(p.Order.Copy)
 	}
 	if more != nil {
 		count(*more)
@@ -154,7 +154,7 @@
 }
 
 func (a *account) indexOf(id laburnumlever.OrderID) int {
-	return slices.IndexFunc(a.pending, func(e PendingOrder) bool { return e.Order.ID == id })
+	return slices.IndexFunc(a.pending, func(p PendingOrder) bool { return p.Order.ID == id })
 }
 
 // copyKey identifies a copy within an engine: it holds a version of a model on the same
--- a/laburnumorder/owner.go
+++ b/laburnumorder/owner.go
@@ -35,8 +35,8 @@
 	engines            map[laburnumlever.BackendID]*engine
 	ledger             *Ledger
 	orders             uint64
-	pace               laburnumplacement.LoadLimiter
-	resetPace          bool
+	limiter            laburnumplacement.LoadLimiter
+	resetLimiter       bool
 	nextPlan           time.Time
 	nextObserve        time.Time
 	planner            *laburnumplacement.Planner
--- a/laburnumorder/plan.go
+++ b/laburnumorder/plan.go
@@ -17,20 +17,20 @@
 	}
 	snapshot := o.snapshot(view, now)
 	plan := o.planner.Plan(snapshot)
-	share := laburnumplacement.LoadQuotaOf(view.Catalogue.Deployment, o.self.Zone)
-	if o.resetPace {
-		o.pace = laburnumplacement.NewLoadLimiter(now, share)
-		o.resetPace = false
+	quota := laburnumplacement.LoadQuotaOf(view.Catalogue.Deployment, o.self.Zone)
+	if o.resetLimiter {
+		o.limiter = laburnumplacement.NewLoadLimiter(now, quota)
+		o.resetLimiter = false
 	}
 	for _, m := range plan.Moves {
 		if m.Zone != o.self.Zone {
 			continue
 		}
-		if m.Kind == laburnumlever.Load && !o.pace.Ready(now, share, o.activeLoads(now)) {
+		if m.Kind == laburnumlever.Load && !o.limiter.Ready(now, quota, o.activeLoads(now)) {
 			continue
 		}
 		if o.startMove(m, now) && m.Kind == laburnumlever.Load {
-			o.pace = o.pace.AfterLoad(now, share)
+			o.limiter = o.limiter.AfterLoad(now, quota)
 		}
 	}
 	o.publish(snapshot, plan, now)
--- a/laburnumorder/send.go
+++ b/laburnumorder/send.go
@@ -99,8 +99,8 @@
 	o.advance(e, "send-started")
 	order, to := e.order.order, e.announcement
 	o.call(func(ctx context.Context) {
-		if over := o.lease.until.expiredFor(o.timers.Now()); !to.ChecksFencing && over >= 0 {
-			err := &laburnumlever.NotSentError{Cause: &LeaseExpiredError{Zone: o.self.Zone, ExpiredFor: over}}
+		if expiredFor := o.lease.until.expiredFor(o.timers.Now()); !to.ChecksFencing && expiredFor >= 0 {
+			err := &laburnumlever.NotSentError{Cause: &LeaseExpiredError{Zone: o.self.Zone, ExpiredFor: expiredFor}}
 			o.loop.Post(o, orderAnswered{backend: to.Backend, order: order.ID, err: err})
 			return
 		}
--- a/laburnumplacement/quota.go
+++ b/laburnumplacement/quota.go
@@ -47,11 +47,11 @@
 }
 
 // Ready reports whether a load may start while inFlight loads are in flight.
-func (p LoadLimiter) Ready(now time.Time, quota LoadQuota, inFlight int) bool {
-	return inFlight < quota.ParallelLoads && !now.Before(p.next)
+func (l LoadLimiter) Ready(now time.Time, quota LoadQuota, inFlight int) bool {
+	return inFlight < quota.ParallelLoads && !now.Before(l.next)
 }
 
 // AfterLoad returns the bucket after a load has started.
-func (p LoadLimiter) AfterLoad(now time.Time, quota LoadQuota) LoadLimiter {
+func (l LoadLimiter) AfterLoad(now time.Time, quota LoadQuota) LoadLimiter {
 	return LoadLimiter{next: now.Add(quota.Interval)}
 }
--- a/laburnumproxy/active.go
+++ b/laburnumproxy/active.go
@@ -99,15 +99,15 @@
 	return len(fs.all)
 }
 
-// abortStalled aborts requests that make no progress for stall or run longer than limit. It
-// holds the lock throughout, so that no finished request is aborted.
-func (fs *activeRequests) abortStalled(now time.Time, stall, limit time.Duration) {
+// abortStalled aborts requests that make no progress for stallTimeout or run longer than
+// requestTimeout. It holds the lock throughout, so that no finished request is aborted.
+func (fs *activeRequests) abortStalled(now time.Time, stallTimeout, requestTimeout time.Duration) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	for f := range fs.all {
 		age := now.Sub(f.start)
 		idle := age - time.Duration(f.progress.Load())
-		if idle > stall || age > limit {
+		if idle > stallTimeout || age > requestTimeout {
 			f.abort(&stalledError{Idle: idle, Age: age})
 		}
 	}
--- a/laburnumproxy/forward.go
+++ b/laburnumproxy/forward.go
@@ -111,12 +111,12 @@
 	}
 	now := p.timers.Now()
 	p.mu.Lock()
-	reason, verdict := p.dispatch.Retry(ticket, laburnumretry.FailedRequest{
+	reason, decision := p.dispatch.Retry(ticket, laburnumretry.FailedRequest{
 		Reason: fail.refusal.Reason, Outcome: fail.refusal.Outcome, AtMostOnce: q.atMostOnce,
 		Started: out.started, Stream: out.eventStream && q.stream, CanResume: fail.canResume,
 	}, now)
 	p.mu.Unlock()
-	switch verdict {
+	switch decision {
 	case laburnumretry.Retry:
 		p.counters.retries[reason].Inc(1)
 		q.trace.add(now, "retrying: %s", reason)
--- a/laburnumretry/budget.go
+++ b/laburnumretry/budget.go
@@ -69,9 +69,9 @@
 func (b *Budget) FirstAttempt() { b.balance = min(maxBalance, b.balance+earnedPerRequest) }
 
 // Decide tells whether to retry the request and why, and charges the retry to the budget.
-func (b *Budget) Decide(s FailedRequest) (laburnumlever.RetryReason, Decision) {
-	reason, ok := allowed(s)
-	if !ok || s.Attempts >= maxAttempts {
+func (b *Budget) Decide(f FailedRequest) (laburnumlever.RetryReason, Decision) {
+	reason, ok := allowed(f)
+	if !ok || f.Attempts >= maxAttempts {
 		return reason, GiveUp
 	}
 	if b.balance < 1 {
@@ -82,23 +82,23 @@
 }
 
 // allowed tells whether another attempt is safe and may help, and the reason for the retry.
-func allowed(s FailedRequest) (laburnumlever.RetryReason, bool) {
-	if !retryable(s.Reason) {
+func allowed(f FailedRequest) (laburnumlever.RetryReason, bool) {
+	if !retryable(f.Reason) {
 		return 0, false
 	}
 	switch {
-	case s.Started && !s.Stream:
+	case f.Started && !f.Stream:
 		return 0, false
-	case s.Started && s.CanResume:
+	case f.Started && f.CanResume:
 		return laburnumlever.RetryStreamResumed, true
-	case s.Started:
+	case f.Started:
 		return laburnumlever.RetryStreamReplayed, true
-	case s.Outcome == laburnumlever.OutcomeNotRun && s.Reason == laburnumlever.RefusedBackendBusy:
+	case f.Outcome == laburnumlever.OutcomeNotRun && f.Reason == laburnumlever.RefusedBackendBusy:
 		return laburnumlever.RetryBackendSaidNotRun, true
-	case s.Outcome == laburnumlever.OutcomeNotRun:
+	case f.Outcome == laburnumlever.OutcomeNotRun:
 		return laburnumlever.RetryNotSent, true
 	default:
-		return laburnumlever.RetryIdempotentAfterSend, !s.AtMostOnce
+		return laburnumlever.RetryIdempotentAfterSend, !f.AtMostOnce
 	}
 }
 
--- a/laburnumrouter/router_test.go
+++ b/laburnumrouter/router_test.go
@@ -38,7 +38,7 @@
 }
 
 // sendRequests sends 1000 requests, six at a time, and returns their number per server.
-func sendRequests(r *laburnumrouter.Router, now time.Time, took func(id laburnumlever.BackendID) laburnumrouter.Sample) map[laburnumlever.BackendID]int {
+func sendRequests(r *laburnumrouter.Router, now time.Time, sample func(id laburnumlever.BackendID) laburnumrouter.Sample) map[laburnumlever.BackendID]int {
 	got := map[laburnumlever.BackendID]int{}
 	const atOnce = 6
 	var open []*laburnumrouter.Server
@@ -50,12 +50,12 @@
 		got[s.ID()]++
 		s.Begin(now)
 		if open = append(open, s); len(open) > atOnce {
-			open[0].End(took(open[0].ID()), now)
+			open[0].End(sample(open[0].ID()), now)
 			open = open[1:]
 		}
 	}
 	for _, s := range open {
-		s.End(took(s.ID()), now)
+		s.End(sample(s.ID()), now)
 	}
 	return got
 }
