--- a/backend.go
+++ b/backend.go
@@ -113,8 +113,8 @@
 	Down bool `json:"down"`
 }
 
-// TakesWork reports whether new requests may be sent to the backend server.
-func (b Backend) TakesWork() bool { return !b.Leaving && !b.Down }
+// AcceptsRequests reports whether new requests may be sent to the backend server.
+func (b Backend) AcceptsRequests() bool { return !b.Leaving && !b.Down }
 
 // Serves reports whether the backend server has a ready copy of the model.
 func (b Backend) Serves(model ModelName) bool {
--- a/laburnumdispatch/dispatcher.go
+++ b/laburnumdispatch/dispatcher.go
@@ -21,17 +21,17 @@
 // Request holds the properties of a request that decisions depend on. Prompt and Answer
 // are estimates in tokens.
 type Request struct {
-	Owner       laburnumlever.OwnerName
-	OwnerLimits laburnumlever.Limits
-	EntryLimits laburnumlever.Limits
-	Key         string
-	Model       laburnumlever.ModelName
-	Service     laburnumlever.ServiceName
-	Class       laburnumlever.Class
-	Prefix      uint64
-	Prompt      int
-	Answer      int
-	Received    time.Time
+	Owner        laburnumlever.OwnerName
+	OwnerLimits  laburnumlever.Limits
+	EntryLimits  laburnumlever.Limits
+	Key          string
+	Model        laburnumlever.ModelName
+	Service      laburnumlever.ServiceName
+	Class        laburnumlever.Class
+	Prefix       uint64
+	PromptTokens int
+	AnswerTokens int
+	Received     time.Time
 }
 
 func (q *Request) entry() string {
@@ -41,7 +41,7 @@
 	return string(q.Service)
 }
 
-func (q *Request) cost() int { return q.Prompt + q.Answer }
+func (q *Request) cost() int { return q.PromptTokens + q.AnswerTokens }
 
 func (q *Request) deadline() time.Time {
 	wait := time.Duration(q.Class.FirstToken)
@@ -74,7 +74,7 @@
 }
 
 // Assigned reports whether the request is assigned to a server and occupies a slot there.
-func (t *Ticket) Placed() bool { return t.server != nil }
+func (t *Ticket) Assigned() bool { return t.server != nil }
 
 // setServer assigns the request to a server.
 func (t *Ticket) setServer(server *laburnumrouter.Server) {
@@ -83,7 +83,7 @@
 }
 
 // Queued reports whether the request is in the queue.
-func (t *Ticket) Waiting() bool { return t.item != nil }
+func (t *Ticket) Queued() bool { return t.item != nil }
 
 // Dispatcher admits, queues and routes the requests of one VM.
 type Dispatcher struct {
@@ -113,14 +113,14 @@
 }
 
 // QueueLen returns the number of queued requests.
-func (d *Dispatcher) Waiting() int { return d.queue.Len() }
+func (d *Dispatcher) QueueLen() int { return d.queue.Len() }
 
 // Submit admits a request and assigns it to a server or queues it. Otherwise it returns a
 // *laburnumlever.RefusalError, and Finish must not be called.
 func (d *Dispatcher) Submit(t *Ticket, now time.Time) error {
 	q := &t.Request
 	t.query = laburnumrouter.Query{Model: q.Model, Service: q.Service, Prefix: q.Prefix}
-	if !d.router.Known(t.query) {
+	if !d.router.HasServer(t.query) {
 		return t.refusal(laburnumlever.RefusedNoBackend, time.Second, "no backend server takes work for it now")
 	}
 	t.admission = laburnumadmission.Request{
@@ -130,7 +130,7 @@
 		return err
 	}
 	d.budget.FirstAttempt()
-	if d.queue.Len() == 0 && d.router.HasRoom(t.query, now) {
+	if d.queue.Len() == 0 && d.router.HasFreeSlot(t.query, now) {
 		d.assign(t, now)
 		return nil
 	}
@@ -147,7 +147,7 @@
 	q := &t.Request
 	item := &laburnumqueue.Item{
 		Owner: q.Owner, Key: q.Key, Entry: q.entry(), Priority: q.Class.Priority,
-		Cost: q.cost(), Deadline: q.deadline(), Tag: t,
+		Cost: q.cost(), Deadline: q.deadline(), Value: t,
 	}
 	turn := d.expectedWait(item)
 	if now.Add(turn).After(item.Deadline) {
@@ -155,7 +155,7 @@
 	}
 	t.item = item
 	if evicted := d.queue.Push(item); evicted != nil {
-		loser := evicted.Tag.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
+		loser := evicted.Value.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
 		loser.item = nil
 		refusal := loser.refusal(laburnumlever.RefusedQueueFull, turn, "the queue is full")
 		if loser == t {
@@ -168,7 +168,7 @@
 
 // expectedWait estimates the item's time in the queue; 0 while the start rate is unknown.
 func (d *Dispatcher) expectedWait(item *laburnumqueue.Item) time.Duration {
-	ahead := d.queue.Ahead(item)
+	ahead := d.queue.CostAhead(item)
 	if ahead == item.Cost {
 		delete(d.startRates, item.Entry) // no request was queued for the entry, so the old measurement is invalid
 	}
@@ -191,7 +191,7 @@
 // Tick refuses queued requests whose deadline has passed and assigns others to free slots.
 func (d *Dispatcher) Tick(now time.Time) {
 	for _, item := range d.queue.Expire(now) {
-		t := item.Tag.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
+		t := item.Value.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
 		t.item = nil
 		d.refuseQueued(t, t.refusal(laburnumlever.RefusedQueueTimeout, time.Second, "it waited until its deadline"), now)
 	}
@@ -214,7 +214,7 @@
 		if item == nil {
 			return
 		}
-		t := item.Tag.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
+		t := item.Value.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
 		t.item = nil
 		d.recordStart(item, now)
 		d.assign(t, now)
@@ -231,8 +231,8 @@
 	if full[i.Entry] {
 		return false
 	}
-	t := i.Tag.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
-	if d.router.HasRoom(t.query, now) {
+	t := i.Value.(*Ticket) //nolint:forcetypeassert // only tickets are pushed
+	if d.router.HasFreeSlot(t.query, now) {
 		return true
 	}
 	full[i.Entry] = true
@@ -263,25 +263,25 @@
 	d.startQueued(now)
 }
 
-// Retry decides on another attempt after a failure. With the verdict Again the request is
+// Retry decides on another attempt after a failure. With the decision Retry the request is
 // assigned to a server. A stream is resumed on its last server even if that has no free
 // slot.
-func (d *Dispatcher) Retry(t *Ticket, s laburnumretry.FailedRequest, now time.Time) (laburnumlever.RetryReason, laburnumretry.Decision) {
-	s.Attempts = t.Attempts
-	reason, verdict := d.budget.Decide(s)
-	if verdict != laburnumretry.Retry {
-		return reason, verdict
+func (d *Dispatcher) Retry(t *Ticket, f laburnumretry.FailedRequest, now time.Time) (laburnumlever.RetryReason, laburnumretry.Decision) {
+	f.Attempts = t.Attempts
+	reason, decision := d.budget.Decide(f)
+	if decision != laburnumretry.Retry {
+		return reason, decision
 	}
 	if reason == laburnumlever.RetryStreamResumed {
 		t.lastServer.Begin(now)
 		t.setServer(t.lastServer)
 		t.Attempts++
-		return reason, verdict
+		return reason, decision
 	}
 	if !d.assign(t, now) {
 		return reason, laburnumretry.GiveUp
 	}
-	return reason, verdict
+	return reason, decision
 }
 
 // Finish ends a request that Submit admitted; used is its actual cost in tokens. A request
--- a/laburnumnode/doc.go
+++ b/laburnumnode/doc.go
@@ -13,7 +13,7 @@
 //
 // Backend servers announce themselves on the backends listener, and laburnummembership
 // gossips their state to the other VMs. An operator's catalogue is committed to the
-// replicated log (laburnumvoter) and distributed to every VM (laburnumspread). The
+// replicated log (laburnumvoter) and distributed to every VM (laburnumdistribution). The
 // control thread builds one immutable View from both; laburnumproxy routes callers'
 // requests by it. The zone's owner (laburnumorder) compares it with the engines'
 // inventories and sends load and unload orders.
--- a/laburnumorder/plan.go
+++ b/laburnumorder/plan.go
@@ -17,20 +17,20 @@
 	}
 	snapshot := o.snapshot(view, now)
 	plan := o.planner.Plan(snapshot)
-	share := laburnumplacement.LoadQuotaOf(view.Catalogue.Deployment, o.self.Zone)
-	if o.resetPace {
-		o.pace = laburnumplacement.NewLoadLimiter(now, share)
-		o.resetPace = false
+	quota := laburnumplacement.LoadQuotaOf(view.Catalogue.Deployment, o.self.Zone)
+	if o.resetLimiter {
+		o.limiter = laburnumplacement.NewLoadLimiter(now, quota)
+		o.resetLimiter = false
 	}
 	for _, m := range plan.Moves {
 		if m.Zone != o.self.Zone {
 			continue
 		}
-		if m.Kind == laburnumlever.Load && !o.pace.Ready(now, share, o.activeLoads(now)) {
+		if m.Kind == laburnumlever.Load && !o.limiter.Ready(now, quota, o.activeLoads(now)) {
 			continue
 		}
 		if o.startMove(m, now) && m.Kind == laburnumlever.Load {
-			o.pace = o.pace.AfterLoad(now, share)
+			o.limiter = o.limiter.AfterLoad(now, quota)
 		}
 	}
 	o.publish(snapshot, plan, now)
@@ -65,14 +65,14 @@
 
 // applyLedger replaces the engine's reported copies by those in the ledger.
 func (o *Owner) applyLedger(e *laburnumplacement.Engine, own *engine, b laburnumlever.Backend, now time.Time) {
-	e.AcceptsOrders = b.TakesWork() && own.orderable && o.leasePermits(own, now)
+	e.AcceptsOrders = b.AcceptsRequests() && own.orderable && o.leasePermits(own, now)
 	if !own.orderable {
 		return
 	}
 	e.Accelerators = o.ledger.Accelerators(e.ID)
 	e.Copies = nil
 	for _, l := range o.ledger.Loaded(e.ID) {
-		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: l, Unloading: own.isUnloading(l), StaysReserved: o.ledger.CountsCopy(e.ID, l)})
+		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: l, Unloading: own.isUnloading(l), StaysReserved: o.ledger.HasOrderFor(e.ID, l)})
 	}
 	if coming, ok := own.pendingLoad(); ok && !containsCopy(e.Copies, coming) {
 		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: coming})
--- a/laburnumroles/control.go
+++ b/laburnumroles/control.go
@@ -101,7 +101,7 @@
 	d.OnOverlay(c.source.SetOverlay)
 	d.OnLeaseChange(c.leaseChanged)
 	d.OnReplaced(c.removeAndRelay)
-	c.source.OnNews(c.recordGatewayReport)
+	c.source.OnGatewayReport(c.recordGatewayReport)
 	c.peers.Handle(methodAdapterNeed, c.handleAdapterNeed)
 	c.director = d
 }
@@ -243,7 +243,7 @@
 // should send its next heartbeats. Without this, backend servers stay with the control VM that answered
 // first, and one VM may end up with most of the connections.
 func (c *Control) heartbeatAddress(h laburnumlever.Heartbeat) string {
-	peer := c.source.Nearest(h.Zone, string(h.Backend))
+	peer := c.source.ControlInZone(h.Zone, string(h.Backend))
 	host, _, err := net.SplitHostPort(peer)
 	if err != nil {
 		return ""
@@ -266,7 +266,7 @@
 func (c *Control) recordHeartbeat(h laburnumlever.Heartbeat) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.registry.Take(h, c.timers.Now()) {
+	if c.registry.ApplyHeartbeat(h, c.timers.Now()) {
 		c.publishRecord(h.Backend)
 		return true
 	}
@@ -278,7 +278,7 @@
 func (c *Control) recordUnchanged(h unchangedHeartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.registry.Alive(h.Backend, h.Born, h.Sequence, c.timers.Now()) {
+	if c.registry.KeepAlive(h.Backend, h.Born, h.Sequence, c.timers.Now()) {
 		c.publishRecord(h.Backend)
 	}
 	c.director.SetHeartbeat(laburnumlever.Heartbeat{Backend: h.Backend, Born: h.Born, Sequence: h.Sequence})
@@ -346,10 +346,10 @@
 func (c *Control) expire(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, id := range c.registry.Expire(now) {
+	for _, id := range c.registry.MarkSilent(now) {
 		c.publishRecord(id)
 	}
-	for _, id := range c.registry.Forget(now) {
+	for _, id := range c.registry.Prune(now) {
 		c.source.Forget(id)
 		c.director.SetRecord(laburnumregistry.Record{Heartbeat: laburnumlever.Heartbeat{Backend: id}, Gone: true})
 	}
@@ -393,8 +393,8 @@
 	return c.voter.Propose(ctx, cmd)
 }
 
-// Learn applies changes received from another control VM.
-func (c *Control) Learn(_ string, a laburnumfeed.Answer) {
+// HandleAnswer applies changes received from another control VM.
+func (c *Control) HandleAnswer(_ string, a laburnumfeed.Answer) {
 	for _, vm := range a.Controls {
 		if vm.HasDisk {
 			c.source.NoteControl(vm)
@@ -404,23 +404,23 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range a.Backends {
-		if c.registry.Adopt(r, now) {
+		if c.registry.MergeFromControl(r, now) {
 			c.publishRecord(r.Heartbeat.Backend)
 		}
 	}
 }
 
-// Lost does nothing: other control VMs are polled until they answer.
-func (c *Control) Lost(string) {}
+// ControlLost does nothing: other control VMs are polled until they answer.
+func (c *Control) ControlLost(string) {}
 
-// LearnRoutes does nothing: a control VM gets routes from the log.
-func (c *Control) LearnRoutes(laburnumlever.RouteTable) {}
+// HandleRoutes does nothing: a control VM gets routes from the log.
+func (c *Control) HandleRoutes(laburnumlever.RouteTable) {}
 
 // RoutesVersion keeps the follower from fetching routes, which come from the log.
 func (c *Control) RoutesVersion() uint64 { return ^uint64(0) }
 
-// News is empty: only gateways serve callers and have backend state to report.
-func (c *Control) News() laburnumlever.GatewayNews { return laburnumlever.GatewayNews{} }
+// GatewayReport is empty: only gateways serve callers and have backend state to report.
+func (c *Control) GatewayReport() laburnumlever.GatewayNews { return laburnumlever.GatewayNews{} }
 
 // Reload applies changed settings: new seeds are polled in addition to the known control VMs.
 func (c *Control) Reload(settings laburnumsettings.Role) {
