--- a/laburnumsimulation/attempt.go
+++ b/laburnumsimulation/attempt.go
@@ -11,35 +11,35 @@
 
 // attempt is one try of a caller, at one gateway, as laburnumgateway makes it.
 type attempt struct {
-	request    *request
-	gateway    *gateway
-	arrived    time.Time
-	brokenAt   time.Time
-	sends      int
-	tries      int
-	taken      int
-	mayHaveRun bool
-	started    bool
-	over       bool
-	avoid      []laburnumlever.BackendID
-	ticket     *laburnumbalance.Ticket
-	run        *run
-	written    int // tokens that the caller has
-	lastAt     time.Time
-	pause      time.Duration
-	firstAt    time.Time
-	waited     time.Duration
-	waitFrom   time.Time
-	backoff    laburnumretry.Backoff // of requests for an adapter
+	request             *request
+	gateway             *gateway
+	arrived             time.Time
+	disconnectedAt      time.Time
+	sends               int
+	tries               int
+	refusedReservations int
+	mayHaveRun          bool
+	started             bool
+	finished            bool
+	avoid               []laburnumlever.BackendID
+	ticket              *laburnumbalance.Ticket
+	run                 *run
+	written             int // tokens that the caller has
+	lastAt              time.Time
+	pause               time.Duration
+	firstAt             time.Time
+	waited              time.Duration
+	waitingSince        time.Time
+	backoff             laburnumretry.Backoff // of requests for an adapter
 }
 
 func (a *attempt) sim() *simulation { return a.gateway.sim }
 
-func (a *attempt) times() laburnumslotqueue.Caller {
+func (a *attempt) caller() laburnumslotqueue.Caller {
 	c := a.request.class
 	return laburnumslotqueue.Caller{
 		Arrived: a.arrived, Deadline: a.request.deadline, Stream: true, Target: time.Duration(c.Target),
-		PauseTarget: time.Duration(c.PauseTarget), BrokenAt: a.brokenAt,
+		PauseTarget: time.Duration(c.PauseTarget), BrokenAt: a.disconnectedAt,
 	}
 }
 
@@ -47,38 +47,38 @@
 	q := a.request
 	return laburnumbalance.Query{
 		Service: service, Model: a.sim().models[q.model].name, Adapter: q.adapter, Prompt: q.prompt, Target: time.Duration(q.class.Target),
-		ReadTime: a.gateway.readTimes.Of(a.sim().models[q.model].name), Queue: a.queues(), Avoid: a.avoid,
+		ReadTime: a.gateway.readTimes.Of(a.sim().models[q.model].name), Queue: a.queuesAtEngine(), Avoid: a.avoid,
 	}
 }
 
 // urgency is what engines go by: the same for all, but by a policy that has them preempt.
 func (a *attempt) urgency() int {
-	if a.sim().policy.urgency {
+	if a.sim().policy.preempts {
 		return a.request.class.Priority
 	}
 	return 0
 }
 
-func (a *attempt) queues() bool {
-	return a.request.class.Priority == 0 && a.taken >= laburnumbalance.UrgentReservations
+func (a *attempt) queuesAtEngine() bool {
+	return a.request.class.Priority == 0 && a.refusedReservations >= laburnumbalance.UrgentReservations
 }
 
-// place looks for a slot, and waits for one if it must.
-func (a *attempt) place() {
-	if a.over {
+// findSlot looks for a slot, and waits for one if it must.
+func (a *attempt) findSlot() {
+	if a.finished {
 		return
 	}
 	sim, g := a.sim(), a.gateway
 	now := sim.now()
-	if a.waitFrom.IsZero() {
-		a.waitFrom = now
+	if a.waitingSince.IsZero() {
+		a.waitingSince = now
 	}
-	until := sim.policy.waitPolicy.QueueDeadline(a.times())
+	until := sim.policy.waitPolicy.QueueDeadline(a.caller())
 	waiting := &laburnumslotqueue.Request{
-		Query: a.query(), Priority: a.request.class.Priority, Arrived: a.arrived, OnTimeUntil: sim.policy.waitPolicy.OnTimeUntil(a.times()),
+		Query: a.query(), Priority: a.request.class.Priority, Arrived: a.arrived, OnTimeUntil: sim.policy.waitPolicy.OnTimeUntil(a.caller()),
 	}
 	if sim.policy.exactLoads {
-		g.learnExactly(a.request.model)
+		g.observeExactLoads(a.request.model)
 	}
 	ticket, verdict := g.table.Pick(waiting.Query, now)
 	switch verdict {
@@ -86,7 +86,7 @@
 		a.send(ticket)
 		return
 	case laburnumbalance.AdapterAbsent:
-		a.needAdapter(until)
+		a.requestAdapter(until)
 		return
 	default:
 	}
@@ -96,7 +96,7 @@
 		sim.after(0, func() { a.send(ticket) })
 	}
 	if !now.Before(until) || !g.queue.Push(waiting) {
-		a.refuse(verdict)
+		a.giveUp(verdict)
 		return
 	}
 	sim.after(until.Sub(now), func() {
@@ -104,42 +104,42 @@
 			return
 		}
 		g.queue.Remove(waiting)
-		if !a.over {
-			a.refuse(verdict)
+		if !a.finished {
+			a.giveUp(verdict)
 		}
 	})
 }
 
-func (a *attempt) refuse(verdict laburnumbalance.Verdict) {
+func (a *attempt) giveUp(verdict laburnumbalance.Verdict) {
 	if a.started {
 		a.fail("broken")
 		return
 	}
 	if verdict == laburnumbalance.Full {
-		a.turnAway(verdict, "full")
+		a.refuse(verdict, "full")
 		return
 	}
-	a.turnAway(verdict, "no-engine")
+	a.refuse(verdict, "no-engine")
 }
 
-// needAdapter asks for the adapter, and looks again once it is there.
-func (a *attempt) needAdapter(until time.Time) {
+// requestAdapter asks for the adapter, and looks again once it is there.
+func (a *attempt) requestAdapter(until time.Time) {
 	sim, g := a.sim(), a.gateway
 	name := sim.models[a.request.model].name
 	need := laburnumlever.AdapterNeed{Service: service, Model: name, Adapter: a.request.adapter, Except: g.table.Unavailable(a.query(), sim.now())}
-	sim.control.need(g.zone, need, func(ids []laburnumlever.BackendID) {
+	sim.control.ensureAdapter(g.zone, need, func(ids []laburnumlever.BackendID) {
 		for _, id := range ids {
 			g.table.ModelLoaded(id, name, a.request.adapter, sim.now())
 		}
 		g.serveQueue()
-		if a.over {
+		if a.finished {
 			return
 		}
 		if !sim.now().Before(until) {
-			a.turnAway(laburnumbalance.AdapterAbsent, "no-adapter")
+			a.refuse(laburnumbalance.AdapterAbsent, "no-adapter")
 			return
 		}
-		sim.after(a.backoff.Next(), a.place)
+		sim.after(a.backoff.Next(), a.findSlot)
 	})
 }
 
@@ -147,28 +147,28 @@
 func (a *attempt) send(ticket *laburnumbalance.Ticket) {
 	sim, g := a.sim(), a.gateway
 	now := sim.now()
-	if a.over {
+	if a.finished {
 		g.table.End(ticket, laburnumbalance.AttemptResult{}, now)
 		return
 	}
-	a.waited += now.Sub(a.waitFrom)
-	a.waitFrom = time.Time{}
+	a.waited += now.Sub(a.waitingSince)
+	a.waitingSince = time.Time{}
 	a.ticket = ticket
 	a.tries++
 	g.uses.RequestStarted(sim.models[a.request.model].name, a.request.adapter)
 	e := sim.byID[ticket.Backend.Backend]
 	link := sim.link(g.zone, e.zone)
-	asks := ticket.MayBeFull() && !a.queues() && !sim.policy.sendsUnsure
+	reserves := ticket.MayBeFull() && !a.queuesAtEngine() && !sim.policy.skipsReservations
 	sim.after(link, func() {
 		switch {
 		case !e.up && e.hangs:
-			sim.after(dialTimeout, func() { a.unreachable() })
+			sim.after(dialTimeout, func() { a.onUnreachable() })
 		case !e.up:
-			sim.after(link, func() { a.unreachable() })
-		case asks:
+			sim.after(link, func() { a.onUnreachable() })
+		case reserves:
 			a.reserve(e, link)
 		default:
-			a.arrive(e, 0, link)
+			a.deliver(e, 0, link)
 		}
 	})
 }
@@ -178,37 +178,37 @@
 	id := e.reserve(a.request)
 	a.sim().after(link, func() {
 		if id == 0 {
-			a.slotTaken()
+			a.onReservationRefused()
 			return
 		}
-		a.sim().after(link, func() { a.arrive(e, id, link) })
+		a.sim().after(link, func() { a.deliver(e, id, link) })
 	})
 }
 
-func (a *attempt) slotTaken() {
+func (a *attempt) onReservationRefused() {
 	sim := a.sim()
-	a.taken++
+	a.refusedReservations++
 	a.tries--
 	a.release(laburnumbalance.AttemptResult{ReservationRefused: true})
 	sim.after(a.gateway.table.RetryTime()+laburnumbalance.RetrySlack, a.gateway.serveQueue)
-	a.place()
+	a.findSlot()
 }
 
-// arrive is the request's arrival at the engine.
-func (a *attempt) arrive(e *engine, reservation int, link time.Duration) {
-	if a.over {
+// deliver is the request's arrival at the engine.
+func (a *attempt) deliver(e *engine, reservation int, link time.Duration) {
+	if a.finished {
 		return
 	}
 	if !e.up {
-		a.unreachable()
+		a.onUnreachable()
 		return
 	}
 	a.sends++
-	r := &run{attempt: a, engine: e.id, urgency: a.urgency(), tokens: a.request.answerTokens, done: a.written}
+	r := &run{attempt: a, engine: e.id, urgency: a.urgency(), answerTokens: a.request.answerTokens, written: a.written}
 	a.run = r
-	if outcome := e.take(r, reservation); outcome != taken {
-		r.gone = true
-		a.sim().after(link, func() { a.refused(r, outcome) })
+	if outcome := e.accept(r, reservation); outcome != admitted {
+		r.finished = true
+		a.sim().after(link, func() { a.onRefused(r, outcome) })
 	}
 }
 
@@ -221,47 +221,47 @@
 	g.serveQueue()
 }
 
-func (a *attempt) unreachable() {
+func (a *attempt) onUnreachable() {
 	if a.ticket == nil {
 		return
 	}
 	a.release(laburnumbalance.AttemptResult{Failed: true, Unreachable: true})
-	a.again(laburnumretry.StageNotSent, "unreachable")
+	a.retry(laburnumretry.StageNotSent, "unreachable")
 }
 
-// refused is an engine's word that it did not run the request.
-func (a *attempt) refused(r *run, why refusal) {
-	if a.over || a.run != r {
+// onRefused is an engine's word that it did not run the request.
+func (a *attempt) onRefused(r *run, why admission) {
+	if a.finished || a.run != r {
 		return
 	}
-	a.release(laburnumbalance.AttemptResult{Full: why == full, Absent: why == absent})
-	a.again(laburnumretry.StageNotRun, "refused")
+	a.release(laburnumbalance.AttemptResult{Full: why == engineFull, Absent: why == modelAbsent})
+	a.retry(laburnumretry.StageNotRun, "refused")
 }
 
-// broken is a connection that ended in the middle.
-func (a *attempt) broken(r *run) {
-	if a.over || a.run != r {
+// onConnectionBroken is a connection that ended in the middle.
+func (a *attempt) onConnectionBroken(r *run) {
+	if a.finished || a.run != r {
 		return
 	}
-	a.keep(r)
+	a.recordProgress(r)
 	a.release(laburnumbalance.AttemptResult{Failed: true})
 	a.mayHaveRun = true
 	if a.started {
-		a.brokenAt = a.lastAt
+		a.disconnectedAt = a.lastAt
 	}
-	a.again(laburnumretry.StageUnknown, "broken")
+	a.retry(laburnumretry.StageUnknown, "broken")
 }
 
-// keep notes what of a broken answer the caller has: whole events.
-func (a *attempt) keep(r *run) {
+// recordProgress notes what of a broken answer the caller has: whole events.
+func (a *attempt) recordProgress(r *run) {
 	size := a.sim().scenario.Engines.EventTokens
-	a.written = r.done / size * size
+	a.written = r.written / size * size
 	a.pause = max(a.pause, r.pause)
 	a.lastAt = a.sim().now()
 }
 
-// again makes another try if one is allowed.
-func (a *attempt) again(stage laburnumretry.Stage, why string) {
+// retry makes another try if one is allowed.
+func (a *attempt) retry(stage laburnumretry.Stage, why string) {
 	c := a.request.class
 	a.avoid = append(a.avoid, a.lastBackend())
 	next := laburnumretry.Attempt{
@@ -271,15 +271,15 @@
 	_, paid, ok := next.Next()
 	now := a.sim().now()
 	if ok && paid {
-		ok = a.gateway.window.AllowRetry(now, len(a.sim().gateways))
+		ok = a.gateway.retryBudget.AllowRetry(now, len(a.sim().gateways))
 	}
 	switch {
 	case ok:
-		a.place()
+		a.findSlot()
 	case a.started || stage == laburnumretry.StageUnknown:
 		a.fail(why)
 	default:
-		a.turnAway(laburnumbalance.Full, why)
+		a.refuse(laburnumbalance.Full, why)
 	}
 }
 
@@ -290,9 +290,9 @@
 	return a.run.engine
 }
 
-// began is the first event of an answer.
-func (a *attempt) began(r *run, running, waiting int) {
-	if a.over || a.run != r || a.ticket == nil {
+// onAnswerStarted is the first event of an answer.
+func (a *attempt) onAnswerStarted(r *run, running, waiting int) {
+	if a.finished || a.run != r || a.ticket == nil {
 		return
 	}
 	g, now := a.gateway, a.sim().now()
@@ -307,46 +307,46 @@
 	g.serveQueue()
 }
 
-// answered is the whole answer.
-func (a *attempt) answered(r *run) {
-	if a.over || a.run != r {
+// onAnswered is the whole answer.
+func (a *attempt) onAnswered(r *run) {
+	if a.finished || a.run != r {
 		return
 	}
-	a.over = true
+	a.finished = true
 	a.pause = max(a.pause, r.pause)
 	a.release(laburnumbalance.AttemptResult{})
-	a.gateway.ended(a.request, true)
-	a.request.served(a)
+	a.gateway.countEnd(a.request, true)
+	a.request.onServed(a)
 }
 
-// turnAway refuses a request that has not run.
-func (a *attempt) turnAway(verdict laburnumbalance.Verdict, why string) {
-	a.over = true
-	a.gateway.ended(a.request, false)
-	after := a.times().RetryAfter(a.sim().policy.waitPolicy.MinRetryAfter(verdict), a.gateway.random.Float64(), a.sim().now())
-	a.request.turnedAway(a, after, why)
+// refuse refuses a request that has not run.
+func (a *attempt) refuse(verdict laburnumbalance.Verdict, why string) {
+	a.finished = true
+	a.gateway.countEnd(a.request, false)
+	after := a.caller().RetryAfter(a.sim().policy.waitPolicy.MinRetryAfter(verdict), a.gateway.random.Float64(), a.sim().now())
+	a.request.onRefused(a, after, why)
 }
 
 // fail ends a request that may have run.
 func (a *attempt) fail(why string) {
-	a.over = true
-	a.gateway.ended(a.request, false)
-	a.request.failed(a, why)
+	a.finished = true
+	a.gateway.countEnd(a.request, false)
+	a.request.onFailed(a, why)
 }
 
-// leave is the caller's end of the request.
-func (a *attempt) leave() {
-	if a.over {
+// cancel is the caller's end of the request.
+func (a *attempt) cancel() {
+	if a.finished {
 		return
 	}
-	a.over = true
+	a.finished = true
 	if a.ticket != nil {
 		e := a.sim().byID[a.ticket.Backend.Backend]
 		if a.run != nil {
-			e.drop(a.run)
+			e.cancel(a.run)
 		}
 		a.release(laburnumbalance.AttemptResult{Failed: e.hangs})
 	}
-	a.gateway.ended(a.request, false)
-	a.request.failed(a, "left")
+	a.gateway.countEnd(a.request, false)
+	a.request.onFailed(a, "left")
 }
--- a/laburnumsimulation/clock.go
+++ b/laburnumsimulation/clock.go
@@ -9,20 +9,20 @@
 // clock is a timer service for one goroutine: a day has a million events, and the manual timers
 // of tests spend most of such a run on their locks.
 type clock struct {
-	start time.Time
-	at    time.Duration
-	order uint64
-	heap  []due
+	start    time.Time
+	at       time.Duration
+	sequence uint64
+	heap     []heapEntry
 }
 
-// due is a function with its time; of two at one time the one added first runs first.
-type due struct {
-	at    time.Duration
-	order uint64
-	run   *scheduled
+// heapEntry is a function with its time; of two at one time the one added first runs first.
+type heapEntry struct {
+	at       time.Duration
+	sequence uint64
+	timer    *timer
 }
 
-type scheduled struct {
+type timer struct {
 	fn        func(now time.Time)
 	period    time.Duration
 	cancelled bool
@@ -46,7 +46,7 @@
 }
 
 func (c *clock) add(wait, period time.Duration, fn func(now time.Time)) func() {
-	s := &scheduled{fn: fn, period: period}
+	s := &timer{fn: fn, period: period}
 	c.push(c.at+max(0, wait), s)
 	return func() { s.cancelled = true }
 }
@@ -57,25 +57,25 @@
 	for len(c.heap) > 0 && c.heap[0].at <= end {
 		next := c.pop()
 		c.at = next.at
-		if next.run.cancelled {
+		if next.timer.cancelled {
 			continue
 		}
-		if next.run.period > 0 {
-			c.push(c.at+next.run.period, next.run)
+		if next.timer.period > 0 {
+			c.push(c.at+next.timer.period, next.timer)
 		}
-		next.run.fn(c.Now())
+		next.timer.fn(c.Now())
 	}
 	c.at = end
 }
 
 func (c *clock) less(i, j int) bool {
 	a, b := &c.heap[i], &c.heap[j]
-	return a.at < b.at || a.at == b.at && a.order < b.order
+	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
 }
 
-func (c *clock) push(at time.Duration, s *scheduled) {
-	c.order++
-	c.heap = append(c.heap, due{at: at, order: c.order, run: s})
+func (c *clock) push(at time.Duration, s *timer) {
+	c.sequence++
+	c.heap = append(c.heap, heapEntry{at: at, sequence: c.sequence, timer: s})
 	for i := len(c.heap) - 1; i > 0; {
 		parent := (i - 1) / 2
 		if !c.less(i, parent) {
@@ -86,10 +86,10 @@
 	}
 }
 
-func (c *clock) pop() due {
+func (c *clock) pop() heapEntry {
 	top, last := c.heap[0], len(c.heap)-1
 	c.heap[0] = c.heap[last]
-	c.heap[last] = due{}
+	c.heap[last] = heapEntry{}
 	c.heap = c.heap[:last]
 	for i := 0; ; {
 		least, child := i, 2*i+1
--- a/laburnumsimulation/control.go
+++ b/laburnumsimulation/control.go
@@ -15,10 +15,10 @@
 const (
 	// service is the one service of model engines.
 	service laburnumlever.ServiceName = "models"
-	// gatherTime for each VM that asks lies between two publications of a control VM.
-	gatherTime = time.Millisecond
-	// planTime is how long a round of planning takes.
-	planTime = 3 * time.Millisecond
+	// publishDelayPerVM for each VM that asks lies between two publications of a control VM.
+	publishDelayPerVM = time.Millisecond
+	// planDuration is how long a round of planning takes.
+	planDuration = 3 * time.Millisecond
 	// expirePeriod is how often silent engines are looked for.
 	expirePeriod = 500 * time.Millisecond
 	leaseTime    = 3 * time.Second
@@ -29,14 +29,14 @@
 
 // control is the control VMs as one: the registry, the director and what they tell gateways.
 type control struct {
-	sim      *simulation
-	loop     *laburnumcontrol.Loop
-	director *laburnumdirector.Director
-	registry *laburnumregistry.Table
-	machine  *laburnumstate.Machine
-	gather   *laburnumtimer.Gatherer
-	// cut tells that no lease can be had.
-	cut      bool
+	sim       *simulation
+	loop      *laburnumcontrol.Loop
+	director  *laburnumdirector.Director
+	registry  *laburnumregistry.Table
+	machine   *laburnumstate.Machine
+	publisher *laburnumtimer.Gatherer
+	// noQuorum tells that no lease can be had.
+	noQuorum bool
 	records  map[laburnumlever.BackendID]laburnumregistry.Record
 	overlays map[laburnumlever.BackendID]laburnumregistry.Overlay
 }
@@ -69,8 +69,8 @@
 		registry: laburnumregistry.New(time.Duration(sim.scenario.Engines.Heartbeat)),
 		records:  map[laburnumlever.BackendID]laburnumregistry.Record{}, overlays: map[laburnumlever.BackendID]laburnumregistry.Overlay{},
 	}
-	period := func() time.Duration { return time.Duration(len(sim.gateways)+1) * gatherTime }
-	c.gather = laburnumtimer.NewGatherer(sim.timers, period, c.publish)
+	period := func() time.Duration { return time.Duration(len(sim.gateways)+1) * publishDelayPerVM }
+	c.publisher = laburnumtimer.NewGatherer(sim.timers, period, c.publish)
 	later := func(d time.Duration) func(func()) {
 		return func(call func()) {
 			sim.after(d, func() {
@@ -83,12 +83,12 @@
 		laburnumdirector.WithLease(leaseTime), laburnumdirector.WithStore(storeWindow, storeOvershoot),
 		laburnumdirector.WithHeartbeat(time.Duration(sim.scenario.Engines.Heartbeat)),
 		laburnumdirector.WithClock(func() time.Duration { return time.Duration(sim.now().UnixNano()) }),
-		laburnumdirector.WithSpawn(later(time.Duration(sim.scenario.Links.Far))), laburnumdirector.WithCompute(later(planTime)),
+		laburnumdirector.WithSpawn(later(time.Duration(sim.scenario.Links.Far))), laburnumdirector.WithCompute(later(planDuration)),
 	}, sim.policy.director(sim)...)
-	c.director = laburnumdirector.New(c.loop, drainingTimers{Timers: sim.timers, loop: c.loop}, c, engineCalls{sim: sim}, laburnumlever.VM{ID: "control", Incarnation: 1}, opts...)
-	c.director.SetLeaderCheck(func() bool { return !c.cut })
-	c.director.OnOverlay(c.overlay)
-	c.director.SetRoutes(laburnumlever.RouteTable{Version: 1, Services: []laburnumlever.RoutedService{{Name: service, Engine: sim.class()}}})
+	c.director = laburnumdirector.New(c.loop, drainingTimers{Timers: sim.timers, loop: c.loop}, c, engineClient{sim: sim}, laburnumlever.VM{ID: "control", Incarnation: 1}, opts...)
+	c.director.SetLeaderCheck(func() bool { return !c.noQuorum })
+	c.director.OnOverlay(c.overlayChanged)
+	c.director.SetRoutes(laburnumlever.RouteTable{Version: 1, Services: []laburnumlever.RoutedService{{Name: service, Engine: sim.engineClass()}}})
 	c.director.Start()
 	sim.timers.Every(expirePeriod, c.expire)
 	return c
@@ -96,16 +96,16 @@
 
 // Propose implements laburnumlever.Proposer.
 func (c *control) Propose(_ context.Context, cmd laburnumlever.Command) (laburnumlever.Result, error) {
-	if c.cut {
+	if c.noQuorum {
 		return laburnumlever.Result{}, &laburnumlever.NoQuorumError{Detail: "no leader"}
 	}
 	return c.machine.Apply(c.sim.now().UnixMilli(), cmd), nil
 }
 
-// hear takes a heartbeat.
-func (c *control) hear(h laburnumlever.Heartbeat) {
+// receiveHeartbeat takes a heartbeat.
+func (c *control) receiveHeartbeat(h laburnumlever.Heartbeat) {
 	if c.registry.Take(h, c.sim.now()) {
-		c.offer(h.Backend)
+		c.recordChanged(h.Backend)
 	} else {
 		c.director.SetHeartbeat(h)
 	}
@@ -114,29 +114,29 @@
 
 func (c *control) remove(id laburnumlever.BackendID) {
 	if c.registry.Remove(id, c.sim.now()) {
-		c.offer(id)
+		c.recordChanged(id)
 	}
 	c.loop.Drain()
 }
 
 func (c *control) expire(now time.Time) {
 	for _, id := range c.registry.Expire(now) {
-		c.offer(id)
+		c.recordChanged(id)
 	}
 	c.loop.Drain()
 }
 
-func (c *control) offer(id laburnumlever.BackendID) {
+func (c *control) recordChanged(id laburnumlever.BackendID) {
 	if r, ok := c.registry.Record(id); ok {
 		c.records[id] = r
 		c.director.SetRecord(r)
-		c.gather.Poke()
+		c.publisher.Poke()
 	}
 }
 
-func (c *control) overlay(o laburnumregistry.Overlay) {
+func (c *control) overlayChanged(o laburnumregistry.Overlay) {
 	c.overlays[o.Backend] = o
-	c.gather.Poke()
+	c.publisher.Poke()
 }
 
 // publish tells all gateways what has changed.
@@ -155,18 +155,18 @@
 	clear(c.overlays)
 	c.sim.after(time.Duration(c.sim.scenario.Links.Far), func() {
 		for _, g := range c.sim.gateways {
-			g.learn(records, overlays)
+			g.receiveUpdates(records, overlays)
 		}
 	})
 }
 
-func (c *control) news(vm laburnumlever.VMID, news laburnumlever.GatewayNews) {
+func (c *control) receiveReport(vm laburnumlever.VMID, news laburnumlever.GatewayNews) {
 	c.director.SetGatewayReport(vm, news)
 	c.loop.Drain()
 }
 
-// need asks the director for an adapter on behalf of a gateway.
-func (c *control) need(zone laburnumlever.ZoneName, need laburnumlever.AdapterNeed, reply func(ids []laburnumlever.BackendID)) {
+// ensureAdapter asks the director for an adapter on behalf of a gateway.
+func (c *control) ensureAdapter(zone laburnumlever.ZoneName, need laburnumlever.AdapterNeed, reply func(ids []laburnumlever.BackendID)) {
 	link := c.sim.link(zone, "")
 	c.sim.after(link, func() {
 		c.director.EnsureAdapterAsync(need, func(ids []laburnumlever.BackendID, _ error) {
--- a/laburnumsimulation/engine.go
+++ b/laburnumsimulation/engine.go
@@ -10,33 +10,33 @@
 
 // engine is a model engine: what it holds, the orders that it takes and its requests.
 type engine struct {
-	sim      *simulation
-	id       laburnumlever.BackendID
-	zone     laburnumlever.ZoneName
-	speed    float64
-	slow     float64 // a factor while something is wrong with it
-	up       bool
-	hangs    bool // down, and connections are not reset
-	leaving  bool
-	born     uint64
-	sequence uint64
-	accepted uint64
-	fence    uint64
-	held     map[int]map[laburnumlever.AdapterName]bool // adapters by model, true once they are there
-	host     []int                                      // models by their last use, the last first
-	disk     []int
-	order    *work
-	batch    batch
+	sim         *simulation
+	id          laburnumlever.BackendID
+	zone        laburnumlever.ZoneName
+	timeFactor  float64
+	slowFactor  float64 // a factor while something is wrong with it
+	up          bool
+	hangs       bool // down, and connections are not reset
+	draining    bool
+	incarnation uint64
+	sequence    uint64
+	accepted    uint64
+	fence       uint64
+	held        map[int]map[laburnumlever.AdapterName]bool // adapters by model, true once they are there
+	host        []int                                      // models by their last use, the last first
+	disk        []int
+	order       *activeOrder
+	batch       batch
 	// reservations are the slots kept for requests that asked for one.
 	reservations map[int]bool
 	cached       map[cachedPart]bool
 }
 
-// work is an order that an engine carries out.
-type work struct {
-	kind  laburnumlever.OrderKind
-	model int
-	start int // of the engine, so that an end after a crash is known
+// activeOrder is an order that an engine carries out.
+type activeOrder struct {
+	kind        laburnumlever.OrderKind
+	model       int
+	incarnation int // of the engine, so that an end after a crash is known
 }
 
 type cachedPart struct {
@@ -49,19 +49,19 @@
 	cfg := sim.scenario.Engines
 	e := &engine{
 		sim: sim, id: laburnumlever.BackendID(fmt.Sprintf("e-%04d", i)), zone: sim.scenario.Zones[i%len(sim.scenario.Zones)].Name,
-		speed: cfg.Speeds[i%len(cfg.Speeds)], slow: 1, up: true, born: 1,
+		timeFactor: cfg.Speeds[i%len(cfg.Speeds)], slowFactor: 1, up: true, incarnation: 1,
 		held: map[int]map[laburnumlever.AdapterName]bool{}, cached: map[cachedPart]bool{}, reservations: map[int]bool{},
 	}
 	e.batch.engine = e
 	return e
 }
 
-func (e *engine) slowed(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * e.speed * e.slow)
+func (e *engine) scaledTime(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * e.timeFactor * e.slowFactor)
 }
 
-// used is the memory for weights that is taken, in MB.
-func (e *engine) used() float64 {
+// usedWeightsMB is the memory for weights that is taken, in MB.
+func (e *engine) usedWeightsMB() float64 {
 	total := 0.0
 	for m, adapters := range e.held {
 		k := e.sim.models[m].kind
@@ -70,7 +70,7 @@
 	return total
 }
 
-func (e *engine) adapters() int {
+func (e *engine) adapterCount() int {
 	n := 0
 	for _, adapters := range e.held {
 		n += len(adapters)
@@ -82,8 +82,8 @@
 func (e *engine) heartbeat() laburnumlever.Heartbeat {
 	e.sequence++
 	h := laburnumlever.Heartbeat{
-		Backend: e.id, Service: service, Address: string(e.id), Zone: e.zone, Born: e.born, Sequence: e.sequence,
-		Slots: e.sim.scenario.Engines.Slots, Leaving: e.leaving, Models: e.models(),
+		Backend: e.id, Service: service, Address: string(e.id), Zone: e.zone, Born: e.incarnation, Sequence: e.sequence,
+		Slots: e.sim.scenario.Engines.Slots, Leaving: e.draining, Models: e.models(),
 	}
 	for _, m := range e.host {
 		h.InMemory = append(h.InMemory, e.sim.models[m].name)
@@ -113,11 +113,11 @@
 	return list
 }
 
-// beat announces itself.
-func (e *engine) beat() {
+// sendHeartbeat announces itself.
+func (e *engine) sendHeartbeat() {
 	if e.up {
 		h := e.heartbeat()
-		e.sim.after(e.sim.link(e.zone, ""), func() { e.sim.control.hear(h) })
+		e.sim.after(e.sim.link(e.zone, ""), func() { e.sim.control.receiveHeartbeat(h) })
 	}
 }
 
@@ -130,43 +130,43 @@
 	return adapter == "" || adapters[adapter]
 }
 
-// refusal is why an engine does not take a request.
-type refusal int
+// admission is why an engine does not take a request.
+type admission int
 
 const (
-	taken refusal = iota
-	absent
-	full
+	admitted admission = iota
+	modelAbsent
+	engineFull
 )
 
-// take gives a request a slot, or has it wait.
-func (e *engine) take(r *run, reservation int) refusal {
+// accept gives a request a slot, or has it wait.
+func (e *engine) accept(r *run, reservation int) admission {
 	if !e.serves(r.attempt.request.model, r.attempt.request.adapter) {
-		return absent
+		return modelAbsent
 	}
 	delete(e.reservations, reservation)
-	r.unread = e.missing(r)
+	r.uncachedTokens = e.cachePrompt(r)
 	switch {
-	case e.free(r):
+	case e.hasRoom(r):
 		e.batch.add(r)
 	case e.batch.preempt(r.urgency):
 		e.batch.add(r)
 	case len(e.batch.waiting) < e.sim.scenario.Engines.Queue:
-		e.wait(r)
+		e.enqueue(r)
 	default:
-		return full
+		return engineFull
 	}
-	return taken
+	return admitted
 }
 
-// free tells whether there is a slot and memory for a request.
-func (e *engine) free(r *run) bool {
+// hasRoom tells whether there is a slot and memory for a request.
+func (e *engine) hasRoom(r *run) bool {
 	return e.batch.size()+len(e.reservations) < e.sim.scenario.Engines.Slots &&
-		e.batch.tokens()+r.attempt.request.promptTokens+r.done <= e.sim.scenario.Engines.CacheTokens
+		e.batch.usedCacheTokens()+r.attempt.request.promptTokens+r.written <= e.sim.scenario.Engines.CacheTokens
 }
 
-// wait queues a request behind the more urgent and those that came before.
-func (e *engine) wait(r *run) {
+// enqueue queues a request behind the more urgent and those that came before.
+func (e *engine) enqueue(r *run) {
 	at := len(e.batch.waiting)
 	for i, o := range e.batch.waiting {
 		if o.urgency > r.urgency {
@@ -179,15 +179,15 @@
 
 // admit assigns free slots to queued requests.
 func (e *engine) admit() {
-	for len(e.batch.waiting) > 0 && e.free(e.batch.waiting[0]) {
+	for len(e.batch.waiting) > 0 && e.hasRoom(e.batch.waiting[0]) {
 		r := e.batch.waiting[0]
 		e.batch.waiting = e.batch.waiting[1:]
 		e.batch.add(r)
 	}
 }
 
-// missing is how many tokens of a prompt are not cached; they are from now on.
-func (e *engine) missing(r *run) int {
+// cachePrompt is how many tokens of a prompt are not cached; they are from now on.
+func (e *engine) cachePrompt(r *run) int {
 	q := r.attempt.request
 	missing, cached := 0, true
 	for _, part := range q.prompt {
@@ -201,28 +201,28 @@
 	return missing
 }
 
-// began tells the gateway that an answer has begun.
-func (e *engine) began(r *run) {
+// onAnswerStarted tells the gateway that an answer has begun.
+func (e *engine) onAnswerStarted(r *run) {
 	running, waiting := e.batch.size(), len(e.batch.waiting)
 	e.sim.after(e.batch.stepTime()+e.sim.link(e.zone, r.attempt.gateway.zone), func() {
-		r.attempt.began(r, running, waiting)
+		r.attempt.onAnswerStarted(r, running, waiting)
 	})
 }
 
-// ended tells the gateway that an answer has ended, and takes the next.
-func (e *engine) ended(r *run) {
-	r.done, r.gone = r.tokens, true
+// onAnswerWritten tells the gateway that an answer has onAnswerWritten, and takes the next.
+func (e *engine) onAnswerWritten(r *run) {
+	r.written, r.finished = r.answerTokens, true
 	e.finishUnload()
 	e.admit()
-	e.sim.after(e.sim.link(e.zone, r.attempt.gateway.zone), func() { r.attempt.answered(r) })
+	e.sim.after(e.sim.link(e.zone, r.attempt.gateway.zone), func() { r.attempt.onAnswered(r) })
 }
 
-// drop ends a request whose caller has left.
-func (e *engine) drop(r *run) {
-	if r.gone {
+// cancel ends a request whose caller has left.
+func (e *engine) cancel(r *run) {
+	if r.finished {
 		return
 	}
-	r.gone = true
+	r.finished = true
 	e.batch.remove(r)
 	e.finishUnload()
 	e.admit()
@@ -235,15 +235,15 @@
 	e.reservations, e.cached = map[int]bool{}, map[cachedPart]bool{}
 	e.host = nil
 	for _, r := range e.batch.clear() {
-		r.gone = true
+		r.finished = true
 		if !dark {
-			e.sim.after(e.sim.link(e.zone, r.attempt.gateway.zone), func() { r.attempt.broken(r) })
+			e.sim.after(e.sim.link(e.zone, r.attempt.gateway.zone), func() { r.attempt.onConnectionBroken(r) })
 		}
 	}
 }
 
 // restart is a start under the same identity: empty, but for its disk.
 func (e *engine) restart() {
-	e.up, e.hangs, e.born, e.sequence, e.accepted, e.fence = true, false, e.born+1, 0, 0, 0
-	e.beat()
+	e.up, e.hangs, e.incarnation, e.sequence, e.accepted, e.fence = true, false, e.incarnation+1, 0, 0, 0
+	e.sendHeartbeat()
 }
--- a/laburnumsimulation/gateway.go
+++ b/laburnumsimulation/gateway.go
@@ -20,37 +20,37 @@
 	budgetWindow = 10 * time.Second
 	// dialTimeout is how long a connection to an engine that hangs takes to fail.
 	dialTimeout = 200 * time.Millisecond
-	// newsPeriod is how often a gateway tells its news, since each answer brings a question.
-	newsPeriod = 300 * time.Millisecond
+	// reportPeriod is how often a gateway tells its news, since each answer brings a question.
+	reportPeriod = 300 * time.Millisecond
 )
 
 // gateway is one gateway VM with what it knows.
 type gateway struct {
-	sim       *simulation
-	id        laburnumlever.VMID
-	zone      laburnumlever.ZoneName
-	table     *laburnumbalance.Table
-	queue     laburnumslotqueue.Queue
-	counter   *laburnumdemand.Counter
-	uses      laburnumdemand.AdapterUses
-	readTimes laburnumdemand.ReadTimes
-	window    *laburnumretry.Window
-	random    *rand.Rand
+	sim         *simulation
+	id          laburnumlever.VMID
+	zone        laburnumlever.ZoneName
+	table       *laburnumbalance.Table
+	queue       laburnumslotqueue.Queue
+	counter     *laburnumdemand.Counter
+	uses        laburnumdemand.AdapterUses
+	readTimes   laburnumdemand.ReadTimes
+	retryBudget *laburnumretry.Window
+	random      *rand.Rand
 }
 
 func newGateway(sim *simulation, id laburnumlever.VMID, zone laburnumlever.ZoneName, seed uint64) *gateway {
 	g := &gateway{
 		sim: sim, id: id, zone: zone, table: laburnumbalance.New(zone, seed, sim.policy.balance...),
 		counter: laburnumdemand.NewCounter(id), readTimes: laburnumdemand.ReadTimes{},
-		window: laburnumretry.NewWindow(budgetWindow, budgetRatio, budgetSlack*float64(len(sim.gateways)+1)),
-		random: rand.New(rand.NewPCG(seed, 2)), //nolint:gosec // repeatable
+		retryBudget: laburnumretry.NewWindow(budgetWindow, budgetRatio, budgetSlack*float64(len(sim.gateways)+1)),
+		random:      rand.New(rand.NewPCG(seed, 2)), //nolint:gosec // repeatable
 	}
-	g.queue.InOrder = sim.policy.inTurn
+	g.queue.InOrder = sim.policy.strictOrder
 	return g
 }
 
-// learn takes what control VMs told.
-func (g *gateway) learn(records []laburnumregistry.Record, overlays []laburnumregistry.Overlay) {
+// receiveUpdates takes what control VMs told.
+func (g *gateway) receiveUpdates(records []laburnumregistry.Record, overlays []laburnumregistry.Overlay) {
 	for _, r := range records {
 		g.table.Set(r)
 	}
@@ -60,15 +60,15 @@
 	g.serveQueue()
 }
 
-// tell sends its report to the director.
-func (g *gateway) tell() {
+// sendReport sends its report to the director.
+func (g *gateway) sendReport() {
 	now := g.sim.now()
 	news := laburnumlever.GatewayNews{
 		Demand: g.counter.Take(now, g.readTimes), Adapters: g.uses.Take(now), Unreachable: g.table.Unreachable(now),
 		Outcomes: g.table.Outcomes(),
 	}
 	if !news.IsZero() {
-		g.sim.after(g.sim.link(g.zone, ""), func() { g.sim.control.news(g.id, news) })
+		g.sim.after(g.sim.link(g.zone, ""), func() { g.sim.control.receiveReport(g.id, news) })
 	}
 }
 
@@ -88,15 +88,15 @@
 	return laburnumdemand.Request{Model: g.sim.models[q.model].name, PromptTokens: q.promptTokens, AnswerTokens: q.answerHint}
 }
 
-// asked and ended count a request when it comes, or at its end by a policy that does so.
-func (g *gateway) asked(q *request) {
-	if !g.sim.policy.countsEnds {
+// countArrival and ended count a request when it comes, or at its end by a policy that does so.
+func (g *gateway) countArrival(q *request) {
+	if !g.sim.policy.countsAtEnd {
 		g.counter.Received(g.demand(q))
 	}
 }
 
-func (g *gateway) ended(q *request, served bool) {
-	if g.sim.policy.countsEnds {
+func (g *gateway) countEnd(q *request, served bool) {
+	if g.sim.policy.countsAtEnd {
 		g.counter.Received(g.demand(q))
 	}
 	if !served {
--- a/laburnumsimulation/load.go
+++ b/laburnumsimulation/load.go
@@ -36,36 +36,36 @@
 // check lists what no day could be played with.
 func (s Scenario) check(path string) []laburnumlever.Fault {
 	var faults []laburnumlever.Fault
-	need := func(ok bool, key, problem, want string) {
+	require := func(ok bool, key, problem, want string) {
 		if !ok {
 			faults = append(faults, laburnumlever.Fault{File: path, Line: 1, Key: key, Problem: problem, Want: want})
 		}
 	}
-	need(s.Length > 0, "length", "is not positive", "a time such as \"60s\"")
-	need(len(s.Zones) > 0, "zones", "is empty", "one zone or more")
-	need(s.Engines.Count > 0, "engines.count", "is not positive", "a number of engines")
-	need(s.Engines.Slots > 0, "engines.slots", "is not positive", "a number of slots")
-	need(s.Engines.ChunkTokens > 0, "engines.chunk-tokens", "is not positive", "a number of tokens")
-	need(s.Engines.EventTokens > 0, "engines.event-tokens", "is not positive", "a number of tokens")
-	need(len(s.Engines.Speeds) > 0, "engines.speeds", "is empty", "one factor or more")
-	need(s.Models.Count > 0, "models.count", "is not positive", "a number of models")
-	need(len(s.Models.Kinds) > 0, "models.kinds", "is empty", "one kind or more")
+	require(s.Length > 0, "length", "is not positive", "a time such as \"60s\"")
+	require(len(s.Zones) > 0, "zones", "is empty", "one zone or more")
+	require(s.Engines.Count > 0, "engines.count", "is not positive", "a number of engines")
+	require(s.Engines.Slots > 0, "engines.slots", "is not positive", "a number of slots")
+	require(s.Engines.ChunkTokens > 0, "engines.chunk-tokens", "is not positive", "a number of tokens")
+	require(s.Engines.EventTokens > 0, "engines.event-tokens", "is not positive", "a number of tokens")
+	require(len(s.Engines.Speeds) > 0, "engines.speeds", "is empty", "one factor or more")
+	require(s.Models.Count > 0, "models.count", "is not positive", "a number of models")
+	require(len(s.Models.Kinds) > 0, "models.kinds", "is empty", "one kind or more")
 	for i, k := range s.Models.Kinds {
-		need(k.WeightsMB <= s.Engines.WeightsMB, fmt.Sprintf("models.kinds[%d].weights-mb", i), "is more than an engine has", "at most engines.weights-mb")
+		require(k.WeightsMB <= s.Engines.WeightsMB, fmt.Sprintf("models.kinds[%d].weights-mb", i), "is more than an engine has", "at most engines.weights-mb")
 	}
 	for i, z := range s.Zones {
-		need(z.Gateways > 0, fmt.Sprintf("zones[%d].gateways", i), "is not positive", "one gateway or more")
+		require(z.Gateways > 0, fmt.Sprintf("zones[%d].gateways", i), "is not positive", "one gateway or more")
 	}
 	for i, c := range s.Classes {
 		key := fmt.Sprintf("classes[%d]", i)
-		need(c.From >= 0 && c.From <= c.To && c.To < s.Models.Count, key+".to", "names models that do not exist", "0 <= from <= to < models.count")
-		need(len(c.SharedTokens) == len(c.SharedKinds), key+".shared-kinds", "has not as many entries as shared-tokens", "one number for each")
+		require(c.From >= 0 && c.From <= c.To && c.To < s.Models.Count, key+".to", "names models that do not exist", "0 <= from <= to < models.count")
+		require(len(c.SharedTokens) == len(c.SharedKinds), key+".shared-kinds", "has not as many entries as shared-tokens", "one number for each")
 	}
 	for i, e := range s.Events {
 		key := fmt.Sprintf("events[%d]", i)
-		need(e.Share >= 0 && e.Share <= 1, key+".share", "is not a share", "0 to 1")
-		need(e.Kind != EventBurst && e.Kind != EventSlow || e.Factor > 0, key+".factor", "is not positive", "a factor such as 2")
-		need(e.Kind != EventShift || e.Places != 0, key+".places", "is 0", "by how many places demand moves")
+		require(e.Share >= 0 && e.Share <= 1, key+".share", "is not a share", "0 to 1")
+		require(e.Kind != EventBurst && e.Kind != EventSlow || e.Factor > 0, key+".factor", "is not positive", "a factor such as 2")
+		require(e.Kind != EventShift || e.Places != 0, key+".places", "is 0", "by how many places demand moves")
 	}
 	return faults
 }
--- a/laburnumsimulation/orders.go
+++ b/laburnumsimulation/orders.go
@@ -8,11 +8,11 @@
 	"laburnumlever"
 )
 
-// reservedFor is how long a slot is kept for a request that asked for it.
-const reservedFor = 100 * time.Millisecond
+// reservationTTL is how long a slot is kept for a request that asked for it.
+const reservationTTL = 100 * time.Millisecond
 
-// engineCalls carries the director's calls to the engines.
-type engineCalls struct{ sim *simulation }
+// engineClient carries the director's calls to the engines.
+type engineClient struct{ sim *simulation }
 
 // DownError is an engine that takes no connection.
 type DownError struct{ Backend laburnumlever.BackendID }
@@ -20,26 +20,26 @@
 func (e *DownError) Error() string { return string(e.Backend) + " takes no connection" }
 
 // State implements laburnumlever.ModelEngines.
-func (c engineCalls) State(_ context.Context, to laburnumlever.Heartbeat) (laburnumlever.EngineState, error) {
+func (c engineClient) State(_ context.Context, to laburnumlever.Heartbeat) (laburnumlever.EngineState, error) {
 	e := c.sim.byID[to.Backend]
 	if !e.up {
 		return laburnumlever.EngineState{}, &laburnumlever.NotSentError{Cause: &DownError{Backend: to.Backend}}
 	}
-	return laburnumlever.EngineState{Born: e.born, Accepted: e.accepted, Busy: e.order != nil, Models: e.models()}, nil
+	return laburnumlever.EngineState{Born: e.incarnation, Accepted: e.accepted, Busy: e.order != nil, Models: e.models()}, nil
 }
 
 // Order implements laburnumlever.ModelEngines.
-func (c engineCalls) Order(_ context.Context, to laburnumlever.Heartbeat, o laburnumlever.EngineOrder) (laburnumlever.EngineVerdict, error) {
+func (c engineClient) Order(_ context.Context, to laburnumlever.Heartbeat, o laburnumlever.EngineOrder) (laburnumlever.EngineVerdict, error) {
 	e := c.sim.byID[to.Backend]
 	if !e.up {
 		return 0, &laburnumlever.NotSentError{Cause: &DownError{Backend: to.Backend}}
 	}
 	c.sim.outcome.orders++
-	return e.carryOut(o), nil
+	return e.execute(o), nil
 }
 
-// carryOut takes an order by the platform's rules.
-func (e *engine) carryOut(o laburnumlever.EngineOrder) laburnumlever.EngineVerdict {
+// execute takes an order by the platform's rules.
+func (e *engine) execute(o laburnumlever.EngineOrder) laburnumlever.EngineVerdict {
 	switch {
 	case o.Fence < e.fence:
 		return laburnumlever.VerdictStaleFence
@@ -49,27 +49,27 @@
 	e.fence = o.Fence
 	m := e.sim.modelIndex[o.Model]
 	if o.Adapter != "" {
-		return e.carryOutAdapter(o, m)
+		return e.executeAdapter(o, m)
 	}
 	if _, holds := e.held[m]; holds == (o.Kind == laburnumlever.Load) {
 		return laburnumlever.VerdictHeld
 	}
 	e.accepted++
-	e.order = &work{kind: o.Kind, model: m, start: int(e.born)}
+	e.order = &activeOrder{kind: o.Kind, model: m, incarnation: int(e.incarnation)}
 	if o.Kind == laburnumlever.Load {
-		e.load(m)
+		e.startLoad(m)
 	} else {
-		e.refuseWaiting(m)
+		e.refuseQueued(m)
 		e.finishUnload()
 	}
 	return laburnumlever.VerdictAccepted
 }
 
-// load brings a model in, from wherever its weights are nearest.
-func (e *engine) load(m int) {
+// startLoad brings a model in, from wherever its weights are nearest.
+func (e *engine) startLoad(m int) {
 	sim, kind := e.sim, e.sim.models[m].kind
 	e.held[m] = map[laburnumlever.AdapterName]bool{}
-	if e.used() > sim.scenario.Engines.WeightsMB {
+	if e.usedWeightsMB() > sim.scenario.Engines.WeightsMB {
 		sim.outcome.overcommitted++
 	}
 	span := time.Duration(kind.StoreLoad)
@@ -97,19 +97,19 @@
 			return
 		}
 		e.order = nil
-		e.keepWeights(m)
-		e.beat()
+		e.cacheWeights(m)
+		e.sendHeartbeat()
 	})
 }
 
-// keepWeights keeps a loaded model's weights in host memory and on disk, in the place of those
+// cacheWeights keeps a loaded model's weights in host memory and on disk, in the place of those
 // not used for longest.
-func (e *engine) keepWeights(m int) {
-	e.host = e.kept(e.host, m, e.sim.scenario.Engines.HostMB)
-	e.disk = e.kept(e.disk, m, e.sim.scenario.Engines.DiskMB)
+func (e *engine) cacheWeights(m int) {
+	e.host = e.insertLRU(e.host, m, e.sim.scenario.Engines.HostMB)
+	e.disk = e.insertLRU(e.disk, m, e.sim.scenario.Engines.DiskMB)
 }
 
-func (e *engine) kept(tier []int, m int, most float64) []int {
+func (e *engine) insertLRU(tier []int, m int, most float64) []int {
 	tier = slices.DeleteFunc(tier, func(o int) bool { return o == m })
 	tier = slices.Insert(tier, 0, m)
 	total := 0.0
@@ -121,14 +121,14 @@
 	return tier
 }
 
-// refuseWaiting refuses the requests for a model that have not started.
-func (e *engine) refuseWaiting(m int) {
+// refuseQueued refuses the requests for a model that have not started.
+func (e *engine) refuseQueued(m int) {
 	e.batch.waiting = slices.DeleteFunc(e.batch.waiting, func(r *run) bool {
-		if r.attempt.request.model != m || r.begun {
+		if r.attempt.request.model != m || r.started {
 			return false
 		}
-		r.gone = true
-		e.sim.after(e.sim.link(e.zone, r.attempt.gateway.zone), func() { r.attempt.refused(r, full) })
+		r.finished = true
+		e.sim.after(e.sim.link(e.zone, r.attempt.gateway.zone), func() { r.attempt.onRefused(r, engineFull) })
 		return true
 	})
 }
@@ -140,7 +140,7 @@
 	}
 	m := e.order.model
 	uses := func(r *run) bool { return r.attempt.request.model == m }
-	if slices.ContainsFunc(e.batch.running, uses) || slices.ContainsFunc(e.batch.reading, uses) || slices.ContainsFunc(e.batch.waiting, uses) {
+	if slices.ContainsFunc(e.batch.running, uses) || slices.ContainsFunc(e.batch.prefilling, uses) || slices.ContainsFunc(e.batch.waiting, uses) {
 		return
 	}
 	delete(e.held, m)
@@ -150,10 +150,10 @@
 			delete(e.cached, key)
 		}
 	}
-	e.beat()
+	e.sendHeartbeat()
 }
 
-func (e *engine) carryOutAdapter(o laburnumlever.EngineOrder, m int) laburnumlever.EngineVerdict {
+func (e *engine) executeAdapter(o laburnumlever.EngineOrder, m int) laburnumlever.EngineVerdict {
 	adapters, holds := e.held[m]
 	if _, there := adapters[o.Adapter]; !holds || there == (o.Kind == laburnumlever.Load) {
 		return laburnumlever.VerdictHeld
@@ -164,12 +164,12 @@
 		return laburnumlever.VerdictHeld
 	}
 	adapters[o.Adapter] = false
-	if e.adapters() > e.sim.scenario.Engines.AdapterSlots {
+	if e.adapterCount() > e.sim.scenario.Engines.AdapterSlots {
 		e.sim.outcome.overcommitted++
 	}
-	born := e.born
+	born := e.incarnation
 	e.sim.after(time.Duration(e.sim.models[m].kind.AdapterLoad), func() {
-		if _, still := e.held[m][o.Adapter]; still && e.born == born && e.up {
+		if _, still := e.held[m][o.Adapter]; still && e.incarnation == born && e.up {
 			e.held[m][o.Adapter] = true
 		}
 	})
@@ -180,13 +180,13 @@
 // free.
 func (e *engine) reserve(q *request) int {
 	if e.batch.size()+len(e.reservations) >= e.sim.scenario.Engines.Slots ||
-		e.batch.tokens()+q.promptTokens > e.sim.scenario.Engines.CacheTokens {
+		e.batch.usedCacheTokens()+q.promptTokens > e.sim.scenario.Engines.CacheTokens {
 		return 0
 	}
 	e.sim.reservations++
 	id := e.sim.reservations
 	e.reservations[id] = true
-	e.sim.after(reservedFor, func() {
+	e.sim.after(reservationTTL, func() {
 		if e.reservations[id] {
 			delete(e.reservations, id)
 			e.admit()
--- a/laburnumsimulation/outcome.go
+++ b/laburnumsimulation/outcome.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// windowTime is the length of the windows of which the worst two count.
+// windowLength is the length of the windows of which the worst two count.
 const (
-	windowTime   = 2 * time.Second
+	windowLength = 2 * time.Second
 	worstWindows = 2
-	// freeRefusal of its target is how long a request may be held before it is refused at no
+	// freeRefusalShare of its target is how long a request may be held before it is refused at no
 	// cost; a refusal at lateRefusal of the caller's time costs the whole worth.
-	freeRefusal = 0.125
-	lateRefusal = 0.75
+	freeRefusalShare = 0.125
+	lateRefusalShare = 0.75
 )
 
-// share is the worth earned of that owed.
-type share struct{ Earned, Owed float64 }
+// worthShare is the worth earned of that owed.
+type worthShare struct{ Earned, Owed float64 }
 
-func (s share) value() float64 {
+func (s worthShare) value() float64 {
 	if s.Owed == 0 {
 		return 1
 	}
@@ -61,37 +61,37 @@
 
 // tally adds up what became of requests.
 type tally struct {
-	scenario Scenario
-	total    share
-	windows  []share
-	classes  map[string]share
-	zones    []share
-	held     float64
+	scenario         Scenario
+	total            worthShare
+	windows          []worthShare
+	classes          map[string]worthShare
+	zones            []worthShare
+	lateRefusalWorth float64
 	Outcome
 	orders, loads, storeLoads, preempted, retries, overcommitted int
 }
 
 func newTally(s Scenario) *tally {
 	return &tally{
-		scenario: s, windows: make([]share, int(time.Duration(s.Length)/windowTime)+1), classes: map[string]share{},
-		zones: make([]share, len(s.Zones)), Outcome: Outcome{Reasons: map[string]int{}},
+		scenario: s, windows: make([]worthShare, int(time.Duration(s.Length)/windowLength)+1), classes: map[string]worthShare{},
+		zones: make([]worthShare, len(s.Zones)), Outcome: Outcome{Reasons: map[string]int{}},
 	}
 }
 
 func (t *tally) add(q *request, earned float64) {
 	owed := q.worth()
 	t.Asked++
-	plus := func(s share) share { return share{Earned: s.Earned + earned, Owed: s.Owed + owed} }
-	t.total = plus(t.total)
-	w := int(q.first.Sub(q.sim.began) / windowTime)
-	t.windows[w] = plus(t.windows[w])
-	t.classes[q.class.Name] = plus(t.classes[q.class.Name])
-	t.zones[q.zone] = plus(t.zones[q.zone])
+	add := func(s worthShare) worthShare { return worthShare{Earned: s.Earned + earned, Owed: s.Owed + owed} }
+	t.total = add(t.total)
+	w := int(q.createdAt.Sub(q.sim.startedAt) / windowLength)
+	t.windows[w] = add(t.windows[w])
+	t.classes[q.class.Name] = add(t.classes[q.class.Name])
+	t.zones[q.zone] = add(t.zones[q.zone])
 }
 
-// serve notes a whole answer.
-func (t *tally) serve(q *request, a *attempt) {
-	first, pause := a.firstAt.Sub(q.first), a.pause
+// recordServed notes a whole answer.
+func (t *tally) recordServed(q *request, a *attempt) {
+	first, pause := a.firstAt.Sub(q.createdAt), a.pause
 	switch {
 	case first > time.Duration(q.class.Target):
 		t.Late++
@@ -107,8 +107,8 @@
 	t.add(q, q.worth()*q.class.LateWorth/q.class.Worth)
 }
 
-// lose notes a request without an answer.
-func (t *tally) lose(q *request, a *attempt, why string, refused bool) {
+// recordUnserved notes a request without an answer.
+func (t *tally) recordUnserved(q *request, a *attempt, why string, refused bool) {
 	t.Reasons[why]++
 	t.add(q, 0)
 	if !refused {
@@ -117,10 +117,10 @@
 	}
 	t.Refused++
 	held := a.sim().now().Sub(a.arrived)
-	free := time.Duration(freeRefusal * float64(q.class.Target))
-	most := time.Duration(lateRefusal * float64(q.class.Timeout))
+	free := time.Duration(freeRefusalShare * float64(q.class.Target))
+	most := time.Duration(lateRefusalShare * float64(q.class.Timeout))
 	if held > free {
-		t.held += q.worth() * min(1, float64(held-free)/float64(most-free))
+		t.lateRefusalWorth += q.worth() * min(1, float64(held-free)/float64(most-free))
 	}
 }
 
@@ -147,7 +147,7 @@
 		o.WorstZone = min(o.WorstZone, z.value())
 	}
 	if t.total.Owed > 0 {
-		o.LateRefusals = t.held / t.total.Owed
+		o.LateRefusals = t.lateRefusalWorth / t.total.Owed
 	}
 	v := t.scenario.Value
 	o.Value = v.Day*o.Day + v.WorstWindows*o.WorstWindows + v.WorstClass*o.WorstClass + v.WorstZone*o.WorstZone -
--- a/laburnumsimulation/plot.go
+++ b/laburnumsimulation/plot.go
@@ -8,15 +8,15 @@
 
 // The picture's size in pixels.
 const (
-	pictureWidth  = 1000
-	pictureHeight = 400
+	chartWidth  = 1000
+	chartHeight = 400
 )
 
 // WriteSVG draws the share of the worth that each policy earned over the day, the mean of its
 // days. An error is the library's or the writer's.
 func (t Table) WriteSVG(w io.Writer) error {
 	graph := chart.Chart{
-		Title: t.Scenario + ": worth earned, by when requests came", Width: pictureWidth, Height: pictureHeight,
+		Title: t.Scenario + ": worth earned, by when requests came", Width: chartWidth, Height: chartHeight,
 		XAxis: chart.XAxis{Name: "seconds"}, YAxis: chart.YAxis{Name: "share of the worth", Range: &chart.ContinuousRange{Max: 1}},
 	}
 	for _, r := range t.Rows {
@@ -36,7 +36,7 @@
 				total, n = total+day.Windows[i], n+1
 			}
 		}
-		s.XValues = append(s.XValues, float64(i)*windowTime.Seconds())
+		s.XValues = append(s.XValues, float64(i)*windowLength.Seconds())
 		s.YValues = append(s.YValues, total/n)
 	}
 	return s
--- a/laburnumsimulation/policy.go
+++ b/laburnumsimulation/policy.go
@@ -17,22 +17,22 @@
 	balance       []laburnumbalance.Option
 	waitPolicy    laburnumslotqueue.Policy
 	director      func(sim *simulation) []laburnumdirector.Option
-	// inTurn serves queues strictly in turn.
-	inTurn bool
-	// countsEnds counts demand when requests end.
-	countsEnds bool
-	// urgency has engines preempt the less urgent.
-	urgency bool
-	// sendsUnsure sends requests to engines with stale loads without a reservation.
-	sendsUnsure bool
+	// strictOrder serves queues strictly in turn.
+	strictOrder bool
+	// countsAtEnd counts demand when requests end.
+	countsAtEnd bool
+	// preempts has engines preempt the less urgent.
+	preempts bool
+	// skipsReservations sends requests to engines with stale loads without a reservation.
+	skipsReservations bool
 	// exactLoads has gateways know the load of each engine.
 	exactLoads bool
 }
 
 func noOptions(*simulation) []laburnumdirector.Option { return nil }
 
-// today is the policy in production.
-func today() Policy {
+// productionPolicy is the policy in production.
+func productionPolicy() Policy {
 	return Policy{
 		Name: "today", Summary: "the policy in production", waitPolicy: laburnumslotqueue.DefaultPolicy(), director: noOptions,
 	}
@@ -48,7 +48,7 @@
 	return p
 }
 
-func (p Policy) with(change func(p *Policy)) Policy {
+func (p Policy) modified(change func(p *Policy)) Policy {
 	change(&p)
 	return p
 }
@@ -67,29 +67,29 @@
 // bounds.
 func Policies() []Policy {
 	return []Policy{
-		today(),
+		productionPolicy(),
 		proportional(),
 		hindsight(),
-		today().named("no-quiet", "models that nobody asks for keep their copy").withDirector(laburnumdirector.WithQuietTime(never)),
-		today().named("no-displacement", "last copies are evicted only where nobody asks for them").
+		productionPolicy().named("no-quiet", "models that nobody asks for keep their copy").withDirector(laburnumdirector.WithQuietTime(never)),
+		productionPolicy().named("no-displacement", "last copies are evicted only where nobody asks for them").
 			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithDisplacement(false))),
-		today().named("no-fill", "free memory stays free").
+		productionPolicy().named("no-fill", "free memory stays free").
 			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithFill(false))),
-		today().named("eager", "changes are made for any gain").
-			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithMinGain(smallGain))),
-		today().named("evict-more", "copies are evicted for others with one and a half times their work").
-			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithEvictShare(largeShare))),
-		today().named("slow-demand", "demand is followed within 1.5 s up and 6 s down").withDirector(laburnumdirector.WithDemandTimes(usualTime, slowTime)),
-		today().named("fast-demand", "demand is followed within 0.5 s up and 0.75 s down").withDirector(laburnumdirector.WithDemandTimes(fastRise, fastFall)),
-		today().named("long-wait", "requests wait for three quarters of their callers' patience").withWaitPolicy(laburnumslotqueue.DefaultPolicy().WithWaitShare(longWait)),
-		today().named("soon", "refused callers are told to come back after half a second, or a second if no engine holds the model").
-			withWaitPolicy(laburnumslotqueue.DefaultPolicy().WithRetryAfter(soonFull, soonAbsent)),
-		today().named("engine-queue", "requests queue at engines up to a fifth of their slots, without reservations").
-			with(func(p *Policy) { p.sendsUnsure = true }).withBalance(laburnumbalance.WithFreeShare(-engineQueue)),
-		today().named("no-reservations", "requests are sent to engines with stale loads").with(func(p *Policy) { p.sendsUnsure = true }),
-		today().named("in-turn", "the queue is served strictly in turn").with(func(p *Policy) { p.inTurn = true }),
-		today().named("urgency", "engines preempt the less urgent for the more urgent").with(func(p *Policy) { p.urgency = true }),
-		today().named("count-ends", "demand is counted when answers end").with(func(p *Policy) { p.countsEnds = true }),
+		productionPolicy().named("eager", "changes are made for any gain").
+			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithMinGain(eagerMinGain))),
+		productionPolicy().named("evict-more", "copies are evicted for others with one and a half times their work").
+			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithEvictShare(evictMoreShare))),
+		productionPolicy().named("slow-demand", "demand is followed within 1.5 s up and 6 s down").withDirector(laburnumdirector.WithDemandTimes(defaultRise, slowFall)),
+		productionPolicy().named("fast-demand", "demand is followed within 0.5 s up and 0.75 s down").withDirector(laburnumdirector.WithDemandTimes(fastRise, fastFall)),
+		productionPolicy().named("long-wait", "requests wait for three quarters of their callers' patience").withWaitPolicy(laburnumslotqueue.DefaultPolicy().WithWaitShare(longWaitShare)),
+		productionPolicy().named("soon", "refused callers are told to come back after half a second, or a second if no engine holds the model").
+			withWaitPolicy(laburnumslotqueue.DefaultPolicy().WithRetryAfter(shortRetryFull, shortRetryAbsent)),
+		productionPolicy().named("engine-queue", "requests queue at engines up to a fifth of their slots, without reservations").
+			modified(func(p *Policy) { p.skipsReservations = true }).withBalance(laburnumbalance.WithFreeShare(-engineQueueShare)),
+		productionPolicy().named("no-reservations", "requests are sent to engines with stale loads").modified(func(p *Policy) { p.skipsReservations = true }),
+		productionPolicy().named("in-turn", "the queue is served strictly in turn").modified(func(p *Policy) { p.strictOrder = true }),
+		productionPolicy().named("urgency", "engines preempt the less urgent for the more urgent").modified(func(p *Policy) { p.preempts = true }),
+		productionPolicy().named("count-ends", "demand is counted when answers end").modified(func(p *Policy) { p.countsAtEnd = true }),
 	}
 }
 
@@ -97,16 +97,16 @@
 	// never is longer than any day.
 	never = 24 * time.Hour
 	// The rest are figures of policies that are compared with today's.
-	smallGain   = 0.05
-	largeShare  = 0.66
-	usualTime   = 1500 * time.Millisecond
-	slowTime    = 6 * time.Second
-	fastRise    = 500 * time.Millisecond
-	fastFall    = 750 * time.Millisecond
-	longWait    = 0.75
-	engineQueue = 0.2
-	soonFull    = 500 * time.Millisecond
-	soonAbsent  = time.Second
+	eagerMinGain     = 0.05
+	evictMoreShare   = 0.66
+	defaultRise      = 1500 * time.Millisecond
+	slowFall         = 6 * time.Second
+	fastRise         = 500 * time.Millisecond
+	fastFall         = 750 * time.Millisecond
+	longWaitShare    = 0.75
+	engineQueueShare = 0.2
+	shortRetryFull   = 500 * time.Millisecond
+	shortRetryAbsent = time.Second
 )
 
 func planOptions(policy laburnumresidency.Policy) laburnumdirector.Option {
--- a/laburnumsimulation/proportional.go
+++ b/laburnumsimulation/proportional.go
@@ -12,7 +12,7 @@
 // proportional is a plain policy to compare with: each model has copies in proportion to its
 // work, at least one, wherever there is room.
 func proportional() Policy {
-	return today().named("proportional", "copies in proportion to demand, as many as there is room for").
+	return productionPolicy().named("proportional", "copies in proportion to demand, as many as there is room for").
 		withDirector(laburnumdirector.WithPlanner(planProportional))
 }
 
@@ -26,7 +26,7 @@
 		if !e.Idle {
 			continue
 		}
-		lacking, ok := p.lacking(e)
+		lacking, ok := p.largestDeficit(e)
 		if !ok {
 			continue
 		}
@@ -37,7 +37,7 @@
 			p.copies[lacking]++
 			continue
 		}
-		if spare, ok := p.spare(e); ok {
+		if spare, ok := p.largestSurplus(e); ok {
 			steps = append(steps, laburnumresidency.Step{Engine: e.ID, Kind: laburnumlever.Unload, Model: spare})
 			p.copies[spare]--
 		}
@@ -47,18 +47,18 @@
 
 // proportions are the copies that models have and should have.
 type proportions struct {
-	models map[laburnumlever.ModelName]laburnumlever.ResidentClass
-	names  []laburnumlever.ModelName
-	copies map[laburnumlever.ModelName]float64
-	wanted map[laburnumlever.ModelName]float64
+	models  map[laburnumlever.ModelName]laburnumlever.ResidentClass
+	names   []laburnumlever.ModelName
+	copies  map[laburnumlever.ModelName]float64
+	targets map[laburnumlever.ModelName]float64
 }
 
 func newProportions(class *laburnumlever.EngineClass, engines []laburnumresidency.Engine, demand laburnumresidency.Demand) proportions {
 	p := proportions{
 		models: map[laburnumlever.ModelName]laburnumlever.ResidentClass{}, copies: map[laburnumlever.ModelName]float64{},
-		wanted: map[laburnumlever.ModelName]float64{},
+		targets: map[laburnumlever.ModelName]float64{},
 	}
-	places, total, size := 0.0, 0.0, 0.0
+	capacity, total, size := 0.0, 0.0, 0.0
 	for _, m := range class.Models {
 		p.models[m.Name] = m
 		p.names = append(p.names, m.Name)
@@ -66,40 +66,40 @@
 		size += m.WeightsMB / float64(len(class.Models))
 	}
 	for _, e := range engines {
-		places += float64(int(class.WeightsMB / size))
+		capacity += float64(int(class.WeightsMB / size))
 		for _, h := range e.Held {
 			p.copies[h.Name]++
 		}
 	}
-	free := max(0, places-float64(len(class.Models)))
+	free := max(0, capacity-float64(len(class.Models)))
 	for _, m := range class.Models {
-		p.wanted[m.Name] = 1
+		p.targets[m.Name] = 1
 		if total > 0 {
-			p.wanted[m.Name] += free * demand[m.Name] / total
+			p.targets[m.Name] += free * demand[m.Name] / total
 		}
 	}
 	return p
 }
 
-// lacking is the model that lacks most copies of those that an engine does not hold.
-func (p proportions) lacking(e *laburnumresidency.Engine) (laburnumlever.ModelName, bool) {
-	return p.most(func(m laburnumlever.ModelName) (float64, bool) {
-		return p.wanted[m] - p.copies[m], !e.Holds(m) && p.wanted[m]-p.copies[m] >= 0.5
+// largestDeficit is the model that lacks most copies of those that an engine does not hold.
+func (p proportions) largestDeficit(e *laburnumresidency.Engine) (laburnumlever.ModelName, bool) {
+	return p.argMax(func(m laburnumlever.ModelName) (float64, bool) {
+		return p.targets[m] - p.copies[m], !e.Holds(m) && p.targets[m]-p.copies[m] >= 0.5
 	})
 }
 
-// spare is the model that has most copies beyond its part of those that an engine holds.
-func (p proportions) spare(e *laburnumresidency.Engine) (laburnumlever.ModelName, bool) {
-	return p.most(func(m laburnumlever.ModelName) (float64, bool) {
-		return p.copies[m] - p.wanted[m], e.Serves(m) && p.copies[m] >= 2 && p.copies[m]-p.wanted[m] >= 0.5
+// largestSurplus is the model that has most copies beyond its part of those that an engine holds.
+func (p proportions) largestSurplus(e *laburnumresidency.Engine) (laburnumlever.ModelName, bool) {
+	return p.argMax(func(m laburnumlever.ModelName) (float64, bool) {
+		return p.copies[m] - p.targets[m], e.Serves(m) && p.copies[m] >= 2 && p.copies[m]-p.targets[m] >= 0.5
 	})
 }
 
-func (p proportions) most(weigh func(m laburnumlever.ModelName) (float64, bool)) (laburnumlever.ModelName, bool) {
+func (p proportions) argMax(weight func(m laburnumlever.ModelName) (float64, bool)) (laburnumlever.ModelName, bool) {
 	var best laburnumlever.ModelName
 	most, found := 0.0, false
 	for _, m := range p.names {
-		w, ok := weigh(m)
+		w, ok := weight(m)
 		if ok && (!found || cmp.Compare(w, most) > 0) {
 			best, most, found = m, w, true
 		}
--- a/laburnumsimulation/simulation.go
+++ b/laburnumsimulation/simulation.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// leadTime is how long the fleet runs before callers come, endTime how long after they
+	// warmUpTime is how long the fleet runs before callers come, endTime how long after they
 	// stop, so that their answers end.
-	leadTime = 8 * time.Second
-	endTime  = 4 * time.Second
+	warmUpTime   = 8 * time.Second
+	coolDownTime = 4 * time.Second
 	// drainTime is how long an engine that leaves goes on serving.
 	drainTime = 3 * time.Second
 )
@@ -25,7 +25,7 @@
 	scenario   Scenario
 	policy     Policy
 	timers     *clock
-	began      time.Time // when callers begin
+	startedAt  time.Time // when callers begin
 	random     *rand.Rand
 	models     []model
 	modelIndex map[laburnumlever.ModelName]int
@@ -34,7 +34,7 @@
 	gateways   []*gateway
 	byZone     [][]*gateway
 	control    *control
-	callers    *callers
+	workload   *workload
 	outcome    *tally
 	storeLoads int // under way
 	// reservations counts those ever made.
@@ -63,11 +63,11 @@
 // Run plays a day. The same scenario, policy and seed give the same outcome.
 func Run(s Scenario, p Policy, seed uint64) Outcome {
 	sim := newSimulation(s, p, seed)
-	sim.timers.advance(leadTime)
-	sim.began = sim.now()
-	sim.schedule()
-	sim.callers.start()
-	sim.timers.advance(time.Duration(s.Length) + sim.longest() + endTime)
+	sim.timers.advance(warmUpTime)
+	sim.startedAt = sim.now()
+	sim.scheduleEvents()
+	sim.workload.start()
+	sim.timers.advance(time.Duration(s.Length) + sim.longestTimeout() + coolDownTime)
 	return sim.outcome.result()
 }
 
@@ -87,12 +87,12 @@
 		sim.engines = append(sim.engines, e)
 		sim.byID[e.id] = e
 	}
-	sim.callers = newCallers(sim, seed)
+	sim.workload = newWorkload(sim, seed)
 	sim.addGateways(seed)
 	sim.placeModels()
 	sim.control = newControl(sim)
 	for _, e := range sim.engines {
-		sim.announce(e)
+		sim.scheduleHeartbeats(e)
 	}
 	return sim
 }
@@ -112,31 +112,31 @@
 			g.table.SetGateways(total)
 			zone = append(zone, g)
 			sim.gateways = append(sim.gateways, g)
-			sim.after(time.Duration(sim.random.Int64N(int64(newsPeriod))), func() {
-				sim.timers.Every(newsPeriod, func(time.Time) { g.tell() })
+			sim.after(time.Duration(sim.random.Int64N(int64(reportPeriod))), func() {
+				sim.timers.Every(reportPeriod, func(time.Time) { g.sendReport() })
 			})
 		}
 		sim.byZone = append(sim.byZone, zone)
 	}
 }
 
-// announce has an engine send heartbeats.
-func (sim *simulation) announce(e *engine) {
+// scheduleHeartbeats has an engine send heartbeats.
+func (sim *simulation) scheduleHeartbeats(e *engine) {
 	period := time.Duration(sim.scenario.Engines.Heartbeat)
 	sim.after(time.Duration(sim.random.Int64N(int64(period))), func() {
-		e.beat()
-		sim.timers.Every(period, func(time.Time) { e.beat() })
+		e.sendHeartbeat()
+		sim.timers.Every(period, func(time.Time) { e.sendHeartbeat() })
 	})
 }
 
 // placeModels gives each model an engine, and the rest of the room to those asked for most.
 func (sim *simulation) placeModels() {
-	asked := sim.askedPerSecond()
+	demand := sim.answerTokensPerSecond()
 	byDemand := make([]int, len(sim.models))
 	for m := range byDemand {
 		byDemand[m] = m
 	}
-	slices.SortStableFunc(byDemand, func(a, b int) int { return cmp.Compare(asked[b], asked[a]) })
+	slices.SortStableFunc(byDemand, func(a, b int) int { return cmp.Compare(demand[b], demand[a]) })
 	copies := make([]int, len(sim.models))
 	for _, m := range byDemand {
 		if sim.placeCopy(m) {
@@ -144,7 +144,7 @@
 		}
 	}
 	for {
-		best := mostAskedPerCopy(byDemand, asked, copies)
+		best := highestDemandPerCopy(byDemand, demand, copies)
 		if best < 0 || !sim.placeCopy(best) {
 			return
 		}
@@ -152,33 +152,33 @@
 	}
 }
 
-// askedPerSecond returns the slots that each model's requests need at the start of the day.
-func (sim *simulation) askedPerSecond() []float64 {
-	asked := make([]float64, len(sim.models))
+// answerTokensPerSecond returns the slots that each model's requests need at the start of the day.
+func (sim *simulation) answerTokensPerSecond() []float64 {
+	demand := make([]float64, len(sim.models))
 	for i, c := range sim.scenario.Classes {
-		list := sim.callers.order[i]
+		list := sim.workload.modelsByRank[i]
 		active := c.Active
 		if active <= 0 || active > len(list) {
 			active = len(list)
 		}
-		cumulated := sim.cumulated(active, c.Skew)
+		cumulated := sim.cumulativeWeights(active, c.Skew)
 		before := 0.0
 		for rank := range active {
-			asked[list[rank]] += c.PerSecond * c.Answer.Mean * (cumulated[rank] - before) / cumulated[active-1]
+			demand[list[rank]] += c.PerSecond * c.Answer.Mean * (cumulated[rank] - before) / cumulated[active-1]
 			before = cumulated[rank]
 		}
 	}
-	return asked
+	return demand
 }
 
-// mostAskedPerCopy returns the model whose copies are asked for most, negative if none is.
-func mostAskedPerCopy(models []int, asked []float64, copies []int) int {
+// highestDemandPerCopy returns the model whose copies are asked for most, negative if none is.
+func highestDemandPerCopy(models []int, demand []float64, copies []int) int {
 	best := -1
 	for _, m := range models {
-		if copies[m] == 0 || asked[m] == 0 {
+		if copies[m] == 0 || demand[m] == 0 {
 			continue
 		}
-		if best < 0 || asked[m]/float64(copies[m]) > asked[best]/float64(copies[best]) {
+		if best < 0 || demand[m]/float64(copies[m]) > demand[best]/float64(copies[best]) {
 			best = m
 		}
 	}
@@ -189,10 +189,10 @@
 func (sim *simulation) placeCopy(m int) bool {
 	var best *engine
 	for _, e := range sim.engines {
-		if _, holds := e.held[m]; holds || e.used()+sim.models[m].kind.WeightsMB > sim.scenario.Engines.WeightsMB {
+		if _, holds := e.held[m]; holds || e.usedWeightsMB()+sim.models[m].kind.WeightsMB > sim.scenario.Engines.WeightsMB {
 			continue
 		}
-		if best == nil || e.used() < best.used() {
+		if best == nil || e.usedWeightsMB() < best.usedWeightsMB() {
 			best = e
 		}
 	}
@@ -200,32 +200,32 @@
 		return false
 	}
 	best.held[m] = map[laburnumlever.AdapterName]bool{}
-	best.keepWeights(m)
+	best.cacheWeights(m)
 	return true
 }
 
-// schedule has the day's events happen.
-func (sim *simulation) schedule() {
+// scheduleEvents has the day's events happen.
+func (sim *simulation) scheduleEvents() {
 	for _, ev := range sim.scenario.Events {
 		at, span := time.Duration(ev.At), time.Duration(ev.For)
 		switch ev.Kind {
 		case EventShift:
-			sim.callers.shifts = append(sim.callers.shifts, shift{at: at, length: span, places: ev.Places})
+			sim.workload.shifts = append(sim.workload.shifts, shift{at: at, length: span, ranks: ev.Places})
 		case EventBurst:
-			sim.callers.bursts = append(sim.callers.bursts, burst{from: at, until: at + span, class: ev.Class, factor: ev.Factor})
+			sim.workload.bursts = append(sim.workload.bursts, burst{from: at, until: at + span, class: ev.Class, factor: ev.Factor})
 		default:
-			sim.after(at, func() { sim.happen(ev, span) })
+			sim.after(at, func() { sim.applyEvent(ev, span) })
 		}
 	}
 }
 
-func (sim *simulation) happen(ev Event, span time.Duration) {
+func (sim *simulation) applyEvent(ev Event, span time.Duration) {
 	if ev.Kind == EventNoOrders {
-		sim.control.cut = true
-		sim.after(span, func() { sim.control.cut = false })
+		sim.control.noQuorum = true
+		sim.after(span, func() { sim.control.noQuorum = false })
 		return
 	}
-	for _, e := range sim.some(ev.Share) {
+	for _, e := range sim.sampleEngines(ev.Share) {
 		switch ev.Kind {
 		case EventCrash, EventDark:
 			e.crash(ev.Kind == EventDark)
@@ -233,32 +233,32 @@
 		case EventGone:
 			e.crash(false)
 		case EventDrain:
-			e.leaving = true
-			e.beat()
-			sim.after(drainTime, func() { sim.leave(e) })
+			e.draining = true
+			e.sendHeartbeat()
+			sim.after(drainTime, func() { sim.finishDrain(e) })
 		case EventSlow:
-			e.slow = ev.Factor
-			sim.after(span, func() { e.slow = 1 })
+			e.slowFactor = ev.Factor
+			sim.after(span, func() { e.slowFactor = 1 })
 		default:
 		}
 	}
 }
 
-// leave ends an engine that drains, once its answers are written.
-func (sim *simulation) leave(e *engine) {
+// finishDrain ends an engine that drains, once its answers are written.
+func (sim *simulation) finishDrain(e *engine) {
 	if e.batch.size() > 0 {
-		sim.after(drainTime, func() { sim.leave(e) })
+		sim.after(drainTime, func() { sim.finishDrain(e) })
 		return
 	}
 	e.up = false
 	sim.control.remove(e.id)
 }
 
-// some draws a share of the engines that are up.
-func (sim *simulation) some(share float64) []*engine {
+// sampleEngines draws a share of the engines that are up.
+func (sim *simulation) sampleEngines(share float64) []*engine {
 	var up []*engine
 	for _, e := range sim.engines {
-		if e.up && !e.leaving {
+		if e.up && !e.draining {
 			up = append(up, e)
 		}
 	}
@@ -266,8 +266,8 @@
 	return up[:int(math.Round(share*float64(len(up))))]
 }
 
-// longest is the longest time that a caller waits for an answer.
-func (sim *simulation) longest() time.Duration {
+// longestTimeout is the longestTimeout time that a caller waits for an answer.
+func (sim *simulation) longestTimeout() time.Duration {
 	var longest time.Duration
 	for _, c := range sim.scenario.Classes {
 		longest = max(longest, time.Duration(c.Timeout))
@@ -275,8 +275,8 @@
 	return longest
 }
 
-// class is the engines' class as operators describe it.
-func (sim *simulation) class() *laburnumlever.EngineClass {
+// engineClass is the engines' engineClass as operators describe it.
+func (sim *simulation) engineClass() *laburnumlever.EngineClass {
 	cfg := sim.scenario.Engines
 	class := &laburnumlever.EngineClass{
 		Slots: cfg.Slots, CacheTokens: cfg.CacheTokens, WeightsMB: cfg.WeightsMB, AdapterSlots: cfg.AdapterSlots,
@@ -291,8 +291,8 @@
 	return class
 }
 
-// cumulated are the weights of the ranks of models, added up.
-func (sim *simulation) cumulated(active int, skew float64) []float64 {
+// cumulativeWeights are the weights of the ranks of models, added up.
+func (sim *simulation) cumulativeWeights(active int, skew float64) []float64 {
 	key := weightKey{active: active, skew: skew}
 	if list, ok := sim.weights[key]; ok {
 		return list
@@ -310,7 +310,7 @@
 func (sim *simulation) now() time.Time { return sim.timers.Now() }
 
 // elapsed is the time since callers began.
-func (sim *simulation) elapsed() time.Duration { return sim.now().Sub(sim.began) }
+func (sim *simulation) elapsed() time.Duration { return sim.now().Sub(sim.startedAt) }
 
 func (sim *simulation) after(d time.Duration, fn func()) {
 	sim.timers.After(d, func(time.Time) { fn() })
--- a/laburnumsimulation/simulation_test.go
+++ b/laburnumsimulation/simulation_test.go
@@ -20,11 +20,11 @@
 	return s
 }
 
-func TestDayRepeats(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	s := scenario(t, "exam")
-	first := Run(s, today(), 3)
-	require.Equal(t, first, Run(s, today(), 3))
-	require.NotEqual(t, first.Value, Run(s, today(), 4).Value)
+	first := Run(s, productionPolicy(), 3)
+	require.Equal(t, first, Run(s, productionPolicy(), 3))
+	require.NotEqual(t, first.Value, Run(s, productionPolicy(), 4).Value)
 	require.Equal(t, first.Asked, first.OnTime+first.Late+first.Refused+first.Failed, "each request ends once")
 }
 
@@ -40,15 +40,15 @@
 	}
 }
 
-func TestFewerEnginesServeFewer(t *testing.T) {
+func TestFewerEnginesServeLess(t *testing.T) {
 	s := scenario(t, "carpets")
-	require.Greater(t, Run(s, today(), 1).Day, Run(s.WithEngines(s.Engines.Count/2), today(), 1).Day+0.1)
+	require.Greater(t, Run(s, productionPolicy(), 1).Day, Run(s.WithEngines(s.Engines.Count/2), productionPolicy(), 1).Day+0.1)
 }
 
 // Policies that were tried on whole fleets must come out as they did there, by more than the
 // interval: followed slowly, counted late or waited for long, demand is served worse, and plain
 // proportion worst.
-func TestTriesComeOutInTheirOrder(t *testing.T) {
+func TestWorsePoliciesScoreLower(t *testing.T) {
 	if testing.Short() {
 		t.Skip("plays many days")
 	}
@@ -69,14 +69,14 @@
 	}
 }
 
-func TestCompareEndsWithItsContext(t *testing.T) {
+func TestCompareStopsOnCancelledContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err := Compare(ctx, scenario(t, "exam"), []Policy{today()}, 50, 1, func(int, int) {})
+	_, err := Compare(ctx, scenario(t, "exam"), []Policy{productionPolicy()}, 50, 1, func(int, int) {})
 	require.ErrorIs(t, err, context.Canceled)
 }
 
-func TestScenarioFaultsAreListed(t *testing.T) {
+func TestLoadListsAllScenarioFaults(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "scenario.jsonc")
 	text := `{
 		"name": "bad", "length": "10s", "zones": [{"name": "a", "gateways": 0, "share": 1}],
@@ -97,29 +97,29 @@
 	require.Equal(t, []string{"models.kinds[0].weights-mb", "zones[0].gateways", "classes[0].to", "events[0].factor", "events[1].places"}, keys)
 }
 
-func TestUnknownPolicyNamesThoseThatExist(t *testing.T) {
+func TestUnknownPolicyErrorListsKnownPolicies(t *testing.T) {
 	_, err := PolicyNamed("tomorrow")
 	require.ErrorContains(t, err, "today")
 }
 
-// engineAlone is an engine without a fleet, with some requests in its batch.
-func engineAlone(t *testing.T, answers ...int) (*simulation, *engine, []*run) {
+// newLoneEngine is an engine without a fleet, with some requests in its batch.
+func newLoneEngine(t *testing.T, answers ...int) (*simulation, *engine, []*run) {
 	t.Helper()
 	s := scenario(t, "exam")
 	s.Engines.StepPerSlot = 0
-	sim := newSimulation(s, today(), 1)
+	sim := newSimulation(s, productionPolicy(), 1)
 	e := sim.engines[0]
 	e.held = map[int]map[laburnumlever.AdapterName]bool{}
 	var runs []*run
 	for _, tokens := range answers {
-		r := &run{attempt: &attempt{request: &request{sim: sim, class: &sim.scenario.Classes[0]}, gateway: sim.gateways[0]}, tokens: tokens}
+		r := &run{attempt: &attempt{request: &request{sim: sim, class: &sim.scenario.Classes[0]}, gateway: sim.gateways[0]}, answerTokens: tokens}
 		runs = append(runs, r)
 	}
 	return sim, e, runs
 }
 
-func TestAnswersTakeAStepAToken(t *testing.T) {
-	sim, e, runs := engineAlone(t, 100, 50)
+func TestAnswerTakesOneStepPerToken(t *testing.T) {
+	sim, e, runs := newLoneEngine(t, 100, 50)
 	e.batch.add(runs[0])
 	e.batch.add(runs[1])
 	step := time.Duration(sim.scenario.Engines.Step)
@@ -131,11 +131,11 @@
 }
 
 // Guards against pauses that are not seen: a long prompt is read between the steps of the others.
-func TestPromptsPauseOtherAnswers(t *testing.T) {
-	sim, e, runs := engineAlone(t, 100, 10)
+func TestPrefillPausesRunningAnswers(t *testing.T) {
+	sim, e, runs := newLoneEngine(t, 100, 10)
 	e.batch.add(runs[0])
 	sim.timers.advance(10 * time.Duration(sim.scenario.Engines.Step))
-	runs[1].unread = sim.scenario.Engines.ChunkTokens
+	runs[1].uncachedTokens = sim.scenario.Engines.ChunkTokens
 	e.batch.add(runs[1])
 	sim.timers.advance(time.Second)
 	read := time.Duration(float64(sim.scenario.Engines.ChunkTokens) / sim.scenario.Engines.ReadTokensPerMS * float64(time.Millisecond))
@@ -143,8 +143,8 @@
 	require.Less(t, runs[1].pause, read, "its own answer begins after it")
 }
 
-func TestUrgentPreemptsTheNewestOfTheLeastUrgent(t *testing.T) {
-	sim, e, runs := engineAlone(t, 1000, 1000)
+func TestPreemptsNewestOfLeastUrgent(t *testing.T) {
+	sim, e, runs := newLoneEngine(t, 1000, 1000)
 	runs[0].urgency, runs[1].urgency = 1, 1
 	e.batch.add(runs[0])
 	e.batch.add(runs[1])
@@ -152,10 +152,10 @@
 	require.False(t, e.batch.preempt(1))
 	require.True(t, e.batch.preempt(0))
 	require.Equal(t, []*run{runs[1]}, e.batch.waiting)
-	require.Positive(t, runs[1].done)
+	require.Positive(t, runs[1].written)
 }
 
-func TestClockRunsInOrder(t *testing.T) {
+func TestClockRunsTimersInOrder(t *testing.T) {
 	c := newClock(time.Unix(0, 0))
 	var got []string
 	c.After(20*time.Millisecond, func(time.Time) { got = append(got, "late") })
@@ -178,7 +178,7 @@
 		b.Run(name, func(b *testing.B) {
 			s := scenario(b, name)
 			for b.Loop() {
-				Run(s, today(), 1)
+				Run(s, productionPolicy(), 1)
 			}
 		})
 	}
--- a/laburnumsimulation/callers.go
+++ b/laburnumsimulation/workload.go
@@ -24,10 +24,10 @@
 	promptTokens int
 	answerTokens int
 	answerHint   int
-	first        time.Time
+	createdAt    time.Time
 	deadline     time.Time
 	tries        int
-	over         bool
+	finished     bool
 }
 
 // worth is that of an answer, larger for larger requests.
@@ -46,72 +46,72 @@
 	return float64(total)
 }
 
-// ask sends the request to a gateway of its zone.
-func (q *request) ask() {
+// submit sends the request to a gateway of its zone.
+func (q *request) submit() {
 	q.tries++
 	gateways := q.sim.byZone[q.zone]
-	g := gateways[q.sim.callers.random.IntN(len(gateways))]
+	g := gateways[q.sim.workload.random.IntN(len(gateways))]
 	q.sim.after(q.sim.callerLink(), func() {
 		a := &attempt{request: q, gateway: g, arrived: q.sim.now(), backoff: laburnumslotqueue.AdapterBackoff()}
-		g.asked(q)
-		a.place()
-		q.sim.after(a.times().Patience(), func() {
+		g.countArrival(q)
+		a.findSlot()
+		q.sim.after(a.caller().Patience(), func() {
 			if !a.started {
-				a.leave()
+				a.cancel()
 			}
 		})
-		q.sim.after(q.deadline.Sub(q.sim.now()), a.leave)
+		q.sim.after(q.deadline.Sub(q.sim.now()), a.cancel)
 	})
 }
 
-func (q *request) served(a *attempt) {
-	if q.over {
+func (q *request) onServed(a *attempt) {
+	if q.finished {
 		return
 	}
-	q.over = true
-	q.sim.outcome.serve(q, a)
+	q.finished = true
+	q.sim.outcome.recordServed(q, a)
 }
 
-// turnedAway comes back once it was told to, if it may.
-func (q *request) turnedAway(a *attempt, after time.Duration, why string) {
+// onRefused comes back once it was told to, if it may.
+func (q *request) onRefused(a *attempt, after time.Duration, why string) {
 	if q.tries > q.class.Retries || !q.sim.now().Add(after).Before(q.deadline) {
-		q.end(a, why, true)
+		q.finishUnserved(a, why, true)
 		return
 	}
 	q.sim.outcome.retries++
-	q.sim.after(2*q.sim.callerLink()+after, q.ask)
+	q.sim.after(2*q.sim.callerLink()+after, q.submit)
 }
 
-// failed comes back at once where it may be repeated.
-func (q *request) failed(a *attempt, why string) {
+// onFailed comes back at once where it may be repeated.
+func (q *request) onFailed(a *attempt, why string) {
 	if q.class.Resumable && q.tries <= q.class.Retries && why != "left" && q.sim.now().Before(q.deadline) {
-		q.ask()
+		q.submit()
 		return
 	}
-	q.end(a, why, false)
+	q.finishUnserved(a, why, false)
 }
 
-func (q *request) end(a *attempt, why string, refused bool) {
-	if q.over {
+func (q *request) finishUnserved(a *attempt, why string, refused bool) {
+	if q.finished {
 		return
 	}
-	q.over = true
-	q.sim.outcome.lose(q, a, why, refused)
+	q.finished = true
+	q.sim.outcome.recordUnserved(q, a, why, refused)
 }
 
-// callers make the requests of a day.
-type callers struct {
+// workload make the requests of a day.
+type workload struct {
 	sim    *simulation
 	random *rand.Rand
-	// order is the list of models that each class's demand goes by: it moves on with shifts.
-	order  [][]int
-	shifts []shift
-	bursts []burst
+	// modelsByRank is the list of models that each class's demand goes by: it moves on with shifts.
+	modelsByRank [][]int
+	shifts       []shift
+	bursts       []burst
 }
 
 type shift struct {
 	at, length time.Duration
-	places     int
+	ranks      int
 }
 
 type burst struct {
@@ -120,28 +120,28 @@
 	factor      float64
 }
 
-func newCallers(sim *simulation, seed uint64) *callers {
-	c := &callers{sim: sim, random: rand.New(rand.NewPCG(seed, 3))} //nolint:gosec // repeatable
+func newWorkload(sim *simulation, seed uint64) *workload {
+	c := &workload{sim: sim, random: rand.New(rand.NewPCG(seed, 3))} //nolint:gosec // repeatable
 	for i := range sim.scenario.Classes {
 		class := &sim.scenario.Classes[i]
 		list := make([]int, 0, class.To-class.From+1)
 		for m := class.From; m <= class.To; m++ {
 			list = append(list, m)
 		}
-		c.order = append(c.order, list)
+		c.modelsByRank = append(c.modelsByRank, list)
 	}
 	return c
 }
 
 // start makes the first arrival of each class.
-func (c *callers) start() {
+func (c *workload) start() {
 	for i := range c.sim.scenario.Classes {
-		c.arrive(i, c.most(i))
+		c.scheduleArrival(i, c.maxRate(i))
 	}
 }
 
-// most bounds a class's rate, for a process that is thinned out to what it is at a time.
-func (c *callers) most(class int) float64 {
+// maxRate bounds a class's rate, for a process that is thinned out to what it is at a time.
+func (c *workload) maxRate(class int) float64 {
 	rate := c.sim.scenario.Classes[class].PerSecond
 	most := rate
 	for _, b := range c.bursts {
@@ -150,7 +150,7 @@
 	return most
 }
 
-func (c *callers) rate(class int, at time.Duration) float64 {
+func (c *workload) rate(class int, at time.Duration) float64 {
 	cl := c.sim.scenario.Classes[class]
 	rate := cl.PerSecond
 	for _, b := range c.bursts {
@@ -161,7 +161,7 @@
 	return rate
 }
 
-func (c *callers) arrive(class int, most float64) {
+func (c *workload) scheduleArrival(class int, most float64) {
 	wait := time.Duration(c.random.ExpFloat64() / most * float64(time.Second))
 	c.sim.after(wait, func() {
 		at := c.sim.elapsed()
@@ -169,25 +169,25 @@
 			return
 		}
 		if c.random.Float64() < c.rate(class, at)/most {
-			c.newRequest(class).ask()
+			c.newRequest(class).submit()
 		}
-		c.arrive(class, most)
+		c.scheduleArrival(class, most)
 	})
 }
 
-func (c *callers) newRequest(class int) *request {
+func (c *workload) newRequest(class int) *request {
 	cl := &c.sim.scenario.Classes[class]
-	q := &request{sim: c.sim, class: cl, zone: c.zone(), first: c.sim.now(), model: c.model(class)}
-	q.deadline = q.first.Add(time.Duration(cl.Timeout))
+	q := &request{sim: c.sim, class: cl, zone: c.sampleZone(), createdAt: c.sim.now(), model: c.sampleModel(class)}
+	q.deadline = q.createdAt.Add(time.Duration(cl.Timeout))
 	for i, tokens := range cl.SharedTokens {
 		kind := c.random.IntN(max(1, cl.SharedKinds[i]))
 		q.prompt = append(q.prompt, laburnumlever.PromptPart{ID: uint64(class)<<40 | uint64(i)<<32 | uint64(kind), Tokens: tokens})
 		q.promptTokens += tokens
 	}
-	own := c.size(cl.Prompt)
+	own := c.sampleTokens(cl.Prompt)
 	q.prompt = append(q.prompt, laburnumlever.PromptPart{ID: c.random.Uint64() | 1<<63, Tokens: own})
 	q.promptTokens += own
-	q.answerTokens = c.size(cl.Answer)
+	q.answerTokens = c.sampleTokens(cl.Answer)
 	q.answerHint = max(1, int(float64(q.answerTokens)*math.Exp(0.5*c.random.NormFloat64())))
 	if adapters := c.sim.models[q.model].kind.Adapters; adapters > 0 && c.random.Float64() < cl.AdapterShare {
 		q.adapter = laburnumlever.AdapterName(fmt.Sprintf("a%d", c.random.IntN(adapters)))
@@ -195,8 +195,8 @@
 	return q
 }
 
-// size draws a number of tokens.
-func (c *callers) size(s Size) int {
+// sampleTokens draws a number of tokens.
+func (c *workload) sampleTokens(s Size) int {
 	if s.Spread == 0 {
 		return max(1, int(s.Mean))
 	}
@@ -208,7 +208,7 @@
 	return max(1, int(value))
 }
 
-func (c *callers) zone() int {
+func (c *workload) sampleZone() int {
 	x := c.random.Float64() * c.sim.totalShare
 	for i, z := range c.sim.scenario.Zones {
 		if x -= z.Share; x < 0 {
@@ -218,39 +218,39 @@
 	return len(c.sim.scenario.Zones) - 1
 }
 
-// model draws the model that a request of a class asks for now: by the list before a shift,
+// sampleModel draws the sampleModel that a request of a class asks for now: by the list before a shift,
 // or that after it, as far as the shift has come.
-func (c *callers) model(class int) int {
+func (c *workload) sampleModel(class int) int {
 	cl := c.sim.scenario.Classes[class]
-	list := c.order[class]
-	rank := c.rank(cl, len(list))
-	moved := c.moved()
+	list := c.modelsByRank[class]
+	rank := c.sampleRank(cl, len(list))
+	moved := c.rankOffset()
 	return list[(rank+moved)%len(list)]
 }
 
-// moved is by how many places demand has moved on; within a shift, the old and the new demand
+// rankOffset is by how many places demand has rankOffset on; within a shift, the old and the new demand
 // mix.
-func (c *callers) moved() int {
+func (c *workload) rankOffset() int {
 	at := c.sim.elapsed()
 	moved := 0
 	for _, s := range c.shifts {
 		switch {
 		case at >= s.at+s.length:
-			moved += s.places
+			moved += s.ranks
 		case at >= s.at && c.random.Float64() < float64(at-s.at)/float64(max(1, s.length)):
-			moved += s.places
+			moved += s.ranks
 		}
 	}
 	return moved
 }
 
-// rank draws a place in the list of a class.
-func (c *callers) rank(cl Class, length int) int {
+// sampleRank draws a place in the list of a class.
+func (c *workload) sampleRank(cl Class, length int) int {
 	active := cl.Active
 	if active <= 0 || active > length {
 		active = length
 	}
-	cumulated := c.sim.cumulated(active, cl.Skew)
+	cumulated := c.sim.cumulativeWeights(active, cl.Skew)
 	x := c.random.Float64() * cumulated[active-1]
 	at, _ := slices.BinarySearch(cumulated, x)
 	return min(at, active-1)
