--- a/laburnumexplain/day.go
+++ b/laburnumexplain/day.go
@@ -91,36 +91,36 @@
 // DefaultWidth is the default width of windows.
 const DefaultWidth = 3 * time.Second
 
-func isEnd(l Line) bool {
+func isRequestEnd(l Line) bool {
 	return l.Event == laburnumlever.EventRequestServed.String() || l.Event == laburnumlever.EventRequestRefused.String()
 }
 
 // newDay makes a day of requests' ends and layouts, each sorted by time.
-func newDay(ends []end, told []layoutAt, width time.Duration) Day {
+func newDay(ends []requestEnd, events []layoutEvent, width time.Duration) Day {
 	d := Day{Start: ends[0].at, Width: width, Subjects: map[string]*Account{}}
-	held := layouts{}
+	current := lastLayouts{}
 	for _, e := range ends {
-		for len(told) > 0 && !told[0].at.After(e.at) {
-			held.take(told[0])
-			told = told[1:]
+		for len(events) > 0 && !events[0].at.After(e.at) {
+			current.set(events[0])
+			events = events[1:]
 			if len(d.Windows) > 0 {
-				held.show(&d.Windows[len(d.Windows)-1])
+				current.copyTo(&d.Windows[len(d.Windows)-1])
 			}
 		}
 		d.count(e)
-		held.show(&d.Windows[len(d.Windows)-1])
+		current.copyTo(&d.Windows[len(d.Windows)-1])
 	}
 	return d
 }
 
-func (d *Day) count(e end) {
+func (d *Day) count(e requestEnd) {
 	w := d.window(e.at)
-	for _, a := range []*Account{accountOf(w.Subjects, e.subject), accountOf(d.Subjects, e.subject), &w.Total, &d.Total} {
+	for _, a := range []*Account{countsOf(w.Subjects, e.subject), countsOf(d.Subjects, e.subject), &w.Total, &d.Total} {
 		a.add(e.outcome, e.cause)
 	}
 }
 
-func accountOf(accounts map[string]*Account, subject string) *Account {
+func countsOf(accounts map[string]*Account, subject string) *Account {
 	if accounts[subject] == nil {
 		accounts[subject] = &Account{}
 	}
@@ -142,13 +142,13 @@
 // other without a complete answer has failed.
 func outcomeOf(l Line) (Outcome, string) {
 	if l.Event == laburnumlever.EventRequestServed.String() {
-		if late := word(l.Fields["late"]); late != "" && late != "not" {
+		if late := fieldText(l.Fields["late"]); late != "" && late != "not" {
 			return Late, late
 		}
 		return InTime, ""
 	}
-	reason := word(l.Fields["reason"])
-	if touched, _ := l.Fields["touched"].(bool); touched || word(l.Fields["status"]) == "0" {
+	reason := fieldText(l.Fields["reason"])
+	if touched, _ := l.Fields["touched"].(bool); touched || fieldText(l.Fields["status"]) == "0" {
 		return Failed, reason
 	}
 	return Refused, reason
--- a/laburnumexplain/daypicture.go
+++ b/laburnumexplain/daychart.go
@@ -9,12 +9,12 @@
 
 // The picture's size in pixels.
 const (
-	pictureWidth  = 1000
-	pictureHeight = 400
+	chartWidth  = 1000
+	chartHeight = 400
 )
 
-// drawn are the lines of the picture, in colours of different lightness.
-var drawn = []struct {
+// chartLines are the lines of the picture, in colours of different lightness.
+var chartLines = []struct {
 	outcome Outcome
 	colour  string
 }{{InTime, "2ca02c"}, {Late, "1f77b4"}, {Refused, "ff7f0e"}, {Failed, "d62728"}}
@@ -23,12 +23,12 @@
 // writer's.
 func (d Day) WriteSVG(w io.Writer) error {
 	series := []chart.Series{d.series("asked", "888888", func(a Account) int { return a.Asked })}
-	for _, line := range drawn {
+	for _, line := range chartLines {
 		count := func(a Account) int { return a.Outcomes[line.outcome] }
 		series = append(series, d.series(line.outcome.String(), line.colour, count))
 	}
 	graph := chart.Chart{
-		Title: "requests by how they ended", Width: pictureWidth, Height: pictureHeight,
+		Title: "requests by how they ended", Width: chartWidth, Height: chartHeight,
 		XAxis: chart.XAxis{Name: "seconds"}, YAxis: chart.YAxis{Name: "requests a window"}, Series: series,
 	}
 	graph.Elements = []chart.Renderable{chart.Legend(&graph)}
--- a/laburnumexplain/dayreader.go
+++ b/laburnumexplain/dayreader.go
@@ -17,12 +17,12 @@
 // DayReader reads the logs of any number of VMs into one day. Its memory grows with the number
 // of requests, not with the size of the logs.
 type DayReader struct {
-	ends    []end
-	layouts []layoutAt
+	ends    []requestEnd
+	layouts []layoutEvent
 }
 
-// end is how one request ended.
-type end struct {
+// requestEnd is how one request ended.
+type requestEnd struct {
 	at      time.Time
 	subject string
 	outcome Outcome
@@ -37,30 +37,30 @@
 
 // Read reads a log. Skipped counts lines that should hold an event but don't.
 func (d *DayReader) Read(r io.Reader) (skipped int, err error) {
-	return scan(r, isOfDay, d.take)
+	return scan(r, mayBeRelevant, d.add)
 }
 
-// isOfDay tells, without decoding it, whether a line may be part of a day.
-func isOfDay(text []byte) bool {
+// mayBeRelevant tells, without decoding it, whether a line may be part of a day.
+func mayBeRelevant(text []byte) bool {
 	return bytes.Contains(text, servedText) || bytes.Contains(text, refusedText) || bytes.Contains(text, layoutText)
 }
 
-func (d *DayReader) take(l Line) {
+func (d *DayReader) add(l Line) {
 	if l.Event == laburnumlever.EventLayout.String() {
-		if told, ok := newLayout(l); ok {
-			d.layouts = append(d.layouts, told)
+		if layout, ok := decodeLayout(l); ok {
+			d.layouts = append(d.layouts, layout)
 		}
 		return
 	}
-	if !isEnd(l) {
+	if !isRequestEnd(l) {
 		return
 	}
-	subject := word(l.Fields["model"])
+	subject := fieldText(l.Fields["model"])
 	if subject == "" {
-		subject = routeSubject + word(l.Fields["route"])
+		subject = routeSubject + fieldText(l.Fields["route"])
 	}
 	outcome, cause := outcomeOf(l)
-	d.ends = append(d.ends, end{at: l.At, subject: unique.Make(subject).Value(), outcome: outcome, cause: unique.Make(cause).Value()})
+	d.ends = append(d.ends, requestEnd{at: l.At, subject: unique.Make(subject).Value(), outcome: outcome, cause: unique.Make(cause).Value()})
 }
 
 // Day returns the day of all logs read. Each attempt of a caller counts as a request, in the
@@ -69,8 +69,8 @@
 	if len(d.ends) == 0 {
 		return Day{}, &NoRequestsError{Layouts: len(d.layouts)}
 	}
-	slices.SortStableFunc(d.ends, func(a, b end) int { return a.at.Compare(b.at) })
-	slices.SortStableFunc(d.layouts, func(a, b layoutAt) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(d.ends, func(a, b requestEnd) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(d.layouts, func(a, b layoutEvent) int { return a.at.Compare(b.at) })
 	return newDay(d.ends, d.layouts, width), nil
 }
 
--- a/laburnumexplain/daytext.go
+++ b/laburnumexplain/daytext.go
@@ -11,19 +11,19 @@
 
 //go:generate go tool -modfile=../tools/go.mod enumer -type=Outcome -transform=kebab -output=outcome_gen.go
 
-// causesShown is the number of causes in a row, the most frequent first.
-const causesShown = 3
+// maxCauses is the number of causes in a row, the most frequent first.
+const maxCauses = 3
 
 // WriteText writes tables: the total, each subject with losses, and each window with the
 // subjects that lost most in it. An error is the writer's.
-func (d Day) WriteText(w io.Writer, most int) error {
+func (d Day) WriteText(w io.Writer, limit int) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	row := func(cells ...any) { _, _ = fmt.Fprintln(t, cellsText(cells)) } // Flush tells an error
 	row(fmt.Sprintf("%d requests in %d windows of %s from %s", d.Total.Asked, len(d.Windows), d.Width, d.Start.UTC().Format("2006-01-02 15:04:05")))
 	row()
 	row("subject", "asked", "in time", "late", "refused", "failed", "mostly")
 	row("all", accountCells(d.Total))
-	for _, subject := range mostLost(d.Subjects, len(d.Subjects)) {
+	for _, subject := range subjectsByLoss(d.Subjects, len(d.Subjects)) {
 		row(subject, accountCells(*d.Subjects[subject]))
 	}
 	row()
@@ -31,7 +31,7 @@
 	for _, win := range d.Windows {
 		from := fmt.Sprintf("%.0f s", win.From.Seconds())
 		row(from, "all", countCells(win.Total), "", "", "", causesText(win.Total))
-		for _, subject := range mostLost(win.Subjects, most) {
+		for _, subject := range subjectsByLoss(win.Subjects, limit) {
 			a := *win.Subjects[subject]
 			row("", subject, countCells(a), layoutCells(win.Layouts[subject]), causesText(a))
 		}
@@ -39,8 +39,8 @@
 	return t.Flush()
 }
 
-// mostLost returns the subjects with losses, largest first.
-func mostLost(accounts map[string]*Account, most int) []string {
+// subjectsByLoss returns the subjects with losses, largest first.
+func subjectsByLoss(accounts map[string]*Account, limit int) []string {
 	var list []string
 	for subject, a := range accounts {
 		if a.Lost() > 0 {
@@ -50,7 +50,7 @@
 	slices.SortFunc(list, func(a, b string) int {
 		return cmp.Or(accounts[b].Lost()-accounts[a].Lost(), strings.Compare(a, b))
 	})
-	return list[:min(most, len(list))]
+	return list[:min(limit, len(list))]
 }
 
 func accountCells(a Account) []any { return append(countCells(a), causesText(a)) }
@@ -69,7 +69,7 @@
 func causesText(a Account) string {
 	var parts []string
 	for _, c := range a.causes() {
-		if len(parts) == causesShown {
+		if len(parts) == maxCauses {
 			break
 		}
 		parts = append(parts, fmt.Sprintf("%s %s %d", c.Outcome, c.Name, a.Causes[c]))
--- a/laburnumexplain/layouts.go
+++ b/laburnumexplain/layouts.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// layoutAt is a layout event.
-type layoutAt struct {
+// layoutEvent is a layout event.
+type layoutEvent struct {
 	at      time.Time
 	service string
-	layoutLine
+	layoutFields
 }
 
-// layoutLine holds the fields of a layout event. Models that Held, Loading and None don't name
+// layoutFields holds the fields of a layout event. Models that Held, Loading and None don't name
 // are held by one engine if One is not 0; otherwise they are unknown.
-type layoutLine struct {
+type layoutFields struct {
 	Room    int            `json:"room"`
 	Held    map[string]int `json:"held"`
 	Loading map[string]int `json:"loading"`
@@ -24,18 +24,18 @@
 	None    []string       `json:"none"`
 }
 
-// newLayout decodes a layout event.
-func newLayout(l Line) (layoutAt, bool) {
+// decodeLayout decodes a layout event.
+func decodeLayout(l Line) (layoutEvent, bool) {
 	text, err := json.Marshal(l.Fields)
 	if err != nil {
-		return layoutAt{}, false
+		return layoutEvent{}, false
 	}
-	told := layoutAt{at: l.At, service: word(l.Fields["service"])}
-	return told, json.Unmarshal(text, &told.layoutLine) == nil
+	layout := layoutEvent{at: l.At, service: fieldText(l.Fields["service"])}
+	return layout, json.Unmarshal(text, &layout.layoutFields) == nil
 }
 
 // of returns the layout of a subject; false if it is unknown.
-func (l layoutLine) of(subject string) (Layout, bool) {
+func (l layoutFields) of(subject string) (Layout, bool) {
 	held, isHeld := l.Held[subject]
 	loading, isLoading := l.Loading[subject]
 	if !isHeld && !isLoading && (l.One == 0 || strings.HasPrefix(subject, routeSubject)) {
@@ -47,16 +47,16 @@
 	return Layout{Held: held, Loading: loading, Room: l.Room, Known: true}, true
 }
 
-// layouts is the last layout of each service.
-type layouts map[string]layoutLine
+// lastLayouts is the last layout of each service.
+type lastLayouts map[string]layoutFields
 
-func (s layouts) take(told layoutAt) { s[told.service] = told.layoutLine }
+func (s lastLayouts) set(layout layoutEvent) { s[layout.service] = layout.layoutFields }
 
-// show copies the last layouts to a window.
-func (s layouts) show(w *Window) {
-	for _, told := range s {
+// copyTo copies the last layouts to a window.
+func (s lastLayouts) copyTo(w *Window) {
+	for _, layout := range s {
 		for subject := range w.Subjects {
-			if l, ok := told.of(subject); ok {
+			if l, ok := layout.of(subject); ok {
 				w.Layouts[subject] = l
 			}
 		}
--- a/laburnumexplain/lines.go
+++ b/laburnumexplain/lines.go
@@ -29,7 +29,7 @@
 }
 
 // scan decodes the wanted lines of a log one at a time. Skipped counts those without an event.
-func scan(r io.Reader, wanted func(text []byte) bool, take func(Line)) (skipped int, err error) {
+func scan(r io.Reader, wanted func(text []byte) bool, add func(Line)) (skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
@@ -37,7 +37,7 @@
 			continue
 		}
 		if line, ok := parse(scanner.Bytes()); ok {
-			take(line)
+			add(line)
 		} else {
 			skipped++
 		}
@@ -54,13 +54,13 @@
 	if json.Unmarshal(text[at:], &fields) != nil {
 		return Line{}, false
 	}
-	line := Line{Fields: fields, VM: word(fields["vm"]), Event: word(fields["event"])}
+	line := Line{Fields: fields, VM: fieldText(fields["vm"]), Event: fieldText(fields["event"])}
 	var err error
-	line.At, err = time.Parse(time.RFC3339Nano, word(fields["ts"]))
+	line.At, err = time.Parse(time.RFC3339Nano, fieldText(fields["ts"]))
 	return line, err == nil && line.Event != ""
 }
 
-func word(v any) string {
+func fieldText(v any) string {
 	if v == nil {
 		return ""
 	}
@@ -68,21 +68,21 @@
 }
 
 // is tells whether a field has the value.
-func (l Line) is(field, value string) bool { return value != "" && word(l.Fields[field]) == value }
+func (l Line) is(field, value string) bool { return value != "" && fieldText(l.Fields[field]) == value }
 
 // text formats the line, the most important fields first.
 func (l Line) text() string {
 	first := []string{"reason", "stage", "status", "backend", "model", "adapter", "cause"}
 	var parts []string
 	for _, name := range first {
-		if v := word(l.Fields[name]); v != "" {
+		if v := fieldText(l.Fields[name]); v != "" {
 			parts = append(parts, name+"="+v)
 		}
 	}
 	var rest []string
 	for name, v := range l.Fields {
-		if !slices.Contains(first, name) && !slices.Contains([]string{"ts", "vm", "event", "level", "request-id"}, name) && word(v) != "" {
-			rest = append(rest, name+"="+word(v))
+		if !slices.Contains(first, name) && !slices.Contains([]string{"ts", "vm", "event", "level", "request-id"}, name) && fieldText(v) != "" {
+			rest = append(rest, name+"="+fieldText(v))
 		}
 	}
 	slices.Sort(rest)
--- a/laburnumexplain/story.go
+++ b/laburnumexplain/timeline.go
@@ -8,9 +8,9 @@
 	"laburnumlever"
 )
 
-// before is how long before a request events may have affected it: loads and heartbeats take
+// lookback is how long before a request events may have affected it: loads and heartbeats take
 // effect within seconds.
-const before = 15 * time.Second
+const lookback = 15 * time.Second
 
 // Story is the timeline of a request.
 type Story struct {
@@ -20,8 +20,8 @@
 	Lines []Line
 }
 
-// causes describe each reason and where to look.
-var causes = map[string]string{
+// reasonTexts describe each reason and where to look.
+var reasonTexts = map[string]string{
 	"no-backend":          "no backend server could do it: look for the model's loads and withdrawals, and for servers that went",
 	"queue-full":          "all backend servers that could do it were full until its wait was over",
 	"backend-unreachable": "the backend servers chosen took no connection",
@@ -53,7 +53,7 @@
 	}
 	own := story.Lines
 	for _, l := range lines {
-		if !l.is("request-id", id) && concerns(l, own) {
+		if !l.is("request-id", id) && mayAffect(l, own) {
 			story.Lines = append(story.Lines, l)
 		}
 	}
@@ -62,18 +62,18 @@
 	return story, nil
 }
 
-// concerns tells whether another event may have affected the request: one of a backend server
+// mayAffect tells whether another event may have affected the request: one of a backend server
 // that it was sent to, of its model, or of its gateway.
-func concerns(l Line, own []Line) bool {
+func mayAffect(l Line, own []Line) bool {
 	if l.Event == "request-served" || l.Event == "request-refused" || l.Event == "attempt-failed" {
 		return false
 	}
 	for _, o := range own {
-		if l.At.After(o.At) || o.At.Sub(l.At) > before {
+		if l.At.After(o.At) || o.At.Sub(l.At) > lookback {
 			continue
 		}
-		sameModel := l.is("model", word(o.Fields["model"])) && l.Fields["adapter"] == nil
-		if l.is("backend", word(o.Fields["backend"])) || sameModel || (l.VM == o.VM && word(l.Fields["backend"]) == "") {
+		sameModel := l.is("model", fieldText(o.Fields["model"])) && l.Fields["adapter"] == nil
+		if l.is("backend", fieldText(o.Fields["backend"])) || sameModel || (l.VM == o.VM && fieldText(l.Fields["backend"]) == "") {
 			return true
 		}
 	}
@@ -85,14 +85,14 @@
 	switch last.Event {
 	case "request-served":
 		return fmt.Sprintf("it was served: first part after %s ms, longest pause %s ms, whole after %s ms",
-			word(last.Fields["first-ms"]), word(last.Fields["pause-ms"]), word(last.Fields["whole-ms"]))
+			fieldText(last.Fields["first-ms"]), fieldText(last.Fields["pause-ms"]), fieldText(last.Fields["whole-ms"]))
 	case "request-refused":
-		reason := word(last.Fields["reason"])
-		text, ok := causes[reason]
+		reason := fieldText(last.Fields["reason"])
+		text, ok := reasonTexts[reason]
 		if !ok {
 			text = "see the reason"
 		}
-		return fmt.Sprintf("%s (%s, status %s): %s", text, reason, word(last.Fields["status"]), word(last.Fields["cause"]))
+		return fmt.Sprintf("%s (%s, status %s): %s", text, reason, fieldText(last.Fields["status"]), fieldText(last.Fields["cause"]))
 	default:
 		return "its end is not in these logs"
 	}
--- a/laburnumexplain/story_test.go
+++ b/laburnumexplain/timeline_test.go
@@ -19,7 +19,7 @@
 
 // A caller complains of a refused quote. The on-call engineer has its id and the logs of
 // all VMs: the timeline must show that the model had just been taken from the engine.
-func TestRefusedRequestLeadsToItsCause(t *testing.T) {
+func TestTimelineOfRefusedRequestShowsCause(t *testing.T) {
 	lines, skipped, err := laburnumexplain.Read(strings.NewReader(logs))
 	require.NoError(t, err)
 	require.Equal(t, 2, skipped)
@@ -45,7 +45,7 @@
 
 // Guards against a layout of hundreds of models whose line is kilobytes long: those held by one
 // engine are counted, not named.
-func TestModelsHeldByOneEngineNeedNoName(t *testing.T) {
+func TestUnlistedModelsCountAsHeldByOneEngine(t *testing.T) {
 	var reader laburnumexplain.DayReader
 	_, err := reader.Read(strings.NewReader(`{"ts":"2026-10-27T08:00:00Z","vm":"core-a","event":"layout","service":"s","room":0,"held":{"oak":3},"loading":{"elm":1},"one":7,"none":["ash"]}
 {"ts":"2026-10-27T08:00:01Z","vm":"front-a","event":"request-refused","model":"oak","reason":"queue-full","status":503,"touched":false}
@@ -62,7 +62,7 @@
 	}, day.Windows[0].Layouts)
 }
 
-func TestDayNeedsTheLogsOfGateways(t *testing.T) {
+func TestDayRequiresGatewayLogs(t *testing.T) {
 	var reader laburnumexplain.DayReader
 	_, err := reader.Read(strings.NewReader(`{"ts":"2026-10-27T08:00:00Z","vm":"core-a","event":"layout","service":"s","held":{}}`))
 	require.NoError(t, err)
