--- a/laburnumsimulation/attempt.go
+++ b/laburnumsimulation/attempt.go
@@ -9,7 +9,7 @@
 	"laburnumlever/laburnumslotqueue"
 )
 
-// attempt is one try of a caller, at one gateway, as laburnumgateway makes it.
+// attempt is one try of a request at one gateway. It follows the steps of laburnumgateway.
 type attempt struct {
 	request             *request
 	gateway             *gateway
@@ -24,13 +24,13 @@
 	avoid               []laburnumlever.BackendID
 	ticket              *laburnumbalance.Ticket
 	run                 *run
-	written             int // tokens that the caller has
+	written             int // tokens that the caller has received
 	lastAt              time.Time
 	pause               time.Duration
 	firstAt             time.Time
 	waited              time.Duration
 	waitingSince        time.Time
-	backoff             laburnumretry.Backoff // of requests for an adapter
+	backoff             laburnumretry.Backoff // between requests for an adapter
 }
 
 func (a *attempt) sim() *simulation { return a.gateway.sim }
@@ -51,7 +51,8 @@
 	}
 }
 
-// urgency is what engines go by: the same for all, but by a policy that has them preempt.
+// urgency is the priority that engines see: 0 for all requests unless the policy has engines
+// preempt.
 func (a *attempt) urgency() int {
 	if a.sim().policy.preempts {
 		return a.request.class.Priority
@@ -59,11 +60,14 @@
 	return 0
 }
 
+// queuesAtEngine reports whether the request may queue at an engine: an urgent one may once enough
+// engines have refused it a reservation.
 func (a *attempt) queuesAtEngine() bool {
 	return a.request.class.Priority == 0 && a.refusedReservations >= laburnumbalance.UrgentReservations
 }
 
-// findSlot looks for a slot, and waits for one if it must.
+// findSlot sends the request if a slot is free, and otherwise queues it at the gateway until it
+// gets a slot or its time in the queue is over.
 func (a *attempt) findSlot() {
 	if a.finished {
 		return
@@ -110,6 +114,8 @@
 	})
 }
 
+// giveUp ends an attempt that got no slot: as failed if part of the answer was delivered, else as
+// refused.
 func (a *attempt) giveUp(verdict laburnumbalance.Verdict) {
 	if a.started {
 		a.fail("broken")
@@ -122,7 +128,8 @@
 	a.refuse(verdict, "no-engine")
 }
 
-// requestAdapter asks for the adapter, and looks again once it is there.
+// requestAdapter asks the director to load the adapter and searches for a slot again after the
+// reply.
 func (a *attempt) requestAdapter(until time.Time) {
 	sim, g := a.sim(), a.gateway
 	name := sim.models[a.request.model].name
@@ -143,7 +150,8 @@
 	})
 }
 
-// send sends the request to the engine of a ticket.
+// send sends the request to the engine that the ticket is for, after a reservation if the engine
+// may be full.
 func (a *attempt) send(ticket *laburnumbalance.Ticket) {
 	sim, g := a.sim(), a.gateway
 	now := sim.now()
@@ -173,7 +181,7 @@
 	})
 }
 
-// reserve asks the engine for a slot first.
+// reserve asks the engine for a slot and sends the request only if it gets one.
 func (a *attempt) reserve(e *engine, link time.Duration) {
 	id := e.reserve(a.request)
 	a.sim().after(link, func() {
@@ -185,6 +193,7 @@
 	})
 }
 
+// onReservationRefused searches for a slot again, without counting a try.
 func (a *attempt) onReservationRefused() {
 	sim := a.sim()
 	a.refusedReservations++
@@ -194,7 +203,7 @@
 	a.findSlot()
 }
 
-// deliver is the request's arrival at the engine.
+// deliver hands the request to the engine once it has crossed the link.
 func (a *attempt) deliver(e *engine, reservation int, link time.Duration) {
 	if a.finished {
 		return
@@ -212,7 +221,7 @@
 	}
 }
 
-// release frees the slot and learns from the attempt.
+// release frees the slot and records the result of the attempt in the balancing table.
 func (a *attempt) release(result laburnumbalance.AttemptResult) {
 	g, now := a.gateway, a.sim().now()
 	g.uses.RequestEnded(a.sim().models[a.request.model].name, a.request.adapter, now)
@@ -229,7 +238,7 @@
 	a.retry(laburnumretry.StageNotSent, "unreachable")
 }
 
-// onRefused is an engine's word that it did not run the request.
+// onRefused handles a refusal by the engine: the request did not run.
 func (a *attempt) onRefused(r *run, why admission) {
 	if a.finished || a.run != r {
 		return
@@ -238,7 +247,7 @@
 	a.retry(laburnumretry.StageNotRun, "refused")
 }
 
-// onConnectionBroken is a connection that ended in the middle.
+// onConnectionBroken handles a connection that was reset after the engine had accepted the request.
 func (a *attempt) onConnectionBroken(r *run) {
 	if a.finished || a.run != r {
 		return
@@ -252,7 +261,8 @@
 	a.retry(laburnumretry.StageUnknown, "broken")
 }
 
-// recordProgress notes what of a broken answer the caller has: whole events.
+// recordProgress records how much of a broken answer the caller has received: only whole events
+// count.
 func (a *attempt) recordProgress(r *run) {
 	size := a.sim().scenario.Engines.EventTokens
 	a.written = r.written / size * size
@@ -260,7 +270,8 @@
 	a.lastAt = a.sim().now()
 }
 
-// retry makes another try if one is allowed.
+// retry makes another try if the retry rules and the budget allow one, and otherwise ends the
+// attempt.
 func (a *attempt) retry(stage laburnumretry.Stage, why string) {
 	c := a.request.class
 	a.avoid = append(a.avoid, a.lastBackend())
@@ -290,7 +301,7 @@
 	return a.run.engine
 }
 
-// onAnswerStarted is the first event of an answer.
+// onAnswerStarted handles the first event of an answer.
 func (a *attempt) onAnswerStarted(r *run, running, waiting int) {
 	if a.finished || a.run != r || a.ticket == nil {
 		return
@@ -307,7 +318,7 @@
 	g.serveQueue()
 }
 
-// onAnswered is the whole answer.
+// onAnswered handles the end of a complete answer.
 func (a *attempt) onAnswered(r *run) {
 	if a.finished || a.run != r {
 		return
@@ -319,7 +330,7 @@
 	a.request.onServed(a)
 }
 
-// refuse refuses a request that has not run.
+// refuse ends an attempt that has not run, and sends the caller a Retry-After.
 func (a *attempt) refuse(verdict laburnumbalance.Verdict, why string) {
 	a.finished = true
 	a.gateway.countEnd(a.request, false)
@@ -327,14 +338,14 @@
 	a.request.onRefused(a, after, why)
 }
 
-// fail ends a request that may have run.
+// fail ends an attempt that may have run.
 func (a *attempt) fail(why string) {
 	a.finished = true
 	a.gateway.countEnd(a.request, false)
 	a.request.onFailed(a, why)
 }
 
-// cancel is the caller's end of the request.
+// cancel ends the attempt because the caller left or its deadline has passed.
 func (a *attempt) cancel() {
 	if a.finished {
 		return
--- a/laburnumsimulation/batch.go
+++ b/laburnumsimulation/batch.go
@@ -8,18 +8,19 @@
 	"laburnumlever"
 )
 
-// run is one request at an engine.
+// run is the execution of one request on an engine.
 type run struct {
 	attempt *attempt
 	engine  laburnumlever.BackendID
 	urgency int
-	// uncachedTokens is the prompt that the engine has to read, answerTokens the length of the answer, written
-	// how much of it was written before, at this engine or another.
+	// uncachedTokens is the part of the prompt that needs prefill, answerTokens the length of the
+	// answer, written the part of the answer that was written before the run last started or
+	// resumed, here or elsewhere.
 	uncachedTokens, answerTokens, written int
-	// prefillLeft is what is left of the prompt.
+	// prefillLeft is the number of tokens that still need prefill.
 	prefillLeft int
-	// startStep is the step at which its answer began or went on, pause the longest between two
-	// events so far.
+	// startStep is the step at which its answer started or resumed, pause the longest time between
+	// two events so far.
 	startStep  float64
 	eventIndex int
 	stall      time.Duration
@@ -29,36 +30,36 @@
 	finished   bool
 }
 
-// batch is what an engine works on. Each step writes a token of all answers and reads a chunk of
-// the prompts of new requests.
+// batch models continuous batching on an engine. Each step writes one token of every running answer
+// and prefills a chunk of the prompts of new requests.
 type batch struct {
 	engine        *engine
 	steps         float64
 	updatedAt     time.Time
-	running       []*run // answers being written
-	prefilling    []*run // prompts to be read, the first at work until readUntil
-	prefillActive bool   // a prompt is being read
+	running       []*run // requests whose answers are being written
+	prefilling    []*run // requests whose prompts need prefill, in order
+	prefillActive bool   // a prefill step is running, until prefillEnd
 	prefillEnd    time.Time
 	waiting       []*run
-	generation    int // counts the changes, so that an outdated event is known
+	generation    int // incremented by each change, so that outdated timers are ignored
 }
 
-// size is how many requests have a slot.
+// size returns the number of requests that occupy a slot.
 func (b *batch) size() int { return len(b.running) + len(b.prefilling) }
 
-// stepTime is how long a token of all answers takes.
+// stepTime returns the duration of one decode step.
 func (b *batch) stepTime() time.Duration {
 	e := b.engine.sim.scenario.Engines
 	return b.engine.scaledTime(time.Duration(e.Step) + time.Duration(len(b.running))*time.Duration(e.StepPerSlot))
 }
 
-// advance brings the steps up to now.
+// advance updates the step counter to the current time.
 func (b *batch) advance() {
 	b.steps = b.stepsNow()
 	b.updatedAt = b.engine.sim.now()
 }
 
-// stepsNow is how many steps were done by now.
+// stepsNow returns the number of steps completed by now, with a fraction for the current one.
 func (b *batch) stepsNow() float64 {
 	if b.prefillActive || len(b.running) == 0 {
 		return b.steps
@@ -66,7 +67,7 @@
 	return b.steps + float64(b.engine.sim.now().Sub(b.updatedAt))/float64(b.stepTime())
 }
 
-// add gives a request a slot; its prompt is read when its turn comes.
+// add assigns a slot to a request; prefill of its prompt starts in turn.
 func (b *batch) add(r *run) {
 	b.advance()
 	r.prefillLeft = r.uncachedTokens + r.written
@@ -74,26 +75,27 @@
 	b.scheduleNext()
 }
 
-// scheduleNext begins the next prompt if none is being read, and waits for what happens next.
+// scheduleNext starts a prefill step if one is needed and none is running, and sets a timer for the
+// next event.
 func (b *batch) scheduleNext() {
 	if !b.prefillActive && len(b.prefilling) > 0 {
 		b.startPrefill()
 	}
 	b.generation++
-	change := b.generation
+	generation := b.generation
 	wait, ok := b.untilNext()
 	if !ok {
 		return
 	}
 	b.engine.sim.after(wait, func() {
-		if b.generation == change {
+		if b.generation == generation {
 			b.processDue()
 		}
 	})
 }
 
-// startPrefill begins a step that reads a chunk of prompts: all answers get one token in it, later than
-// without.
+// startPrefill starts a step that prefills a chunk of prompts. Every running answer gets one token
+// in it, later than in a step without prefill.
 func (b *batch) startPrefill() {
 	sim := b.engine.sim
 	left := sim.scenario.Engines.ChunkTokens
@@ -113,7 +115,8 @@
 	b.prefillActive, b.prefillEnd = true, sim.now().Add(span+b.stepTime())
 }
 
-// updatePause notes the events that an answer has had by now: a pause counts for the next one only.
+// updatePause counts the events that an answer has written by now: a stall delays only the next
+// event.
 func (b *batch) updatePause(r *run) {
 	event := int((b.steps - r.startStep) / float64(b.engine.sim.scenario.Engines.EventTokens))
 	if event != r.eventIndex {
@@ -126,7 +129,7 @@
 	return time.Duration(b.engine.sim.scenario.Engines.EventTokens) * b.stepTime()
 }
 
-// untilNext is how long it takes until a prompt is read or an answer ends.
+// untilNext returns the time until a prefill step or an answer ends; false if neither is running.
 func (b *batch) untilNext() (time.Duration, bool) {
 	if b.prefillActive {
 		return b.prefillEnd.Sub(b.engine.sim.now()), true
@@ -141,7 +144,7 @@
 	return time.Duration(max(0, steps)*float64(b.stepTime())) + 1, true
 }
 
-// processDue ends what is due.
+// processDue ends the prefill step and the answers that are due.
 func (b *batch) processDue() {
 	b.advance()
 	if b.prefillActive {
@@ -152,11 +155,11 @@
 	const slack = 1e-6
 	var ended []*run
 	b.running = slices.DeleteFunc(b.running, func(r *run) bool {
-		over := r.startStep+float64(r.answerTokens-r.written) <= b.steps+slack
-		if over {
+		done := r.startStep+float64(r.answerTokens-r.written) <= b.steps+slack
+		if done {
 			ended = append(ended, r)
 		}
-		return over
+		return done
 	})
 	b.scheduleNext()
 	for _, r := range ended {
@@ -165,21 +168,21 @@
 	}
 }
 
-// startPrefilled begins the answers whose prompts are read.
+// startPrefilled starts the answers whose prompts are completely prefilled.
 func (b *batch) startPrefilled() {
-	var read []*run
+	var ready []*run
 	b.prefilling = slices.DeleteFunc(b.prefilling, func(r *run) bool {
 		if r.prefillLeft == 0 {
-			read = append(read, r)
+			ready = append(ready, r)
 		}
 		return r.prefillLeft == 0
 	})
-	for _, r := range read {
+	for _, r := range ready {
 		b.startAnswer(r)
 	}
 }
 
-// startAnswer writes the first token of an answer, or goes on with one that was preempted.
+// startAnswer starts an answer, or resumes a preempted one.
 func (b *batch) startAnswer(r *run) {
 	now := b.engine.sim.now()
 	if r.started {
@@ -193,17 +196,17 @@
 	}
 }
 
-// remove takes a request out, whatever it is at.
+// remove removes a request that is queued, in prefill or running.
 func (b *batch) remove(r *run) {
 	b.advance()
-	is := func(o *run) bool { return o == r }
-	b.prefilling = slices.DeleteFunc(b.prefilling, is)
-	b.running = slices.DeleteFunc(b.running, is)
-	b.waiting = slices.DeleteFunc(b.waiting, is)
+	same := func(o *run) bool { return o == r }
+	b.prefilling = slices.DeleteFunc(b.prefilling, same)
+	b.running = slices.DeleteFunc(b.running, same)
+	b.waiting = slices.DeleteFunc(b.waiting, same)
 	b.scheduleNext()
 }
 
-// written is how much of an answer is there by now.
+// written returns the number of tokens of an answer written by now.
 func (b *batch) written(r *run) int {
 	if !slices.Contains(b.running, r) {
 		return r.written
@@ -215,8 +218,9 @@
 	return min(r.answerTokens, r.written+int(steps-r.startStep))
 }
 
-// preempt takes the slot of the newest of the least urgent requests, if one is less urgent; it
-// waits and is read anew.
+// preempt frees the slot of the newest of the least urgent running requests if it is less urgent
+// than given. The request goes to the head of the queue and needs prefill again. It returns false
+// if no request is less urgent.
 func (b *batch) preempt(urgency int) bool {
 	var victim *run
 	for _, r := range b.running {
@@ -238,7 +242,7 @@
 	return true
 }
 
-// usedCacheTokens is the memory that requests take.
+// usedCacheTokens returns the KV cache memory that requests occupy, in tokens.
 func (b *batch) usedCacheTokens() int {
 	total, steps := 0, b.stepsNow()
 	for _, r := range b.running {
@@ -250,7 +254,7 @@
 	return total
 }
 
-// clear drops everything, as when the engine crashes, and returns it.
+// clear removes all requests, as in a crash, and returns them.
 func (b *batch) clear() []*run {
 	all := slices.Concat(b.running, b.prefilling, b.waiting)
 	for _, r := range all {
--- a/laburnumsimulation/clock.go
+++ b/laburnumsimulation/clock.go
@@ -6,8 +6,8 @@
 	"laburnumlever"
 )
 
-// clock is a timer service for one goroutine: a day has a million events, and the manual timers
-// of tests spend most of such a run on their locks.
+// clock implements laburnumlever.Timers for a single goroutine, without locks: a simulated day has
+// a million events, and the manual timers of tests would spend most of the run in their locks.
 type clock struct {
 	start    time.Time
 	at       time.Duration
@@ -15,7 +15,8 @@
 	heap     []heapEntry
 }
 
-// heapEntry is a function with its time; of two at one time the one added first runs first.
+// heapEntry is a timer and its due time. Timers due at the same time run in the order in which they
+// were added.
 type heapEntry struct {
 	at       time.Duration
 	sequence uint64
@@ -51,7 +52,7 @@
 	return func() { s.cancelled = true }
 }
 
-// advance runs all that is due within a span.
+// advance runs all timers that are due within the span.
 func (c *clock) advance(span time.Duration) {
 	end := c.at + span
 	for len(c.heap) > 0 && c.heap[0].at <= end {
--- a/laburnumsimulation/compare.go
+++ b/laburnumsimulation/compare.go
@@ -13,28 +13,27 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// confidence is that of the intervals: they hold the true mean in as many of all comparisons.
+// confidence is the level of the confidence intervals.
 const confidence = 0.95
 
-// Row is one policy over all days of a comparison.
+// Row is the result of one policy over all simulated days.
 type Row struct {
 	Policy  string `json:"policy"`
 	Summary string `json:"summary"`
-	// Value is the mean of the days' values, Interval half the width of its confidence
-	// interval.
+	// Value is the mean over the days, Interval half the width of its confidence interval.
 	Value    float64 `json:"value"`
 	Interval float64 `json:"interval"`
 	// Gain is the mean difference from the first policy on the same days, GainInterval half the
-	// width of its interval.
+	// width of its confidence interval.
 	Gain         float64 `json:"gain"`
 	GainInterval float64 `json:"gain-interval"`
-	// Mean holds the means of the parts of the outcomes.
+	// Mean holds the means of other figures of the outcomes.
 	Mean Means `json:"mean"`
-	// Days are the outcomes by seed.
+	// Days holds the outcomes in the order of the seeds.
 	Days []Outcome `json:"days"`
 }
 
-// Means are the means over days.
+// Means holds means over days. OnTime to Failed are shares of the requests.
 type Means struct {
 	Day          float64 `json:"day"`
 	WorstWindows float64 `json:"worst-windows"`
@@ -54,11 +53,11 @@
 	Rows     []Row  `json:"rows"`
 }
 
-// Progress is told after each day how many of all are played.
+// Progress is called after each simulated day with the number of days done and of all days.
 type Progress func(done, all int)
 
-// Compare plays each policy on the same days, as many days at once as there are workers. It ends
-// early with ctx's error.
+// Compare simulates the same days with each policy, with a number of days in parallel given by
+// workers. If ctx is cancelled, it returns its error early.
 func Compare(ctx context.Context, s Scenario, policies []Policy, seeds, workers int, progress Progress) (Table, error) {
 	days := make([][]Outcome, len(policies))
 	for i := range days {
@@ -126,8 +125,8 @@
 	return r
 }
 
-// interval is a mean with half the width of its confidence interval; that of a single value is
-// not known and 0.
+// interval returns a mean and half the width of its confidence interval, which is 0 for a single
+// value.
 func interval(values []float64) (mean, half float64) {
 	mean, deviation := stat.MeanStdDev(values, nil)
 	n := float64(len(values))
@@ -138,7 +137,7 @@
 	return mean, t.Quantile(1-(1-confidence)/2) * deviation / math.Sqrt(n)
 }
 
-// WriteText writes the table for people.
+// WriteText writes the table as text. An error is the writer's.
 func (t Table) WriteText(w io.Writer) error {
 	var text strings.Builder
 	_, _ = fmt.Fprintf(&text, "%s, %d days for each policy; +- are %.0f%% intervals\n\n", t.Scenario, t.Seeds, confidence*100)
--- a/laburnumsimulation/control.go
+++ b/laburnumsimulation/control.go
@@ -13,21 +13,23 @@
 )
 
 const (
-	// service is the one service of model engines.
+	// service is the name of the only service, that of the model engines.
 	service laburnumlever.ServiceName = "models"
-	// publishDelayPerVM for each VM that asks lies between two publications of a control VM.
+	// publishDelayPerVM times the number of gateways and the control VM is the least time between
+	// two publications of a control VM.
 	publishDelayPerVM = time.Millisecond
-	// planDuration is how long a round of planning takes.
+	// planDuration is the time of one run of the planner.
 	planDuration = 3 * time.Millisecond
-	// expirePeriod is how often silent engines are looked for.
+	// expirePeriod is the period of checks for engines whose heartbeats have stopped.
 	expirePeriod = 500 * time.Millisecond
 	leaseTime    = 3 * time.Second
 	storeWindow  = 5 * time.Second
-	// storeOvershoot is the factor by which the store's rate may be exceeded in a window.
+	// storeOvershoot is the factor by which loads in one window may exceed the rate of the weight
+	// store.
 	storeOvershoot = 1.1
 )
 
-// control is the control VMs as one: the registry, the director and what they tell gateways.
+// control models all control VMs as one: the registry, the director and publication to gateways.
 type control struct {
 	sim       *simulation
 	loop      *laburnumcontrol.Loop
@@ -35,13 +37,13 @@
 	registry  *laburnumregistry.Table
 	machine   *laburnumstate.Machine
 	publisher *laburnumtimer.Gatherer
-	// noQuorum tells that no lease can be had.
+	// noQuorum makes every proposal fail, so that no lease can be acquired or renewed.
 	noQuorum bool
 	records  map[laburnumlever.BackendID]laburnumregistry.Record
 	overlays map[laburnumlever.BackendID]laburnumregistry.Overlay
 }
 
-// drainingTimers run the control thread after each of the director's timers.
+// drainingTimers drains the control loop after each of the director's timers.
 type drainingTimers struct {
 	laburnumlever.Timers
 	loop *laburnumcontrol.Loop
@@ -102,7 +104,7 @@
 	return c.machine.Apply(c.sim.now().UnixMilli(), cmd), nil
 }
 
-// receiveHeartbeat takes a heartbeat.
+// receiveHeartbeat records a heartbeat of an engine.
 func (c *control) receiveHeartbeat(h laburnumlever.Heartbeat) {
 	if c.registry.Take(h, c.sim.now()) {
 		c.recordChanged(h.Backend)
@@ -139,11 +141,11 @@
 	c.publisher.Poke()
 }
 
-// publish tells all gateways what has changed.
+// publish sends the records and overlays that have changed to all gateways.
 func (c *control) publish() {
 	var records []laburnumregistry.Record
 	var overlays []laburnumregistry.Overlay
-	for _, e := range c.sim.engines { // in a fixed order, so that days repeat
+	for _, e := range c.sim.engines { // in a fixed order, so that runs are deterministic
 		if r, ok := c.records[e.id]; ok {
 			records = append(records, r)
 		}
@@ -160,8 +162,8 @@
 	})
 }
 
-func (c *control) receiveReport(vm laburnumlever.VMID, news laburnumlever.GatewayNews) {
-	c.director.SetGatewayReport(vm, news)
+func (c *control) receiveReport(vm laburnumlever.VMID, report laburnumlever.GatewayNews) {
+	c.director.SetGatewayReport(vm, report)
 	c.loop.Drain()
 }
 
--- a/laburnumsimulation/doc.go
+++ b/laburnumsimulation/doc.go
@@ -1,25 +1,26 @@
-// Package laburnumsimulation plays a day of a fleet as a discrete-event model, to compare
-// policies of placement, balancing and queueing without a network.
+// Package laburnumsimulation is a discrete-event simulation of a fleet over one day. It compares
+// policies for placement, load balancing and queueing without a network.
 //
-// It drives the parts that decide in production: laburnumdirector with
-// laburnumresidency, laburnumbalance, laburnumslotqueue, laburnumretry and laburnumdemand, each
-// gateway with its own partial and late knowledge. Engines, the weight store, callers and
-// faults are models.
+// It runs the decision code of production: laburnumdirector with laburnumresidency,
+// laburnumbalance, laburnumslotqueue, laburnumretry and laburnumdemand. Each gateway has its own
+// incomplete and delayed view of the fleet. Engines, the weight store, callers and faults are
+// modelled.
 //
 // # What is modelled
 //
-//   - Engines run a batch: a step takes longer with each request in it, a prompt that is not
-//     cached is read between the steps of all others, and the more urgent preempt the less
-//     urgent. They hold weights in accelerator memory, host memory and on disk, and carry one
-//     order at a time out.
-//   - Control VMs hear heartbeats, and gateways hear of changes after a time that grows with
-//     their number.
-//   - Callers ask in a Poisson process, leave, and come back once after a refusal.
-//   - Demand shifts, bursts, crashes, slow and failing engines, and times without orders.
+//   - Engines run continuous batches: a step takes longer with each request in it, prompts that are
+//     not cached are prefilled in chunks between the steps of running answers, and more urgent
+//     requests may preempt less urgent ones. Engines keep weights in accelerator memory, in host
+//     memory and on disk, and execute one order at a time.
+//   - Control VMs receive heartbeats, and gateways receive changes with a delay that grows with the
+//     number of gateways.
+//   - Callers send requests as a Poisson process, leave when they run out of patience, and retry
+//     after a refusal as often as their class allows.
+//   - Demand shifts and bursts, engines crash, become slow, drain or disappear, and the fleet is
+//     without a director for a while.
 //
-// What is not modelled: processor time of gateways, connections, operators' changes, losses
-// of packets. A day says which of two policies serves callers better, not how well a fleet
-// will do.
+// Not modelled are CPU time of gateways, connections, changes by operators and packet loss. The
+// result tells which of two policies serves callers better, not how well a real fleet will do.
 //
 // # Usage
 //
--- a/laburnumsimulation/engine.go
+++ b/laburnumsimulation/engine.go
@@ -8,35 +8,35 @@
 	"laburnumlever"
 )
 
-// engine is a model engine: what it holds, the orders that it takes and its requests.
+// engine is a model engine with its weights, its current order and its requests.
 type engine struct {
 	sim         *simulation
 	id          laburnumlever.BackendID
 	zone        laburnumlever.ZoneName
 	timeFactor  float64
-	slowFactor  float64 // a factor while something is wrong with it
+	slowFactor  float64 // a further factor during EventSlow, else 1
 	up          bool
-	hangs       bool // down, and connections are not reset
+	hangs       bool // down, and connections time out instead of being reset
 	draining    bool
 	incarnation uint64
 	sequence    uint64
 	accepted    uint64
 	fence       uint64
-	held        map[int]map[laburnumlever.AdapterName]bool // adapters by model, true once they are there
-	host        []int                                      // models by their last use, the last first
+	held        map[int]map[laburnumlever.AdapterName]bool // adapters by model, true once loaded
+	host        []int                                      // models by last load, the latest first
 	disk        []int
 	order       *activeOrder
 	batch       batch
-	// reservations are the slots kept for requests that asked for one.
+	// reservations holds the ids of slots reserved for requests on their way.
 	reservations map[int]bool
 	cached       map[cachedPart]bool
 }
 
-// activeOrder is an order that an engine carries out.
+// activeOrder is the order that an engine executes.
 type activeOrder struct {
 	kind        laburnumlever.OrderKind
 	model       int
-	incarnation int // of the engine, so that an end after a crash is known
+	incarnation int // of the engine when it accepted the order
 }
 
 type cachedPart struct {
@@ -56,11 +56,12 @@
 	return e
 }
 
+// scaledTime returns the time that an operation takes on this engine.
 func (e *engine) scaledTime(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * e.timeFactor * e.slowFactor)
 }
 
-// usedWeightsMB is the memory for weights that is taken, in MB.
+// usedWeightsMB returns the accelerator memory taken by weights and adapters, in MB.
 func (e *engine) usedWeightsMB() float64 {
 	total := 0.0
 	for m, adapters := range e.held {
@@ -78,7 +79,7 @@
 	return n
 }
 
-// heartbeat is what it says of itself.
+// heartbeat returns the next heartbeat of the engine.
 func (e *engine) heartbeat() laburnumlever.Heartbeat {
 	e.sequence++
 	h := laburnumlever.Heartbeat{
@@ -94,6 +95,7 @@
 	return h
 }
 
+// models lists the models that the engine serves; one that is being loaded is left out.
 func (e *engine) models() []laburnumlever.HeldModel {
 	var list []laburnumlever.HeldModel
 	for m, adapters := range e.held {
@@ -113,7 +115,7 @@
 	return list
 }
 
-// sendHeartbeat announces itself.
+// sendHeartbeat sends a heartbeat to the control VMs.
 func (e *engine) sendHeartbeat() {
 	if e.up {
 		h := e.heartbeat()
@@ -121,7 +123,7 @@
 	}
 }
 
-// serves tells whether it runs requests for a model and adapter.
+// serves reports whether the engine runs requests for the model and adapter.
 func (e *engine) serves(model int, adapter laburnumlever.AdapterName) bool {
 	adapters, ok := e.held[model]
 	if !ok || (e.order != nil && e.order.model == model) {
@@ -130,7 +132,7 @@
 	return adapter == "" || adapters[adapter]
 }
 
-// admission is why an engine does not take a request.
+// admission is an engine's answer to a request.
 type admission int
 
 const (
@@ -139,7 +141,7 @@
 	engineFull
 )
 
-// accept gives a request a slot, or has it wait.
+// accept assigns a slot to a request, preempts a less urgent one for it, or queues it.
 func (e *engine) accept(r *run, reservation int) admission {
 	if !e.serves(r.attempt.request.model, r.attempt.request.adapter) {
 		return modelAbsent
@@ -159,13 +161,13 @@
 	return admitted
 }
 
-// hasRoom tells whether there is a slot and memory for a request.
+// hasRoom reports whether the engine has a slot and cache memory for a request.
 func (e *engine) hasRoom(r *run) bool {
 	return e.batch.size()+len(e.reservations) < e.sim.scenario.Engines.Slots &&
 		e.batch.usedCacheTokens()+r.attempt.request.promptTokens+r.written <= e.sim.scenario.Engines.CacheTokens
 }
 
-// enqueue queues a request behind the more urgent and those that came before.
+// enqueue queues a request after those of the same or a higher urgency.
 func (e *engine) enqueue(r *run) {
 	at := len(e.batch.waiting)
 	for i, o := range e.batch.waiting {
@@ -186,7 +188,8 @@
 	}
 }
 
-// cachePrompt is how many tokens of a prompt are not cached; they are from now on.
+// cachePrompt caches the prompt of a request and returns how many of its tokens were not cached
+// yet. A part counts as cached only if all parts before it are.
 func (e *engine) cachePrompt(r *run) int {
 	q := r.attempt.request
 	missing, cached := 0, true
@@ -201,7 +204,7 @@
 	return missing
 }
 
-// onAnswerStarted tells the gateway that an answer has begun.
+// onAnswerStarted reports the first event of an answer to the gateway.
 func (e *engine) onAnswerStarted(r *run) {
 	running, waiting := e.batch.size(), len(e.batch.waiting)
 	e.sim.after(e.batch.stepTime()+e.sim.link(e.zone, r.attempt.gateway.zone), func() {
@@ -209,7 +212,7 @@
 	})
 }
 
-// onAnswerWritten tells the gateway that an answer has onAnswerWritten, and takes the next.
+// onAnswerWritten reports a complete answer to the gateway and admits queued requests.
 func (e *engine) onAnswerWritten(r *run) {
 	r.written, r.finished = r.answerTokens, true
 	e.finishUnload()
@@ -217,7 +220,7 @@
 	e.sim.after(e.sim.link(e.zone, r.attempt.gateway.zone), func() { r.attempt.onAnswered(r) })
 }
 
-// cancel ends a request whose caller has left.
+// cancel removes a request whose caller has left.
 func (e *engine) cancel(r *run) {
 	if r.finished {
 		return
@@ -228,7 +231,7 @@
 	e.admit()
 }
 
-// crash ends everything at the engine. A dark one does not reset its connections.
+// crash stops the engine and ends its requests. If dark, connections hang instead of being reset.
 func (e *engine) crash(dark bool) {
 	e.up, e.hangs = false, dark
 	e.held, e.order = map[int]map[laburnumlever.AdapterName]bool{}, nil
@@ -242,7 +245,7 @@
 	}
 }
 
-// restart is a start under the same identity: empty, but for its disk.
+// restart starts the engine again under the same id, with empty memory and the weights on its disk.
 func (e *engine) restart() {
 	e.up, e.hangs, e.incarnation, e.sequence, e.accepted, e.fence = true, false, e.incarnation+1, 0, 0, 0
 	e.sendHeartbeat()
--- a/laburnumsimulation/errors.go
+++ b/laburnumsimulation/errors.go
@@ -7,7 +7,7 @@
 	"laburnumlever"
 )
 
-// ScenarioInvalidError lists all that is wrong with a scenario's file.
+// ScenarioInvalidError lists all faults of a scenario file.
 type ScenarioInvalidError struct{ Faults []laburnumlever.Fault }
 
 func (e *ScenarioInvalidError) Error() string {
@@ -18,12 +18,12 @@
 	return strings.Join(lines, "\n")
 }
 
-// UnknownPolicyError is the name of no policy.
+// UnknownPolicyError means that no policy has the name; Known lists those that exist.
 type UnknownPolicyError struct {
 	Name  string
 	Known []string
 }
 
 func (e *UnknownPolicyError) Error() string {
-	return fmt.Sprintf("policy %q is not one of %s", e.Name, strings.Join(e.Known, ", "))
+	return fmt.Sprintf("unknown policy %q: want one of %s", e.Name, strings.Join(e.Known, ", "))
 }
--- a/laburnumsimulation/gateway.go
+++ b/laburnumsimulation/gateway.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// budgetRatio, budgetSlack and budgetWindow bound the repeats over all gateways: the slack
-	// is that for each gateway.
+	// budgetRatio, budgetSlack and budgetWindow limit retries over all gateways: the ratio of
+	// retries to requests, and the retries beyond it for each gateway in a window.
 	budgetRatio  = 0.2
 	budgetSlack  = 2
 	budgetWindow = 10 * time.Second
-	// dialTimeout is how long a connection to an engine that hangs takes to fail.
+	// dialTimeout is the time until a connection to an engine that hangs fails.
 	dialTimeout = 200 * time.Millisecond
-	// reportPeriod is how often a gateway tells its news, since each answer brings a question.
+	// reportPeriod is the period of a gateway's reports to the director. In production a report
+	// goes with each poll, and each answer is followed by the next poll.
 	reportPeriod = 300 * time.Millisecond
 )
 
-// gateway is one gateway VM with what it knows.
+// gateway is one gateway VM with its own view of the fleet.
 type gateway struct {
 	sim         *simulation
 	id          laburnumlever.VMID
@@ -49,7 +50,7 @@
 	return g
 }
 
-// receiveUpdates takes what control VMs told.
+// receiveUpdates applies records and overlays published by the control VMs.
 func (g *gateway) receiveUpdates(records []laburnumregistry.Record, overlays []laburnumregistry.Overlay) {
 	for _, r := range records {
 		g.table.Set(r)
@@ -60,15 +61,15 @@
 	g.serveQueue()
 }
 
-// sendReport sends its report to the director.
+// sendReport sends the gateway's report to the director unless it is empty.
 func (g *gateway) sendReport() {
 	now := g.sim.now()
-	news := laburnumlever.GatewayNews{
+	report := laburnumlever.GatewayNews{
 		Demand: g.counter.Take(now, g.readTimes), Adapters: g.uses.Take(now), Unreachable: g.table.Unreachable(now),
 		Outcomes: g.table.Outcomes(),
 	}
-	if !news.IsZero() {
-		g.sim.after(g.sim.link(g.zone, ""), func() { g.sim.control.receiveReport(g.id, news) })
+	if !report.IsZero() {
+		g.sim.after(g.sim.link(g.zone, ""), func() { g.sim.control.receiveReport(g.id, report) })
 	}
 }
 
@@ -83,12 +84,13 @@
 	})
 }
 
-// demand is what a request asks for.
+// demand returns a request as the demand counter takes it.
 func (g *gateway) demand(q *request) laburnumdemand.Request {
 	return laburnumdemand.Request{Model: g.sim.models[q.model].name, PromptTokens: q.promptTokens, AnswerTokens: q.answerHint}
 }
 
-// countArrival and ended count a request when it comes, or at its end by a policy that does so.
+// countArrival counts a request when it arrives, countEnd counts it at its end if the policy says
+// so. countEnd also counts requests that were not served.
 func (g *gateway) countArrival(q *request) {
 	if !g.sim.policy.countsAtEnd {
 		g.counter.Received(g.demand(q))
--- a/laburnumsimulation/hindsight.go
+++ b/laburnumsimulation/hindsight.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// lookahead is how far ahead the planner with hindsight knows demand: the time of a load.
+	// lookahead is how far ahead the planner with hindsight knows demand: about the time of a load.
 	lookahead = 4 * time.Second
-	// secondsPerAnswerToken and readShare turn demand into work as the director does.
+	// secondsPerAnswerToken and prefillShare convert request rates into work as the director does.
 	secondsPerAnswerToken = 0.006
 	prefillShare          = 0.5
 )
 
-// hindsight is what no policy can do: the planner knows demand as it will be, and gateways know
-// each engine's load. What it earns bounds what knowing more can bring.
+// hindsight is an upper bound that no real policy can reach: the planner knows future demand, and
+// gateways know the load of each engine. Its value bounds the gain from better information.
 func hindsight() Policy {
-	p := productionPolicy().named("hindsight", "demand known ahead and loads known exactly, as a bound")
+	p := productionPolicy().named("hindsight", "demand known in advance and exact loads, as an upper bound")
 	p.exactLoads = true
 	p.director = func(sim *simulation) []laburnumdirector.Option {
 		return []laburnumdirector.Option{laburnumdirector.WithPlanner(sim.planWithHindsight)}
@@ -28,7 +28,8 @@
 	return p
 }
 
-// planWithHindsight plans for demand as it will be.
+// planWithHindsight plans for the demand expected after lookahead. Before the day starts it uses
+// the demand given.
 func (sim *simulation) planWithHindsight(class *laburnumlever.EngineClass, engines []laburnumresidency.Engine, demand laburnumresidency.Demand, adapters map[laburnumlever.ModelName]int, opts ...laburnumresidency.Option) []laburnumresidency.Step {
 	if sim.startedAt.IsZero() {
 		return laburnumresidency.NextSteps(class, engines, demand, adapters, opts...)
@@ -47,7 +48,7 @@
 	return laburnumresidency.NextSteps(class, engines, work, adapters, append(opts, laburnumresidency.WithRequests(requests))...)
 }
 
-// expectedRates tells the requests a second for each model of a class at a time.
+// expectedRates calls yield with the expected requests per second of each model of a class.
 func (c *workload) expectedRates(class int, at time.Duration, yield func(model int, perSecond float64)) {
 	cl := c.sim.scenario.Classes[class]
 	list := c.modelsByRank[class]
@@ -57,20 +58,21 @@
 	}
 	cumulated := c.sim.cumulativeWeights(active, cl.Skew)
 	rate := c.rate(class, at)
-	moved := 0
+	offset := 0
 	for _, s := range c.shifts {
 		if at >= s.at+s.length/2 {
-			moved += s.ranks
+			offset += s.ranks
 		}
 	}
 	before := 0.0
 	for rank := range active {
-		yield(list[(rank+moved)%len(list)], rate*(cumulated[rank]-before)/cumulated[active-1])
+		yield(list[(rank+offset)%len(list)], rate*(cumulated[rank]-before)/cumulated[active-1])
 		before = cumulated[rank]
 	}
 }
 
-// observeExactLoads has a gateway know the load of all engines that hold a model.
+// observeExactLoads updates the gateway's table with the current load of all engines that hold the
+// model.
 func (g *gateway) observeExactLoads(model int) {
 	for _, e := range g.sim.engines {
 		if _, holds := e.held[model]; holds && e.up {
--- a/laburnumsimulation/load.go
+++ b/laburnumsimulation/load.go
@@ -16,7 +16,8 @@
 	defaultHeartbeat = 1200 * time.Millisecond
 )
 
-// Load reads a scenario. All that is wrong is listed in one *ScenarioInvalidError.
+// Load reads a scenario file and applies defaults. An error is a *ScenarioInvalidError that lists
+// all faults.
 func Load(path string) (Scenario, error) {
 	s := Scenario{
 		Links:   Links{Near: laburnumlever.Duration(defaultNear), Far: laburnumlever.Duration(defaultFar), Callers: laburnumlever.Duration(defaultCallers)},
@@ -33,7 +34,7 @@
 	return s, nil
 }
 
-// check lists what no day could be played with.
+// check lists the values that can't be simulated.
 func (s Scenario) check(path string) []laburnumlever.Fault {
 	var faults []laburnumlever.Fault
 	require := func(ok bool, key, problem, want string) {
@@ -41,7 +42,7 @@
 			faults = append(faults, laburnumlever.Fault{File: path, Line: 1, Key: key, Problem: problem, Want: want})
 		}
 	}
-	require(s.Length > 0, "length", "is not positive", "a time such as \"60s\"")
+	require(s.Length > 0, "length", "is not positive", "a duration such as \"60s\"")
 	require(len(s.Zones) > 0, "zones", "is empty", "one zone or more")
 	require(s.Engines.Count > 0, "engines.count", "is not positive", "a number of engines")
 	require(s.Engines.Slots > 0, "engines.slots", "is not positive", "a number of slots")
@@ -51,21 +52,21 @@
 	require(s.Models.Count > 0, "models.count", "is not positive", "a number of models")
 	require(len(s.Models.Kinds) > 0, "models.kinds", "is empty", "one kind or more")
 	for i, k := range s.Models.Kinds {
-		require(k.WeightsMB <= s.Engines.WeightsMB, fmt.Sprintf("models.kinds[%d].weights-mb", i), "is more than an engine has", "at most engines.weights-mb")
+		require(k.WeightsMB <= s.Engines.WeightsMB, fmt.Sprintf("models.kinds[%d].weights-mb", i), "exceeds the memory of an engine", "at most engines.weights-mb")
 	}
 	for i, z := range s.Zones {
 		require(z.Gateways > 0, fmt.Sprintf("zones[%d].gateways", i), "is not positive", "one gateway or more")
 	}
 	for i, c := range s.Classes {
 		key := fmt.Sprintf("classes[%d]", i)
-		require(c.From >= 0 && c.From <= c.To && c.To < s.Models.Count, key+".to", "names models that do not exist", "0 <= from <= to < models.count")
-		require(len(c.SharedTokens) == len(c.SharedKinds), key+".shared-kinds", "has not as many entries as shared-tokens", "one number for each")
+		require(c.From >= 0 && c.From <= c.To && c.To < s.Models.Count, key+".to", "is not the end of a range of existing models", "0 <= from <= to < models.count")
+		require(len(c.SharedTokens) == len(c.SharedKinds), key+".shared-kinds", "differs in length from shared-tokens", "one number for each")
 	}
 	for i, e := range s.Events {
 		key := fmt.Sprintf("events[%d]", i)
-		require(e.Share >= 0 && e.Share <= 1, key+".share", "is not a share", "0 to 1")
+		require(e.Share >= 0 && e.Share <= 1, key+".share", "is not between 0 and 1", "a share of the engines from 0 to 1")
 		require(e.Kind != EventBurst && e.Kind != EventSlow || e.Factor > 0, key+".factor", "is not positive", "a factor such as 2")
-		require(e.Kind != EventShift || e.Places != 0, key+".places", "is 0", "by how many places demand moves")
+		require(e.Kind != EventShift || e.Places != 0, key+".places", "is 0", "the number of ranks by which demand shifts")
 	}
 	return faults
 }
--- a/laburnumsimulation/orders.go
+++ b/laburnumsimulation/orders.go
@@ -8,16 +8,16 @@
 	"laburnumlever"
 )
 
-// reservationTTL is how long a slot is kept for a request that asked for it.
+// reservationTTL is the time after which an unused reservation of a slot expires.
 const reservationTTL = 100 * time.Millisecond
 
-// engineClient carries the director's calls to the engines.
+// engineClient implements laburnumlever.ModelEngines for the director, without a network.
 type engineClient struct{ sim *simulation }
 
-// DownError is an engine that takes no connection.
+// EngineUnreachableError means that an engine is down and refused the connection.
 type DownError struct{ Backend laburnumlever.BackendID }
 
-func (e *DownError) Error() string { return string(e.Backend) + " takes no connection" }
+func (e *DownError) Error() string { return string(e.Backend) + " refused the connection" }
 
 // State implements laburnumlever.ModelEngines.
 func (c engineClient) State(_ context.Context, to laburnumlever.Heartbeat) (laburnumlever.EngineState, error) {
@@ -38,7 +38,7 @@
 	return e.execute(o), nil
 }
 
-// execute takes an order by the platform's rules.
+// execute accepts or rejects an order by the rules of the platform.
 func (e *engine) execute(o laburnumlever.EngineOrder) laburnumlever.EngineVerdict {
 	switch {
 	case o.Fence < e.fence:
@@ -65,7 +65,8 @@
 	return laburnumlever.VerdictAccepted
 }
 
-// startLoad brings a model in, from wherever its weights are nearest.
+// startLoad loads a model from host memory, from disk or from the weight store, the fastest that
+// has it. Loads from the store slow down when more run than it serves at full speed.
 func (e *engine) startLoad(m int) {
 	sim, kind := e.sim, e.sim.models[m].kind
 	e.held[m] = map[laburnumlever.AdapterName]bool{}
@@ -102,13 +103,14 @@
 	})
 }
 
-// cacheWeights keeps a loaded model's weights in host memory and on disk, in the place of those
-// not used for longest.
+// cacheWeights keeps the weights of a loaded model in host memory and on disk, and drops those
+// loaded least recently.
 func (e *engine) cacheWeights(m int) {
 	e.host = e.insertLRU(e.host, m, e.sim.scenario.Engines.HostMB)
 	e.disk = e.insertLRU(e.disk, m, e.sim.scenario.Engines.DiskMB)
 }
 
+// insertLRU puts a model at the head of a tier and cuts the tier off at its capacity in MB.
 func (e *engine) insertLRU(tier []int, m int, most float64) []int {
 	tier = slices.DeleteFunc(tier, func(o int) bool { return o == m })
 	tier = slices.Insert(tier, 0, m)
@@ -121,7 +123,7 @@
 	return tier
 }
 
-// refuseQueued refuses the requests for a model that have not started.
+// refuseQueued refuses the queued requests for a model that have not started.
 func (e *engine) refuseQueued(m int) {
 	e.batch.waiting = slices.DeleteFunc(e.batch.waiting, func(r *run) bool {
 		if r.attempt.request.model != m || r.started {
@@ -133,7 +135,7 @@
 	})
 }
 
-// finishUnload ends an unload once no request uses the model.
+// finishUnload completes an unload once no request uses the model.
 func (e *engine) finishUnload() {
 	if e.order == nil || e.order.kind != laburnumlever.Unload {
 		return
@@ -153,6 +155,7 @@
 	e.sendHeartbeat()
 }
 
+// executeAdapter loads or unloads an adapter; an unload takes effect at once.
 func (e *engine) executeAdapter(o laburnumlever.EngineOrder, m int) laburnumlever.EngineVerdict {
 	adapters, holds := e.held[m]
 	if _, there := adapters[o.Adapter]; !holds || there == (o.Kind == laburnumlever.Load) {
@@ -176,8 +179,8 @@
 	return laburnumlever.VerdictAccepted
 }
 
-// reserve keeps a slot for a request that follows, and returns its number; 0 where none is
-// free.
+// reserve reserves a slot for a request on its way and returns the id of the reservation, or 0 if
+// no slot is free.
 func (e *engine) reserve(q *request) int {
 	if e.batch.size()+len(e.reservations) >= e.sim.scenario.Engines.Slots ||
 		e.batch.usedCacheTokens()+q.promptTokens > e.sim.scenario.Engines.CacheTokens {
--- a/laburnumsimulation/outcome.go
+++ b/laburnumsimulation/outcome.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// windowLength is the length of the windows of which the worst two count.
+// windowLength is the length of the windows of a day; WorstWindows is the mean of the worstWindows
+// worst of them.
 const (
 	windowLength = 2 * time.Second
 	worstWindows = 2
-	// freeRefusalShare of its target is how long a request may be held before it is refused at no
-	// cost; a refusal at lateRefusal of the caller's time costs the whole worth.
+	// A refusal within freeRefusalShare of the class's target costs nothing beyond the lost worth.
+	// After that the penalty grows; it is the whole worth from lateRefusalShare of the timeout on.
 	freeRefusalShare = 0.125
 	lateRefusalShare = 0.75
 )
 
-// worthShare is the worth earned of that owed.
+// worthShare is the worth earned of that possible.
 type worthShare struct{ Earned, Owed float64 }
 
 func (s worthShare) value() float64 {
@@ -25,41 +26,44 @@
 	return s.Earned / s.Owed
 }
 
-// Outcome is what became of a day's requests.
+// Outcome is the result of one simulated day.
 type Outcome struct {
-	// Value is what counts, by the scenario's weights.
+	// Value is the score of the day by the scenario's weights.
 	Value float64 `json:"value"`
-	// Day, WorstWindows, WorstClass and WorstZone are shares of the worth.
+	// Day, WorstWindows, WorstClass and WorstZone are shares of the possible worth earned over the
+	// whole day and in the worst windows, class and zone.
 	Day          float64 `json:"day"`
 	WorstWindows float64 `json:"worst-windows"`
 	WorstClass   float64 `json:"worst-class"`
 	WorstZone    float64 `json:"worst-zone"`
-	// Asked counts requests, OnTime, Late, Refused and Failed how they ended.
+	// Requests counts all requests, OnTime, Late, Refused and Failed those that ended so.
 	Asked   int `json:"asked"`
 	OnTime  int `json:"on-time"`
 	Late    int `json:"late"`
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
-	// LateFirst and LatePause are the late ones by what was late.
+	// LateFirst counts answers that started late, LatePause those with too long a pause.
 	LateFirst int `json:"late-first"`
 	LatePause int `json:"late-pause"`
-	// Reasons count those refused or failed.
+	// Reasons counts refused and failed requests by reason.
 	Reasons map[string]int `json:"reasons"`
-	// Retries are callers that came back, Preempted answers that were interrupted.
+	// Retries counts retries by callers, Preempted preemptions of running answers.
 	Retries    int `json:"retries"`
 	Preempted  int `json:"preempted"`
 	Orders     int `json:"orders"`
 	Loads      int `json:"loads"`
 	StoreLoads int `json:"store-loads"`
-	// Overcommitted counts orders for more than an engine holds, which must not be.
+	// Overcommitted counts orders that exceed the memory or adapter slots of an engine. It must be
+	// 0.
 	Overcommitted int `json:"overcommitted"`
-	// LateRefusals is the worth lost to refusals that came late, as a share of all.
+	// LateRefusals is the penalty for late refusals as a share of the possible worth.
 	LateRefusals float64 `json:"late-refusals"`
-	// Windows are the shares by the time at which requests came.
+	// Windows holds the share of worth earned by window of arrival; windows without requests are
+	// left out.
 	Windows []float64 `json:"windows"`
 }
 
-// tally adds up what became of requests.
+// tally accumulates the outcome of a day.
 type tally struct {
 	scenario         Scenario
 	total            worthShare
@@ -79,9 +83,9 @@
 }
 
 func (t *tally) add(q *request, earned float64) {
-	owed := q.worth()
+	possible := q.worth()
 	t.Asked++
-	add := func(s worthShare) worthShare { return worthShare{Earned: s.Earned + earned, Owed: s.Owed + owed} }
+	add := func(s worthShare) worthShare { return worthShare{Earned: s.Earned + earned, Owed: s.Owed + possible} }
 	t.total = add(t.total)
 	w := int(q.createdAt.Sub(q.sim.startedAt) / windowLength)
 	t.windows[w] = add(t.windows[w])
@@ -89,7 +93,7 @@
 	t.zones[q.zone] = add(t.zones[q.zone])
 }
 
-// recordServed notes a whole answer.
+// recordServed records a request with a complete answer.
 func (t *tally) recordServed(q *request, a *attempt) {
 	first, pause := a.firstAt.Sub(q.createdAt), a.pause
 	switch {
@@ -107,7 +111,7 @@
 	t.add(q, q.worth()*q.class.LateWorth/q.class.Worth)
 }
 
-// recordUnserved notes a request without an answer.
+// recordUnserved records a request without a complete answer.
 func (t *tally) recordUnserved(q *request, a *attempt, why string, refused bool) {
 	t.Reasons[why]++
 	t.add(q, 0)
@@ -116,15 +120,15 @@
 		return
 	}
 	t.Refused++
-	held := a.sim().now().Sub(a.arrived)
+	waited := a.sim().now().Sub(a.arrived)
 	free := time.Duration(freeRefusalShare * float64(q.class.Target))
-	most := time.Duration(lateRefusalShare * float64(q.class.Timeout))
-	if held > free {
-		t.lateRefusalWorth += q.worth() * min(1, float64(held-free)/float64(most-free))
+	limit := time.Duration(lateRefusalShare * float64(q.class.Timeout))
+	if waited > free {
+		t.lateRefusalWorth += q.worth() * min(1, float64(waited-free)/float64(limit-free))
 	}
 }
 
-// result is the day's outcome.
+// result returns the outcome of the day.
 func (t *tally) result() Outcome {
 	o := t.Outcome
 	o.Orders, o.Loads, o.StoreLoads, o.Preempted, o.Retries, o.Overcommitted = t.orders, t.loads, t.storeLoads, t.preempted, t.retries, t.overcommitted
--- a/laburnumsimulation/plot.go
+++ b/laburnumsimulation/plot.go
@@ -6,18 +6,18 @@
 	"github.com/wcharczuk/go-chart/v2"
 )
 
-// The picture's size in pixels.
+// The size of the chart in pixels.
 const (
 	chartWidth  = 1000
 	chartHeight = 400
 )
 
-// WriteSVG draws the share of the worth that each policy earned over the day, the mean of its
-// days. An error is the library's or the writer's.
+// WriteSVG draws the share of worth that each policy earned over the day, as the mean over the
+// simulated days. An error is the library's or the writer's.
 func (t Table) WriteSVG(w io.Writer) error {
 	graph := chart.Chart{
-		Title: t.Scenario + ": worth earned, by when requests came", Width: chartWidth, Height: chartHeight,
-		XAxis: chart.XAxis{Name: "seconds"}, YAxis: chart.YAxis{Name: "share of the worth", Range: &chart.ContinuousRange{Max: 1}},
+		Title: t.Scenario + ": worth earned by arrival time", Width: chartWidth, Height: chartHeight,
+		XAxis: chart.XAxis{Name: "seconds"}, YAxis: chart.YAxis{Name: "share of worth", Range: &chart.ContinuousRange{Max: 1}},
 	}
 	for _, r := range t.Rows {
 		graph.Series = append(graph.Series, r.series())
@@ -26,7 +26,7 @@
 	return graph.Render(chart.SVG, w)
 }
 
-// series is the mean of the days' windows, each drawn at its beginning.
+// series returns the mean over the days of each window, drawn at the start of the window.
 func (r Row) series() chart.Series {
 	s := chart.ContinuousSeries{Name: r.Policy}
 	for i := range r.Days[0].Windows {
--- a/laburnumsimulation/policy.go
+++ b/laburnumsimulation/policy.go
@@ -10,28 +10,29 @@
 	"laburnumlever/laburnumslotqueue"
 )
 
-// Policy is a way to place, balance and queue.
+// Policy is a set of options for placement, load balancing and queueing.
 type Policy struct {
 	// Name and Summary are for operators.
 	Name, Summary string
 	balance       []laburnumbalance.Option
 	waitPolicy    laburnumslotqueue.Policy
 	director      func(sim *simulation) []laburnumdirector.Option
-	// strictOrder serves queues strictly in turn.
+	// strictOrder serves the gateways' queues strictly in order.
 	strictOrder bool
-	// countsAtEnd counts demand when requests end.
+	// countsAtEnd counts demand when requests end instead of when they arrive.
 	countsAtEnd bool
-	// preempts has engines preempt the less urgent.
+	// preempts has engines preempt less urgent requests.
 	preempts bool
-	// skipsReservations sends requests to engines with stale loads without a reservation.
+	// skipsReservations sends requests without a reservation to engines whose load is not known
+	// exactly.
 	skipsReservations bool
-	// exactLoads has gateways know the load of each engine.
+	// exactLoads gives gateways the current load of each engine.
 	exactLoads bool
 }
 
 func noOptions(*simulation) []laburnumdirector.Option { return nil }
 
-// productionPolicy is the policy in production.
+// productionPolicy returns the policy used in production.
 func productionPolicy() Policy {
 	return Policy{
 		Name: "today", Summary: "the policy in production", waitPolicy: laburnumslotqueue.DefaultPolicy(), director: noOptions,
@@ -63,40 +64,40 @@
 	return p
 }
 
-// Policies are all that can be compared: the one in production, others that were tried, and
-// bounds.
+// Policies returns all policies that can be compared: the production policy, experimental variants
+// of it, and an upper bound.
 func Policies() []Policy {
 	return []Policy{
 		productionPolicy(),
 		proportional(),
 		hindsight(),
-		productionPolicy().named("no-quiet", "models that nobody asks for keep their copy").withDirector(laburnumdirector.WithQuietTime(never)),
-		productionPolicy().named("no-displacement", "last copies are evicted only where nobody asks for them").
+		productionPolicy().named("no-quiet", "models without demand keep their copies").withDirector(laburnumdirector.WithQuietTime(never)),
+		productionPolicy().named("no-displacement", "the last copy of a model is evicted only if the model has no demand").
 			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithDisplacement(false))),
-		productionPolicy().named("no-fill", "free memory stays free").
+		productionPolicy().named("no-fill", "free memory is not filled with further copies").
 			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithFill(false))),
-		productionPolicy().named("eager", "changes are made for any gain").
+		productionPolicy().named("eager", "copies are moved for a small gain").
 			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithMinGain(eagerMinGain))),
-		productionPolicy().named("evict-more", "copies are evicted for others with one and a half times their work").
+		productionPolicy().named("evict-more", "a copy is evicted for one with 1.5 times its work").
 			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithEvictShare(evictMoreShare))),
-		productionPolicy().named("slow-demand", "demand is followed within 1.5 s up and 6 s down").withDirector(laburnumdirector.WithDemandTimes(defaultRise, slowFall)),
-		productionPolicy().named("fast-demand", "demand is followed within 0.5 s up and 0.75 s down").withDirector(laburnumdirector.WithDemandTimes(fastRise, fastFall)),
-		productionPolicy().named("long-wait", "requests wait for three quarters of their callers' patience").withWaitPolicy(laburnumslotqueue.DefaultPolicy().WithWaitShare(longWaitShare)),
-		productionPolicy().named("soon", "refused callers are told to come back after half a second, or a second if no engine holds the model").
+		productionPolicy().named("slow-demand", "demand estimates rise within 1.5 s and fall within 6 s").withDirector(laburnumdirector.WithDemandTimes(defaultRise, slowFall)),
+		productionPolicy().named("fast-demand", "demand estimates rise within 0.5 s and fall within 0.75 s").withDirector(laburnumdirector.WithDemandTimes(fastRise, fastFall)),
+		productionPolicy().named("long-wait", "requests queue for three quarters of their callers' patience").withWaitPolicy(laburnumslotqueue.DefaultPolicy().WithWaitShare(longWaitShare)),
+		productionPolicy().named("soon", "refused callers are told to retry after 0.5 s, or 1 s if no engine holds the model").
 			withWaitPolicy(laburnumslotqueue.DefaultPolicy().WithRetryAfter(shortRetryFull, shortRetryAbsent)),
 		productionPolicy().named("engine-queue", "requests queue at engines up to a fifth of their slots, without reservations").
 			modified(func(p *Policy) { p.skipsReservations = true }).withBalance(laburnumbalance.WithFreeShare(-engineQueueShare)),
-		productionPolicy().named("no-reservations", "requests are sent to engines with stale loads").modified(func(p *Policy) { p.skipsReservations = true }),
-		productionPolicy().named("in-turn", "the queue is served strictly in turn").modified(func(p *Policy) { p.strictOrder = true }),
-		productionPolicy().named("urgency", "engines preempt the less urgent for the more urgent").modified(func(p *Policy) { p.preempts = true }),
+		productionPolicy().named("no-reservations", "requests are sent without a reservation to engines with stale loads").modified(func(p *Policy) { p.skipsReservations = true }),
+		productionPolicy().named("in-turn", "queues are served strictly in order").modified(func(p *Policy) { p.strictOrder = true }),
+		productionPolicy().named("urgency", "engines preempt less urgent requests for more urgent ones").modified(func(p *Policy) { p.preempts = true }),
 		productionPolicy().named("count-ends", "demand is counted when answers end").modified(func(p *Policy) { p.countsAtEnd = true }),
 	}
 }
 
 const (
-	// never is longer than any day.
+	// never disables a time limit: it is longer than any simulated day.
 	never = 24 * time.Hour
-	// The rest are figures of policies that are compared with today's.
+	// Parameters of the variants.
 	eagerMinGain     = 0.05
 	evictMoreShare   = 0.66
 	defaultRise      = 1500 * time.Millisecond
@@ -113,7 +114,7 @@
 	return laburnumdirector.WithPlannerOptions(laburnumresidency.WithPolicy(policy))
 }
 
-// PolicyNamed finds a policy. An error is an *UnknownPolicyError.
+// PolicyNamed returns the policy with the name. An error is an *UnknownPolicyError.
 func PolicyNamed(name string) (Policy, error) {
 	policies := Policies()
 	i := slices.IndexFunc(policies, func(p Policy) bool { return p.Name == name })
--- a/laburnumsimulation/proportional.go
+++ b/laburnumsimulation/proportional.go
@@ -9,15 +9,15 @@
 	"laburnumlever/laburnumresidency"
 )
 
-// proportional is a plain policy to compare with: each model has copies in proportion to its
-// work, at least one, wherever there is room.
+// proportional is a simple baseline: each model has at least one copy, and further copies in
+// proportion to its demand as far as memory allows.
 func proportional() Policy {
 	return productionPolicy().named("proportional", "copies in proportion to demand, as many as there is room for").
 		withDirector(laburnumdirector.WithPlanner(planProportional))
 }
 
-// planProportional takes one step at each idle engine: it loads the model that lacks most copies,
-// or unloads the one that has most beyond its part.
+// planProportional plans one step for each idle engine: it loads the model with the largest deficit
+// of copies, or unloads the one with the largest surplus to make room for it.
 func planProportional(class *laburnumlever.EngineClass, engines []laburnumresidency.Engine, demand laburnumresidency.Demand, _ map[laburnumlever.ModelName]int, _ ...laburnumresidency.Option) []laburnumresidency.Step {
 	p := newProportions(class, engines, demand)
 	var steps []laburnumresidency.Step
@@ -45,7 +45,7 @@
 	return steps
 }
 
-// proportions are the copies that models have and should have.
+// proportions holds the number of copies that each model has, and its target.
 type proportions struct {
 	models  map[laburnumlever.ModelName]laburnumlever.ResidentClass
 	names   []laburnumlever.ModelName
@@ -81,20 +81,23 @@
 	return p
 }
 
-// largestDeficit is the model that lacks most copies of those that an engine does not hold.
+// largestDeficit returns the model furthest below its target among those that the engine does not
+// hold.
 func (p proportions) largestDeficit(e *laburnumresidency.Engine) (laburnumlever.ModelName, bool) {
 	return p.argMax(func(m laburnumlever.ModelName) (float64, bool) {
 		return p.targets[m] - p.copies[m], !e.Holds(m) && p.targets[m]-p.copies[m] >= 0.5
 	})
 }
 
-// largestSurplus is the model that has most copies beyond its part of those that an engine holds.
+// largestSurplus returns the model furthest above its target among those that the engine serves.
+// The last copy of a model stays.
 func (p proportions) largestSurplus(e *laburnumresidency.Engine) (laburnumlever.ModelName, bool) {
 	return p.argMax(func(m laburnumlever.ModelName) (float64, bool) {
 		return p.copies[m] - p.targets[m], e.Serves(m) && p.copies[m] >= 2 && p.copies[m]-p.targets[m] >= 0.5
 	})
 }
 
+// argMax returns the model with the largest weight; ties go to the first in the catalogue.
 func (p proportions) argMax(weight func(m laburnumlever.ModelName) (float64, bool)) (laburnumlever.ModelName, bool) {
 	var best laburnumlever.ModelName
 	most, found := 0.0, false
--- a/laburnumsimulation/scenario.go
+++ b/laburnumsimulation/scenario.go
@@ -6,34 +6,35 @@
 
 //go:generate go tool -modfile=../tools/go.mod enumer -type=EventKind -transform=kebab -trimprefix=Event -text -json -output=enums_gen.go
 
-// EventKind is something that happens during a day.
+// EventKind is the kind of a scheduled event.
 type EventKind int
 
 // The kinds of events.
 const (
-	// EventShift moves demand on by Places in the list of models over For.
+	// EventShift moves demand by Places ranks in the list of models, gradually over For.
 	EventShift EventKind = iota
-	// EventBurst multiplies the requests of a class, or of all, by Factor for For.
+	// EventBurst multiplies the request rate of a class, or of all classes, by Factor for For.
 	EventBurst
-	// EventCrash stops a Share of the engines for For; they start again empty, with what is on
-	// their disk.
+	// EventCrash stops a Share of the engines for For. They restart with empty memory and keep what
+	// is on disk.
 	EventCrash
-	// EventDark is EventCrash without a reset: connections hang.
+	// EventDark is EventCrash without connection resets: connections hang.
 	EventDark
-	// EventGone takes a Share of the engines away for good.
+	// EventGone removes a Share of the engines for good.
 	EventGone
-	// EventDrain has a Share of the engines leave in good order.
+	// EventDrain drains a Share of the engines; they leave once their answers are complete.
 	EventDrain
 	// EventSlow makes a Share of the engines Factor times slower for For.
 	EventSlow
-	// EventNoOrders leaves the fleet without a director for For.
+	// EventNoOrders leaves the fleet without a placement lease, so that no orders are sent, for
+	// For.
 	EventNoOrders
 )
 
-// Scenario is a fleet, its callers and what happens on one day.
+// Scenario describes a fleet, its callers and the events of one day.
 type Scenario struct {
 	Name string `json:"name" required:"true"`
-	// Length is how long callers ask.
+	// Length is how long callers send requests.
 	Length  laburnumlever.Duration `json:"length" required:"true"`
 	Zones   []Zone                 `json:"zones" required:"true"`
 	Links   Links                  `json:"links"`
@@ -49,78 +50,80 @@
 type Zone struct {
 	Name     laburnumlever.ZoneName `json:"name" required:"true"`
 	Gateways int                    `json:"gateways" required:"true"`
-	// Share is its part of all callers.
+	// Share is its share of all requests, relative to the sum over all zones.
 	Share float64 `json:"share" required:"true"`
 }
 
-// Links are the delays one way.
+// Links holds one-way network delays.
 type Links struct {
-	// Near is within a zone, Far between two, Callers to a gateway.
+	// Near is the delay within a zone, Far between zones, Callers between a caller and a gateway.
 	Near    laburnumlever.Duration `json:"near"`
 	Far     laburnumlever.Duration `json:"far"`
 	Callers laburnumlever.Duration `json:"callers"`
 }
 
-// Engines are the model engines of the fleet.
+// Engines describes the model engines of the fleet.
 type Engines struct {
 	Count int `json:"count" required:"true"`
-	// Slots is how many requests an engine runs at once, Queue how many more wait there.
+	// Slots is the number of requests that an engine runs at once, Queue the number that may wait
+	// there.
 	Slots int `json:"slots" required:"true"`
 	Queue int `json:"queue"`
-	// Step is the time of one token for all requests in the batch, StepPerSlot what each of
-	// them adds.
+	// Step is the time of a decode step, which writes one token for every request in the batch;
+	// StepPerSlot is added for each of these requests.
 	Step        laburnumlever.Duration `json:"step" required:"true"`
 	StepPerSlot laburnumlever.Duration `json:"step-per-slot"`
-	// ReadTokensPerMS is how many tokens of prompts are read in a millisecond.
+	// ReadTokensPerMS is the prefill rate in prompt tokens per millisecond.
 	ReadTokensPerMS float64 `json:"read-tokens-per-ms" required:"true"`
-	// ChunkTokens is how much of the prompts is read in one step.
+	// ChunkTokens is the largest number of prompt tokens prefilled in one step.
 	ChunkTokens int `json:"chunk-tokens"`
-	// EventTokens is how many tokens an event of a stream holds.
+	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int `json:"event-tokens"`
-	// CacheTokens is the memory for running requests.
+	// CacheTokens is the KV cache memory for running requests, in tokens.
 	CacheTokens  int     `json:"cache-tokens" required:"true"`
 	WeightsMB    float64 `json:"weights-mb" required:"true"`
 	HostMB       float64 `json:"host-mb"`
 	DiskMB       float64 `json:"disk-mb"`
 	AdapterSlots int     `json:"adapter-slots"`
-	// Speeds are factors of the time that engines take; they take turns.
+	// Speeds are factors of the time that engines take: 2 is half as fast. Engines are assigned the
+	// factors in turn.
 	Speeds []float64 `json:"speeds"`
-	// Heartbeat is the period of their announcements.
+	// Heartbeat is the period of heartbeats.
 	Heartbeat laburnumlever.Duration `json:"heartbeat"`
 }
 
 // Store is the weight store.
 type Store struct {
 	LoadsPerSecond float64 `json:"loads-per-second" required:"true"`
-	// FullSpeed is how many loads at once are not slowed.
+	// FullSpeed is the number of parallel loads that run at full speed; 0 is no limit.
 	FullSpeed int `json:"full-speed"`
 }
 
-// Models are those of the catalogue, in the order of their demand at the start.
+// Models describes the catalogue. Models are ordered by demand at the start of the day.
 type Models struct {
 	Count int `json:"count" required:"true"`
-	// Kinds take turns.
+	// Kinds are assigned to models in turn.
 	Kinds []ModelKind `json:"kinds" required:"true"`
 }
 
-// ModelKind is what models of one kind have in common.
+// ModelKind holds the properties that models of a kind share.
 type ModelKind struct {
 	WeightsMB  float64                `json:"weights-mb" required:"true"`
 	StoreLoad  laburnumlever.Duration `json:"store-load" required:"true"`
 	DiskLoad   laburnumlever.Duration `json:"disk-load" required:"true"`
 	MemoryLoad laburnumlever.Duration `json:"memory-load" required:"true"`
-	// Pace is a factor of the time to read prompts.
+	// Pace is a factor of the prefill time; 0 means 1.
 	Pace        float64                `json:"pace"`
 	Adapters    int                    `json:"adapters"`
 	AdapterMB   float64                `json:"adapter-mb"`
 	AdapterLoad laburnumlever.Duration `json:"adapter-load"`
 }
 
-// Class is one kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name      string  `json:"name" required:"true"`
 	PerSecond float64 `json:"per-second" required:"true"`
-	// Worth is that of an answer on time, LateWorth that of a later one.
+	// Worth is the value of an answer on time, LateWorth that of a late answer.
 	Worth     float64 `json:"worth" required:"true"`
 	LateWorth float64 `json:"late-worth"`
 	// Target is the time to the first event, PauseTarget that between two.
@@ -139,19 +142,19 @@
 	From   int `json:"from"`
 	To     int `json:"to" required:"true"`
 	Active int `json:"active"`
-	// Skew is how unevenly models are asked for: 0 evenly, 1 as Zipf's law.
+	// Skew is the exponent of the Zipf distribution of demand over models: 0 is uniform.
 	Skew float64 `json:"skew"`
-	// SharedTokens are the lengths of the parts of a prompt that many requests share, each with
-	// SharedKinds variants.
+	// SharedTokens holds the lengths of prompt parts that requests share, SharedKinds the number of
+	// variants of each.
 	SharedTokens []int `json:"shared-tokens"`
 	SharedKinds  []int `json:"shared-kinds"`
 	Prompt       Size  `json:"prompt"`
 	Answer       Size  `json:"answer"`
-	// AdapterShare is the part of the requests that use an adapter, where the model has any.
+	// AdapterShare is the share of requests that use an adapter, if the model has any.
 	AdapterShare float64 `json:"adapter-share"`
 }
 
-// Size is a number of tokens, distributed log-normally.
+// Size is a log-normal distribution of a number of tokens, cut off at Most unless that is 0.
 type Size struct {
 	Mean float64 `json:"mean" required:"true"`
 	// Spread is the standard deviation of the logarithm.
@@ -159,7 +162,7 @@
 	Most   float64 `json:"most"`
 }
 
-// Event is something that happens.
+// Event is an event of the day. Which other fields apply depends on Kind.
 type Event struct {
 	At     laburnumlever.Duration `json:"at" required:"true"`
 	Kind   EventKind              `json:"kind" required:"true"`
@@ -170,14 +173,14 @@
 	Places int                    `json:"places"`
 }
 
-// Value is what counts, as weights of shares of the worth that is owed.
+// Value holds the weights of the score of a day.
 type Value struct {
 	Day          float64 `json:"day"`
 	WorstWindows float64 `json:"worst-windows"`
 	WorstClass   float64 `json:"worst-class"`
 	WorstZone    float64 `json:"worst-zone"`
-	// LateRefusal is taken off for the worth of requests that were refused late, Load for each
-	// load of weights a thousand requests.
+	// LateRefusal is subtracted for late refusals, in proportion to the worth of the refused
+	// requests; Load for each load of weights per 1000 requests.
 	LateRefusal float64 `json:"late-refusal"`
 	Load        float64 `json:"load"`
 }
--- a/laburnumsimulation/simulation.go
+++ b/laburnumsimulation/simulation.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// warmUpTime is how long the fleet runs before callers come, endTime how long after they
-	// stop, so that their answers end.
+	// warmUpTime is how long the fleet runs before the first request, coolDownTime how long after
+	// the last timeout, so that answers end.
 	warmUpTime   = 8 * time.Second
 	coolDownTime = 4 * time.Second
-	// drainTime is how long an engine that leaves goes on serving.
+	// drainTime is how long a draining engine keeps serving at least, and the period in which it is
+	// then checked for running requests.
 	drainTime = 3 * time.Second
 )
 
-// simulation is one day.
+// simulation is the state of one simulated day.
 type simulation struct {
 	scenario   Scenario
 	policy     Policy
 	timers     *clock
-	startedAt  time.Time // when callers begin
+	startedAt  time.Time // when the first request may arrive
 	random     *rand.Rand
 	models     []model
 	modelIndex map[laburnumlever.ModelName]int
@@ -36,8 +37,8 @@
 	control    *control
 	workload   *workload
 	outcome    *tally
-	storeLoads int // under way
-	// reservations counts those ever made.
+	storeLoads int // running now
+	// reservations counts all reservations made; the count is the id of the latest.
 	reservations int
 	totalShare   float64
 	weights      map[weightKey][]float64
@@ -60,7 +61,8 @@
 	return m.kind.Pace
 }
 
-// Run plays a day. The same scenario, policy and seed give the same outcome.
+// Run simulates a day. It is deterministic: the same scenario, policy and seed give the same
+// outcome.
 func Run(s Scenario, p Policy, seed uint64) Outcome {
 	sim := newSimulation(s, p, seed)
 	sim.timers.advance(warmUpTime)
@@ -120,7 +122,7 @@
 	}
 }
 
-// scheduleHeartbeats has an engine send heartbeats.
+// scheduleHeartbeats starts the heartbeats of an engine with a random phase.
 func (sim *simulation) scheduleHeartbeats(e *engine) {
 	period := time.Duration(sim.scenario.Engines.Heartbeat)
 	sim.after(time.Duration(sim.random.Int64N(int64(period))), func() {
@@ -129,7 +131,8 @@
 	})
 }
 
-// placeModels gives each model an engine, and the rest of the room to those asked for most.
+// placeModels places one copy of each model, and fills the remaining memory with copies of the
+// models with the highest demand per copy.
 func (sim *simulation) placeModels() {
 	demand := sim.answerTokensPerSecond()
 	byDemand := make([]int, len(sim.models))
@@ -152,7 +155,8 @@
 	}
 }
 
-// answerTokensPerSecond returns the slots that each model's requests need at the start of the day.
+// answerTokensPerSecond returns the demand for each model at the start of the day, in answer tokens
+// per second.
 func (sim *simulation) answerTokensPerSecond() []float64 {
 	demand := make([]float64, len(sim.models))
 	for i, c := range sim.scenario.Classes {
@@ -171,7 +175,8 @@
 	return demand
 }
 
-// highestDemandPerCopy returns the model whose copies are asked for most, negative if none is.
+// highestDemandPerCopy returns the model with the highest demand per copy, or -1 if no placed model
+// has demand.
 func highestDemandPerCopy(models []int, demand []float64, copies []int) int {
 	best := -1
 	for _, m := range models {
@@ -185,7 +190,7 @@
 	return best
 }
 
-// placeCopy puts a model where most memory is free; false if there is none with room.
+// placeCopy places a copy on the engine with the least used memory; false if it fits on none.
 func (sim *simulation) placeCopy(m int) bool {
 	var best *engine
 	for _, e := range sim.engines {
@@ -204,7 +209,7 @@
 	return true
 }
 
-// scheduleEvents has the day's events happen.
+// scheduleEvents schedules the events of the scenario.
 func (sim *simulation) scheduleEvents() {
 	for _, ev := range sim.scenario.Events {
 		at, span := time.Duration(ev.At), time.Duration(ev.For)
@@ -244,7 +249,7 @@
 	}
 }
 
-// finishDrain ends an engine that drains, once its answers are written.
+// finishDrain removes a draining engine once its running requests have ended.
 func (sim *simulation) finishDrain(e *engine) {
 	if e.batch.size() > 0 {
 		sim.after(drainTime, func() { sim.finishDrain(e) })
@@ -254,7 +259,7 @@
 	sim.control.remove(e.id)
 }
 
-// sampleEngines draws a share of the engines that are up.
+// sampleEngines draws a random share of the engines that are up and not draining.
 func (sim *simulation) sampleEngines(share float64) []*engine {
 	var up []*engine
 	for _, e := range sim.engines {
@@ -266,7 +271,7 @@
 	return up[:int(math.Round(share*float64(len(up))))]
 }
 
-// longestTimeout is the longestTimeout time that a caller waits for an answer.
+// longestTimeout returns the longest timeout of any class.
 func (sim *simulation) longestTimeout() time.Duration {
 	var longest time.Duration
 	for _, c := range sim.scenario.Classes {
@@ -275,7 +280,7 @@
 	return longest
 }
 
-// engineClass is the engines' engineClass as operators describe it.
+// engineClass returns the engines' class as the routes describe it.
 func (sim *simulation) engineClass() *laburnumlever.EngineClass {
 	cfg := sim.scenario.Engines
 	class := &laburnumlever.EngineClass{
@@ -291,7 +296,7 @@
 	return class
 }
 
-// cumulativeWeights are the weights of the ranks of models, added up.
+// cumulativeWeights returns the cumulative Zipf weights of the model ranks.
 func (sim *simulation) cumulativeWeights(active int, skew float64) []float64 {
 	key := weightKey{active: active, skew: skew}
 	if list, ok := sim.weights[key]; ok {
@@ -309,15 +314,15 @@
 
 func (sim *simulation) now() time.Time { return sim.timers.Now() }
 
-// elapsed is the time since callers began.
+// elapsed returns the time since the start of the day.
 func (sim *simulation) elapsed() time.Duration { return sim.now().Sub(sim.startedAt) }
 
 func (sim *simulation) after(d time.Duration, fn func()) {
 	sim.timers.After(d, func(time.Time) { fn() })
 }
 
-// link is the delay one way between two zones; an empty one is that of the control VMs, which
-// are everywhere.
+// link returns the one-way delay between two zones. The control VMs are in all zones and have the
+// empty name, which is far from any zone.
 func (sim *simulation) link(a, b laburnumlever.ZoneName) time.Duration {
 	if a == b {
 		return time.Duration(sim.scenario.Links.Near)
--- a/laburnumsimulation/simulation_test.go
+++ b/laburnumsimulation/simulation_test.go
@@ -28,7 +28,7 @@
 	require.Equal(t, first.Asked, first.OnTime+first.Late+first.Refused+first.Failed, "each request ends once")
 }
 
-// Guards against a policy that orders an engine to hold more than it has room for.
+// Guards against a policy that orders an engine to load more than fits.
 func TestNoPolicyOvercommitsAnEngine(t *testing.T) {
 	for _, p := range Policies() {
 		t.Run(p.Name, func(t *testing.T) {
@@ -45,12 +45,12 @@
 	require.Greater(t, Run(s, productionPolicy(), 1).Day, Run(s.WithEngines(s.Engines.Count/2), productionPolicy(), 1).Day+0.1)
 }
 
-// Policies that were tried on whole fleets must come out as they did there, by more than the
-// interval: followed slowly, counted late or waited for long, demand is served worse, and plain
-// proportion worst.
+// Policies that did worse in trials on whole fleets must score worse here too, by more than the
+// confidence interval: slow demand estimates, demand counted at the end and long queueing.
+// Proportional placement is the worst.
 func TestWorsePoliciesScoreLower(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays many days")
+		t.Skip("simulates many days")
 	}
 	const seeds, workers = 16, 4
 	s := scenario(t, "carpets")
@@ -65,7 +65,7 @@
 	require.NoError(t, err)
 	for _, row := range table.Rows[1:] {
 		require.Negative(t, row.Gain+row.GainInterval, row.Policy)
-		require.GreaterOrEqual(t, row.Gain, table.Rows[4].Gain, "none is worse than proportional")
+		require.GreaterOrEqual(t, row.Gain, table.Rows[4].Gain, "proportional is the worst")
 	}
 }
 
@@ -102,7 +102,7 @@
 	require.ErrorContains(t, err, "today")
 }
 
-// newLoneEngine is an engine without a fleet, with some requests in its batch.
+// newLoneEngine returns an empty engine and a request for each length of answer given.
 func newLoneEngine(t *testing.T, answers ...int) (*simulation, *engine, []*run) {
 	t.Helper()
 	s := scenario(t, "exam")
@@ -130,7 +130,7 @@
 	require.Empty(t, e.batch.running)
 }
 
-// Guards against pauses that are not seen: a long prompt is read between the steps of the others.
+// Guards against pauses that are not measured: prefill of a long prompt delays running answers.
 func TestPrefillPausesRunningAnswers(t *testing.T) {
 	sim, e, runs := newLoneEngine(t, 100, 10)
 	e.batch.add(runs[0])
@@ -140,7 +140,7 @@
 	sim.timers.advance(time.Second)
 	read := time.Duration(float64(sim.scenario.Engines.ChunkTokens) / sim.scenario.Engines.ReadTokensPerMS * float64(time.Millisecond))
 	require.GreaterOrEqual(t, runs[0].pause, read)
-	require.Less(t, runs[1].pause, read, "its own answer begins after it")
+	require.Less(t, runs[1].pause, read, "its own answer starts after the prefill")
 }
 
 func TestPreemptsNewestOfLeastUrgent(t *testing.T) {
@@ -172,7 +172,7 @@
 	require.Equal(t, time.Unix(0, 0).Add(40*time.Millisecond), c.Now())
 }
 
-// BenchmarkDay is a day of forty seconds.
+// BenchmarkDay runs one simulated day of 40 s per iteration.
 func BenchmarkDay(b *testing.B) {
 	for _, name := range []string{"exam", "carpets", "large"} {
 		b.Run(name, func(b *testing.B) {
--- a/laburnumsimulation/workload.go
+++ b/laburnumsimulation/workload.go
@@ -13,7 +13,7 @@
 	"laburnumlever/laburnumslotqueue"
 )
 
-// request is what one caller wants, over all of its tries.
+// request is one request of a caller over all of its attempts.
 type request struct {
 	sim          *simulation
 	class        *Class
@@ -30,7 +30,7 @@
 	finished     bool
 }
 
-// worth is that of an answer, larger for larger requests.
+// worth returns the value of an answer on time. It grows with the size of the request.
 func (q *request) worth() float64 {
 	const least, answerWeight = 0.3, 10
 	mean := q.class.Prompt.Mean + q.class.sharedTokens() + answerWeight*q.class.Answer.Mean
@@ -46,7 +46,7 @@
 	return float64(total)
 }
 
-// submit sends the request to a gateway of its zone.
+// submit sends the request to a random gateway of its zone.
 func (q *request) submit() {
 	q.tries++
 	gateways := q.sim.byZone[q.zone]
@@ -72,7 +72,7 @@
 	q.sim.outcome.recordServed(q, a)
 }
 
-// onRefused comes back once it was told to, if it may.
+// onRefused retries after the Retry-After if the class allows a retry and the deadline permits it.
 func (q *request) onRefused(a *attempt, after time.Duration, why string) {
 	if q.tries > q.class.Retries || !q.sim.now().Add(after).Before(q.deadline) {
 		q.finishUnserved(a, why, true)
@@ -82,7 +82,7 @@
 	q.sim.after(2*q.sim.callerLink()+after, q.submit)
 }
 
-// onFailed comes back at once where it may be repeated.
+// onFailed retries at once if the class allows it.
 func (q *request) onFailed(a *attempt, why string) {
 	if q.class.Resumable && q.tries <= q.class.Retries && why != "left" && q.sim.now().Before(q.deadline) {
 		q.submit()
@@ -99,11 +99,12 @@
 	q.sim.outcome.recordUnserved(q, a, why, refused)
 }
 
-// workload make the requests of a day.
+// workload generates the requests of a simulated day.
 type workload struct {
 	sim    *simulation
 	random *rand.Rand
-	// modelsByRank is the list of models that each class's demand goes by: it moves on with shifts.
+	// modelsByRank lists the models of each class by demand at the start of the day; shifts move
+	// the ranks on.
 	modelsByRank [][]int
 	shifts       []shift
 	bursts       []burst
@@ -133,21 +134,22 @@
 	return c
 }
 
-// start makes the first arrival of each class.
+// start schedules the first arrival of each class.
 func (c *workload) start() {
 	for i := range c.sim.scenario.Classes {
 		c.scheduleArrival(i, c.maxRate(i))
 	}
 }
 
-// maxRate bounds a class's rate, for a process that is thinned out to what it is at a time.
+// maxRate returns an upper bound of the rate of a class: arrivals are generated at this rate and
+// thinned out to the current one.
 func (c *workload) maxRate(class int) float64 {
 	rate := c.sim.scenario.Classes[class].PerSecond
-	most := rate
+	bound := rate
 	for _, b := range c.bursts {
-		most = max(most, rate*b.factor*2)
+		bound = max(bound, rate*b.factor*2)
 	}
-	return most
+	return bound
 }
 
 func (c *workload) rate(class int, at time.Duration) float64 {
@@ -161,17 +163,17 @@
 	return rate
 }
 
-func (c *workload) scheduleArrival(class int, most float64) {
-	wait := time.Duration(c.random.ExpFloat64() / most * float64(time.Second))
+func (c *workload) scheduleArrival(class int, maxRate float64) {
+	wait := time.Duration(c.random.ExpFloat64() / maxRate * float64(time.Second))
 	c.sim.after(wait, func() {
 		at := c.sim.elapsed()
 		if at >= time.Duration(c.sim.scenario.Length) {
 			return
 		}
-		if c.random.Float64() < c.rate(class, at)/most {
+		if c.random.Float64() < c.rate(class, at)/maxRate {
 			c.newRequest(class).submit()
 		}
-		c.scheduleArrival(class, most)
+		c.scheduleArrival(class, maxRate)
 	})
 }
 
@@ -218,33 +220,33 @@
 	return len(c.sim.scenario.Zones) - 1
 }
 
-// sampleModel draws the sampleModel that a request of a class asks for now: by the list before a shift,
-// or that after it, as far as the shift has come.
+// sampleModel draws the model of a new request of a class, at the ranks before or after the current
+// shifts.
 func (c *workload) sampleModel(class int) int {
 	cl := c.sim.scenario.Classes[class]
 	list := c.modelsByRank[class]
 	rank := c.sampleRank(cl, len(list))
-	moved := c.rankOffset()
-	return list[(rank+moved)%len(list)]
+	offset := c.rankOffset()
+	return list[(rank+offset)%len(list)]
 }
 
-// rankOffset is by how many places demand has rankOffset on; within a shift, the old and the new demand
-// mix.
+// rankOffset returns by how many ranks demand has shifted. During a shift, requests draw the old or
+// the new offset, the new one with growing probability.
 func (c *workload) rankOffset() int {
 	at := c.sim.elapsed()
-	moved := 0
+	offset := 0
 	for _, s := range c.shifts {
 		switch {
 		case at >= s.at+s.length:
-			moved += s.ranks
+			offset += s.ranks
 		case at >= s.at && c.random.Float64() < float64(at-s.at)/float64(max(1, s.length)):
-			moved += s.ranks
+			offset += s.ranks
 		}
 	}
-	return moved
+	return offset
 }
 
-// sampleRank draws a place in the list of a class.
+// sampleRank draws a rank in the list of models of a class.
 func (c *workload) sampleRank(cl Class, length int) int {
 	active := cl.Active
 	if active <= 0 || active > length {
