--- a/laburnumexplain/day.go
+++ b/laburnumexplain/day.go
@@ -13,20 +13,19 @@
 
 // The outcomes.
 const (
-	// InTime is a complete answer in time, Late one that was not.
+	// InTime is a complete answer in time, Late a complete answer that was not.
 	InTime Outcome = iota
 	Late
-	// Refused was answered before anything ran; Failed is any other end without a complete
-	// answer.
+	// Refused is a refusal before anything ran, Failed any other end without a complete answer.
 	Refused
 	Failed
 )
 
-// Account counts requests by how they ended and why.
+// OutcomeCounts counts requests by outcome and cause.
 type Account struct {
 	Asked    int
 	Outcomes map[Outcome]int
-	// Causes counts the late, refused and failed by outcome and cause.
+	// Causes counts late, refused and failed requests by cause.
 	Causes map[Cause]int
 }
 
@@ -36,7 +35,7 @@
 	Name    string
 }
 
-// Lost is how many were not answered in time.
+// NotInTime returns the number of requests without an answer in time.
 func (a Account) Lost() int { return a.Asked - a.Outcomes[InTime] }
 
 func (a *Account) add(outcome Outcome, cause string) {
@@ -50,7 +49,7 @@
 	}
 }
 
-// causes are the account's, the most frequent first.
+// causes returns the causes, the most frequent first.
 func (a Account) causes() []Cause {
 	var list []Cause
 	for c := range a.Causes {
@@ -62,24 +61,26 @@
 	return list
 }
 
-// Layout is how many engines held a model, by the last "layout" line before the window.
+// Layout is the number of engines that held a model, according to the last "layout" line before the
+// first request of the next window.
 type Layout struct {
-	// Held and Loading count engines, Room those with room for one more model.
+	// Held and Loading count engines that hold or are loading the model, Room those with room for
+	// one more model.
 	Held, Loading, Room int
-	// Known tells that it was logged in or before the window.
+	// Known reports whether there was such a line.
 	Known bool
 }
 
-// Window is a part of the day.
+// Window is a time window of the day.
 type Window struct {
 	From time.Duration // since the day's start
-	// Subjects are models, or routes for requests without one.
+	// Subjects holds the counts of each model, or of each route for requests without a model.
 	Subjects map[string]*Account
 	Layouts  map[string]Layout
 	Total    Account
 }
 
-// Day is the outcome of all requests in the logs.
+// Day holds the outcomes of all requests in the logs.
 type Day struct {
 	Start    time.Time
 	Width    time.Duration // of a window
@@ -95,7 +96,7 @@
 	return l.Event == laburnumlever.EventRequestServed.String() || l.Event == laburnumlever.EventRequestRefused.String()
 }
 
-// newDay makes a day of requests' ends and layouts, each sorted by time.
+// newDay builds a day from the ends of requests and layout events, each sorted by time.
 func newDay(ends []requestEnd, events []layoutEvent, width time.Duration) Day {
 	d := Day{Start: ends[0].at, Width: width, Subjects: map[string]*Account{}}
 	current := lastLayouts{}
@@ -127,7 +128,8 @@
 	return accounts[subject]
 }
 
-// window returns the window of a time; lines come sorted.
+// window returns the window that a time falls into and adds windows up to it. Times must not
+// decrease.
 func (d *Day) window(at time.Time) *Window {
 	n := int(at.Sub(d.Start) / d.Width)
 	for len(d.Windows) <= n {
@@ -138,8 +140,8 @@
 	return &d.Windows[n]
 }
 
-// outcomeOf classifies an end. A request that was answered and can't have run is refused; any
-// other without a complete answer has failed.
+// outcomeOf returns the outcome and cause of a request. A request that was answered and can't have
+// run counts as refused; any other without a complete answer as failed.
 func outcomeOf(l Line) (Outcome, string) {
 	if l.Event == laburnumlever.EventRequestServed.String() {
 		if late := fieldText(l.Fields["late"]); late != "" && late != "not" {
--- a/laburnumexplain/daychart.go
+++ b/laburnumexplain/daychart.go
@@ -7,20 +7,20 @@
 	"github.com/wcharczuk/go-chart/v2/drawing"
 )
 
-// The picture's size in pixels.
+// The size of the chart in pixels.
 const (
 	chartWidth  = 1000
 	chartHeight = 400
 )
 
-// chartLines are the lines of the picture, in colours of different lightness.
+// chartLines holds the outcomes drawn, in colours of different lightness.
 var chartLines = []struct {
 	outcome Outcome
 	colour  string
 }{{InTime, "2ca02c"}, {Late, "1f77b4"}, {Refused, "ff7f0e"}, {Failed, "d62728"}}
 
-// WriteSVG draws how many requests ended how in each window. An error is the library's or the
-// writer's.
+// WriteSVG draws the number of requests by outcome for each window. An error is the library's or
+// the writer's.
 func (d Day) WriteSVG(w io.Writer) error {
 	series := []chart.Series{d.series("asked", "888888", func(a Account) int { return a.Asked })}
 	for _, line := range chartLines {
@@ -28,14 +28,14 @@
 		series = append(series, d.series(line.outcome.String(), line.colour, count))
 	}
 	graph := chart.Chart{
-		Title: "requests by how they ended", Width: chartWidth, Height: chartHeight,
-		XAxis: chart.XAxis{Name: "seconds"}, YAxis: chart.YAxis{Name: "requests a window"}, Series: series,
+		Title: "requests by outcome", Width: chartWidth, Height: chartHeight,
+		XAxis: chart.XAxis{Name: "seconds"}, YAxis: chart.YAxis{Name: "requests per window"}, Series: series,
 	}
 	graph.Elements = []chart.Renderable{chart.Legend(&graph)}
 	return graph.Render(chart.SVG, w)
 }
 
-// series is a value of each window, as steps.
+// series returns a value of each window as a step line.
 func (d Day) series(name, colour string, value func(Account) int) chart.Series {
 	s := chart.ContinuousSeries{Name: name, Style: chart.Style{StrokeColor: drawing.ColorFromHex(colour)}}
 	for i, win := range d.Windows {
--- a/laburnumexplain/dayreader.go
+++ b/laburnumexplain/dayreader.go
@@ -21,7 +21,7 @@
 	layouts []layoutEvent
 }
 
-// requestEnd is how one request ended.
+// requestEnd is the end of one request.
 type requestEnd struct {
 	at      time.Time
 	subject string
@@ -35,12 +35,13 @@
 	layoutText  = []byte(laburnumlever.EventLayout.String())
 )
 
-// Read reads a log. Skipped counts lines that should hold an event but don't.
+// Read reads a log. Skipped counts lines that contain the name of a relevant event but can't be
+// decoded.
 func (d *DayReader) Read(r io.Reader) (skipped int, err error) {
 	return scan(r, mayBeRelevant, d.add)
 }
 
-// mayBeRelevant tells, without decoding it, whether a line may be part of a day.
+// mayBeRelevant reports, without decoding it, whether a line may hold an event that counts.
 func mayBeRelevant(text []byte) bool {
 	return bytes.Contains(text, servedText) || bytes.Contains(text, refusedText) || bytes.Contains(text, layoutText)
 }
@@ -63,8 +64,8 @@
 	d.ends = append(d.ends, requestEnd{at: l.At, subject: unique.Make(subject).Value(), outcome: outcome, cause: unique.Make(cause).Value()})
 }
 
-// Day returns the day of all logs read. Each attempt of a caller counts as a request, in the
-// window in which it ended. An error is a *NoRequestsError.
+// Day returns the day of all logs read. Each attempt of a caller counts as a request, in the window
+// in which it ended. An error is a *NoRequestsError.
 func (d *DayReader) Day(width time.Duration) (Day, error) {
 	if len(d.ends) == 0 {
 		return Day{}, &NoRequestsError{Layouts: len(d.layouts)}
@@ -74,9 +75,10 @@
 	return newDay(d.ends, d.layouts, width), nil
 }
 
-// NoRequestsError means that the logs hold no end of a request.
+// NoRequestsError means that the logs contain no ends of requests; Layouts counts their layout
+// lines.
 type NoRequestsError struct{ Layouts int }
 
 func (e *NoRequestsError) Error() string {
-	return fmt.Sprintf("no line about a request's end, and %d about what engines hold: name the logs of gateways, which tell of requests", e.Layouts)
+	return fmt.Sprintf("no line about a request's end, %d layout lines: name the logs of gateways, which record requests", e.Layouts)
 }
--- a/laburnumexplain/daytext.go
+++ b/laburnumexplain/daytext.go
@@ -11,14 +11,14 @@
 
 //go:generate go tool -modfile=../tools/go.mod enumer -type=Outcome -transform=kebab -output=outcome_gen.go
 
-// maxCauses is the number of causes in a row, the most frequent first.
+// maxCauses is the largest number of causes in a row; the most frequent come first.
 const maxCauses = 3
 
-// WriteText writes tables: the total, each subject with losses, and each window with the
-// subjects that lost most in it. An error is the writer's.
+// WriteText writes tables: the total, each subject with losses, and each window with at most limit
+// subjects, those with the largest losses in it. An error is the writer's.
 func (d Day) WriteText(w io.Writer, limit int) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	row := func(cells ...any) { _, _ = fmt.Fprintln(t, cellsText(cells)) } // Flush tells an error
+	row := func(cells ...any) { _, _ = fmt.Fprintln(t, cellsText(cells)) } // Flush returns the error
 	row(fmt.Sprintf("%d requests in %d windows of %s from %s", d.Total.Asked, len(d.Windows), d.Width, d.Start.UTC().Format("2006-01-02 15:04:05")))
 	row()
 	row("subject", "asked", "in time", "late", "refused", "failed", "mostly")
@@ -39,7 +39,7 @@
 	return t.Flush()
 }
 
-// subjectsByLoss returns the subjects with losses, largest first.
+// subjectsByLoss returns at most limit subjects with losses, the largest first.
 func subjectsByLoss(accounts map[string]*Account, limit int) []string {
 	var list []string
 	for subject, a := range accounts {
@@ -77,7 +77,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// cellsText joins the cells of a row, flattening lists, by tabs.
+// cellsText joins the cells of a row with tabs, flattening nested lists.
 func cellsText(cells []any) string {
 	var parts []string
 	for _, cell := range cells {
--- a/laburnumexplain/layouts.go
+++ b/laburnumexplain/layouts.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// layoutEvent is a layout event.
+// layoutEvent is a decoded layout line with its time and service.
 type layoutEvent struct {
 	at      time.Time
 	service string
 	layoutFields
 }
 
-// layoutFields holds the fields of a layout event. Models that Held, Loading and None don't name
-// are held by one engine if One is not 0; otherwise they are unknown.
+// layoutFields holds the fields of a layout event. A model in none of Held, Loading and None is
+// held by one engine if One is not 0; otherwise its layout is unknown.
 type layoutFields struct {
 	Room    int            `json:"room"`
 	Held    map[string]int `json:"held"`
@@ -47,12 +47,12 @@
 	return Layout{Held: held, Loading: loading, Room: l.Room, Known: true}, true
 }
 
-// lastLayouts is the last layout of each service.
+// lastLayouts holds the last layout of each service.
 type lastLayouts map[string]layoutFields
 
 func (s lastLayouts) set(layout layoutEvent) { s[layout.service] = layout.layoutFields }
 
-// copyTo copies the last layouts to a window.
+// copyTo sets the layouts of a window's subjects to the last known ones.
 func (s lastLayouts) copyTo(w *Window) {
 	for _, layout := range s {
 		for subject := range w.Subjects {
--- a/laburnumexplain/lines.go
+++ b/laburnumexplain/lines.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// maxLine bounds one line of a log.
+// maxLine is the length limit of a log line in bytes.
 const maxLine = 1 << 20
 
-// Line is one event of one process.
+// Line is one logged event.
 type Line struct {
 	At     time.Time
 	VM     string
@@ -22,13 +22,14 @@
 	Fields map[string]any
 }
 
-// Read reads a log. Skipped counts the lines without an event.
+// Read reads a log. Skipped counts lines that hold no event.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	skipped, err = scan(r, func([]byte) bool { return true }, func(l Line) { lines = append(lines, l) })
 	return lines, skipped, err
 }
 
-// scan decodes the wanted lines of a log one at a time. Skipped counts those without an event.
+// scan decodes the wanted lines of a log one at a time. Skipped counts wanted lines that hold no
+// event.
 func scan(r io.Reader, wanted func(text []byte) bool, add func(Line)) (skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
@@ -45,6 +46,7 @@
 	return skipped, scanner.Err()
 }
 
+// parse decodes a line; false if it has no JSON object, event or valid time.
 func parse(text []byte) (Line, bool) {
 	at := bytes.IndexByte(text, '{')
 	if at < 0 {
@@ -60,6 +62,7 @@
 	return line, err == nil && line.Event != ""
 }
 
+// fieldText formats a field's value; a missing field is the empty string.
 func fieldText(v any) string {
 	if v == nil {
 		return ""
@@ -67,10 +70,10 @@
 	return fmt.Sprint(v)
 }
 
-// is tells whether a field has the value.
+// is reports whether a field has the value; an empty value never matches.
 func (l Line) is(field, value string) bool { return value != "" && fieldText(l.Fields[field]) == value }
 
-// text formats the line, the most important fields first.
+// text formats the fields of the line, the most important first.
 func (l Line) text() string {
 	first := []string{"reason", "stage", "status", "backend", "model", "adapter", "cause"}
 	var parts []string
--- a/laburnumexplain/timeline.go
+++ b/laburnumexplain/timeline.go
@@ -12,58 +12,59 @@
 // effect within seconds.
 const lookback = 15 * time.Second
 
-// Story is the timeline of a request.
+// Timeline is the timeline of a request.
 type Story struct {
 	ID string
-	// Cause is one sentence.
+	// Cause describes the outcome of the request in one sentence.
 	Cause string
+	// Lines holds the events of the request and those that may have affected it, sorted by time.
 	Lines []Line
 }
 
-// reasonTexts describe each reason and where to look.
+// reasonTexts explains each refusal reason, with hints where to look.
 var reasonTexts = map[string]string{
-	"no-backend":          "no backend server could do it: look for the model's loads and withdrawals, and for servers that went",
-	"queue-full":          "all backend servers that could do it were full until its wait was over",
-	"backend-unreachable": "the backend servers chosen took no connection",
-	"backend-busy":        "the backend server refused for want of room",
-	"backend-error":       "a backend server broke off, or answered that it failed",
-	"broken-stream":       "the stream broke off midway and could not go on elsewhere",
-	"crossed-answer":      "a backend server answered with another request's answer, which was dropped",
-	"deadline":            "its time was over before an answer came",
-	"retry-budget":        "another attempt would have been allowed, but the budget for repeats was used up",
-	"draining":            "the gateway was about to end, and sent the caller to another",
-	"not-ready":           "the gateway had no routes yet",
-	"unknown-service":     "the gateway's routes had none for its host and path",
-	"caller-gone":         "the caller left",
-	"bad-request":         "the request was not proper",
-	"too-large":           "its body was too large",
+	"no-backend":          "no backend server could serve it: look for loads and withdrawals of the model, and for removed servers",
+	"queue-full":          "all backend servers that could serve it were full until its time in the queue was over",
+	"backend-unreachable": "the chosen backend servers accepted no connection",
+	"backend-busy":        "the backend server refused it because it was full",
+	"backend-error":       "a backend server closed the connection early or answered with an error",
+	"broken-stream":       "the stream was interrupted and could not be resumed on another backend server",
+	"crossed-answer":      "a backend server returned another request's answer, which was dropped",
+	"deadline":            "its deadline passed before an answer arrived",
+	"retry-budget":        "another attempt was allowed, but the retry budget was exhausted",
+	"draining":            "the gateway was draining and sent the caller to another one",
+	"not-ready":           "the gateway had not received routes yet",
+	"unknown-service":     "no route of the gateway matches its host and path",
+	"caller-gone":         "the caller closed the connection",
+	"bad-request":         "the request was malformed",
+	"too-large":           "its body exceeded the size limit",
 }
 
-// Request collects the lines about a request. An error is a
+// NewTimeline collects the lines about a request and those that may have affected it. An error is a
 // *laburnumlever.NotFoundError.
 func Request(id string, lines []Line) (Story, error) {
-	story := Story{ID: id}
+	timeline := Story{ID: id}
 	for _, l := range lines {
 		if l.is("request-id", id) {
-			story.Lines = append(story.Lines, l)
+			timeline.Lines = append(timeline.Lines, l)
 		}
 	}
-	if len(story.Lines) == 0 {
-		return story, &laburnumlever.NotFoundError{Kind: "line about the request", Name: id}
+	if len(timeline.Lines) == 0 {
+		return timeline, &laburnumlever.NotFoundError{Kind: "line about the request", Name: id}
 	}
-	own := story.Lines
+	own := timeline.Lines
 	for _, l := range lines {
 		if !l.is("request-id", id) && mayAffect(l, own) {
-			story.Lines = append(story.Lines, l)
+			timeline.Lines = append(timeline.Lines, l)
 		}
 	}
-	slices.SortStableFunc(story.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	story.Cause = causeOf(own)
-	return story, nil
+	slices.SortStableFunc(timeline.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
+	timeline.Cause = causeOf(own)
+	return timeline, nil
 }
 
-// mayAffect tells whether another event may have affected the request: one of a backend server
-// that it was sent to, of its model, or of its gateway.
+// mayAffect reports whether another event may have affected the request: it concerns a backend
+// server that the request was sent to, its model, or its gateway.
 func mayAffect(l Line, own []Line) bool {
 	if l.Event == "request-served" || l.Event == "request-refused" || l.Event == "attempt-failed" {
 		return false
@@ -80,6 +81,7 @@
 	return false
 }
 
+// causeOf explains the outcome by the request's last line.
 func causeOf(own []Line) string {
 	last := own[len(own)-1]
 	switch last.Event {
@@ -90,15 +92,16 @@
 		reason := fieldText(last.Fields["reason"])
 		text, ok := reasonTexts[reason]
 		if !ok {
-			text = "see the reason"
+			text = "no explanation is known for the reason"
 		}
 		return fmt.Sprintf("%s (%s, status %s): %s", text, reason, fieldText(last.Fields["status"]), fieldText(last.Fields["cause"]))
 	default:
-		return "its end is not in these logs"
+		return "the logs do not contain the end of the request"
 	}
 }
 
-// Text formats the story, one line for each event.
+// Text formats the cause and the events, one per line. Lines of the request itself are marked with
+// a star.
 func (s Story) Text() []string {
 	out := []string{"cause: " + s.Cause}
 	start := s.Lines[0].At
