--- a/laburnumsimulation/orders.go
+++ b/laburnumsimulation/orders.go
@@ -170,9 +170,9 @@
 	if e.adapterCount() > e.sim.scenario.Engines.AdapterSlots {
 		e.sim.outcome.overcommitted++
 	}
-	born := e.incarnation
+	incarnation := e.incarnation
 	e.sim.after(time.Duration(e.sim.models[m].kind.AdapterLoad), func() {
-		if _, still := e.held[m][o.Adapter]; still && e.incarnation == born && e.up {
+		if _, still := e.held[m][o.Adapter]; still && e.incarnation == incarnation && e.up {
 			e.held[m][o.Adapter] = true
 		}
 	})
--- a/laburnumsimulation/policy.go
+++ b/laburnumsimulation/policy.go
@@ -76,7 +76,7 @@
 			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithDisplacement(false))),
 		productionPolicy().named("no-fill", "free memory is not filled with further copies").
 			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithFill(false))),
-		productionPolicy().named("eager", "copies are moved for a small gain").
+		productionPolicy().named("eager", "layout changes are made for a small gain").
 			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithMinGain(eagerMinGain))),
 		productionPolicy().named("evict-more", "a copy is evicted for one with 1.5 times its work").
 			withDirector(planOptions(laburnumresidency.DefaultPolicy().WithEvictShare(evictMoreShare))),
