--- /dev/null
+++ b/laburnumexplain/timeline.go
@@ -0,0 +1,116 @@
+package laburnumexplain
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"laburnumlever"
+)
+
+// lookback is how long before a request events may have affected it: loads and heartbeats take
+// effect within seconds.
+const lookback = 15 * time.Second
+
+// Timeline is the timeline of a request.
+type Story struct {
+	ID string
+	// Cause describes the outcome of the request in one sentence.
+	Cause string
+	// Lines holds the events of the request and those that may have affected it, sorted by time.
+	Lines []Line
+}
+
+// reasonTexts explains each refusal reason, with hints where to look.
+var reasonTexts = map[string]string{
+	"no-backend":          "no backend server could serve it: look for loads and withdrawals of the model, and for removed servers",
+	"queue-full":          "all backend servers that could serve it were full until its time in the queue was over",
+	"backend-unreachable": "the chosen backend servers accepted no connection",
+	"backend-busy":        "the backend server refused it because it was full",
+	"backend-error":       "a backend server closed the connection early or answered with an error",
+	"broken-stream":       "the stream was interrupted and could not be resumed on another backend server",
+	"crossed-answer":      "a backend server returned another request's answer, which was dropped",
+	"deadline":            "its deadline passed before an answer arrived",
+	"retry-budget":        "another attempt was allowed, but the retry budget was exhausted",
+	"draining":            "the gateway was draining and sent the caller to another one",
+	"not-ready":           "the gateway had not received routes yet",
+	"unknown-service":     "no route of the gateway matches its host and path",
+	"caller-gone":         "the caller closed the connection",
+	"bad-request":         "the request was malformed",
+	"too-large":           "its body exceeded the size limit",
+}
+
+// NewTimeline collects the lines about a request and those that may have affected it. An error is a
+// *laburnumlever.NotFoundError.
+func Request(id string, lines []Line) (Story, error) {
+	timeline := Story{ID: id}
+	for _, l := range lines {
+		if l.is("request-id", id) {
+			timeline.Lines = append(timeline.Lines, l)
+		}
+	}
+	if len(timeline.Lines) == 0 {
+		return timeline, &laburnumlever.NotFoundError{Kind: "line about the request", Name: id}
+	}
+	own := timeline.Lines
+	for _, l := range lines {
+		if !l.is("request-id", id) && mayAffect(l, own) {
+			timeline.Lines = append(timeline.Lines, l)
+		}
+	}
+	slices.SortStableFunc(timeline.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
+	timeline.Cause = causeOf(own)
+	return timeline, nil
+}
+
+// mayAffect reports whether another event may have affected the request: it concerns a backend
+// server that the request was sent to, its model, or its gateway.
+func mayAffect(l Line, own []Line) bool {
+	if l.Event == "request-served" || l.Event == "request-refused" || l.Event == "attempt-failed" {
+		return false
+	}
+	for _, o := range own {
+		if l.At.After(o.At) || o.At.Sub(l.At) > lookback {
+			continue
+		}
+		sameModel := l.is("model", fieldText(o.Fields["model"])) && l.Fields["adapter"] == nil
+		if l.is("backend", fieldText(o.Fields["backend"])) || sameModel || (l.VM == o.VM && fieldText(l.Fields["backend"]) == "") {
+			return true
+		}
+	}
+	return false
+}
+
+// causeOf explains the outcome by the request's last line.
+func causeOf(own []Line) string {
+	last := own[len(own)-1]
+	switch last.Event {
+	case "request-served":
+		return fmt.Sprintf("it was served: first part after %s ms, longest pause %s ms, whole after %s ms",
+			fieldText(last.Fields["first-ms"]), fieldText(last.Fields["pause-ms"]), fieldText(last.Fields["whole-ms"]))
+	case "request-refused":
+		reason := fieldText(last.Fields["reason"])
+		text, ok := reasonTexts[reason]
+		if !ok {
+			text = "no explanation is known for the reason"
+		}
+		return fmt.Sprintf("%s (%s, status %s): %s", text, reason, fieldText(last.Fields["status"]), fieldText(last.Fields["cause"]))
+	default:
+		return "the logs do not contain the end of the request"
+	}
+}
+
+// Text formats the cause and the events, one per line. Lines of the request itself are marked with
+// a star.
+func (s Story) Text() []string {
+	out := []string{"cause: " + s.Cause}
+	start := s.Lines[0].At
+	for _, l := range s.Lines {
+		mark := " "
+		if l.is("request-id", s.ID) {
+			mark = "*"
+		}
+		out = append(out, fmt.Sprintf("%s %9.3f s  %-20s %-18s %s", mark, l.At.Sub(start).Seconds(), l.VM, l.Event, l.text()))
+	}
+	return out
+}
--- a/laburnumsimulation/outcome.go
+++ b/laburnumsimulation/outcome.go
@@ -5,93 +5,97 @@
 	"time"
 )
 
-// windowTime is the length of the windows of which the worst two count.
+// windowLength is the length of the windows of a day; WorstWindows is the mean of the worstWindows
+// worst of them.
 const (
-	windowTime   = 2 * time.Second
+	windowLength = 2 * time.Second
 	worstWindows = 2
-	// freeRefusal of its target is how long a request may be held before it is refused at no
-	// cost; a refusal at lateRefusal of the caller's time costs the whole worth.
-	freeRefusal = 0.125
-	lateRefusal = 0.75
+	// A refusal within freeRefusalShare of the class's target costs nothing beyond the lost worth.
+	// After that the penalty grows; it is the whole worth from lateRefusalShare of the timeout on.
+	freeRefusalShare = 0.125
+	lateRefusalShare = 0.75
 )
 
-// share is the worth earned of that owed.
-type share struct{ Earned, Owed float64 }
+// worthShare is the worth earned of that possible.
+type worthShare struct{ Earned, Owed float64 }
 
-func (s share) value() float64 {
+func (s worthShare) value() float64 {
 	if s.Owed == 0 {
 		return 1
 	}
 	return s.Earned / s.Owed
 }
 
-// Outcome is what became of a day's requests.
+// Outcome is the result of one simulated day.
 type Outcome struct {
-	// Value is what counts, by the scenario's weights.
+	// Value is the score of the day by the scenario's weights.
 	Value float64 `json:"value"`
-	// Day, WorstWindows, WorstClass and WorstZone are shares of the worth.
+	// Day, WorstWindows, WorstClass and WorstZone are shares of the possible worth earned over the
+	// whole day and in the worst windows, class and zone.
 	Day          float64 `json:"day"`
 	WorstWindows float64 `json:"worst-windows"`
 	WorstClass   float64 `json:"worst-class"`
 	WorstZone    float64 `json:"worst-zone"`
-	// Asked counts requests, OnTime, Late, Refused and Failed how they ended.
+	// Requests counts all requests, OnTime, Late, Refused and Failed those that ended so.
 	Asked   int `json:"asked"`
 	OnTime  int `json:"on-time"`
 	Late    int `json:"late"`
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
-	// LateFirst and LatePause are the late ones by what was late.
+	// LateFirst counts answers that started late, LatePause those with too long a pause.
 	LateFirst int `json:"late-first"`
 	LatePause int `json:"late-pause"`
-	// Reasons count those refused or failed.
+	// Reasons counts refused and failed requests by reason.
 	Reasons map[string]int `json:"reasons"`
-	// Retries are callers that came back, Preempted answers that were interrupted.
+	// Retries counts retries by callers, Preempted preemptions of running answers.
 	Retries    int `json:"retries"`
 	Preempted  int `json:"preempted"`
 	Orders     int `json:"orders"`
 	Loads      int `json:"loads"`
 	StoreLoads int `json:"store-loads"`
-	// Overcommitted counts orders for more than an engine holds, which must not be.
+	// Overcommitted counts orders that exceed the memory or adapter slots of an engine. It must be
+	// 0.
 	Overcommitted int `json:"overcommitted"`
-	// LateRefusals is the worth lost to refusals that came late, as a share of all.
+	// LateRefusals is the penalty for late refusals as a share of the possible worth.
 	LateRefusals float64 `json:"late-refusals"`
-	// Windows are the shares by the time at which requests came.
+	// Windows holds the share of worth earned by window of arrival; windows without requests are
+	// left out.
 	Windows []float64 `json:"windows"`
 }
 
-// tally adds up what became of requests.
+// tally accumulates the outcome of a day.
 type tally struct {
-	scenario Scenario
-	total    share
-	windows  []share
-	classes  map[string]share
-	zones    []share
-	held     float64
+	scenario         Scenario
+	total            worthShare
+	windows          []worthShare
+	classes          map[string]worthShare
+	zones            []worthShare
+	lateRefusalWorth float64
 	Outcome
 	orders, loads, storeLoads, preempted, retries, overcommitted int
 }
 
 func newTally(s Scenario) *tally {
 	return &tally{
-		scenario: s, windows: make([]share, int(time.Duration(s.Length)/windowTime)+1), classes: map[string]share{},
-		zones: make([]share, len(s.Zones)), Outcome: Outcome{Reasons: map[string]int{}},
+		scenario: s, windows: make([]worthShare, int(time.Duration(s.Length)/windowLength)+1), classes: map[string]worthShare{},
+		zones: make([]worthShare, len(s.Zones)), Outcome: Outcome{Reasons: map[string]int{}},
 	}
 }
 
 func (t *tally) add(q *request, earned float64) {
-	owed := q.worth()
+	possible := q.worth()
 	t.Asked++
-	plus := func(s share) share { return share{Earned: s.Earned + earned, Owed: s.Owed + owed} }
-	t.total = plus(t.total)
-	w := int(q.first.Sub(q.sim.began) / windowTime)
-	t.windows[w] = plus(t.windows[w])
-	t.classes[q.class.Name] = plus(t.classes[q.class.Name])
-	t.zones[q.zone] = plus(t.zones[q.zone])
+	add := func(s worthShare) worthShare { return worthShare{Earned: s.Earned + earned, Owed: s.Owed + possible} }
+	t.total = add(t.total)
+	w := int(q.createdAt.Sub(q.sim.startedAt) / windowLength)
+	t.windows[w] = add(t.windows[w])
+	t.classes[q.class.Name] = add(t.classes[q.class.Name])
+	t.zones[q.zone] = add(t.zones[q.zone])
 }
 
-// serve notes a whole answer.
-func (t *tally) serve(q *request, a *attempt) {
-	first, pause := a.firstAt.Sub(q.first), a.pause
+// recordServed records a request with a complete answer.
+func (t *tally) recordServed(q *request, a *attempt) {
+	first, pause := a.firstAt.Sub(q.createdAt), a.pause
 	switch {
 	case first > time.Duration(q.class.Target):
 		t.Late++
@@ -107,8 +111,8 @@
 	t.add(q, q.worth()*q.class.LateWorth/q.class.Worth)
 }
 
-// lose notes a request without an answer.
-func (t *tally) lose(q *request, a *attempt, why string, refused bool) {
+// recordUnserved records a request without a complete answer.
+func (t *tally) recordUnserved(q *request, a *attempt, why string, refused bool) {
 	t.Reasons[why]++
 	t.add(q, 0)
 	if !refused {
@@ -116,15 +120,15 @@
 		return
 	}
 	t.Refused++
-	held := a.sim().now().Sub(a.arrived)
-	free := time.Duration(freeRefusal * float64(q.class.Target))
-	most := time.Duration(lateRefusal * float64(q.class.Timeout))
-	if held > free {
-		t.held += q.worth() * min(1, float64(held-free)/float64(most-free))
+	waited := a.sim().now().Sub(a.arrived)
+	free := time.Duration(freeRefusalShare * float64(q.class.Target))
+	limit := time.Duration(lateRefusalShare * float64(q.class.Timeout))
+	if waited > free {
+		t.lateRefusalWorth += q.worth() * min(1, float64(waited-free)/float64(limit-free))
 	}
 }
 
-// result is the day's outcome.
+// result returns the outcome of the day.
 func (t *tally) result() Outcome {
 	o := t.Outcome
 	o.Orders, o.Loads, o.StoreLoads, o.Preempted, o.Retries, o.Overcommitted = t.orders, t.loads, t.storeLoads, t.preempted, t.retries, t.overcommitted
@@ -147,7 +151,7 @@
 		o.WorstZone = min(o.WorstZone, z.value())
 	}
 	if t.total.Owed > 0 {
-		o.LateRefusals = t.held / t.total.Owed
+		o.LateRefusals = t.lateRefusalWorth / t.total.Owed
 	}
 	v := t.scenario.Value
 	o.Value = v.Day*o.Day + v.WorstWindows*o.WorstWindows + v.WorstClass*o.WorstClass + v.WorstZone*o.WorstZone -
--- a/laburnumsimulation/proportional.go
+++ b/laburnumsimulation/proportional.go
@@ -9,15 +9,15 @@
 	"laburnumlever/laburnumresidency"
 )
 
-// proportional is a plain policy to compare with: each model has copies in proportion to its
-// work, at least one, wherever there is room.
+// proportional is a simple baseline: each model has at least one copy, and further copies in
+// proportion to its demand as far as memory allows.
 func proportional() Policy {
-	return today().named("proportional", "copies in proportion to demand, as many as there is room for").
+	return productionPolicy().named("proportional", "copies in proportion to demand, as many as there is room for").
 		withDirector(laburnumdirector.WithPlanner(planProportional))
 }
 
-// planProportional takes one step at each idle engine: it loads the model that lacks most copies,
-// or unloads the one that has most beyond its part.
+// planProportional plans one step for each idle engine: it loads the model with the largest deficit
+// of copies, or unloads the one with the largest surplus to make room for it.
 func planProportional(class *laburnumlever.EngineClass, engines []laburnumresidency.Engine, demand laburnumresidency.Demand, _ map[laburnumlever.ModelName]int, _ ...laburnumresidency.Option) []laburnumresidency.Step {
 	p := newProportions(class, engines, demand)
 	var steps []laburnumresidency.Step
@@ -26,7 +26,7 @@
 		if !e.Idle {
 			continue
 		}
-		lacking, ok := p.lacking(e)
+		lacking, ok := p.largestDeficit(e)
 		if !ok {
 			continue
 		}
@@ -37,7 +37,7 @@
 			p.copies[lacking]++
 			continue
 		}
-		if spare, ok := p.spare(e); ok {
+		if spare, ok := p.largestSurplus(e); ok {
 			steps = append(steps, laburnumresidency.Step{Engine: e.ID, Kind: laburnumlever.Unload, Model: spare})
 			p.copies[spare]--
 		}
@@ -45,20 +45,20 @@
 	return steps
 }
 
-// proportions are the copies that models have and should have.
+// proportions holds the number of copies that each model has, and its target.
 type proportions struct {
-	models map[laburnumlever.ModelName]laburnumlever.ResidentClass
-	names  []laburnumlever.ModelName
-	copies map[laburnumlever.ModelName]float64
-	wanted map[laburnumlever.ModelName]float64
+	models  map[laburnumlever.ModelName]laburnumlever.ResidentClass
+	names   []laburnumlever.ModelName
+	copies  map[laburnumlever.ModelName]float64
+	targets map[laburnumlever.ModelName]float64
 }
 
 func newProportions(class *laburnumlever.EngineClass, engines []laburnumresidency.Engine, demand laburnumresidency.Demand) proportions {
 	p := proportions{
 		models: map[laburnumlever.ModelName]laburnumlever.ResidentClass{}, copies: map[laburnumlever.ModelName]float64{},
-		wanted: map[laburnumlever.ModelName]float64{},
+		targets: map[laburnumlever.ModelName]float64{},
 	}
-	places, total, size := 0.0, 0.0, 0.0
+	capacity, total, size := 0.0, 0.0, 0.0
 	for _, m := range class.Models {
 		p.models[m.Name] = m
 		p.names = append(p.names, m.Name)
@@ -66,40 +66,43 @@
 		size += m.WeightsMB / float64(len(class.Models))
 	}
 	for _, e := range engines {
-		places += float64(int(class.WeightsMB / size))
+		capacity += float64(int(class.WeightsMB / size))
 		for _, h := range e.Held {
 			p.copies[h.Name]++
 		}
 	}
-	free := max(0, places-float64(len(class.Models)))
+	free := max(0, capacity-float64(len(class.Models)))
 	for _, m := range class.Models {
-		p.wanted[m.Name] = 1
+		p.targets[m.Name] = 1
 		if total > 0 {
-			p.wanted[m.Name] += free * demand[m.Name] / total
+			p.targets[m.Name] += free * demand[m.Name] / total
 		}
 	}
 	return p
 }
 
-// lacking is the model that lacks most copies of those that an engine does not hold.
-func (p proportions) lacking(e *laburnumresidency.Engine) (laburnumlever.ModelName, bool) {
-	return p.most(func(m laburnumlever.ModelName) (float64, bool) {
-		return p.wanted[m] - p.copies[m], !e.Holds(m) && p.wanted[m]-p.copies[m] >= 0.5
+// largestDeficit returns the model furthest below its target among those that the engine does not
+// hold.
+func (p proportions) largestDeficit(e *laburnumresidency.Engine) (laburnumlever.ModelName, bool) {
+	return p.argMax(func(m laburnumlever.ModelName) (float64, bool) {
+		return p.targets[m] - p.copies[m], !e.Holds(m) && p.targets[m]-p.copies[m] >= 0.5
 	})
 }
 
-// spare is the model that has most copies beyond its part of those that an engine holds.
-func (p proportions) spare(e *laburnumresidency.Engine) (laburnumlever.ModelName, bool) {
-	return p.most(func(m laburnumlever.ModelName) (float64, bool) {
-		return p.copies[m] - p.wanted[m], e.Serves(m) && p.copies[m] >= 2 && p.copies[m]-p.wanted[m] >= 0.5
+// largestSurplus returns the model furthest above its target among those that the engine serves.
+// The last copy of a model stays.
+func (p proportions) largestSurplus(e *laburnumresidency.Engine) (laburnumlever.ModelName, bool) {
+	return p.argMax(func(m laburnumlever.ModelName) (float64, bool) {
+		return p.copies[m] - p.targets[m], e.Serves(m) && p.copies[m] >= 2 && p.copies[m]-p.targets[m] >= 0.5
 	})
 }
 
-func (p proportions) most(weigh func(m laburnumlever.ModelName) (float64, bool)) (laburnumlever.ModelName, bool) {
+// argMax returns the model with the largest weight; ties go to the first in the catalogue.
+func (p proportions) argMax(weight func(m laburnumlever.ModelName) (float64, bool)) (laburnumlever.ModelName, bool) {
 	var best laburnumlever.ModelName
 	most, found := 0.0, false
 	for _, m := range p.names {
-		w, ok := weigh(m)
+		w, ok := weight(m)
 		if ok && (!found || cmp.Compare(w, most) > 0) {
 			best, most, found = m, w, true
 		}
