--- a/cmd/laburnumlever/explaincmd.go
+++ b/cmd/laburnumlever/explaincmd.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	story, err := laburnumexplain.Request(id, lines)
+	story, err := laburnumexplain.NewTimeline(id, lines)
 	if err != nil {
 		return err
 	}
--- a/laburnumexplain/day.go
+++ b/laburnumexplain/day.go
@@ -22,8 +22,8 @@
 )
 
 // OutcomeCounts counts requests by outcome and cause.
-type Account struct {
-	Asked    int
+type OutcomeCounts struct {
+	Requests int
 	Outcomes map[Outcome]int
 	// Causes counts late, refused and failed requests by cause.
 	Causes map[Cause]int
@@ -36,13 +36,13 @@
 }
 
 // NotInTime returns the number of requests without an answer in time.
-func (a Account) Lost() int { return a.Asked - a.Outcomes[InTime] }
+func (a OutcomeCounts) NotInTime() int { return a.Requests - a.Outcomes[InTime] }
 
-func (a *Account) add(outcome Outcome, cause string) {
+func (a *OutcomeCounts) add(outcome Outcome, cause string) {
 	if a.Outcomes == nil {
 		a.Outcomes, a.Causes = map[Outcome]int{}, map[Cause]int{}
 	}
-	a.Asked++
+	a.Requests++
 	a.Outcomes[outcome]++
 	if outcome != InTime {
 		a.Causes[Cause{outcome, cause}]++
@@ -50,7 +50,7 @@
 }
 
 // causes returns the causes, the most frequent first.
-func (a Account) causes() []Cause {
+func (a OutcomeCounts) causes() []Cause {
 	var list []Cause
 	for c := range a.Causes {
 		list = append(list, c)
@@ -75,9 +75,9 @@
 type Window struct {
 	From time.Duration // since the day's start
 	// Subjects holds the counts of each model, or of each route for requests without a model.
-	Subjects map[string]*Account
+	Subjects map[string]*OutcomeCounts
 	Layouts  map[string]Layout
-	Total    Account
+	Total    OutcomeCounts
 }
 
 // Day holds the outcomes of all requests in the logs.
@@ -85,8 +85,8 @@
 	Start    time.Time
 	Width    time.Duration // of a window
 	Windows  []Window
-	Subjects map[string]*Account
-	Total    Account
+	Subjects map[string]*OutcomeCounts
+	Total    OutcomeCounts
 }
 
 // DefaultWidth is the default width of windows.
@@ -98,7 +98,7 @@
 
 // newDay builds a day from the ends of requests and layout events, each sorted by time.
 func newDay(ends []requestEnd, events []layoutEvent, width time.Duration) Day {
-	d := Day{Start: ends[0].at, Width: width, Subjects: map[string]*Account{}}
+	d := Day{Start: ends[0].at, Width: width, Subjects: map[string]*OutcomeCounts{}}
 	current := lastLayouts{}
 	for _, e := range ends {
 		for len(events) > 0 && !events[0].at.After(e.at) {
@@ -116,14 +116,14 @@
 
 func (d *Day) count(e requestEnd) {
 	w := d.window(e.at)
-	for _, a := range []*Account{countsOf(w.Subjects, e.subject), countsOf(d.Subjects, e.subject), &w.Total, &d.Total} {
+	for _, a := range []*OutcomeCounts{countsOf(w.Subjects, e.subject), countsOf(d.Subjects, e.subject), &w.Total, &d.Total} {
 		a.add(e.outcome, e.cause)
 	}
 }
 
-func countsOf(accounts map[string]*Account, subject string) *Account {
+func countsOf(accounts map[string]*OutcomeCounts, subject string) *OutcomeCounts {
 	if accounts[subject] == nil {
-		accounts[subject] = &Account{}
+		accounts[subject] = &OutcomeCounts{}
 	}
 	return accounts[subject]
 }
@@ -134,7 +134,7 @@
 	n := int(at.Sub(d.Start) / d.Width)
 	for len(d.Windows) <= n {
 		d.Windows = append(d.Windows, Window{
-			From: time.Duration(len(d.Windows)) * d.Width, Subjects: map[string]*Account{}, Layouts: map[string]Layout{},
+			From: time.Duration(len(d.Windows)) * d.Width, Subjects: map[string]*OutcomeCounts{}, Layouts: map[string]Layout{},
 		})
 	}
 	return &d.Windows[n]
--- a/laburnumexplain/daychart.go
+++ b/laburnumexplain/daychart.go
@@ -22,9 +22,9 @@
 // WriteSVG draws the number of requests by outcome for each window. An error is the library's or
 // the writer's.
 func (d Day) WriteSVG(w io.Writer) error {
-	series := []chart.Series{d.series("asked", "888888", func(a Account) int { return a.Asked })}
+	series := []chart.Series{d.series("asked", "888888", func(a OutcomeCounts) int { return a.Requests })}
 	for _, line := range chartLines {
-		count := func(a Account) int { return a.Outcomes[line.outcome] }
+		count := func(a OutcomeCounts) int { return a.Outcomes[line.outcome] }
 		series = append(series, d.series(line.outcome.String(), line.colour, count))
 	}
 	graph := chart.Chart{
@@ -36,7 +36,7 @@
 }
 
 // series returns a value of each window as a step line.
-func (d Day) series(name, colour string, value func(Account) int) chart.Series {
+func (d Day) series(name, colour string, value func(OutcomeCounts) int) chart.Series {
 	s := chart.ContinuousSeries{Name: name, Style: chart.Style{StrokeColor: drawing.ColorFromHex(colour)}}
 	for i, win := range d.Windows {
 		s.XValues = append(s.XValues, win.From.Seconds())
--- a/laburnumexplain/daytext.go
+++ b/laburnumexplain/daytext.go
@@ -19,7 +19,7 @@
 func (d Day) WriteText(w io.Writer, limit int) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	row := func(cells ...any) { _, _ = fmt.Fprintln(t, cellsText(cells)) } // Flush returns the error
-	row(fmt.Sprintf("%d requests in %d windows of %s from %s", d.Total.Asked, len(d.Windows), d.Width, d.Start.UTC().Format("2006-01-02 15:04:05")))
+	row(fmt.Sprintf("%d requests in %d windows of %s from %s", d.Total.Requests, len(d.Windows), d.Width, d.Start.UTC().Format("2006-01-02 15:04:05")))
 	row()
 	row("subject", "asked", "in time", "late", "refused", "failed", "mostly")
 	row("all", accountCells(d.Total))
@@ -40,23 +40,23 @@
 }
 
 // subjectsByLoss returns at most limit subjects with losses, the largest first.
-func subjectsByLoss(accounts map[string]*Account, limit int) []string {
+func subjectsByLoss(accounts map[string]*OutcomeCounts, limit int) []string {
 	var list []string
 	for subject, a := range accounts {
-		if a.Lost() > 0 {
+		if a.NotInTime() > 0 {
 			list = append(list, subject)
 		}
 	}
 	slices.SortFunc(list, func(a, b string) int {
-		return cmp.Or(accounts[b].Lost()-accounts[a].Lost(), strings.Compare(a, b))
+		return cmp.Or(accounts[b].NotInTime()-accounts[a].NotInTime(), strings.Compare(a, b))
 	})
 	return list[:min(limit, len(list))]
 }
 
-func accountCells(a Account) []any { return append(countCells(a), causesText(a)) }
+func accountCells(a OutcomeCounts) []any { return append(countCells(a), causesText(a)) }
 
-func countCells(a Account) []any {
-	return []any{a.Asked, a.Outcomes[InTime], a.Outcomes[Late], a.Outcomes[Refused], a.Outcomes[Failed]}
+func countCells(a OutcomeCounts) []any {
+	return []any{a.Requests, a.Outcomes[InTime], a.Outcomes[Late], a.Outcomes[Refused], a.Outcomes[Failed]}
 }
 
 func layoutCells(l Layout) []any {
@@ -66,7 +66,7 @@
 	return []any{l.Held, l.Loading, l.Room}
 }
 
-func causesText(a Account) string {
+func causesText(a OutcomeCounts) string {
 	var parts []string
 	for _, c := range a.causes() {
 		if len(parts) == maxCauses {
--- a/laburnumexplain/timeline.go
+++ b/laburnumexplain/timeline.go
@@ -13,7 +13,7 @@
 const lookback = 15 * time.Second
 
 // Timeline is the timeline of a request.
-type Story struct {
+type Timeline struct {
 	ID string
 	// Cause describes the outcome of the request in one sentence.
 	Cause string
@@ -42,8 +42,8 @@
 
 // NewTimeline collects the lines about a request and those that may have affected it. An error is a
 // *laburnumlever.NotFoundError.
-func Request(id string, lines []Line) (Story, error) {
-	timeline := Story{ID: id}
+func NewTimeline(id string, lines []Line) (Timeline, error) {
+	timeline := Timeline{ID: id}
 	for _, l := range lines {
 		if l.is("request-id", id) {
 			timeline.Lines = append(timeline.Lines, l)
@@ -102,7 +102,7 @@
 
 // Text formats the cause and the events, one per line. Lines of the request itself are marked with
 // a star.
-func (s Story) Text() []string {
+func (s Timeline) Text() []string {
 	out := []string{"cause: " + s.Cause}
 	start := s.Lines[0].At
 	for _, l := range s.Lines {
--- a/laburnumexplain/timeline_test.go
+++ b/laburnumexplain/timeline_test.go
@@ -23,7 +23,7 @@
 	lines, skipped, err := laburnumexplain.Read(strings.NewReader(logs))
 	require.NoError(t, err)
 	require.Equal(t, 2, skipped)
-	timeline, err := laburnumexplain.Request("r-1", lines)
+	timeline, err := laburnumexplain.NewTimeline("r-1", lines)
 	require.NoError(t, err)
 	text := strings.Join(timeline.Text(), "\n")
 	require.Contains(t, text, "cause: no backend server could serve it")
@@ -36,10 +36,10 @@
 func TestServedAndUnknownRequests(t *testing.T) {
 	lines, _, err := laburnumexplain.Read(strings.NewReader(logs))
 	require.NoError(t, err)
-	timeline, err := laburnumexplain.Request("r-2", lines)
+	timeline, err := laburnumexplain.NewTimeline("r-2", lines)
 	require.NoError(t, err)
 	require.Contains(t, timeline.Cause, "first part after 24 ms")
-	_, err = laburnumexplain.Request("r-3", lines)
+	_, err = laburnumexplain.NewTimeline("r-3", lines)
 	require.Error(t, err)
 }
 
--- a/laburnumsimulation/compare.go
+++ b/laburnumsimulation/compare.go
@@ -109,7 +109,7 @@
 	n := float64(len(days))
 	for i, o := range days {
 		values[i], gains[i] = o.Value, o.Value-first[i].Value
-		asked := max(1, float64(o.Asked))
+		asked := max(1, float64(o.Requests))
 		r.Mean.Day += o.Day / n
 		r.Mean.WorstWindows += o.WorstWindows / n
 		r.Mean.WorstClass += o.WorstClass / n
--- a/laburnumsimulation/orders.go
+++ b/laburnumsimulation/orders.go
@@ -15,15 +15,15 @@
 type engineClient struct{ sim *simulation }
 
 // EngineUnreachableError means that an engine is down and refused the connection.
-type DownError struct{ Backend laburnumlever.BackendID }
+type EngineUnreachableError struct{ Backend laburnumlever.BackendID }
 
-func (e *DownError) Error() string { return string(e.Backend) + " refused the connection" }
+func (e *EngineUnreachableError) Error() string { return string(e.Backend) + " refused the connection" }
 
 // State implements laburnumlever.ModelEngines.
 func (c engineClient) State(_ context.Context, to laburnumlever.Heartbeat) (laburnumlever.EngineState, error) {
 	e := c.sim.byID[to.Backend]
 	if !e.up {
-		return laburnumlever.EngineState{}, &laburnumlever.NotSentError{Cause: &DownError{Backend: to.Backend}}
+		return laburnumlever.EngineState{}, &laburnumlever.NotSentError{Cause: &EngineUnreachableError{Backend: to.Backend}}
 	}
 	return laburnumlever.EngineState{Born: e.incarnation, Accepted: e.accepted, Busy: e.order != nil, Models: e.models()}, nil
 }
@@ -32,7 +32,7 @@
 func (c engineClient) Order(_ context.Context, to laburnumlever.Heartbeat, o laburnumlever.EngineOrder) (laburnumlever.EngineVerdict, error) {
 	e := c.sim.byID[to.Backend]
 	if !e.up {
-		return 0, &laburnumlever.NotSentError{Cause: &DownError{Backend: to.Backend}}
+		return 0, &laburnumlever.NotSentError{Cause: &EngineUnreachableError{Backend: to.Backend}}
 	}
 	c.sim.outcome.orders++
 	return e.execute(o), nil
--- a/laburnumsimulation/outcome.go
+++ b/laburnumsimulation/outcome.go
@@ -17,13 +17,13 @@
 )
 
 // worthShare is the worth earned of that possible.
-type worthShare struct{ Earned, Owed float64 }
+type worthShare struct{ Earned, Possible float64 }
 
 func (s worthShare) value() float64 {
-	if s.Owed == 0 {
+	if s.Possible == 0 {
 		return 1
 	}
-	return s.Earned / s.Owed
+	return s.Earned / s.Possible
 }
 
 // Outcome is the result of one simulated day.
@@ -37,11 +37,11 @@
 	WorstClass   float64 `json:"worst-class"`
 	WorstZone    float64 `json:"worst-zone"`
 	// Requests counts all requests, OnTime, Late, Refused and Failed those that ended so.
-	Asked   int `json:"asked"`
-	OnTime  int `json:"on-time"`
-	Late    int `json:"late"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
+	Requests int `json:"asked"`
+	OnTime   int `json:"on-time"`
+	Late     int `json:"late"`
+	Refused  int `json:"refused"`
+	Failed   int `json:"failed"`
 	// LateFirst counts answers that started late, LatePause those with too long a pause.
 	LateFirst int `json:"late-first"`
 	LatePause int `json:"late-pause"`
@@ -84,8 +84,10 @@
 
 func (t *tally) add(q *request, earned float64) {
 	possible := q.worth()
-	t.Asked++
-	add := func(s worthShare) worthShare { return worthShare{Earned: s.Earned + earned, Owed: s.Owed + possible} }
+	t.Requests++
+	add := func(s worthShare) worthShare {
+		return worthShare{Earned: s.Earned + earned, Possible: s.Possible + possible}
+	}
 	t.total = add(t.total)
 	w := int(q.createdAt.Sub(q.sim.startedAt) / windowLength)
 	t.windows[w] = add(t.windows[w])
@@ -134,7 +136,7 @@
 	o.Orders, o.Loads, o.StoreLoads, o.Preempted, o.Retries, o.Overcommitted = t.orders, t.loads, t.storeLoads, t.preempted, t.retries, t.overcommitted
 	o.Day = t.total.value()
 	for _, w := range t.windows {
-		if w.Owed > 0 {
+		if w.Possible > 0 {
 			o.Windows = append(o.Windows, w.value())
 		}
 	}
@@ -150,11 +152,11 @@
 	for _, z := range t.zones {
 		o.WorstZone = min(o.WorstZone, z.value())
 	}
-	if t.total.Owed > 0 {
-		o.LateRefusals = t.lateRefusalWorth / t.total.Owed
+	if t.total.Possible > 0 {
+		o.LateRefusals = t.lateRefusalWorth / t.total.Possible
 	}
 	v := t.scenario.Value
 	o.Value = v.Day*o.Day + v.WorstWindows*o.WorstWindows + v.WorstClass*o.WorstClass + v.WorstZone*o.WorstZone -
-		v.LateRefusal*o.LateRefusals - v.Load*float64(o.Loads)/max(1, float64(o.Asked))*1000
+		v.LateRefusal*o.LateRefusals - v.Load*float64(o.Loads)/max(1, float64(o.Requests))*1000
 	return o
 }
--- a/laburnumsimulation/simulation_test.go
+++ b/laburnumsimulation/simulation_test.go
@@ -25,7 +25,7 @@
 	first := Run(s, productionPolicy(), 3)
 	require.Equal(t, first, Run(s, productionPolicy(), 3))
 	require.NotEqual(t, first.Value, Run(s, productionPolicy(), 4).Value)
-	require.Equal(t, first.Asked, first.OnTime+first.Late+first.Refused+first.Failed, "each request ends once")
+	require.Equal(t, first.Requests, first.OnTime+first.Late+first.Refused+first.Failed, "each request ends once")
 }
 
 // Guards against a policy that orders an engine to load more than fits.
