--- a/cmd/laburnumlever/loadcmd.go
+++ b/cmd/laburnumlever/loadcmd.go
@@ -77,8 +77,8 @@
 		return laburnumload.Report{}, err
 	}
 	defer fleet.Close()
-	opts = append(opts, laburnumload.WithActor(fleet))
-	result, err := laburnumload.NewRunner(fleet.Operators(), opts...).Run(c.Context, experiment)
+	opts = append(opts, laburnumload.WithEventHandler(fleet))
+	result, err := laburnumload.NewRunner(fleet.OperatorsAddresses(), opts...).Run(c.Context, experiment)
 	if violations := fleet.Violations(); violations > 0 {
 		result.Broken = append(result.Broken, fmt.Sprintf("%d orders asked an accelerator for more memory than it has", violations))
 	}
--- a/cmd/laburnumlever/quickstartcmd.go
+++ b/cmd/laburnumlever/quickstartcmd.go
@@ -55,7 +55,7 @@
 	if c.Bool("once") && !c.IsSet("listen") {
 		address = anyPort
 	}
-	opts := []laburnumfleet.Option{laburnumfleet.WithCallers(address)}
+	opts := []laburnumfleet.Option{laburnumfleet.WithCallersAddress(address)}
 	if c.Bool("verbose") {
 		opts = append(opts, laburnumfleet.WithLogger(log.NewLogfmtLogger(log.NewSyncWriter(c.App.ErrWriter))))
 	}
@@ -80,8 +80,8 @@
 	if err := fleet.AwaitLoaded(ctx, revision); err != nil {
 		return err
 	}
-	callers := fleet.Callers()[0]
-	printf(c.App.Writer, "ready callers=%s operators=%s\n", callers, fleet.Operators()[0])
+	callers := fleet.CallersAddresses()[0]
+	printf(c.App.Writer, "ready callers=%s operators=%s\n", callers, fleet.OperatorsAddresses()[0])
 	printf(c.App.Writer, `try: curl -N http://%s/v1/chat/completions -d '{"model": "quote-small", "stream": true, "messages": [{"role": "user", "content": "oak parquet, 20 square metres"}]}'`+"\n", callers)
 	<-c.Done()
 	return nil
--- a/cmd/laburnumlever/quickstartonce.go
+++ b/cmd/laburnumlever/quickstartonce.go
@@ -34,7 +34,7 @@
 
 // runSession runs the session up to the first step that fails.
 func runSession(ctx context.Context, w io.Writer, fleet *laburnumfleet.Fleet) error {
-	s := &session{w: w, fleet: fleet, caller: laburnumload.NewCaller(), address: fleet.Callers()[0]}
+	s := &session{w: w, fleet: fleet, caller: laburnumload.NewCaller(), address: fleet.CallersAddresses()[0]}
 	for _, step := range []func(context.Context) error{
 		s.apply, s.listModels, s.completion, s.booking, s.unknownModel, s.ownerLimit,
 	} {
@@ -68,7 +68,7 @@
 }
 
 func (s *session) listModels(ctx context.Context) error {
-	catalogue, err := laburnumoperator.NewClient(s.fleet.Operators()[0]).Catalogue(ctx)
+	catalogue, err := laburnumoperator.NewClient(s.fleet.OperatorsAddresses()[0]).Catalogue(ctx)
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 func (s *session) completion(ctx context.Context) error {
 	ask := laburnumload.Arrival{Model: "quote-small", Prompt: "oak parquet, 20 square metres", MaxTokens: 16, Stream: true, Caller: "homeowner"}
 	got := s.caller.Send(ctx, s.address, ask)
-	if v := laburnumload.Judge(ask, got); !v.Whole {
+	if v := laburnumload.CheckAnswer(ask, got); !v.Whole {
 		return &stepError{Step: "streamed completion", Got: describe(got), Want: "the whole answer to its own prompt"}
 	}
 	s.printStep("streamed completion: %d tokens and the end marker, whole and its own", ask.MaxTokens)
@@ -102,14 +102,14 @@
 		Service: "booking", Method: http.MethodPost, Path: "/visits", Prompt: "Tuesday 9:00, rue de la Loi", Key: "visit-1", Caller: "homeowner",
 	}
 	first, second := s.caller.Send(ctx, s.address, ask), s.caller.Send(ctx, s.address, ask)
-	if !laburnumload.Judge(ask, first).Whole || second.Text != first.Text {
+	if !laburnumload.CheckAnswer(ask, first).Whole || second.Text != first.Text {
 		return &stepError{Step: "booking sent twice", Got: describe(first) + " and " + describe(second), Want: "the same answer twice"}
 	}
-	ledger, err := laburnumload.ReadLedgers(ctx, s.fleet.Operators()[0])
+	ledger, err := laburnumload.ReadLedgers(ctx, s.fleet.OperatorsAddresses()[0])
 	if err != nil {
 		return err
 	}
-	if broken := laburnumload.CheckLedger([]laburnumload.Told{{Key: ask.Key, Answered: true}}, ledger); len(broken) > 0 {
+	if broken := laburnumload.CheckLedger([]laburnumload.CallResult{{Key: ask.Key, Answered: true}}, ledger); len(broken) > 0 {
 		return &stepError{Step: "booking sent twice", Got: strings.Join(broken, "; "), Want: "one run"}
 	}
 	s.printStep("booking sent twice with one key: the same answer twice, the service ran it once")
--- a/cmd/laburnumlever/standinplatformservercmd.go
+++ b/cmd/laburnumlever/standinplatformservercmd.go
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			behaviour := laburnumstandin.PlatformBehaviour{BreakAfter: c.Int("break-after"), Delay: c.Duration("delay")}
+			behaviour := laburnumstandin.PlatformBehaviour{AbortStreamAfter: c.Int("break-after"), Delay: c.Duration("delay")}
 			if c.Bool("print-runs") {
 				behaviour.OnRun = func(id string) { printf(c.App.Writer, "ran %s\n", id) }
 			}
--- a/laburnumfleet/actions.go
+++ b/laburnumfleet/actions.go
@@ -21,7 +21,7 @@
 // leader yet, and not all VMs know the backend servers. A dry run comes first, so that
 // a catalogue that can't be accepted yet is not proposed as a change.
 func (f *Fleet) Apply(ctx context.Context) (uint64, error) {
-	client := laburnumoperator.NewClient(f.Operators()[0])
+	client := laburnumoperator.NewClient(f.OperatorsAddresses()[0])
 	req := laburnumlever.ApplyRequest{DryRun: true}
 	req.ChangeID = uuid.NewString()
 	req.Catalogue = f.catalogue
@@ -54,7 +54,7 @@
 // model and a backend server of every plain service. Errors: *NotLoadedError when the
 // context ends first.
 func (f *Fleet) AwaitLoaded(ctx context.Context, revision uint64) error {
-	for _, address := range f.Operators() {
+	for _, address := range f.OperatorsAddresses() {
 		if err := awaitLoaded(ctx, laburnumoperator.NewClient(address), revision); err != nil {
 			return err
 		}
@@ -82,7 +82,7 @@
 	moves, since := uint64(0), time.Now()
 	for time.Since(since) < quiet {
 		now := uint64(0)
-		for _, address := range f.Operators() {
+		for _, address := range f.OperatorsAddresses() {
 			status, err := laburnumoperator.NewClient(address).Status(ctx)
 			if err == nil {
 				now += status.Moves
@@ -184,7 +184,7 @@
 // applyUnchangedPlacement applies the current catalogue with a slightly higher move cost,
 // a new revision that leaves the placement as it is.
 func (f *Fleet) applyUnchangedPlacement(ctx context.Context) error {
-	client := laburnumoperator.NewClient(f.Operators()[0])
+	client := laburnumoperator.NewClient(f.OperatorsAddresses()[0])
 	current, err := client.Catalogue(ctx)
 	if err != nil {
 		return err
--- a/laburnumfleet/fleet.go
+++ b/laburnumfleet/fleet.go
@@ -74,7 +74,7 @@
 
 // WithCallersAddress sets the callers address of the first VM; all other listeners use
 // free ports.
-func WithCallers(address string) Option {
+func WithCallersAddress(address string) Option {
 	return func(f *Fleet) { f.callersAddress = address }
 }
 
@@ -189,12 +189,12 @@
 }
 
 // OperatorsAddresses lists the operators addresses of the running VMs.
-func (f *Fleet) Operators() []string {
+func (f *Fleet) OperatorsAddresses() []string {
 	return f.addresses(func(listen laburnumsettings.Listen) string { return listen.Operators })
 }
 
 // CallersAddresses lists the callers addresses of the running VMs.
-func (f *Fleet) Callers() []string {
+func (f *Fleet) CallersAddresses() []string {
 	return f.addresses(func(listen laburnumsettings.Listen) string { return listen.Callers })
 }
 
--- a/laburnumfleet/fleet_test.go
+++ b/laburnumfleet/fleet_test.go
@@ -74,9 +74,9 @@
 	require.NoError(t, err)
 	require.NoError(t, fleet.AwaitLoaded(ctx, revision))
 
-	report, err := laburnumload.NewRunner(fleet.Operators(), laburnumload.WithActor(fleet)).Run(ctx, laburnumload.Experiment{
+	report, err := laburnumload.NewRunner(fleet.OperatorsAddresses(), laburnumload.WithEventHandler(fleet)).Run(ctx, laburnumload.Experiment{
 		Name: "drain", Seed: 7, Timeout: laburnumlever.Duration(20 * time.Second),
-		Phases: []laburnumload.Phase{{For: laburnumlever.Duration(4 * time.Second), RequestsPerSecond: 40, Shape: laburnumload.ShapeBurst, BurstSize: 8}},
+		Phases: []laburnumload.Phase{{Duration: laburnumlever.Duration(4 * time.Second), RequestsPerSecond: 40, Shape: laburnumload.ShapeBurst, BurstSize: 8}},
 		Mix: []laburnumload.Entry{
 			{Name: "quotes", Share: 4, Models: []laburnumlever.ModelName{catalogue.Models[0].Name}, Stream: true},
 			{Name: "visits", Share: 1, Service: "booking", Path: "/visits", Keyed: true, Resend: 0.5},
@@ -89,5 +89,5 @@
 	require.Positive(t, report.Whole)
 	require.Equal(t, report.Sent, report.Whole+report.Refused)
 	require.Zero(t, fleet.Violations())
-	require.Len(t, fleet.Operators(), 1)
+	require.Len(t, fleet.OperatorsAddresses(), 1)
 }
--- a/laburnumload/arrivals.go
+++ b/laburnumload/arrivals.go
@@ -19,16 +19,16 @@
 
 // rateAt is the rate, in requests per second, at a time of the phase; a ramp is linear.
 func rateAt(phase Phase, at time.Duration) float64 {
-	if phase.To <= 0 {
+	if phase.EndRequestsPerSecond <= 0 {
 		return phase.RequestsPerSecond
 	}
-	return phase.RequestsPerSecond + (phase.To-phase.RequestsPerSecond)*float64(at)/float64(phase.For)
+	return phase.RequestsPerSecond + (phase.EndRequestsPerSecond-phase.RequestsPerSecond)*float64(at)/float64(phase.Duration)
 }
 
 // poissonTimes generates a Poisson process with a varying rate by thinning a process
 // of the highest rate.
 func poissonTimes(phase Phase, rng *rand.Rand) []time.Duration {
-	highest := max(phase.RequestsPerSecond, phase.To)
+	highest := max(phase.RequestsPerSecond, phase.EndRequestsPerSecond)
 	if highest <= 0 {
 		return nil
 	}
@@ -36,7 +36,7 @@
 	at := time.Duration(0)
 	for {
 		at += time.Duration(rng.ExpFloat64() / highest * float64(time.Second))
-		if at >= time.Duration(phase.For) {
+		if at >= time.Duration(phase.Duration) {
 			return times
 		}
 		if rng.Float64()*highest < rateAt(phase, at) {
@@ -51,7 +51,7 @@
 	size := max(1, phase.BurstSize)
 	groups := phase
 	groups.RequestsPerSecond /= float64(size)
-	groups.To /= float64(size)
+	groups.EndRequestsPerSecond /= float64(size)
 	var times []time.Duration
 	for _, at := range poissonTimes(groups, rng) {
 		for range size {
@@ -66,7 +66,7 @@
 		return nil
 	}
 	var times []time.Duration
-	for at := time.Duration(0); at < time.Duration(phase.For); {
+	for at := time.Duration(0); at < time.Duration(phase.Duration); {
 		times = append(times, at)
 		at += time.Duration(float64(time.Second) / max(rateAt(phase, at), minRate))
 	}
--- a/laburnumload/caller.go
+++ b/laburnumload/caller.go
@@ -176,7 +176,7 @@
 			continue
 		}
 		if data == endMarker {
-			answer.Marked = true
+			answer.EndMarker = true
 			continue
 		}
 		var event chatAnswer
--- a/laburnumload/experiment.go
+++ b/laburnumload/experiment.go
@@ -64,11 +64,11 @@
 
 // Phase is a part of an experiment with a constant rate or a linear ramp.
 type Phase struct {
-	For               laburnumlever.Duration `json:"for" required:"true"`
+	Duration          laburnumlever.Duration `json:"for" required:"true"`
 	RequestsPerSecond float64                `json:"requests-per-second" required:"true"`
 	// EndRequestsPerSecond is the rate at the end of a ramp; 0 means a constant rate.
-	To    float64 `json:"to-requests-per-second"`
-	Shape Shape   `json:"shape"`
+	EndRequestsPerSecond float64 `json:"to-requests-per-second"`
+	Shape                Shape   `json:"shape"`
 	// BurstSize is the number of requests in each burst of ShapeBurst.
 	BurstSize int `json:"burst-size"`
 	// Shares overrides the shares of mix entries during the phase.
@@ -120,8 +120,8 @@
 
 // Range is a uniformly distributed number from Min to Max, inclusive.
 type Range struct {
-	Least int `json:"least"`
-	Most  int `json:"most"`
+	Min int `json:"least"`
+	Max int `json:"most"`
 }
 
 // Event is an action that is applied to the system at a time of the experiment.
@@ -157,7 +157,7 @@
 func (e Experiment) Duration() time.Duration {
 	var total time.Duration
 	for _, phase := range e.Phases {
-		total += time.Duration(phase.For)
+		total += time.Duration(phase.Duration)
 	}
 	return total
 }
--- a/laburnumload/ledgercheck.go
+++ b/laburnumload/ledgercheck.go
@@ -8,7 +8,7 @@
 
 // CallResult is the result that a caller got for one send of a call. Key is the call's
 // idempotency key or, without one, its request id.
-type Told struct {
+type CallResult struct {
 	Key string
 	// Answered is true if the caller got a whole answer.
 	Answered bool
@@ -22,7 +22,7 @@
 // ran, and lists the broken promises: a key that ran more than once, an answered key
 // that never ran, and a key that ran although all of its sends were refused as not-run
 // or not sent. A key has several results if it was resent.
-func CheckLedger(results []Told, ledgers [][]laburnumstandin.LedgerEntry) []string {
+func CheckLedger(results []CallResult, ledgers [][]laburnumstandin.LedgerEntry) []string {
 	runs := make(map[string]int)
 	for _, ledger := range ledgers {
 		for _, entry := range ledger {
@@ -45,7 +45,7 @@
 
 // checkNotRun lists the keys that ran although no send of them may have run. If another
 // send of the key was answered or has an unknown outcome, the run may be that one's.
-func checkNotRun(results []Told, runs map[string]int) []string {
+func checkNotRun(results []CallResult, runs map[string]int) []string {
 	mayHaveRun := make(map[string]bool)
 	for _, t := range results {
 		if !t.NotSent && t.Outcome != outcomeNotRun {
--- a/laburnumload/plan.go
+++ b/laburnumload/plan.go
@@ -89,7 +89,7 @@
 		for _, at := range arrivalTimes(phase, p.rng) {
 			p.addArrival(start+at, entries[p.pickWeighted(weights)])
 		}
-		start += time.Duration(phase.For)
+		start += time.Duration(phase.Duration)
 	}
 }
 
@@ -148,10 +148,10 @@
 }
 
 func (p *planner) drawRange(r Range, fallback int) int {
-	if r.Most <= 0 {
+	if r.Max <= 0 {
 		return fallback
 	}
-	return r.Least + p.rng.IntN(max(1, r.Most-r.Least+1))
+	return r.Min + p.rng.IntN(max(1, r.Max-r.Min+1))
 }
 
 // pickWeighted returns a random index, weighted by weights.
--- a/laburnumload/plan_test.go
+++ b/laburnumload/plan_test.go
@@ -32,11 +32,11 @@
 		phase       laburnumload.Phase
 		least, most int
 	}{
-		{"poisson", laburnumload.Phase{For: seconds(100), RequestsPerSecond: 40}, 3700, 4300},
-		{"ramp", laburnumload.Phase{For: seconds(100), RequestsPerSecond: 10, To: 100}, 5200, 5800},
-		{"steady", laburnumload.Phase{For: seconds(100), RequestsPerSecond: 40, Shape: laburnumload.ShapeSteady}, 3990, 4010},
-		{"bursts", laburnumload.Phase{For: seconds(1000), RequestsPerSecond: 40, Shape: laburnumload.ShapeBurst, BurstSize: 20}, 36400, 43600},
-		{"silence", laburnumload.Phase{For: seconds(10)}, 0, 0},
+		{"poisson", laburnumload.Phase{Duration: seconds(100), RequestsPerSecond: 40}, 3700, 4300},
+		{"ramp", laburnumload.Phase{Duration: seconds(100), RequestsPerSecond: 10, EndRequestsPerSecond: 100}, 5200, 5800},
+		{"steady", laburnumload.Phase{Duration: seconds(100), RequestsPerSecond: 40, Shape: laburnumload.ShapeSteady}, 3990, 4010},
+		{"bursts", laburnumload.Phase{Duration: seconds(1000), RequestsPerSecond: 40, Shape: laburnumload.ShapeBurst, BurstSize: 20}, 36400, 43600},
+		{"silence", laburnumload.Phase{Duration: seconds(10)}, 0, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			plan := laburnumload.Plan(experiment(tt.phase), "run")
@@ -54,8 +54,8 @@
 }
 
 func TestPlanFollowsMixAndSkew(t *testing.T) {
-	rush := laburnumload.Phase{For: seconds(100), RequestsPerSecond: 20, Shares: []laburnumload.Share{{Entry: "quotes", Share: 1}}}
-	plan := laburnumload.Plan(experiment(laburnumload.Phase{For: seconds(100), RequestsPerSecond: 20}, rush), "run")
+	rush := laburnumload.Phase{Duration: seconds(100), RequestsPerSecond: 20, Shares: []laburnumload.Share{{Entry: "quotes", Share: 1}}}
+	plan := laburnumload.Plan(experiment(laburnumload.Phase{Duration: seconds(100), RequestsPerSecond: 20}, rush), "run")
 	var calm, rushed, hot, quotes, firstCaller, resends int
 	keys := map[string]int{}
 	for i, a := range plan {
@@ -91,7 +91,7 @@
 }
 
 func TestPlanFromTrace(t *testing.T) {
-	e := experiment(laburnumload.Phase{For: seconds(10), RequestsPerSecond: 50})
+	e := experiment(laburnumload.Phase{Duration: seconds(10), RequestsPerSecond: 50})
 	e.Trace = []laburnumload.TraceEntry{{At: seconds(2), Entry: "visits"}, {At: seconds(1), Entry: "quotes"}}
 	e.Mix[1].Resend = 0
 	plan := laburnumload.Plan(e, "run")
--- a/laburnumload/report.go
+++ b/laburnumload/report.go
@@ -21,7 +21,7 @@
 	Lost int `json:"lost"`
 	// SentLate counts requests that the tool itself sent more than 100 ms late. If there
 	// are many, the machine that runs the tool was the bottleneck, not the system.
-	Late int `json:"sent-late"`
+	SentLate int `json:"sent-late"`
 
 	// Attained counts the answers within their class's latency targets.
 	Attained          int     `json:"attained"`
--- a/laburnumload/results.go
+++ b/laburnumload/results.go
@@ -31,7 +31,7 @@
 	firstToken    *hdrhistogram.Histogram
 	betweenTokens *hdrhistogram.Histogram
 	refusals      []Count
-	calls         []Told
+	calls         []CallResult
 }
 
 type groupResults struct {
@@ -69,9 +69,9 @@
 
 // addAnswer checks one answer and adds it to the counts.
 func (r *results) addAnswer(a Arrival, id string, got Answer) {
-	v := Judge(a, got)
+	v := CheckAnswer(a, got)
 	owner, class := r.ownerAndClass(a)
-	attained := v.Whole && !a.Resend && Attained(class, got)
+	attained := v.Whole && !a.Resend && MeetsTargets(class, got)
 	second := r.secondAt(a.At)
 	second.Sent++
 	r.report.Sent++
@@ -91,7 +91,7 @@
 		r.countRefusal(v.Refused)
 	}
 	if a.Service != "" && a.Method != http.MethodGet {
-		r.calls = append(r.calls, Told{Key: callID(a.Key, id), Answered: v.Whole, Outcome: got.Outcome, NotSent: got.NotSent})
+		r.calls = append(r.calls, CallResult{Key: callID(a.Key, id), Answered: v.Whole, Outcome: got.Outcome, NotSent: got.NotSent})
 	}
 }
 
--- a/laburnumload/runner.go
+++ b/laburnumload/runner.go
@@ -27,11 +27,11 @@
 	vms          []string
 	timers       laburnumlever.Timers
 	progress     io.Writer
-	eventHandler Actor
+	eventHandler EventHandler
 }
 
 // EventHandler carries out the events of an experiment other than HTTP requests.
-type Actor interface {
+type EventHandler interface {
 	Act(ctx context.Context, event Event) error
 }
 
@@ -50,7 +50,7 @@
 
 // WithEventHandler sets the handler of the events that are not HTTP requests. Without it,
 // such events fail.
-func WithActor(actor Actor) Option {
+func WithEventHandler(actor EventHandler) Option {
 	return func(r *Runner) { r.eventHandler = actor }
 }
 
@@ -165,7 +165,7 @@
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	if late {
-		run.results.report.Late++
+		run.results.report.SentLate++
 	}
 	run.inFlight++
 	return run.balancer.choose()
--- a/laburnumload/text.go
+++ b/laburnumload/text.go
@@ -13,7 +13,7 @@
 func (r Report) WriteText(w io.Writer) error {
 	t := &textWriter{w: w}
 	t.line("experiment %s, %s", r.Experiment, r.Duration)
-	t.line("sent %d: whole %d, refused %d, lost %d; sent late by the tool %d", r.Sent, r.Whole, r.Refused, r.Lost, r.Late)
+	t.line("sent %d: whole %d, refused %d, lost %d; sent late by the tool %d", r.Sent, r.Whole, r.Refused, r.Lost, r.SentLate)
 	t.line("attained %d, %.1f a second, %.3f a second for each of %d accelerators; moves %d",
 		r.Attained, r.AttainedPerSecond, r.PerAccelerator, r.Accelerators, r.Moves)
 	t.latency("first token", r.FirstToken)
--- a/laburnumload/verdict.go
+++ b/laburnumload/verdict.go
@@ -25,7 +25,7 @@
 	RetryAfter bool
 	Text       string
 	// EndMarker is true if a stream contained its end marker, [DONE].
-	Marked bool
+	EndMarker bool
 	// FirstToken is the time from sending to the first token or, without streaming, to
 	// the whole answer.
 	FirstToken time.Duration
@@ -60,7 +60,7 @@
 )
 
 // CheckAnswer checks an answer against its request.
-func Judge(a Arrival, got Answer) Verdict {
+func CheckAnswer(a Arrival, got Answer) Verdict {
 	switch {
 	case got.Lost != "":
 		return Verdict{Lost: true}
@@ -98,11 +98,11 @@
 		want.WriteString(laburnumstandin.Token(a.Prompt, i))
 	}
 	switch {
-	case got.Text == want.String() && (got.Marked || !a.Stream):
+	case got.Text == want.String() && (got.EndMarker || !a.Stream):
 		return Verdict{Whole: true}
 	case !strings.HasPrefix(want.String(), got.Text):
 		return Verdict{Broken: brokenCrossed}
-	case got.Marked || !a.Stream:
+	case got.EndMarker || !a.Stream:
 		return Verdict{Broken: brokenTruncated}
 	default:
 		// The caller can tell from the missing end marker that the stream is truncated.
@@ -112,7 +112,7 @@
 
 // MeetsTargets reports whether an answer met its class's latency targets: for the first
 // token, and for 95% of the gaps between tokens.
-func Attained(class laburnumlever.Class, got Answer) bool {
+func MeetsTargets(class laburnumlever.Class, got Answer) bool {
 	if got.FirstToken > time.Duration(class.FirstToken) {
 		return false
 	}
--- a/laburnumload/verdict_test.go
+++ b/laburnumload/verdict_test.go
@@ -20,15 +20,15 @@
 		got  laburnumload.Answer
 		want laburnumload.Verdict
 	}{
-		{"whole", laburnumload.Answer{Status: 200, Text: mine, Marked: true}, laburnumload.Verdict{Whole: true}},
+		{"whole", laburnumload.Answer{Status: 200, Text: mine, EndMarker: true}, laburnumload.Verdict{Whole: true}},
 		{
 			"another's",
-			laburnumload.Answer{Status: 200, Text: laburnumstandin.Token("yours", 0), Marked: true},
+			laburnumload.Answer{Status: 200, Text: laburnumstandin.Token("yours", 0), EndMarker: true},
 			laburnumload.Verdict{Broken: "the answer belongs to another request"},
 		},
 		{
 			"a part with the end marker",
-			laburnumload.Answer{Status: 200, Text: laburnumstandin.Token("mine", 0), Marked: true},
+			laburnumload.Answer{Status: 200, Text: laburnumstandin.Token("mine", 0), EndMarker: true},
 			laburnumload.Verdict{Broken: "a truncated answer was marked as complete"},
 		},
 		{"a part without it", laburnumload.Answer{Status: 200, Text: laburnumstandin.Token("mine", 0)}, laburnumload.Verdict{Lost: true}},
@@ -46,7 +46,7 @@
 		},
 		{"a bare error", laburnumload.Answer{Status: http.StatusBadGateway}, laburnumload.Verdict{Broken: "the refusal has no known reason"}},
 	} {
-		t.Run(tt.name, func(t *testing.T) { require.Equal(t, tt.want, laburnumload.Judge(ask, tt.got)) })
+		t.Run(tt.name, func(t *testing.T) { require.Equal(t, tt.want, laburnumload.CheckAnswer(ask, tt.got)) })
 	}
 }
 
@@ -56,10 +56,10 @@
 	for i := range 5 {
 		got.Gaps[i] = time.Second
 	}
-	require.True(t, laburnumload.Attained(class, got))
+	require.True(t, laburnumload.MeetsTargets(class, got))
 	got.Gaps[5] = time.Second
-	require.False(t, laburnumload.Attained(class, got))
-	require.False(t, laburnumload.Attained(class, laburnumload.Answer{FirstToken: time.Second + 1}))
+	require.False(t, laburnumload.MeetsTargets(class, got))
+	require.False(t, laburnumload.MeetsTargets(class, laburnumload.Answer{FirstToken: time.Second + 1}))
 }
 
 // Guards against double bookings that only the service's ledger shows: a call that runs
@@ -67,7 +67,7 @@
 // as not-run, so that the caller books elsewhere.
 func TestCheckLedger(t *testing.T) {
 	ledger := [][]laburnumstandin.LedgerEntry{{{Key: "once"}, {Key: "twice"}, {Key: "denied"}}, {{Key: "twice"}, {Key: "recovered"}}}
-	told := []laburnumload.Told{
+	told := []laburnumload.CallResult{
 		{Key: "once", Answered: true},
 		{Key: "once", Outcome: "unknown"},
 		{Key: "twice", Answered: true},
--- a/laburnumorder/owner_test.go
+++ b/laburnumorder/owner_test.go
@@ -204,7 +204,7 @@
 		w.run(4 * time.Minute)
 		requireCurrent(t, w)
 		w.requireContinuity = false
-		w.engines[0].LoseAccelerator("a1")
+		w.engines[0].FailAccelerator("a1")
 		w.run(5 * time.Minute)
 		w.requireAllReachable()
 		requireCurrent(t, w)
--- a/laburnumorder/schedule_test.go
+++ b/laburnumorder/schedule_test.go
@@ -35,7 +35,7 @@
 				incarnation++
 				w.startVM(rapid.IntRange(0, 1).Draw(t, "vm"), incarnation)
 			},
-			"accelerator": func(*rapid.T) { w.engines[2].LoseAccelerator("a1") },
+			"accelerator": func(*rapid.T) { w.engines[2].FailAccelerator("a1") },
 			"restart":     func(t *rapid.T) { w.restartEngine(rapid.IntRange(0, 2).Draw(t, "engine")) },
 			"catalogue":   w.drawChange,
 			"versions":    func(*rapid.T) { w.newVersions() },
--- a/laburnumproxy/proxy_test.go
+++ b/laburnumproxy/proxy_test.go
@@ -99,7 +99,7 @@
 // engine that has the prompt's prefix cached, and the prompt would be computed again.
 func TestPromptIsRoutedToCachedPrefix(t *testing.T) {
 	system := strings.Repeat("You estimate \"carpets\". ", 30)
-	hashes := laburnumstandin.PrefixHashes(laburnumstandin.PromptOf([]string{system, "hall"}))
+	hashes := laburnumstandin.PrefixHashes(laburnumstandin.JoinMessages([]string{system, "hall"}))
 	body := `{"model":"quote","messages":[{"role":"system","content":` + strconv.Quote(system) + `},{"role":"user","content":"hall"}]}`
 	for seed := range uint64(8) {
 		b := newFixture(t, nil, laburnumproxy.WithSeed(seed))
--- a/laburnumstandin/announcer.go
+++ b/laburnumstandin/announcer.go
@@ -23,7 +23,7 @@
 const messageQueueSize = 4
 
 // LeaveNotice is the body of POST /backend/leave.
-type Leaving struct {
+type LeaveNotice struct {
 	Backend     laburnumlever.BackendID `json:"backend"`
 	Incarnation uint64                  `json:"incarnation"`
 }
@@ -78,7 +78,7 @@
 		cancel()
 	}
 	own := a.announce()
-	body := Leaving{Backend: own.Backend, Incarnation: own.Incarnation}
+	body := LeaveNotice{Backend: own.Backend, Incarnation: own.Incarnation}
 	for _, address := range a.cfg.registries {
 		a.send(address, message{path: leavePath, body: body})
 	}
--- a/laburnumstandin/engine.go
+++ b/laburnumstandin/engine.go
@@ -103,7 +103,7 @@
 }
 
 // FailAccelerator removes an accelerator and the copies on it, as a hardware fault would.
-func (e *Engine) LoseAccelerator(id laburnumlever.AcceleratorID) {
+func (e *Engine) FailAccelerator(id laburnumlever.AcceleratorID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.memory.failAccelerator(id)
--- a/laburnumstandin/enginememory.go
+++ b/laburnumstandin/enginememory.go
@@ -16,7 +16,7 @@
 	MemoryMiB    int                         `json:"memory-mib"`
 	Order        laburnumlever.OrderID       `json:"order"`
 	// Accepted is true if the engine accepted the order all the same.
-	Taken bool `json:"taken"`
+	Accepted bool `json:"taken"`
 }
 
 // modelCopy is a copy of a model in the engine's memory.
--- a/laburnumstandin/engineorders.go
+++ b/laburnumstandin/engineorders.go
@@ -58,7 +58,7 @@
 		taken := !e.announcement.ChecksFencing
 		e.violations = append(e.violations, Violation{
 			At: e.cfg.timers.Now(), Backend: e.announcement.Backend, Accelerator: a.ID,
-			CommittedMiB: after, MemoryMiB: a.MemoryMiB, Order: order.ID, Taken: taken,
+			CommittedMiB: after, MemoryMiB: a.MemoryMiB, Order: order.ID, Accepted: taken,
 		})
 		if !taken {
 			return laburnumlever.OrderNoMemory, string(a.ID)
--- a/laburnumstandin/enginerequests.go
+++ b/laburnumstandin/enginerequests.go
@@ -73,7 +73,7 @@
 
 // JoinMessages turns a chat into a prompt: the contents of its messages, joined by
 // newlines.
-func PromptOf(contents []string) string { return strings.Join(contents, "\n") }
+func JoinMessages(contents []string) string { return strings.Join(contents, "\n") }
 
 func (r completionRequest) prompt() string {
 	if len(r.Messages) == 0 {
@@ -83,7 +83,7 @@
 	for i, m := range r.Messages {
 		contents[i] = m.Content
 	}
-	return PromptOf(contents)
+	return JoinMessages(contents)
 }
 
 func (e *Engine) routes() *http.ServeMux {
--- a/laburnumstandin/link.go
+++ b/laburnumstandin/link.go
@@ -119,7 +119,7 @@
 }
 
 // PassedBytes counts the bytes forwarded in both directions.
-func (l *Link) Passed() int {
+func (l *Link) PassedBytes() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.passed
--- a/laburnumstandin/link_test.go
+++ b/laburnumstandin/link_test.go
@@ -76,10 +76,10 @@
 	// and its reply is held back.
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkFrozenFrom})
 	send("two")
-	require.Eventually(t, func() bool { return link.Passed() == len("one\none\ntwo\n") }, waitLimit, waitStep)
+	require.Eventually(t, func() bool { return link.PassedBytes() == len("one\none\ntwo\n") }, waitLimit, waitStep)
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkFrozen})
 	send("three")
-	require.Equal(t, len("one\none\ntwo\n"), link.Passed(), "a frozen link must pass no bytes")
+	require.Equal(t, len("one\none\ntwo\n"), link.PassedBytes(), "a frozen link must pass no bytes")
 	link.Set(laburnumstandin.LinkState{Mode: laburnumstandin.LinkOpen, Delay: laburnumlever.Duration(waitStep)})
 	requireLine("two")
 	requireLine("three")
--- a/laburnumstandin/linkpump.go
+++ b/laburnumstandin/linkpump.go
@@ -64,8 +64,8 @@
 // LinkReport is the response to GET /link.
 type LinkReport struct {
 	LinkState
-	Target string `json:"target"`
-	Passed int    `json:"passed-bytes"`
+	Target      string `json:"target"`
+	PassedBytes int    `json:"passed-bytes"`
 }
 
 // ServeHTTP serves the link's control endpoint: GET /link returns a LinkReport, PUT
@@ -78,5 +78,5 @@
 		}
 		l.Set(state)
 	}
-	writeJSON(w, http.StatusOK, LinkReport{LinkState: l.State(), Target: l.target, Passed: l.Passed()})
+	writeJSON(w, http.StatusOK, LinkReport{LinkState: l.State(), Target: l.target, PassedBytes: l.PassedBytes()})
 }
--- a/laburnumstandin/platformserver.go
+++ b/laburnumstandin/platformserver.go
@@ -27,7 +27,7 @@
 type PlatformBehaviour struct {
 	// AbortStreamAfter aborts the connection of each stream after that many events; 0
 	// disables it.
-	BreakAfter int
+	AbortStreamAfter int
 	// Delay is the time before each response starts.
 	Delay time.Duration
 	// OnRun, unless nil, is called with the id of each request that runs.
@@ -217,7 +217,7 @@
 	model, _, _ := strings.Cut(r.Header.Get("X-Laburnumlever-Model"), "/")
 	flusher := http.NewResponseController(w)
 	for i := first; i <= platformEvents; i++ {
-		if s.behaviour.BreakAfter > 0 && i > s.behaviour.BreakAfter {
+		if s.behaviour.AbortStreamAfter > 0 && i > s.behaviour.AbortStreamAfter {
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s word %d\n\n", i, model, i)
