--- a/laburnumcontrol/loop.go
+++ b/laburnumcontrol/loop.go
@@ -43,7 +43,7 @@
 
 // WithAfterEvent sets a function that runs on the control thread after each event, for
 // example to publish a new view.
-func WithAfter(after func(ev laburnumlever.Event)) Option {
+func WithAfterEvent(after func(ev laburnumlever.Event)) Option {
 	return func(l *Loop) { l.afterEvent = after }
 }
 
--- a/laburnumcontrol/loop_test.go
+++ b/laburnumcontrol/loop_test.go
@@ -32,7 +32,7 @@
 // Guards against events that a handler posts and that Drain leaves in the queue.
 func TestDrainHandlesEventsPostedByEvents(t *testing.T) {
 	after := 0
-	loop := laburnumcontrol.New(laburnumcontrol.WithAfter(func(laburnumlever.Event) { after++ }))
+	loop := laburnumcontrol.New(laburnumcontrol.WithAfterEvent(func(laburnumlever.Event) { after++ }))
 	part := &recorder{loop: loop}
 	loop.Post(part, number(1))
 	loop.Post(part, number(2))
--- a/laburnumcontrol/meter.go
+++ b/laburnumcontrol/meter.go
@@ -21,14 +21,14 @@
 
 // EventTime is the number of events with one name and the total time to handle them.
 type EventTime struct {
-	Event string
-	Count int
-	Took  time.Duration
+	Event    string
+	Count    int
+	Duration time.Duration
 }
 
 // String formats the value for logs, for example "run 3x 12ms".
 func (e EventTime) String() string {
-	return fmt.Sprintf("%s %dx %dms", e.Event, e.Count, e.Took.Milliseconds())
+	return fmt.Sprintf("%s %dx %dms", e.Event, e.Count, e.Duration.Milliseconds())
 }
 
 // Usage is the control thread's use of a span of time.
@@ -39,7 +39,7 @@
 	// Longest is the single event that took longest to handle, MaxWait the longest time that
 	// an event was queued.
 	Longest EventTime
-	Waited  time.Duration
+	MaxWait time.Duration
 	// Events are the event names with the largest total times, in descending order.
 	Events []EventTime
 }
@@ -58,7 +58,7 @@
 		usage.Events = append(usage.Events, e)
 	}
 	slices.SortFunc(usage.Events, func(a, b EventTime) int {
-		return cmp.Or(cmp.Compare(b.Took, a.Took), cmp.Compare(a.Event, b.Event))
+		return cmp.Or(cmp.Compare(b.Duration, a.Duration), cmp.Compare(a.Event, b.Event))
 	})
 	usage.Events = usage.Events[:min(len(usage.Events), maxEvents)]
 	m.since, m.usage, m.events = now, Usage{}, map[string]EventTime{}
@@ -69,10 +69,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.usage.Busy += took
-	m.usage.Waited = max(m.usage.Waited, waited)
-	if took > m.usage.Longest.Took {
-		m.usage.Longest = EventTime{Event: event, Count: 1, Took: took}
+	m.usage.MaxWait = max(m.usage.MaxWait, waited)
+	if took > m.usage.Longest.Duration {
+		m.usage.Longest = EventTime{Event: event, Count: 1, Duration: took}
 	}
 	e := m.events[event]
-	m.events[event] = EventTime{Event: event, Count: e.Count + 1, Took: e.Took + took}
+	m.events[event] = EventTime{Event: event, Count: e.Count + 1, Duration: e.Duration + took}
 }
--- a/laburnumcontrol/meter_test.go
+++ b/laburnumcontrol/meter_test.go
@@ -35,6 +35,6 @@
 	require.Equal(t, []string{"slow", "number"}, []string{usage.Events[0].Event, usage.Events[1].Event})
 	require.Equal(t, 2, usage.Events[1].Count)
 	require.GreaterOrEqual(t, usage.Busy, 10*time.Millisecond)
-	require.GreaterOrEqual(t, usage.Waited, 10*time.Millisecond, "the number events were queued behind the slow event")
+	require.GreaterOrEqual(t, usage.MaxWait, 10*time.Millisecond, "the number events were queued behind the slow event")
 	require.Zero(t, meter.Take().Busy)
 }
--- a/laburnumfeed/source.go
+++ b/laburnumfeed/source.go
@@ -35,7 +35,7 @@
 	self            laburnumlever.VM
 	boot            uint64
 	onGatewayReport GatewayReportFunc
-	batcher         *laburnumtimer.Gatherer
+	batcher         *laburnumtimer.Coalescer
 
 	mu     sync.Mutex
 	cursor uint64 // of the newest change
@@ -83,7 +83,7 @@
 	for _, opt := range opts {
 		opt(s)
 	}
-	s.batcher = laburnumtimer.NewGatherer(timers, s.batchInterval, s.publish)
+	s.batcher = laburnumtimer.NewCoalescer(timers, s.batchInterval, s.publish)
 	peers.Handle(methodPoll, s.handlePoll)
 	peers.Handle(methodRoutes, s.handleRoutes)
 	return s
@@ -236,7 +236,7 @@
 		s.onGatewayReport(q.From.ID, q.GatewayReport)
 	}
 	s.notePoller(q.From)
-	expired, cancel := laburnumtimer.Passed(s.timers, longPollTimeout)
+	expired, cancel := laburnumtimer.AfterChannel(s.timers, longPollTimeout)
 	defer cancel()
 	for {
 		found, changed := s.hasChanges(q)
--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -103,7 +103,7 @@
 
 // awaitRoutes waits for the first route table, at most for the given time.
 func (f *Fleet) awaitRoutes(ctx context.Context, wait time.Duration) {
-	over, cancel := laburnumtimer.Passed(f.timers, wait)
+	over, cancel := laburnumtimer.AfterChannel(f.timers, wait)
 	defer cancel()
 	select {
 	case <-f.routesLoaded:
--- a/laburnumgateway/waiting.go
+++ b/laburnumgateway/waiting.go
@@ -29,7 +29,7 @@
 		return ticket, verdict
 	}
 	f.mu.Unlock()
-	over, cancel := laburnumtimer.Passed(f.timers, until.Sub(now))
+	over, cancel := laburnumtimer.AfterChannel(f.timers, until.Sub(now))
 	defer cancel()
 	select {
 	case ticket := <-admitted:
--- a/laburnumnode/wiring.go
+++ b/laburnumnode/wiring.go
@@ -36,7 +36,7 @@
 func (n *Node) build() error {
 	n.notReady = notReadyStarting
 	n.publisher = &publisher{timers: n.timers, build: n.buildView}
-	n.loop = laburnumcontrol.New(laburnumcontrol.WithAfter(func(laburnumlever.Event) {
+	n.loop = laburnumcontrol.New(laburnumcontrol.WithAfterEvent(func(laburnumlever.Event) {
 		n.publisher.publishIfDirty()
 	}))
 	n.publisher.loop = n.loop
--- a/laburnumroles/control.go
+++ b/laburnumroles/control.go
@@ -214,7 +214,7 @@
 		events = append(events, e.String())
 	}
 	_ = level.Info(c.logger).Log("event", laburnumlever.EventControlThread, "span-ms", u.Span.Milliseconds(), "busy-ms", u.Busy.Milliseconds(),
-		"waited-ms", u.Waited.Milliseconds(), "longest", u.Longest.Event, "longest-ms", u.Longest.Took.Milliseconds(), "events", events)
+		"waited-ms", u.MaxWait.Milliseconds(), "longest", u.Longest.Event, "longest-ms", u.Longest.Duration.Milliseconds(), "events", events)
 }
 
 // Shutdown transfers leadership of the log and stops the process. ctx bounds the transfer.
--- a/laburnumroles/relay.go
+++ b/laburnumroles/relay.go
@@ -15,7 +15,7 @@
 
 // relay batches heartbeats for the other control VMs. It is safe for concurrent use.
 type relay struct {
-	coalescer *laburnumtimer.Gatherer
+	coalescer *laburnumtimer.Coalescer
 	send      func(relayBatch)
 
 	mu      sync.Mutex
@@ -24,7 +24,7 @@
 
 func newRelay(timers laburnumlever.Timers, send func(relayBatch)) *relay {
 	r := &relay{send: send}
-	r.coalescer = laburnumtimer.NewGatherer(timers, func() time.Duration { return relayPeriod }, r.flush)
+	r.coalescer = laburnumtimer.NewCoalescer(timers, func() time.Duration { return relayPeriod }, r.flush)
 	return r
 }
 
--- a/laburnumsimulation/control.go
+++ b/laburnumsimulation/control.go
@@ -36,7 +36,7 @@
 	director  *laburnumdirector.Director
 	registry  *laburnumregistry.Table
 	machine   *laburnumstate.Machine
-	publisher *laburnumtimer.Gatherer
+	publisher *laburnumtimer.Coalescer
 	// noQuorum makes every proposal fail, so that no lease can be acquired or renewed.
 	noQuorum bool
 	records  map[laburnumlever.BackendID]laburnumregistry.Record
@@ -72,7 +72,7 @@
 		records:  map[laburnumlever.BackendID]laburnumregistry.Record{}, overlays: map[laburnumlever.BackendID]laburnumregistry.Overlay{},
 	}
 	period := func() time.Duration { return time.Duration(len(sim.gateways)+1) * publishDelayPerVM }
-	c.publisher = laburnumtimer.NewGatherer(sim.timers, period, c.publish)
+	c.publisher = laburnumtimer.NewCoalescer(sim.timers, period, c.publish)
 	later := func(d time.Duration) func(func()) {
 		return func(call func()) {
 			sim.after(d, func() {
--- a/laburnumtimer/coalescer.go
+++ b/laburnumtimer/coalescer.go
@@ -10,7 +10,7 @@
 // Coalescer runs a function after Trigger, at most once per period: all triggers within
 // a period cause one run at its end. It is safe for concurrent use, also by a caller
 // that holds a lock which the function acquires.
-type Gatherer struct {
+type Coalescer struct {
 	timers laburnumlever.Timers
 	period func() time.Duration
 	fn     func()
@@ -21,13 +21,13 @@
 }
 
 // NewCoalescer returns a coalescer for fn. period is called for each run.
-func NewGatherer(timers laburnumlever.Timers, period func() time.Duration, fn func()) *Gatherer {
-	return &Gatherer{timers: timers, period: period, fn: fn}
+func NewCoalescer(timers laburnumlever.Timers, period func() time.Duration, fn func()) *Coalescer {
+	return &Coalescer{timers: timers, period: period, fn: fn}
 }
 
 // Trigger schedules a run: at once if the last one started at least a period ago, else
 // when that period ends. It does nothing while a run is scheduled.
-func (g *Gatherer) Poke() {
+func (g *Coalescer) Poke() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.pending {
@@ -37,7 +37,7 @@
 	g.timers.After(max(0, g.period()-g.timers.Now().Sub(g.last)), g.run)
 }
 
-func (g *Gatherer) run(now time.Time) {
+func (g *Coalescer) run(now time.Time) {
 	g.mu.Lock()
 	g.last, g.pending = now, false
 	g.mu.Unlock()
--- a/laburnumtimer/coalescer_test.go
+++ b/laburnumtimer/coalescer_test.go
@@ -14,7 +14,7 @@
 func TestCoalescerRunsOncePerPeriod(t *testing.T) {
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
 	runs := 0
-	g := laburnumtimer.NewGatherer(timers, func() time.Duration { return 100 * time.Millisecond }, func() { runs++ })
+	g := laburnumtimer.NewCoalescer(timers, func() time.Duration { return 100 * time.Millisecond }, func() { runs++ })
 	g.Poke()
 	timers.Advance(0)
 	require.Equal(t, 1, runs)
--- a/laburnumtimer/wait.go
+++ b/laburnumtimer/wait.go
@@ -8,7 +8,7 @@
 
 // AfterChannel returns a channel that is closed once d has passed on the timer service. It is
 // never closed if cancel is called first.
-func Passed(timers laburnumlever.Timers, d time.Duration) (passed <-chan struct{}, cancel func()) {
+func AfterChannel(timers laburnumlever.Timers, d time.Duration) (passed <-chan struct{}, cancel func()) {
 	over := make(chan struct{})
 	return over, timers.After(d, func(time.Time) { close(over) })
 }
@@ -16,7 +16,7 @@
 // Wait waits until d has passed on the timer service or done is closed. It reports
 // whether d has passed.
 func Wait(done <-chan struct{}, timers laburnumlever.Timers, d time.Duration) bool {
-	passed, cancel := Passed(timers, d)
+	passed, cancel := AfterChannel(timers, d)
 	defer cancel()
 	select {
 	case <-passed:
