--- a/laburnumnode/shutdown.go
+++ b/laburnumnode/shutdown.go
@@ -72,7 +72,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
 	n.owner.Close()
-	if err := n.voter.HandOver(ctx); err != nil {
+	if err := n.voter.TransferLeadership(ctx); err != nil {
 		n.log(level.WarnValue(), "msg", "leadership not handed over", "err", err)
 	}
 	n.membership.LeaveFleet()
--- a/laburnumroles/control.go
+++ b/laburnumroles/control.go
@@ -221,7 +221,7 @@
 func (c *Control) Shutdown(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leadershipTransferTimeout)
 	defer cancel()
-	if err := c.voter.HandOver(ctx); err != nil {
+	if err := c.voter.TransferLeadership(ctx); err != nil {
 		_ = level.Warn(c.logger).Log("event", laburnumlever.EventLeadershipNotHandedOver, "cause", err)
 	}
 	c.follower.Close()
--- a/laburnumvoter/fault_test.go
+++ b/laburnumvoter/fault_test.go
@@ -167,7 +167,7 @@
 			_, err := f.vms["a"].Propose(context.Background(), laburnumlever.Command{Kind: laburnumlever.CommandNoop})
 			require.NoError(t, err)
 			if f.leader() == "c" {
-				require.NoError(t, f.vms["c"].HandOver(context.Background()))
+				require.NoError(t, f.vms["c"].TransferLeadership(context.Background()))
 			}
 			f.stop("c")
 			copied := f.folder("copy")
@@ -178,7 +178,7 @@
 				f.vms["c"].waitRevision(t, revision)
 				f.wait("c knows the leader", func() bool { return f.vms["c"].Status().Leader != "" })
 				if f.leader() == "c" {
-					require.NoError(t, f.vms["c"].HandOver(context.Background()))
+					require.NoError(t, f.vms["c"].TransferLeadership(context.Background()))
 				}
 				f.stop("c")
 			}
@@ -199,7 +199,7 @@
 	f.startAll()
 	f.vms["a"].apply(t, "first", 0)
 	old := f.leader()
-	require.NoError(t, f.vms[old].HandOver(context.Background()))
+	require.NoError(t, f.vms[old].TransferLeadership(context.Background()))
 	require.EqualValues(t, 2, f.vms[old].apply(t, "second", 1).Revision)
 	require.NotEqual(t, old, f.leader())
 }
--- a/laburnumvoter/lead.go
+++ b/laburnumvoter/lead.go
@@ -88,9 +88,9 @@
 	v.step(laburnumlog.Propose{Data: [][]byte{data}})
 }
 
-// HandOver transfers leadership to another voter. It returns nil once this VM is not the leader
+// TransferLeadership transfers leadership to another voter. It returns nil once this VM is not the leader
 // or the voter is closed, or ctx's error.
-func (v *Voter) HandOver(ctx context.Context) error {
+func (v *Voter) TransferLeadership(ctx context.Context) error {
 	done := make(chan struct{})
 	v.loop.Post(v, handOverRequested{done: done})
 	select {
