--- a/backend.go
+++ b/backend.go
@@ -69,9 +69,9 @@
 	CanResume bool `json:"can-resume,omitempty"`
 }
 
-// Loaded is a copy of a model, including all of its adapters, on an engine. The copy may
+// ModelCopy is a copy of a model, including all of its adapters, on an engine. The copy may
 // still be loading.
-type Loaded struct {
+type ModelCopy struct {
 	Model        ModelName       `json:"model"`
 	Version      Version         `json:"version"`
 	Adapters     []AdapterName   `json:"adapters,omitempty"`
@@ -96,7 +96,7 @@
 	// Fence is the highest fencing number that the engine has seen.
 	Fence uint64 `json:"fence,omitempty"`
 	// Loaded is the engine's inventory at the time of the report.
-	Loaded []Loaded `json:"loaded,omitempty"`
+	Loaded []ModelCopy `json:"loaded,omitempty"`
 	// Prefixes are hashes of cached prompt prefixes, most recent first; the list
 	// may be incomplete.
 	Prefixes []uint64 `json:"prefixes,omitempty"`
@@ -131,9 +131,9 @@
 	ID   OrderID   `json:"id"`
 	Kind OrderKind `json:"kind"`
 	// Fence is the fencing number of the zone lease that the order was issued under.
-	Fence  uint64 `json:"fence"`
-	Copy   Loaded `json:"copy"`
-	Source string `json:"source,omitempty"`
+	Fence  uint64    `json:"fence"`
+	Copy   ModelCopy `json:"copy"`
+	Source string    `json:"source,omitempty"`
 }
 
 // OrderAnswer is an engine's answer to an order, with the inventory after the order.
@@ -142,7 +142,7 @@
 	Outcome OrderOutcome `json:"outcome"`
 	Detail  string       `json:"detail,omitempty"`
 	Fence   uint64       `json:"fence"`
-	Loaded  []Loaded     `json:"loaded"`
+	Loaded  []ModelCopy  `json:"loaded"`
 }
 
 // Inventory lists the copies and accelerators of an engine. Engines.Claim reads it
@@ -151,7 +151,7 @@
 	Backend      BackendID     `json:"backend"`
 	Incarnation  uint64        `json:"incarnation"`
 	Fence        uint64        `json:"fence"`
-	Loaded       []Loaded      `json:"loaded"`
+	Loaded       []ModelCopy   `json:"loaded"`
 	Accelerators []Accelerator `json:"accelerators"`
 }
 
@@ -203,8 +203,8 @@
 	Idle Duration `json:"idle"`
 }
 
-// AdapterNeed asks for an adapter to be loaded beside its model.
-type AdapterNeed struct {
+// AdapterRequest asks for an adapter to be loaded beside its model.
+type AdapterRequest struct {
 	Service ServiceName `json:"service"`
 	Model   ModelName   `json:"model"`
 	Adapter AdapterName `json:"adapter"`
@@ -213,8 +213,8 @@
 	Except []BackendID `json:"except,omitempty"`
 }
 
-// GatewayNews is a gateway's periodic report to the director.
-type GatewayNews struct {
+// GatewayReport is a gateway's periodic report to the director.
+type GatewayReport struct {
 	// Demand is included once per second.
 	Demand []ModelDemand `json:"demand,omitempty"`
 	// Adapters are the recently used adapters.
@@ -237,6 +237,6 @@
 }
 
 // IsZero reports whether the report is empty.
-func (n GatewayNews) IsZero() bool {
+func (n GatewayReport) IsZero() bool {
 	return len(n.Demand)+len(n.Adapters)+len(n.Unreachable)+len(n.Replaced)+len(n.Outcomes) == 0
 }
--- a/cmd/laburnumlever/rolecmd.go
+++ b/cmd/laburnumlever/rolecmd.go
@@ -66,7 +66,7 @@
 
 // roleRuntime holds what both roles need to run: settings, logger and options.
 type roleRuntime struct {
-	settings laburnumsettings.Role
+	settings laburnumsettings.RoleSettings
 	logger   *laburnumlogging.Logger
 	// path is the settings file, text its content when it was last read.
 	path    string
@@ -75,7 +75,7 @@
 }
 
 func newRoleRuntime(c *cli.Context) (*roleRuntime, error) {
-	settings, err := laburnumsettings.LoadRole(c.String("settings"))
+	settings, err := laburnumsettings.LoadRoleSettings(c.String("settings"))
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 
 // watchSettings reloads the settings on SIGHUP and when the file has changed, until ctx ends. An
 // invalid file is logged and ignored.
-func (p *roleRuntime) watchSettings(ctx context.Context, reload func(laburnumsettings.Role)) {
+func (p *roleRuntime) watchSettings(ctx context.Context, reload func(laburnumsettings.RoleSettings)) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	ticker := time.NewTicker(settingsPollInterval)
@@ -126,13 +126,13 @@
 	}()
 }
 
-func (p *roleRuntime) reloadIfChanged(reload func(laburnumsettings.Role)) {
+func (p *roleRuntime) reloadIfChanged(reload func(laburnumsettings.RoleSettings)) {
 	text, err := os.ReadFile(p.path)
 	if err != nil || bytes.Equal(text, p.text) {
 		return // a file that is being replaced is read at the next poll
 	}
 	p.text = text
-	settings, err := laburnumsettings.LoadRole(p.path)
+	settings, err := laburnumsettings.LoadRoleSettings(p.path)
 	if err != nil {
 		_ = level.Error(p.logger).Log("event", laburnumlever.EventSettingsRefused, "cause", err)
 		return
--- a/dialect.go
+++ b/dialect.go
@@ -16,8 +16,8 @@
 type CallerRequest struct {
 	// ID identifies this attempt of the caller.
 	ID string
-	// Wait is the time until the caller's deadline; 0 if the caller sets none.
-	Wait    time.Duration
+	// Timeout is the time until the caller's deadline; 0 if the caller sets none.
+	Timeout time.Duration
 	Model   ModelName
 	Adapter AdapterName
 	// PromptTokens is exact and MaxAnswerTokens an upper bound. AnswerHint is an
@@ -32,10 +32,10 @@
 	LastEvent string
 }
 
-// Send holds the values that this VM adds to the headers of a forwarded request.
-type Send struct {
-	// Wait is the time left until the caller's deadline.
-	Wait time.Duration
+// ForwardParams holds the values that this VM adds to the headers of a forwarded request.
+type ForwardParams struct {
+	// Timeout is the time left until the caller's deadline.
+	Timeout time.Duration
 	// Backend is the only backend server that may run the request.
 	Backend BackendID
 	// LastEvent is the event after which the stream resumes; empty to start from the
@@ -52,8 +52,8 @@
 type Reservation struct {
 	Backend BackendID
 	Tokens  int
-	// For is how long the slot stays reserved.
-	For time.Duration
+	// TTL is how long the slot stays reserved.
+	TTL time.Duration
 }
 
 // EngineCall is an HTTP call to a model engine other than a caller's request.
@@ -63,8 +63,8 @@
 	Body        []byte
 }
 
-// AnswerMarks holds the values of a backend server's response headers.
-type AnswerMarks struct {
+// AnswerHeaders holds the values of a backend server's response headers.
+type AnswerHeaders struct {
 	RequestID string
 	// Backend is the identity of the answering backend server; empty if it gives
 	// none.
@@ -85,14 +85,14 @@
 	Request(header http.Header) (CallerRequest, error)
 	// Forward returns the headers for a backend server: the caller's end-to-end
 	// headers and those for send.
-	Forward(from http.Header, send Send) http.Header
+	Forward(from http.Header, send ForwardParams) http.Header
 	// Answer parses a backend server's response headers.
-	Answer(status int, header http.Header) AnswerMarks
-	// Reserve builds the call that reserves a slot.
-	Reserve(r Reservation) EngineCall
-	// Reserved parses the answer to a reservation; false means that the engine has no
+	Answer(status int, header http.Header) AnswerHeaders
+	// ReservationCall builds the call that reserves a slot.
+	ReservationCall(r Reservation) EngineCall
+	// ParseReservation parses the answer to a reservation; false means that the engine has no
 	// free slot. An error means that the answer is neither a grant nor a refusal.
-	Reserved(status int, body []byte) (ReservationID, bool, error)
+	ParseReservation(status int, body []byte) (ReservationID, bool, error)
 	// EventID returns the ID of a stream event, and whether it has one.
 	EventID(event []byte) (string, bool)
 }
--- a/errors.go
+++ b/errors.go
@@ -140,13 +140,13 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// StaleNewsError is a report of a backend server that is older than the known state.
-type StaleNewsError struct {
+// StaleReportError is a report of a backend server that is older than the known state.
+type StaleReportError struct {
 	Backend      BackendID
 	Known, Given uint64
 }
 
-func (e *StaleNewsError) Error() string {
+func (e *StaleReportError) Error() string {
 	return fmt.Sprintf("backend server %s: report %d is older than known report %d", e.Backend, e.Given, e.Known)
 }
 
--- a/heartbeat.go
+++ b/heartbeat.go
@@ -9,19 +9,19 @@
 	Service ServiceName `json:"service"`
 	Address string      `json:"address"`
 	Zone    ZoneName    `json:"zone"`
-	// Born is the incarnation of the backend server and grows at each start; 0 if the
+	// Incarnation is the incarnation of the backend server and grows at each start; 0 if the
 	// server sends none. A restarted engine has lost its models, and its sequence starts
 	// over.
-	Born     uint64 `json:"born,omitempty"`
-	Sequence uint64 `json:"sequence"`
-	Slots    int    `json:"slots"`
+	Incarnation uint64 `json:"born,omitempty"`
+	Sequence    uint64 `json:"sequence"`
+	Slots       int    `json:"slots"`
 	// Leaving reports whether the backend server accepts no new requests.
 	Leaving bool `json:"leaving,omitempty"`
 	// Remaining is how long a leaving backend server will still run, if it leaves at short
 	// notice.
 	Remaining Duration `json:"remaining,omitempty"`
 	// Models are the models loaded on a model engine.
-	Models []HeldModel `json:"models,omitempty"`
+	Models []EngineModel `json:"models,omitempty"`
 	// InMemory and OnDisk are the models whose weights the engine has in host memory and on
 	// its disk.
 	InMemory []ModelName `json:"in-memory,omitempty"`
@@ -31,14 +31,14 @@
 // NewerThan reports whether the heartbeat is newer than another one of the same backend
 // server.
 func (h Heartbeat) NewerThan(other Heartbeat) bool {
-	if h.Born != other.Born {
-		return h.Born > other.Born
+	if h.Incarnation != other.Incarnation {
+		return h.Incarnation > other.Incarnation
 	}
 	return h.Sequence > other.Sequence
 }
 
-// HeldModel is a model on an engine, with its loaded adapters.
-type HeldModel struct {
+// EngineModel is a model on an engine, with its loaded adapters.
+type EngineModel struct {
 	Name     ModelName     `json:"name"`
 	Version  int           `json:"version"`
 	Adapters []AdapterName `json:"adapters,omitempty"`
@@ -51,8 +51,8 @@
 }
 
 // Holds reports whether the list has the model and, if not empty, the adapter.
-func Holds(held []HeldModel, model ModelName, adapter AdapterName) bool {
-	i := slices.IndexFunc(held, func(m HeldModel) bool { return m.Name == model })
+func Holds(held []EngineModel, model ModelName, adapter AdapterName) bool {
+	i := slices.IndexFunc(held, func(m EngineModel) bool { return m.Name == model })
 	if i < 0 {
 		return false
 	}
@@ -73,15 +73,15 @@
 
 // EngineState is the state that a model engine reports on request.
 type EngineState struct {
-	// Born is the incarnation of the engine, as in its heartbeats.
-	Born uint64
+	// Incarnation is the incarnation of the engine, as in its heartbeats.
+	Incarnation uint64
 	// Accepted is the number of orders accepted since the engine's start.
 	Accepted uint64
 	// Busy reports whether an order is in progress.
 	Busy   bool
-	Models []HeldModel
-	// Coming lists the adapters that the engine is loading.
-	Coming           []HeldModel
+	Models []EngineModel
+	// LoadingAdapters lists the adapters that the engine is loading.
+	LoadingAdapters  []EngineModel
 	InMemory, OnDisk []ModelName
 	Running, Queued  int
 }
--- a/laburnumbalance/balance.go
+++ b/laburnumbalance/balance.go
@@ -177,7 +177,7 @@
 		t.remove(id)
 		return
 	}
-	if s != nil && s.record.Heartbeat.Born < r.Heartbeat.Born {
+	if s != nil && s.record.Heartbeat.Incarnation < r.Heartbeat.Incarnation {
 		t.remove(id) // it has restarted
 		s = nil
 	}
@@ -236,7 +236,7 @@
 	if s == nil || o.Fence < s.overlay.Fence {
 		return
 	}
-	if o.Outliers > 0 && o.Born == s.record.Heartbeat.Born && (o.Fence > s.overlay.Fence || o.Outliers > s.overlay.Outliers) {
+	if o.Outliers > 0 && o.Incarnation == s.record.Heartbeat.Incarnation && (o.Fence > s.overlay.Fence || o.Outliers > s.overlay.Outliers) {
 		s.markOutlier(now)
 	}
 	s.overlay = o
--- a/laburnumbalance/balance_test.go
+++ b/laburnumbalance/balance_test.go
@@ -17,7 +17,7 @@
 func record(id int, zone laburnumlever.ZoneName, models ...string) laburnumregistry.Record {
 	h := laburnumlever.Heartbeat{Backend: laburnumlever.BackendID(fmt.Sprintf("i-%d", id)), Service: "quotes", Zone: zone, Sequence: 1, Slots: 8}
 	for _, m := range models {
-		h.Models = append(h.Models, laburnumlever.HeldModel{Name: laburnumlever.ModelName(m)})
+		h.Models = append(h.Models, laburnumlever.EngineModel{Name: laburnumlever.ModelName(m)})
 	}
 	return laburnumregistry.Record{Heartbeat: h}
 }
--- a/laburnumbalance/index_test.go
+++ b/laburnumbalance/index_test.go
@@ -32,7 +32,7 @@
 		case 3:
 			now = now.Add(time.Second)
 		default:
-			h := laburnumlever.Heartbeat{Backend: id, Service: "quotes", Sequence: sequence, Slots: 8, Models: []laburnumlever.HeldModel{{Name: name()}, {Name: name()}}}
+			h := laburnumlever.Heartbeat{Backend: id, Service: "quotes", Sequence: sequence, Slots: 8, Models: []laburnumlever.EngineModel{{Name: name()}, {Name: name()}}}
 			table.Set(laburnumregistry.Record{Heartbeat: h})
 		}
 		wanted := name()
@@ -59,7 +59,7 @@
 			now := time.Unix(1_000_000, 0)
 			for i := range engines {
 				h := laburnumlever.Heartbeat{Backend: laburnumlever.BackendID(fmt.Sprintf("i-%d", i)), Service: "quotes", Sequence: 1, Slots: 12}
-				h.Models = []laburnumlever.HeldModel{{Name: laburnumlever.ModelName(fmt.Sprintf("m%d", i%max(1, engines/5)))}, {Name: "other"}}
+				h.Models = []laburnumlever.EngineModel{{Name: laburnumlever.ModelName(fmt.Sprintf("m%d", i%max(1, engines/5)))}, {Name: "other"}}
 				table.Set(laburnumregistry.Record{Heartbeat: h})
 			}
 			q := Query{Service: "quotes", Model: "m1", Prompt: []laburnumlever.PromptPart{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 70}, {ID: 3, Tokens: 540}}}
--- a/laburnumbalance/outliers_test.go
+++ b/laburnumbalance/outliers_test.go
@@ -58,7 +58,7 @@
 	later := start.Add(time.Minute)
 	table.SetOverlay(overlay, later)
 	require.Positive(t, count(later), "a repeated overlay is not a new detection")
-	overlay.Outliers, overlay.Born = 2, 77
+	overlay.Outliers, overlay.Incarnation = 2, 77
 	table.SetOverlay(overlay, later)
 	require.Positive(t, count(later), "the overlay is of another incarnation of the server")
 }
--- a/laburnumbalance/prefixes.go
+++ b/laburnumbalance/prefixes.go
@@ -17,7 +17,7 @@
 }
 
 func (q Query) cacheKey(to laburnumlever.Heartbeat, part laburnumlever.PromptPart) partKey {
-	return partKey{backend: to.Backend, born: to.Born, model: q.Model, adapter: q.Adapter, id: part.ID}
+	return partKey{backend: to.Backend, born: to.Incarnation, model: q.Model, adapter: q.Adapter, id: part.ID}
 }
 
 // prefixes estimates which prompt parts each server has cached, from the prompts sent to it.
--- a/laburnumchart/chart.go
+++ b/laburnumchart/chart.go
@@ -67,11 +67,11 @@
 func Parse(name string, text []byte) (Chart, error) {
 	plain, err := hujson.Standardize(slices.Clone(text))
 	if err != nil {
-		return Chart{}, &BadChartError{Name: name, Problem: "not JSON with comments", Cause: err}
+		return Chart{}, &InvalidChartError{Name: name, Problem: "not JSON with comments", Cause: err}
 	}
 	var f file
 	if err := json.Unmarshal(plain, &f); err != nil {
-		return Chart{}, &BadChartError{Name: name, Problem: "not a chart", Cause: err}
+		return Chart{}, &InvalidChartError{Name: name, Problem: "not a chart", Cause: err}
 	}
 	chart := Chart{name: name, initial: f.Initial, states: f.States}
 	return chart, chart.check()
@@ -104,7 +104,7 @@
 
 func (c Chart) check() error {
 	if _, ok := c.states[c.initial]; !ok {
-		return &BadChartError{Name: c.name, Problem: "the initial state " + c.initial + " is not defined"}
+		return &InvalidChartError{Name: c.name, Problem: "the initial state " + c.initial + " is not defined"}
 	}
 	reached := map[string]bool{c.initial: true}
 	if err := c.checkReachable(c.initial, reached); err != nil {
@@ -112,7 +112,7 @@
 	}
 	for _, name := range c.States() {
 		if !reached[name] {
-			return &BadChartError{Name: c.name, Problem: "the state " + name + " is unreachable"}
+			return &InvalidChartError{Name: c.name, Problem: "the state " + name + " is unreachable"}
 		}
 	}
 	return nil
@@ -121,7 +121,7 @@
 func (c Chart) checkReachable(from string, reached map[string]bool) error {
 	for _, to := range c.states[from].On {
 		if _, ok := c.states[to]; !ok {
-			return &BadChartError{Name: c.name, Problem: "the state " + to + " is not defined"}
+			return &InvalidChartError{Name: c.name, Problem: "the state " + to + " is not defined"}
 		}
 		if reached[to] {
 			continue
--- a/laburnumchart/chart_test.go
+++ b/laburnumchart/chart_test.go
@@ -29,7 +29,7 @@
 		"unreachable state": `{"initial": "a", "states": {"a": {}, "b": {}}}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			var bad *laburnumchart.BadChartError
+			var bad *laburnumchart.InvalidChartError
 			_, err := laburnumchart.Parse("test", []byte(text))
 			require.ErrorAs(t, err, &bad)
 		})
--- a/laburnumchart/errors.go
+++ b/laburnumchart/errors.go
@@ -22,13 +22,13 @@
 // Unwrap returns the cause.
 func (e *UnknownChartError) Unwrap() error { return e.Cause }
 
-// BadChartError is an invalid chart file.
-type BadChartError struct {
+// InvalidChartError is an invalid chart file.
+type InvalidChartError struct {
 	Name, Problem string
 	Cause         error
 }
 
-func (e *BadChartError) Error() string {
+func (e *InvalidChartError) Error() string {
 	if e.Cause == nil {
 		return fmt.Sprintf("chart %s: %s", e.Name, e.Problem)
 	}
@@ -36,4 +36,4 @@
 }
 
 // Unwrap returns the cause.
-func (e *BadChartError) Unwrap() error { return e.Cause }
+func (e *InvalidChartError) Unwrap() error { return e.Cause }
--- a/laburnumdirector/adapters.go
+++ b/laburnumdirector/adapters.go
@@ -39,7 +39,7 @@
 
 // EnsureAdapterAsync requests an adapter, which is loaded if no engine holds it. It calls reply
 // once, on the control thread.
-func (d *Director) EnsureAdapterAsync(request laburnumlever.AdapterNeed, reply AdapterFunc) {
+func (d *Director) EnsureAdapterAsync(request laburnumlever.AdapterRequest, reply AdapterFunc) {
 	d.loop.Post(d, adapterRequested{request: &adapterRequest{
 		service: request.Service, key: adapterKey{model: request.Model, adapter: request.Adapter}, except: request.Except,
 		since: d.timers.Now(), reply: reply,
@@ -48,7 +48,7 @@
 
 // EnsureAdapter requests an adapter, which is loaded if no engine holds it, and returns the engines
 // that hold it. Errors: those of AdapterFunc, *ClosedError, and that of ctx.
-func (d *Director) EnsureAdapter(ctx context.Context, request laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
+func (d *Director) EnsureAdapter(ctx context.Context, request laburnumlever.AdapterRequest) ([]laburnumlever.BackendID, error) {
 	answer := make(chan adapterAnswer, 1)
 	d.EnsureAdapterAsync(request, func(backends []laburnumlever.BackendID, err error) {
 		answer <- adapterAnswer{backends: backends, err: err}
@@ -242,6 +242,6 @@
 	}
 	a.ready, a.usedAt = true, d.timers.Now()
 	e.markChanged()
-	_ = level.Debug(d.cfg.logger).Log("event", laburnumlever.EventAdapterThere, "backend", ev.backend, "model", ev.key.model, "adapter", ev.key.adapter)
+	_ = level.Debug(d.cfg.logger).Log("event", laburnumlever.EventAdapterLoaded, "backend", ev.backend, "model", ev.key.model, "adapter", ev.key.adapter)
 	d.retryAdapterRequests(d.timers.Now())
 }
--- a/laburnumdirector/bench_test.go
+++ b/laburnumdirector/bench_test.go
@@ -35,8 +35,8 @@
 }
 
 // gatewayReport returns the report of a gateway with about ten requests per second.
-func gatewayReport(vm laburnumlever.VMID, g, part, models int) laburnumlever.GatewayNews {
-	var report laburnumlever.GatewayNews
+func gatewayReport(vm laburnumlever.VMID, g, part, models int) laburnumlever.GatewayReport {
+	var report laburnumlever.GatewayReport
 	for i := range 8 {
 		model := modelName((g + i*i) % min(models, 60))
 		report.Adapters = append(report.Adapters, laburnumlever.AdapterUse{Model: model, Adapter: laburnumlever.AdapterName(fmt.Sprintf("a%d", i%6))})
--- a/laburnumdirector/cluster_test.go
+++ b/laburnumdirector/cluster_test.go
@@ -100,7 +100,7 @@
 	}
 	w.now = w.timers.Now()
 	for i := range models {
-		w.class.Models = append(w.class.Models, laburnumlever.ResidentClass{
+		w.class.Models = append(w.class.Models, laburnumlever.ModelClass{
 			Name: modelName(i), WeightsMB: 72, Adapters: 6, AdapterMB: 1,
 			StoreLoad: laburnumlever.Duration(4 * time.Second), DiskLoad: laburnumlever.Duration(time.Second), MemoryLoad: laburnumlever.Duration(600 * time.Millisecond),
 		})
@@ -235,29 +235,29 @@
 
 func (w *cluster) setDemand(model int, perSecond float64) {
 	for _, n := range w.directors {
-		n.director.SetGatewayReport("gateway", laburnumlever.GatewayNews{Demand: []laburnumlever.ModelDemand{{
+		n.director.SetGatewayReport("gateway", laburnumlever.GatewayReport{Demand: []laburnumlever.ModelDemand{{
 			Model: modelName(model), VM: "gateway", RequestsPerSecond: perSecond, PromptTokens: perSecond * 700, AnswerTokens: perSecond * 280,
 		}}})
 	}
 }
 
 func (e *fakeEngine) heartbeat() laburnumlever.Heartbeat {
-	h := laburnumlever.Heartbeat{Backend: e.id, Service: "quotes", Address: string(e.id), Zone: "brest", Born: e.born, Sequence: e.sequence, Slots: 24}
+	h := laburnumlever.Heartbeat{Backend: e.id, Service: "quotes", Address: string(e.id), Zone: "brest", Incarnation: e.born, Sequence: e.sequence, Slots: 24}
 	h.Models = e.models()
 	return h
 }
 
-func (e *fakeEngine) models() []laburnumlever.HeldModel {
-	var list []laburnumlever.HeldModel
+func (e *fakeEngine) models() []laburnumlever.EngineModel {
+	var list []laburnumlever.EngineModel
 	for name, adapters := range e.held {
-		m := laburnumlever.HeldModel{Name: name, Version: 1}
+		m := laburnumlever.EngineModel{Name: name, Version: 1}
 		for a := range adapters {
 			m.Adapters = append(m.Adapters, a)
 		}
 		slices.Sort(m.Adapters)
 		list = append(list, m)
 	}
-	slices.SortFunc(list, func(a, b laburnumlever.HeldModel) int { return strings.Compare(string(a.Name), string(b.Name)) })
+	slices.SortFunc(list, func(a, b laburnumlever.EngineModel) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	return list
 }
 
@@ -304,7 +304,7 @@
 	if e == nil {
 		return laburnumlever.EngineState{}, &laburnumlever.NotSentError{Cause: errors.New("refused")}
 	}
-	return laburnumlever.EngineState{Born: e.born, Accepted: e.accepted, Busy: e.pending != nil, Models: e.models()}, nil
+	return laburnumlever.EngineState{Incarnation: e.born, Accepted: e.accepted, Busy: e.pending != nil, Models: e.models()}, nil
 }
 
 func (c engineCalls) Order(_ context.Context, to laburnumlever.Heartbeat, order laburnumlever.EngineOrder) (laburnumlever.EngineVerdict, error) {
--- a/laburnumdirector/director.go
+++ b/laburnumdirector/director.go
@@ -135,7 +135,7 @@
 
 // SetGatewayReport applies a gateway's report on demand, adapter use, outcomes and unreachable
 // backend servers. It is safe for concurrent use.
-func (d *Director) SetGatewayReport(vm laburnumlever.VMID, report laburnumlever.GatewayNews) {
+func (d *Director) SetGatewayReport(vm laburnumlever.VMID, report laburnumlever.GatewayReport) {
 	d.loop.Post(d, gatewayReported{vm: vm, report: report})
 }
 
@@ -230,7 +230,7 @@
 		return
 	}
 	e := d.engines.get(id)
-	if e == nil || r.Heartbeat.Born > e.heartbeat.Born {
+	if e == nil || r.Heartbeat.Incarnation > e.heartbeat.Incarnation {
 		e = d.registerEngine(r.Heartbeat, e)
 	} else if r.Heartbeat.NewerThan(e.heartbeat) {
 		e.heartbeatAt = d.timers.Now()
@@ -262,7 +262,7 @@
 // onHeartbeat records that an engine is alive. The heartbeat is not stored as its last one: it may
 // be older than the orders in progress.
 func (d *Director) onHeartbeat(ev heartbeatReceived) {
-	if e := d.engines.get(ev.heartbeat.Backend); e != nil && e.heartbeat.Born == ev.heartbeat.Born && ev.heartbeat.NewerThan(e.heartbeat) {
+	if e := d.engines.get(ev.heartbeat.Backend); e != nil && e.heartbeat.Incarnation == ev.heartbeat.Incarnation && ev.heartbeat.NewerThan(e.heartbeat) {
 		e.heartbeatAt = d.timers.Now()
 	}
 }
@@ -302,14 +302,14 @@
 
 func (e *engine) overlay(fence, outliers uint64) laburnumregistry.Overlay {
 	o := laburnumregistry.Overlay{
-		Backend: e.heartbeat.Backend, Fence: fence, Born: e.heartbeat.Born, Sequence: e.heartbeat.Sequence, Outliers: outliers,
+		Backend: e.heartbeat.Backend, Fence: fence, Incarnation: e.heartbeat.Incarnation, Sequence: e.heartbeat.Sequence, Outliers: outliers,
 	}
 	for name, h := range e.held {
 		if h.withdrawn {
 			o.Withdrawn = append(o.Withdrawn, name)
 			continue
 		}
-		m := laburnumlever.HeldModel{Name: name, Version: h.version}
+		m := laburnumlever.EngineModel{Name: name, Version: h.version}
 		for a, held := range h.adapters {
 			if held.ready {
 				m.Adapters = append(m.Adapters, a)
@@ -321,6 +321,6 @@
 		}
 	}
 	slices.Sort(o.Withdrawn)
-	slices.SortFunc(o.Adapters, func(a, b laburnumlever.HeldModel) int { return compareNames(a.Name, b.Name) })
+	slices.SortFunc(o.Adapters, func(a, b laburnumlever.EngineModel) int { return compareNames(a.Name, b.Name) })
 	return o
 }
--- a/laburnumdirector/director_test.go
+++ b/laburnumdirector/director_test.go
@@ -48,7 +48,7 @@
 	request := func(adapter string) []laburnumlever.BackendID {
 		got := make(chan []laburnumlever.BackendID, 1)
 		go func() {
-			ids, _ := w.directors[0].director.EnsureAdapter(context.Background(), laburnumlever.AdapterNeed{Service: "quotes", Model: "m0", Adapter: laburnumlever.AdapterName(adapter)})
+			ids, _ := w.directors[0].director.EnsureAdapter(context.Background(), laburnumlever.AdapterRequest{Service: "quotes", Model: "m0", Adapter: laburnumlever.AdapterName(adapter)})
 			got <- ids
 		}()
 		require.Eventually(t, func() bool { return w.directors[0].loop.Len() > 0 }, 10*time.Second, time.Millisecond)
@@ -184,7 +184,7 @@
 	w.advance(10 * time.Second)
 	old := w.directors[0]
 	old.holdsCalls = true
-	old.director.EnsureAdapterAsync(laburnumlever.AdapterNeed{Service: "quotes", Model: modelName(0), Adapter: "a1"}, func([]laburnumlever.BackendID, error) {})
+	old.director.EnsureAdapterAsync(laburnumlever.AdapterRequest{Service: "quotes", Model: modelName(0), Adapter: "a1"}, func([]laburnumlever.BackendID, error) {})
 	old.loop.Drain()
 	require.NotEmpty(t, old.calls)
 	old.suspended, old.isLeader = true, false
@@ -264,7 +264,7 @@
 	w.advance(12 * time.Second)
 	before := len(w.orders)
 	for range 10 {
-		w.directors[0].director.SetGatewayReport("gateway", laburnumlever.GatewayNews{Unreachable: []laburnumlever.BackendID{"i-0", "i-1", "i-2"}})
+		w.directors[0].director.SetGatewayReport("gateway", laburnumlever.GatewayReport{Unreachable: []laburnumlever.BackendID{"i-0", "i-1", "i-2"}})
 		w.advance(500 * time.Millisecond)
 	}
 	require.Len(t, w.orders, before)
@@ -307,7 +307,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			for _, n := range w.directors {
-				_, _ = n.director.EnsureAdapter(ctx, laburnumlever.AdapterNeed{Service: "quotes", Model: model, Adapter: adapter})
+				_, _ = n.director.EnsureAdapter(ctx, laburnumlever.AdapterRequest{Service: "quotes", Model: model, Adapter: adapter})
 			}
 		}()
 	case 5:
--- a/laburnumdirector/engine.go
+++ b/laburnumdirector/engine.go
@@ -101,7 +101,7 @@
 }
 
 // addModel adds a model, or its adapters to the one that is held.
-func (e *engine) addModel(m laburnumlever.HeldModel, ready bool) *heldModel {
+func (e *engine) addModel(m laburnumlever.EngineModel, ready bool) *heldModel {
 	h := e.held[m.Name]
 	if h == nil {
 		h = &heldModel{adapters: map[laburnumlever.AdapterName]*heldAdapter{}}
@@ -133,7 +133,7 @@
 	e.heartbeat = h
 	e.markChanged()
 	for _, m := range h.Models {
-		held := e.addModel(laburnumlever.HeldModel{Name: m.Name, Version: m.Version}, true)
+		held := e.addModel(laburnumlever.EngineModel{Name: m.Name, Version: m.Version}, true)
 		held.listed = true
 		held.applyHeartbeat(m, now)
 	}
@@ -166,7 +166,7 @@
 }
 
 // applyHeartbeat applies the adapters that a heartbeat lists for the model.
-func (h *heldModel) applyHeartbeat(listed laburnumlever.HeldModel, now time.Time) {
+func (h *heldModel) applyHeartbeat(listed laburnumlever.EngineModel, now time.Time) {
 	for _, name := range listed.Adapters {
 		if now.Sub(h.removedAt[name]) < heartbeatLag {
 			continue
@@ -185,7 +185,7 @@
 
 // applyState applies the adapters that a state report lists for the model. The report reflects all
 // accepted orders, so an adapter that neither it nor a heartbeat lists is gone.
-func (h *heldModel) applyState(reported laburnumlever.HeldModel, now time.Time) {
+func (h *heldModel) applyState(reported laburnumlever.EngineModel, now time.Time) {
 	for _, name := range reported.Adapters {
 		if h.adapters[name] == nil && now.Sub(h.removedAt[name]) > reportLag {
 			h.adapters[name] = &heldAdapter{ready: true}
@@ -222,8 +222,8 @@
 func (e *engine) applyState(s laburnumlever.EngineState, now time.Time) {
 	e.markChanged()
 	for _, m := range s.Models {
-		h := e.addModel(laburnumlever.HeldModel{Name: m.Name, Version: m.Version}, true)
-		h.applyState(withLoading(m, s.Coming), now)
+		h := e.addModel(laburnumlever.EngineModel{Name: m.Name, Version: m.Version}, true)
+		h.applyState(withLoading(m, s.LoadingAdapters), now)
 	}
 	if s.Busy && e.activeModel == "" {
 		e.acceptedKnown, e.retryAt = false, now.Add(stateRetryDelay)
@@ -251,7 +251,7 @@
 }
 
 // withLoading returns the model with its loading adapters added.
-func withLoading(m laburnumlever.HeldModel, coming []laburnumlever.HeldModel) laburnumlever.HeldModel {
+func withLoading(m laburnumlever.EngineModel, coming []laburnumlever.EngineModel) laburnumlever.EngineModel {
 	m.Adapters = slices.Clone(m.Adapters)
 	for _, c := range coming {
 		if c.Name == m.Name {
@@ -283,7 +283,7 @@
 		InMemory: e.heartbeat.InMemory, OnDisk: e.heartbeat.OnDisk,
 	}
 	for name, h := range e.held {
-		m := laburnumlever.HeldModel{Name: name, Version: h.version}
+		m := laburnumlever.EngineModel{Name: name, Version: h.version}
 		for a := range h.adapters {
 			m.Adapters = append(m.Adapters, a)
 		}
@@ -295,7 +295,7 @@
 			p.RecentlyLoaded = append(p.RecentlyLoaded, name)
 		}
 	}
-	slices.SortFunc(p.Held, func(a, b laburnumlever.HeldModel) int {
+	slices.SortFunc(p.Held, func(a, b laburnumlever.EngineModel) int {
 		return compareNames(a.Name, b.Name)
 	})
 	if e.activeModel != "" && e.activeKind == laburnumlever.Load {
--- a/laburnumdirector/enginetable_internal_test.go
+++ b/laburnumdirector/enginetable_internal_test.go
@@ -23,17 +23,17 @@
 	now := time.Unix(1_000_000, 0)
 	for range 3000 {
 		id := laburnumlever.BackendID(fmt.Sprintf("i-%02d", next(engines)))
-		model := laburnumlever.HeldModel{Name: name(next(models))}
+		model := laburnumlever.EngineModel{Name: name(next(models))}
 		e := table.get(id)
 		switch action := next(8); {
 		case e == nil || action == 0:
-			table.put(newEngine(laburnumlever.Heartbeat{Backend: id, Models: []laburnumlever.HeldModel{model}}, table))
+			table.put(newEngine(laburnumlever.Heartbeat{Backend: id, Models: []laburnumlever.EngineModel{model}}, table))
 		case action == 1:
 			table.remove(id)
 		case action < 4:
-			e.applyHeartbeat(laburnumlever.Heartbeat{Backend: id, Models: []laburnumlever.HeldModel{model}}, now)
+			e.applyHeartbeat(laburnumlever.Heartbeat{Backend: id, Models: []laburnumlever.EngineModel{model}}, now)
 		case action < 6:
-			e.applyState(laburnumlever.EngineState{Models: []laburnumlever.HeldModel{model}}, now)
+			e.applyState(laburnumlever.EngineState{Models: []laburnumlever.EngineModel{model}}, now)
 		default:
 			e.recordLoad(laburnumlever.EngineOrder{Kind: laburnumlever.Load, Model: model.Name}, now)
 		}
--- a/laburnumdirector/events.go
+++ b/laburnumdirector/events.go
@@ -18,7 +18,7 @@
 	// gatewayReported is a gateway's report on demand, adapter use and backend servers.
 	gatewayReported struct {
 		vm     laburnumlever.VMID
-		report laburnumlever.GatewayNews
+		report laburnumlever.GatewayReport
 	}
 	// leaseAnswered is the result of acquiring or renewing the lease.
 	leaseAnswered struct {
--- a/laburnumdirector/layout.go
+++ b/laburnumdirector/layout.go
@@ -63,8 +63,8 @@
 }
 
 // largestModel returns the model with the largest weights.
-func largestModel(class *laburnumlever.EngineClass) laburnumlever.ResidentClass {
-	var largest laburnumlever.ResidentClass
+func largestModel(class *laburnumlever.EngineClass) laburnumlever.ModelClass {
+	var largest laburnumlever.ModelClass
 	for _, m := range class.Models {
 		if m.WeightsMB > largest.WeightsMB {
 			largest = m
--- a/laburnumdirector/lease.go
+++ b/laburnumdirector/lease.go
@@ -103,7 +103,7 @@
 	d.demand.expectReports(d.timers.Now())
 	d.outliers = laburnumoutlier.New()
 	d.onLeaseChange(true)
-	_ = level.Info(d.cfg.logger).Log("event", laburnumlever.EventLeaseGot, "fence", d.lease.fence, "wait", d.lease.validFrom-d.clock())
+	_ = level.Info(d.cfg.logger).Log("event", laburnumlever.EventLeaseAcquired, "fence", d.lease.fence, "wait", d.lease.validFrom-d.clock())
 }
 
 // takeoverDelay is the delay of the first order under a new lease. The previous holder sent its last
--- a/laburnumdirector/orders.go
+++ b/laburnumdirector/orders.go
@@ -42,7 +42,7 @@
 	if order.Kind != laburnumlever.Load {
 		return
 	}
-	m := laburnumlever.HeldModel{Name: order.Model}
+	m := laburnumlever.EngineModel{Name: order.Model}
 	if held := e.held[order.Model]; held != nil {
 		m.Version = held.version
 	}
@@ -205,10 +205,10 @@
 }
 
 // model returns a model of the engine's service; false if the service has none of that name.
-func (d *Director) model(e *engine, name laburnumlever.ModelName) (laburnumlever.ResidentClass, bool) {
+func (d *Director) model(e *engine, name laburnumlever.ModelName) (laburnumlever.ModelClass, bool) {
 	class := d.services[e.heartbeat.Service]
 	if class == nil {
-		return laburnumlever.ResidentClass{}, false
+		return laburnumlever.ModelClass{}, false
 	}
 	return class.Model(name)
 }
@@ -238,10 +238,10 @@
 	e.stateRequested = false
 	if ev.err != nil {
 		e.retryAt = d.timers.Now().Add(stateRetryDelay)
-		_ = level.Info(d.cfg.logger).Log("event", laburnumlever.EventEngineNotAsked, "backend", ev.backend, "cause", ev.err)
+		_ = level.Info(d.cfg.logger).Log("event", laburnumlever.EventEngineStateNotRead, "backend", ev.backend, "cause", ev.err)
 		return
 	}
-	if ev.state.Born != 0 && ev.state.Born != e.heartbeat.Born {
+	if ev.state.Incarnation != 0 && ev.state.Incarnation != e.heartbeat.Incarnation {
 		// Either the engine has restarted or the state is older than its restart. The next heartbeat
 		// shows which.
 		e.acceptedKnown, e.retryAt = false, d.timers.Now().Add(stateRetryDelay)
--- a/laburnumdirector/outliers_test.go
+++ b/laburnumdirector/outliers_test.go
@@ -19,7 +19,7 @@
 	n.director.SetRecord(laburnumregistry.Record{Heartbeat: laburnumlever.Heartbeat{Backend: "plain-1", Service: "bookings", Sequence: 1}})
 	w.advance(8 * time.Second)
 	for _, id := range []laburnumlever.BackendID{"plain-1", "i-1"} {
-		report := laburnumlever.GatewayNews{Outcomes: []laburnumlever.BackendOutcome{{Backend: id, Failed: 1}}}
+		report := laburnumlever.GatewayReport{Outcomes: []laburnumlever.BackendOutcome{{Backend: id, Failed: 1}}}
 		n.director.SetGatewayReport("gateway-1", report)
 		w.advance(100 * time.Millisecond)
 		require.Zero(t, n.overlays[id].Outliers, "a single failure may be caused by the request")
--- a/laburnumdispatch/simulation_test.go
+++ b/laburnumdispatch/simulation_test.go
@@ -154,7 +154,7 @@
 		b.Announcement = laburnumlever.Announcement{Backend: laburnumlever.BackendID(strconv.Itoa(e.id)), Slots: 4, TokensPerSecond: 200}
 		b.Report = laburnumlever.LoadReport{
 			Sequence: e.nextCount, InFlight: e.running, Queued: len(e.waiting),
-			Loaded: []laburnumlever.Loaded{{Model: "m", Ready: true}},
+			Loaded: []laburnumlever.ModelCopy{{Model: "m", Ready: true}},
 		}
 		view.Backends = append(view.Backends, b)
 	}
--- a/laburnumdistribution/distributor.go
+++ b/laburnumdistribution/distributor.go
@@ -127,7 +127,7 @@
 	if !d.core.adopt(b, d.others()) {
 		return
 	}
-	_ = level.Info(d.logger).Log("event", laburnumlever.EventCatalogueInForce, "revision", b.catalogue.Revision)
+	_ = level.Info(d.logger).Log("event", laburnumlever.EventCatalogueInEffect, "revision", b.catalogue.Revision)
 	d.scope.Gauge("catalogue-revision").Update(float64(b.catalogue.Revision))
 	for _, fn := range d.onNewRevision {
 		fn(b.catalogue)
--- a/laburnumfeed/follower.go
+++ b/laburnumfeed/follower.go
@@ -36,7 +36,7 @@
 	// RoutesVersion returns the version of the current route table; 0 for none.
 	RoutesVersion() uint64
 	// GatewayReport returns the gateway's report to the director.
-	GatewayReport() laburnumlever.GatewayNews
+	GatewayReport() laburnumlever.GatewayReport
 }
 
 // Follower polls all known control VMs. It is safe for concurrent use.
--- a/laburnumfeed/follower_test.go
+++ b/laburnumfeed/follower_test.go
@@ -28,11 +28,13 @@
 // sinkAtVersion is a sink with a route table of the given version.
 type sinkAtVersion uint64
 
-func (sinkAtVersion) HandleAnswer(string, Answer)              {}
-func (sinkAtVersion) ControlLost(string)                       {}
-func (sinkAtVersion) HandleRoutes(laburnumlever.RouteTable)    {}
-func (v sinkAtVersion) RoutesVersion() uint64                  { return uint64(v) }
-func (sinkAtVersion) GatewayReport() laburnumlever.GatewayNews { return laburnumlever.GatewayNews{} }
+func (sinkAtVersion) HandleAnswer(string, Answer)           {}
+func (sinkAtVersion) ControlLost(string)                    {}
+func (sinkAtVersion) HandleRoutes(laburnumlever.RouteTable) {}
+func (v sinkAtVersion) RoutesVersion() uint64               { return uint64(v) }
+func (sinkAtVersion) GatewayReport() laburnumlever.GatewayReport {
+	return laburnumlever.GatewayReport{}
+}
 
 // countPolls returns how often a VM with the given route version polls an unreachable control VM in
 // one second.
--- a/laburnumfeed/messages.go
+++ b/laburnumfeed/messages.go
@@ -22,7 +22,7 @@
 	// Records asks for endpoint state as well.
 	Records bool `json:"records,omitempty"`
 	// GatewayReport is set in polls to the director.
-	GatewayReport laburnumlever.GatewayNews `json:"news,omitzero"`
+	GatewayReport laburnumlever.GatewayReport `json:"news,omitzero"`
 }
 
 // Answer contains the changes after a request's cursor, at most a page.
--- a/laburnumfeed/source.go
+++ b/laburnumfeed/source.go
@@ -26,7 +26,7 @@
 )
 
 // GatewayReportFunc receives a gateway's report.
-type GatewayReportFunc func(vm laburnumlever.VMID, report laburnumlever.GatewayNews)
+type GatewayReportFunc func(vm laburnumlever.VMID, report laburnumlever.GatewayReport)
 
 // Source answers polls on a control VM. It is safe for concurrent use.
 type Source struct {
@@ -77,7 +77,7 @@
 	s := &Source{
 		timers: timers, logger: log.NewNopLogger(), self: self, boot: self.Incarnation, changed: make(chan struct{}),
 		records: newItemLog(), overlays: newItemLog(), pollers: newPollers(),
-		onGatewayReport: func(laburnumlever.VMID, laburnumlever.GatewayNews) {},
+		onGatewayReport: func(laburnumlever.VMID, laburnumlever.GatewayReport) {},
 		cursor:          1, published: 1, controlsCursor: 1, metaCursor: 1, answers: map[answerKey]laburnumlever.RawMessage{},
 	}
 	for _, opt := range opts {
@@ -105,13 +105,13 @@
 func (s *Source) put(l *itemLog, id laburnumlever.BackendID, item any) {
 	encoded, err := json.Marshal(item)
 	if err != nil {
-		_ = level.Error(s.logger).Log("event", laburnumlever.EventNewsNotEncoded, "backend", id, "cause", err)
+		_ = level.Error(s.logger).Log("event", laburnumlever.EventBackendStateNotEncoded, "backend", id, "cause", err)
 		return
 	}
 	s.mu.Lock()
 	l.put(id, s.nextCursor(), encoded)
 	s.mu.Unlock()
-	s.batcher.Poke()
+	s.batcher.Trigger()
 }
 
 // ClearOverlays drops all overlays, for use when another VM becomes the director.
@@ -139,7 +139,7 @@
 	}
 	s.mu.Unlock()
 	if newer {
-		s.batcher.Poke()
+		s.batcher.Trigger()
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 	s.mu.Unlock()
 	if changed {
-		s.batcher.Poke()
+		s.batcher.Trigger()
 	}
 }
 
@@ -180,7 +180,7 @@
 	}
 	s.mu.Unlock()
 	if changed {
-		s.batcher.Poke()
+		s.batcher.Trigger()
 	}
 }
 
--- a/laburnumgateway/attempt.go
+++ b/laburnumgateway/attempt.go
@@ -71,8 +71,8 @@
 	q.sends++
 	resp, err := conn.Exchange(laburnumupstream.Request{
 		Method: q.method, URI: q.uri, Host: q.host, Body: q.body,
-		Header: g.dialect.Forward(q.header, laburnumlever.Send{
-			Wait: q.remaining(now), Backend: ticket.Backend.Backend, LastEvent: q.lastEventID, Reservation: q.reservation,
+		Header: g.dialect.Forward(q.header, laburnumlever.ForwardParams{
+			Timeout: q.remaining(now), Backend: ticket.Backend.Backend, LastEvent: q.lastEventID, Reservation: q.reservation,
 		}),
 	})
 	if err != nil {
@@ -89,7 +89,7 @@
 
 // checkAnswer returns a failure for an answer that must not be forwarded: one to another request, or
 // one which says that the request did not run.
-func (g *Gateway) checkAnswer(q *request, ticket *laburnumbalance.Ticket, resp *http.Response, marks laburnumlever.AnswerMarks, result *laburnumbalance.AttemptResult) *failure {
+func (g *Gateway) checkAnswer(q *request, ticket *laburnumbalance.Ticket, resp *http.Response, marks laburnumlever.AnswerHeaders, result *laburnumbalance.AttemptResult) *failure {
 	if marks.RequestID != q.caller.ID && (marks.RequestID != "" || !marks.NotRun) {
 		result.Failed, result.Faulty = true, true
 		return &failure{
--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -76,7 +76,7 @@
 		}
 		merged, _ := f.registry.Record(r.Heartbeat.Backend)
 		f.balance.Set(merged)
-		_ = level.Debug(f.logger).Log("event", laburnumlever.EventBackendKnown, "backend", r.Heartbeat.Backend, "sequence", merged.Heartbeat.Sequence,
+		_ = level.Debug(f.logger).Log("event", laburnumlever.EventBackendChanged, "backend", r.Heartbeat.Backend, "sequence", merged.Heartbeat.Sequence,
 			"leaving", merged.Heartbeat.Leaving, "gone", merged.Gone, "silent", merged.Silent, "models", len(merged.Heartbeat.Models))
 	}
 	for _, o := range a.Overlays {
@@ -98,7 +98,7 @@
 	if f.index.Swap(laburnumroutes.NewIndex(t)) == nil {
 		close(f.routesLoaded)
 	}
-	_ = level.Info(f.logger).Log("event", laburnumlever.EventRoutesInForce, "version", t.Version, "routes", len(t.Routes))
+	_ = level.Info(f.logger).Log("event", laburnumlever.EventRoutesInEffect, "version", t.Version, "routes", len(t.Routes))
 }
 
 // awaitRoutes waits for the first route table, at most for the given time.
@@ -129,13 +129,13 @@
 
 // GatewayReport returns the gateway's report to the control VMs: demand, adapter use, failures and replaced
 // backend servers since the last call, and the backend servers that can't be connected to.
-func (f *Fleet) GatewayReport() laburnumlever.GatewayNews {
+func (f *Fleet) GatewayReport() laburnumlever.GatewayReport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.timers.Now()
 	replaced := f.replaced
 	f.replaced = nil
-	return laburnumlever.GatewayNews{
+	return laburnumlever.GatewayReport{
 		Demand: f.demand.Take(now, f.readTimes), Adapters: f.adapters.Take(now), Unreachable: f.balance.Unreachable(now), Replaced: replaced,
 		Outcomes: f.balance.Outcomes(),
 	}
@@ -197,7 +197,7 @@
 }
 
 // updateLoad updates the load of a backend server from the headers of an answer.
-func (f *Fleet) updateLoad(id laburnumlever.BackendID, marks laburnumlever.AnswerMarks) {
+func (f *Fleet) updateLoad(id laburnumlever.BackendID, marks laburnumlever.AnswerHeaders) {
 	if !marks.HasLoad {
 		return
 	}
--- a/laburnumgateway/forward.go
+++ b/laburnumgateway/forward.go
@@ -153,7 +153,7 @@
 func (g *Gateway) loadAdapter(ctx context.Context, q *request) error {
 	ctx, cancel := context.WithTimeout(ctx, adapterLoadTimeout)
 	defer cancel()
-	ids, err := g.adapters.EnsureLoaded(ctx, laburnumlever.AdapterNeed{
+	ids, err := g.adapters.EnsureLoaded(ctx, laburnumlever.AdapterRequest{
 		Service: q.service.Name, Model: q.caller.Model, Adapter: q.caller.Adapter, Except: g.fleet.unusableEngines(q),
 	})
 	if err != nil {
--- a/laburnumgateway/gateway.go
+++ b/laburnumgateway/gateway.go
@@ -22,7 +22,7 @@
 // AdapterLoader loads adapters on demand.
 type AdapterLoader interface {
 	// EnsureLoaded waits until an adapter is loaded and returns the engines that hold it.
-	EnsureLoaded(ctx context.Context, need laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error)
+	EnsureLoaded(ctx context.Context, need laburnumlever.AdapterRequest) ([]laburnumlever.BackendID, error)
 }
 
 // RetryBudget limits the retries of all gateways together. For each service and in any Window they
--- a/laburnumgateway/gateway_test.go
+++ b/laburnumgateway/gateway_test.go
@@ -437,11 +437,11 @@
 
 // fakeAdapterLoader records requests for adapters and answers that holder has loaded them.
 type fakeAdapterLoader struct {
-	requests chan laburnumlever.AdapterNeed
+	requests chan laburnumlever.AdapterRequest
 	holder   laburnumlever.BackendID
 }
 
-func (a fakeAdapterLoader) EnsureLoaded(_ context.Context, need laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
+func (a fakeAdapterLoader) EnsureLoaded(_ context.Context, need laburnumlever.AdapterRequest) ([]laburnumlever.BackendID, error) {
 	a.requests <- need
 	return []laburnumlever.BackendID{a.holder}, nil
 }
@@ -450,7 +450,7 @@
 // reached from this gateway, but the control VM names it again and again.
 func TestRequestForUnreachableAdapterIsRefusedInTime(t *testing.T) {
 	server := newBackend(t, "i-1", func(net.Conn, receivedRequest, int) {})
-	loader := fakeAdapterLoader{requests: make(chan laburnumlever.AdapterNeed, 10_000), holder: "i-9"}
+	loader := fakeAdapterLoader{requests: make(chan laburnumlever.AdapterRequest, 10_000), holder: "i-9"}
 	b := newUnconfiguredHarness(t, laburnumgateway.WithAdapterLoader(loader))
 	b.fleet.HandleRoutes(testRoutes())
 	b.fleet.HandleAnswer("", laburnumfeed.Answer{Backends: []laburnumregistry.Record{server.heartbeat("quotes", "m0")}})
--- a/laburnumgateway/request.go
+++ b/laburnumgateway/request.go
@@ -96,8 +96,8 @@
 		return index
 	}
 	wait := firstRoutesWait
-	if caller, err := g.dialect.Request(r.Header); err == nil && caller.Wait > 0 {
-		wait = min(wait, time.Duration(firstRoutesWaitShare*float64(caller.Wait)))
+	if caller, err := g.dialect.Request(r.Header); err == nil && caller.Timeout > 0 {
+		wait = min(wait, time.Duration(firstRoutesWaitShare*float64(caller.Timeout)))
 	}
 	if g.awaitingRoutes.Add(1) <= maxAwaitingRoutes {
 		g.fleet.awaitRoutes(r.Context(), wait)
@@ -125,8 +125,8 @@
 // setDeadline derives the deadline from the shorter of the caller's and the route's timeout.
 func (q *request) setDeadline() {
 	limit := time.Duration(q.route.Timeout)
-	if q.caller.Wait > 0 && q.caller.Wait < limit {
-		limit = q.caller.Wait
+	if q.caller.Timeout > 0 && q.caller.Timeout < limit {
+		limit = q.caller.Timeout
 	}
 	q.deadline = q.arrived.Add(limit)
 }
--- a/laburnumgateway/reserve.go
+++ b/laburnumgateway/reserve.go
@@ -42,12 +42,12 @@
 		g.counters.reservations[reserveUnanswered].Inc(1)
 		return &failure{stage: laburnumretry.StageNotSent, reason: laburnumlever.RefusedBackendUnreachable, cause: err}, nil
 	}
-	id, ok, err := g.dialect.Reserved(resp.StatusCode, body)
+	id, ok, err := g.dialect.ParseReservation(resp.StatusCode, body)
 	switch {
 	case err != nil:
 		// The engine does not support reservations: the request is sent without one.
 		g.counters.reservations[reserveUnanswered].Inc(1)
-		_ = level.Info(g.logger).Log("event", laburnumlever.EventPlaceNotReserved, "request-id", q.caller.ID, "backend", q.backend, "cause", err)
+		_ = level.Info(g.logger).Log("event", laburnumlever.EventReservationUnclear, "request-id", q.caller.ID, "backend", q.backend, "cause", err)
 	case ok:
 		g.counters.reservations[reserveKept].Inc(1)
 		q.reservation = id
@@ -66,9 +66,9 @@
 	if err := conn.SetDeadline(now.Add(min(reserveTimeout, q.remaining(now)))); err != nil {
 		return nil, nil, err
 	}
-	call := g.dialect.Reserve(laburnumlever.Reservation{
+	call := g.dialect.ReservationCall(laburnumlever.Reservation{
 		Backend: ticket.Backend.Backend, Tokens: q.caller.PromptTokens + laburnumdemand.AnswerTokens(q.caller),
-		For: min(reservationTTL, time.Duration(q.service.Engine.ReserveLimit)),
+		TTL: min(reservationTTL, time.Duration(q.service.Engine.ReserveLimit)),
 	})
 	resp, err := conn.Exchange(laburnumupstream.Request{
 		Method: call.Method, URI: call.URI, Host: q.host, Header: call.Header, Body: call.Body,
--- a/laburnumlogging/logger.go
+++ b/laburnumlogging/logger.go
@@ -34,7 +34,7 @@
 
 // routineEvents are the events of successful operations; they are as frequent as requests.
 var routineEvents = []string{
-	laburnumlever.EventRequestServed.String(), laburnumlever.EventAdapterThere.String(), laburnumlever.EventOrderAnswered.String(),
+	laburnumlever.EventRequestServed.String(), laburnumlever.EventAdapterLoaded.String(), laburnumlever.EventOrderAnswered.String(),
 }
 
 // Logger is a log with a bounded buffer. It implements log.Logger and is safe for concurrent use.
--- a/laburnummembership/backends.go
+++ b/laburnummembership/backends.go
@@ -12,7 +12,7 @@
 func (c *core) announce(a laburnumlever.Announcement, now time.Time) error {
 	r, ok := c.backends.records[a.Backend]
 	if ok && a.Incarnation < r.state.Incarnation {
-		return &laburnumlever.StaleNewsError{Backend: a.Backend, Known: r.state.Incarnation, Given: a.Incarnation}
+		return &laburnumlever.StaleReportError{Backend: a.Backend, Known: r.state.Incarnation, Given: a.Incarnation}
 	}
 	if !ok || a.Incarnation > r.state.Incarnation {
 		n := backendState{Backend: a.Backend, Incarnation: a.Incarnation, StateVersion: 1, Publisher: c.self.ID, Announcement: &a}
@@ -47,9 +47,9 @@
 	case !ok || given.Incarnation > r.state.Incarnation:
 		return &laburnumlever.NotFoundError{Kind: "announced backend server", Name: string(given.Backend)}
 	case given.Incarnation < r.state.Incarnation:
-		return &laburnumlever.StaleNewsError{Backend: given.Backend, Known: r.state.Incarnation, Given: given.Incarnation}
+		return &laburnumlever.StaleReportError{Backend: given.Backend, Known: r.state.Incarnation, Given: given.Incarnation}
 	case given.Sequence <= r.directSequence:
-		return &laburnumlever.StaleNewsError{Backend: given.Backend, Known: r.directSequence, Given: given.Sequence}
+		return &laburnumlever.StaleReportError{Backend: given.Backend, Known: r.directSequence, Given: given.Sequence}
 	}
 	c.backends.recordContact(r, now)
 	r.directSequence = given.Sequence
@@ -119,7 +119,7 @@
 	case !ok || incarnation > r.state.Incarnation:
 		return &laburnumlever.NotFoundError{Kind: "announced backend server", Name: string(id)}
 	case incarnation < r.state.Incarnation:
-		return &laburnumlever.StaleNewsError{Backend: id, Known: r.state.Incarnation, Given: incarnation}
+		return &laburnumlever.StaleReportError{Backend: id, Known: r.state.Incarnation, Given: incarnation}
 	case r.state.Leaving:
 		return nil
 	}
--- a/laburnummembership/failures_test.go
+++ b/laburnummembership/failures_test.go
@@ -77,9 +77,9 @@
 }
 
 // sameCopies compares inventories without regard to order, as each VM sorts its own.
-func sameCopies(a, b []laburnumlever.Loaded) bool {
-	return len(a) == len(b) && !slices.ContainsFunc(a, func(l laburnumlever.Loaded) bool {
-		return !slices.ContainsFunc(b, func(other laburnumlever.Loaded) bool { return reflect.DeepEqual(l, other) })
+func sameCopies(a, b []laburnumlever.ModelCopy) bool {
+	return len(a) == len(b) && !slices.ContainsFunc(a, func(l laburnumlever.ModelCopy) bool {
+		return !slices.ContainsFunc(b, func(other laburnumlever.ModelCopy) bool { return reflect.DeepEqual(l, other) })
 	})
 }
 
--- a/laburnummembership/fleetengine_test.go
+++ b/laburnummembership/fleetengine_test.go
@@ -35,7 +35,7 @@
 	}
 	e.Report = laburnumlever.LoadReport{Backend: id, Incarnation: e.Announcement.Incarnation}
 	for m := range 6 {
-		e.Report.Loaded = append(e.Report.Loaded, laburnumlever.Loaded{
+		e.Report.Loaded = append(e.Report.Loaded, laburnumlever.ModelCopy{
 			Model:   laburnumlever.ModelName(fmt.Sprintf("model-%03d", (i*6+m)%370)),
 			Version: "v1", Accelerators: []laburnumlever.AcceleratorID{"a0"}, PartMiB: 9000, Ready: true,
 		})
--- a/laburnummembership/inventory.go
+++ b/laburnummembership/inventory.go
@@ -23,7 +23,7 @@
 	at          time.Time
 	changedKeys map[string]bool
 	// last is the inventory last published.
-	last []laburnumlever.Loaded
+	last []laburnumlever.ModelCopy
 }
 
 // inventoryUpdate is an engine's inventory, sent only on change: complete if Base is 0,
@@ -33,16 +33,16 @@
 	Backend     laburnumlever.BackendID `json:"backend"`
 	Incarnation uint64                  `json:"incarnation"`
 	// Sequence is the sequence number of the load report that showed the change.
-	Sequence uint64                 `json:"sequence"`
-	Base     uint64                 `json:"base,omitempty"`
-	Fence    uint64                 `json:"fence,omitempty"`
-	Loaded   []laburnumlever.Loaded `json:"loaded,omitempty"`
+	Sequence uint64                    `json:"sequence"`
+	Base     uint64                    `json:"base,omitempty"`
+	Fence    uint64                    `json:"fence,omitempty"`
+	Loaded   []laburnumlever.ModelCopy `json:"loaded,omitempty"`
 	// Removed holds the copyKeys of the copies that are gone.
 	Removed []string `json:"removed,omitempty"`
 }
 
 // copyKey identifies a copy within one engine.
-func copyKey(l laburnumlever.Loaded) string {
+func copyKey(l laburnumlever.ModelCopy) string {
 	parts := []string{string(l.Model), string(l.Version)}
 	for _, a := range l.Accelerators {
 		parts = append(parts, string(a))
@@ -51,8 +51,8 @@
 }
 
 // addChangedKeys adds the keys of all copies that differ between two inventories.
-func addChangedKeys(keys map[string]bool, before, after []laburnumlever.Loaded) {
-	old := map[string]laburnumlever.Loaded{}
+func addChangedKeys(keys map[string]bool, before, after []laburnumlever.ModelCopy) {
+	old := map[string]laburnumlever.ModelCopy{}
 	for _, l := range before {
 		old[copyKey(l)] = l
 	}
@@ -70,7 +70,7 @@
 
 // changedCopies returns the current state of the copies with the given keys, and the keys of
 // those that are gone.
-func changedCopies(keys map[string]bool, loaded []laburnumlever.Loaded) (changed []laburnumlever.Loaded, removed []string) {
+func changedCopies(keys map[string]bool, loaded []laburnumlever.ModelCopy) (changed []laburnumlever.ModelCopy, removed []string) {
 	gone := maps.Clone(keys)
 	for _, l := range loaded {
 		if key := copyKey(l); keys[key] {
@@ -82,7 +82,7 @@
 }
 
 // apply returns the inventory after the update.
-func (n inventoryUpdate) apply(loaded []laburnumlever.Loaded) []laburnumlever.Loaded {
+func (n inventoryUpdate) apply(loaded []laburnumlever.ModelCopy) []laburnumlever.ModelCopy {
 	if n.Base == 0 {
 		return n.Loaded
 	}
@@ -93,7 +93,7 @@
 	for _, l := range n.Loaded {
 		replaced[copyKey(l)] = true
 	}
-	var out []laburnumlever.Loaded
+	var out []laburnumlever.ModelCopy
 	for _, l := range loaded {
 		if !replaced[copyKey(l)] {
 			out = append(out, l)
@@ -104,9 +104,9 @@
 
 // sortedCopies sorts copies by their key, so that every VM shows the same inventory, whether it
 // came from the engine, complete or as deltas.
-func sortedCopies(loaded []laburnumlever.Loaded) []laburnumlever.Loaded {
+func sortedCopies(loaded []laburnumlever.ModelCopy) []laburnumlever.ModelCopy {
 	out := slices.Clone(loaded)
-	slices.SortStableFunc(out, func(a, b laburnumlever.Loaded) int { return strings.Compare(copyKey(a), copyKey(b)) })
+	slices.SortStableFunc(out, func(a, b laburnumlever.ModelCopy) int { return strings.Compare(copyKey(a), copyKey(b)) })
 	return out
 }
 
--- a/laburnummembership/membership_test.go
+++ b/laburnummembership/membership_test.go
@@ -108,7 +108,7 @@
 	}()
 	report := laburnumlever.LoadReport{
 		Backend: "e1", Incarnation: 7, Sequence: 3, InFlight: 2, Queued: 1, Fence: 5,
-		Loaded: []laburnumlever.Loaded{{Model: "m", Ready: true}},
+		Loaded: []laburnumlever.ModelCopy{{Model: "m", Ready: true}},
 	}
 	require.NoError(t, registry.Report(ctx, report))
 	for _, n := range nodes {
--- a/laburnumnode/backendhandler.go
+++ b/laburnumnode/backendhandler.go
@@ -67,7 +67,7 @@
 }
 
 func writeResult(ctx iris.Context, err error) {
-	var stale *laburnumlever.StaleNewsError
+	var stale *laburnumlever.StaleReportError
 	var invalid *laburnumlever.InvalidValueError
 	switch {
 	case err == nil:
--- a/laburnumorder/bench_test.go
+++ b/laburnumorder/bench_test.go
@@ -46,12 +46,12 @@
 					Backend: laburnumlever.BackendID(fmt.Sprintf("e%04d", i)), Zone: laburnumlever.ZoneName(fmt.Sprintf("z%d", i%7)),
 					Incarnation: 1, ChecksFencing: true, TokensPerSecond: 1000,
 				}
-				var loaded []laburnumlever.Loaded
+				var loaded []laburnumlever.ModelCopy
 				for j := range 8 {
 					id := laburnumlever.AcceleratorID(fmt.Sprint(j))
 					a.Accelerators = append(a.Accelerators, laburnumlever.Accelerator{ID: id, MemoryMiB: 24000})
 					m := q.view.Catalogue.Models[(i*8+j)%size[1]]
-					loaded = append(loaded, laburnumlever.Loaded{Model: m.Name, Version: m.Version, PartMiB: m.PartMiB(), Ready: true, Accelerators: []laburnumlever.AcceleratorID{id}})
+					loaded = append(loaded, laburnumlever.ModelCopy{Model: m.Name, Version: m.Version, PartMiB: m.PartMiB(), Ready: true, Accelerators: []laburnumlever.AcceleratorID{id}})
 				}
 				q.view.Backends = append(q.view.Backends, laburnumlever.Backend{
 					Announcement: a, Report: laburnumlever.LoadReport{Backend: a.Backend, Incarnation: 1, Loaded: loaded},
--- a/laburnumorder/engine.go
+++ b/laburnumorder/engine.go
@@ -29,7 +29,7 @@
 	// loading maps each loading copy to when it was ordered or first seen.
 	loading map[string]time.Time
 	// updates maps copies to the size and adapters of the last load order.
-	updates map[string]laburnumlever.Loaded
+	updates map[string]laburnumlever.ModelCopy
 }
 
 func (o *Owner) engine(backend laburnumlever.BackendID) *engine {
@@ -38,7 +38,7 @@
 		e = &engine{
 			intents: make(map[laburnumlever.OrderID]laburnumlever.OrderIntent),
 			loading: make(map[string]time.Time),
-			updates: make(map[string]laburnumlever.Loaded),
+			updates: make(map[string]laburnumlever.ModelCopy),
 			gone:    true,
 		}
 		o.engines[backend] = e
@@ -96,7 +96,7 @@
 		return false
 	}
 	known := o.ledger.Loaded(e.announcement.Backend)
-	return !slices.EqualFunc(known, r.Loaded, func(a, b laburnumlever.Loaded) bool {
+	return !slices.EqualFunc(known, r.Loaded, func(a, b laburnumlever.ModelCopy) bool {
 		return a.Ready == b.Ready && a.Draining == b.Draining && a.PartMiB == b.PartMiB &&
 			len(a.Adapters) == len(b.Adapters) && copyKey(a) == copyKey(b)
 	})
@@ -170,7 +170,7 @@
 	case ev.inventory.Backend != ev.backend:
 		return &WrongEngineError{Want: ev.backend, Got: ev.inventory.Backend}
 	case ev.inventory.Incarnation < e.announcement.Incarnation:
-		return &laburnumlever.StaleNewsError{Backend: ev.backend, Known: e.announcement.Incarnation, Given: ev.inventory.Incarnation}
+		return &laburnumlever.StaleReportError{Backend: ev.backend, Known: e.announcement.Incarnation, Given: ev.inventory.Incarnation}
 	case !e.announcement.ChecksFencing:
 		return nil
 	}
@@ -188,7 +188,7 @@
 		// Another owner has claimed it, so this owner's lease has expired.
 		e.orderable = false
 		o.lease.next = time.Time{}
-		return &laburnumlever.StaleNewsError{Backend: ev.backend, Known: ev.inventory.Fence, Given: ev.number}
+		return &laburnumlever.StaleReportError{Backend: ev.backend, Known: ev.inventory.Fence, Given: ev.number}
 	}
 	return nil
 }
@@ -232,7 +232,7 @@
 
 // hasOrderedForm reports whether a copy has the size and adapters of its last load order.
 // A ready copy may still be changing in place.
-func (e *engine) hasOrderedForm(key string, c laburnumlever.Loaded) bool {
+func (e *engine) hasOrderedForm(key string, c laburnumlever.ModelCopy) bool {
 	want, ok := e.updates[key]
 	return !ok || c.PartMiB == want.PartMiB && slices.Equal(c.Adapters, want.Adapters)
 }
--- a/laburnumorder/httpengines_test.go
+++ b/laburnumorder/httpengines_test.go
@@ -31,7 +31,7 @@
 	inventory, err := link.Claim(ctx, a, 7)
 	require.NoError(t, err)
 	require.Equal(t, uint64(3), inventory.Incarnation)
-	order := laburnumlever.Order{ID: "o", Fence: 6, Copy: laburnumlever.Loaded{Model: "m", Accelerators: []laburnumlever.AcceleratorID{"a0"}}}
+	order := laburnumlever.Order{ID: "o", Fence: 6, Copy: laburnumlever.ModelCopy{Model: "m", Accelerators: []laburnumlever.AcceleratorID{"a0"}}}
 	answer, err := link.Order(ctx, a, order)
 	require.NoError(t, err)
 	require.Equal(t, laburnumlever.OrderStaleFence, answer.Outcome)
--- a/laburnumorder/ledger.go
+++ b/laburnumorder/ledger.go
@@ -16,7 +16,7 @@
 
 type account struct {
 	accelerators []laburnumlever.Accelerator
-	loaded       []laburnumlever.Loaded
+	loaded       []laburnumlever.ModelCopy
 	pending      []PendingOrder
 }
 
@@ -67,7 +67,7 @@
 
 // SetLoaded replaces the loaded copies by those in the answer to an order. Pending orders
 // stay counted: a duplicate may still be in flight.
-func (l *Ledger) SetLoaded(backend laburnumlever.BackendID, loaded []laburnumlever.Loaded) {
+func (l *Ledger) SetLoaded(backend laburnumlever.BackendID, loaded []laburnumlever.ModelCopy) {
 	l.account(backend).loaded = loaded
 }
 
@@ -89,13 +89,13 @@
 
 // HasOrderFor reports whether a load order for the copy is pending, so that unloading the
 // copy frees no memory yet.
-func (l *Ledger) HasOrderFor(backend laburnumlever.BackendID, c laburnumlever.Loaded) bool {
+func (l *Ledger) HasOrderFor(backend laburnumlever.BackendID, c laburnumlever.ModelCopy) bool {
 	key := copyKey(c)
 	return slices.ContainsFunc(l.account(backend).pending, func(p PendingOrder) bool { return copyKey(p.Order.Copy) == key })
 }
 
 // Loaded returns the copies in the engine's last inventory.
-func (l *Ledger) Loaded(backend laburnumlever.BackendID) []laburnumlever.Loaded {
+func (l *Ledger) Loaded(backend laburnumlever.BackendID) []laburnumlever.ModelCopy {
 	return l.account(backend).loaded
 }
 
@@ -111,7 +111,7 @@
 
 // Fits reports whether the engine has memory for the copy even if all pending orders take
 // effect.
-func (l *Ledger) Fits(backend laburnumlever.BackendID, c laburnumlever.Loaded) bool {
+func (l *Ledger) Fits(backend laburnumlever.BackendID, c laburnumlever.ModelCopy) bool {
 	a := l.account(backend)
 	for _, id := range c.Accelerators {
 		i := slices.IndexFunc(a.accelerators, func(acc laburnumlever.Accelerator) bool { return acc.ID == id })
@@ -129,9 +129,9 @@
 
 // committed counts each copy once, at its largest size in the inventory and the pending
 // orders: while a copy changes in place it may have either size.
-func (a *account) committed(id laburnumlever.AcceleratorID, more *laburnumlever.Loaded) int {
+func (a *account) committed(id laburnumlever.AcceleratorID, more *laburnumlever.ModelCopy) int {
 	sizes := make(map[string]int, len(a.loaded)+len(a.pending))
-	count := func(c laburnumlever.Loaded) {
+	count := func(c laburnumlever.ModelCopy) {
 		if slices.Contains(c.Accelerators, id) {
 			key := copyKey(c)
 			sizes[key] = max(sizes[key], c.PartMiB)
@@ -159,7 +159,7 @@
 
 // copyKey identifies a copy within an engine: it holds a version of a model on the same
 // accelerators only once.
-func copyKey(c laburnumlever.Loaded) string {
+func copyKey(c laburnumlever.ModelCopy) string {
 	var b strings.Builder
 	b.WriteString(string(c.Model))
 	b.WriteByte(0)
--- a/laburnumorder/ledger_test.go
+++ b/laburnumorder/ledger_test.go
@@ -12,10 +12,10 @@
 
 func TestLedgerCommittedMemory(t *testing.T) {
 	at := time.Unix(100, 0)
-	part := func(version string, mib int) laburnumlever.Loaded {
-		return laburnumlever.Loaded{Model: "m", Version: laburnumlever.Version(version), PartMiB: mib, Accelerators: []laburnumlever.AcceleratorID{"a0"}}
+	part := func(version string, mib int) laburnumlever.ModelCopy {
+		return laburnumlever.ModelCopy{Model: "m", Version: laburnumlever.Version(version), PartMiB: mib, Accelerators: []laburnumlever.AcceleratorID{"a0"}}
 	}
-	inventory := func(loaded ...laburnumlever.Loaded) laburnumlever.Inventory {
+	inventory := func(loaded ...laburnumlever.ModelCopy) laburnumlever.Inventory {
 		return laburnumlever.Inventory{Loaded: loaded, Accelerators: []laburnumlever.Accelerator{{ID: "a0", MemoryMiB: 100}}}
 	}
 	order := laburnumlever.Order{ID: "o1", Kind: laburnumlever.Load, Copy: part("v1", 60)}
--- a/laburnumorder/plan.go
+++ b/laburnumorder/plan.go
@@ -72,13 +72,13 @@
 	e.Accelerators = o.ledger.Accelerators(e.ID)
 	e.Copies = nil
 	for _, l := range o.ledger.Loaded(e.ID) {
-		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: l, Unloading: own.isUnloading(l), StaysReserved: o.ledger.HasOrderFor(e.ID, l)})
+		e.Copies = append(e.Copies, laburnumplacement.Copy{ModelCopy: l, Unloading: own.isUnloading(l), StaysReserved: o.ledger.HasOrderFor(e.ID, l)})
 	}
 	if coming, ok := own.pendingLoad(); ok && !containsCopy(e.Copies, coming) {
-		e.Copies = append(e.Copies, laburnumplacement.Copy{Loaded: coming})
+		e.Copies = append(e.Copies, laburnumplacement.Copy{ModelCopy: coming})
 	}
 	for i, c := range e.Copies {
-		if want, ok := own.updates[copyKey(c.Loaded)]; ok {
+		if want, ok := own.updates[copyKey(c.ModelCopy)]; ok {
 			// The planner gets the ordered size and adapters. Otherwise it would repeat
 			// the order, and the engine would restart the load each time. What the ledger
 			// counts beyond that is reserved.
@@ -107,24 +107,24 @@
 	return list
 }
 
-func (e *engine) isUnloading(l laburnumlever.Loaded) bool {
+func (e *engine) isUnloading(l laburnumlever.ModelCopy) bool {
 	return e.order != nil && e.order.order.Kind == laburnumlever.Unload && copyKey(e.order.order.Copy) == copyKey(l)
 }
 
 // pendingLoad returns the copy of the load order in progress. An order whose outcome is
 // unknown does not count: the model is repaired elsewhere.
-func (e *engine) pendingLoad() (laburnumlever.Loaded, bool) {
+func (e *engine) pendingLoad() (laburnumlever.ModelCopy, bool) {
 	if e.order == nil || e.order.order.Kind != laburnumlever.Load || e.order.is(stateUnknown) {
-		return laburnumlever.Loaded{}, false
+		return laburnumlever.ModelCopy{}, false
 	}
 	c := e.order.order.Copy
 	c.Ready = false
 	return c, true
 }
 
-func containsCopy(copies []laburnumplacement.Copy, l laburnumlever.Loaded) bool {
+func containsCopy(copies []laburnumplacement.Copy, l laburnumlever.ModelCopy) bool {
 	for _, c := range copies {
-		if copyKey(c.Loaded) == copyKey(l) {
+		if copyKey(c.ModelCopy) == copyKey(l) {
 			return true
 		}
 	}
--- a/laburnumorder/readiness.go
+++ b/laburnumorder/readiness.go
@@ -53,18 +53,18 @@
 // sinceOf returns since when a copy has been ready. It tries the copy's previous index
 // first.
 func (s readyCopies) sinceOf(i int, c laburnumplacement.Copy) time.Time {
-	if i < len(s.copies) && sameCopy(s.copies[i].Loaded, c.Loaded) {
+	if i < len(s.copies) && sameCopy(s.copies[i].ModelCopy, c.ModelCopy) {
 		return s.since[i]
 	}
 	for j := range s.copies {
-		if sameCopy(s.copies[j].Loaded, c.Loaded) {
+		if sameCopy(s.copies[j].ModelCopy, c.ModelCopy) {
 			return s.since[j]
 		}
 	}
 	return time.Time{}
 }
 
-func sameCopy(a, b laburnumlever.Loaded) bool {
+func sameCopy(a, b laburnumlever.ModelCopy) bool {
 	return a.Model == b.Model && a.Version == b.Version && slices.Equal(a.Accelerators, b.Accelerators)
 }
 
--- a/laburnumorder/send.go
+++ b/laburnumorder/send.go
@@ -213,6 +213,6 @@
 
 func (o *Owner) advance(e *engine, event string) {
 	if err := e.order.apply(event); err != nil {
-		_ = level.Error(o.logger).Log("event", laburnumlever.EventOrderChart, "backend", e.announcement.Backend, "order", e.order.order.ID, "err", err)
+		_ = level.Error(o.logger).Log("event", laburnumlever.EventOrderStateChanged, "backend", e.announcement.Backend, "order", e.order.order.ID, "err", err)
 	}
 }
--- a/laburnumplacement/bench_test.go
+++ b/laburnumplacement/bench_test.go
@@ -57,7 +57,7 @@
 	for _, m := range moves {
 		e := &s.Engines[at[m.Engine]]
 		if m.Kind == laburnumlever.Load {
-			c := laburnumplacement.Copy{Loaded: m.Copy, Stable: true}
+			c := laburnumplacement.Copy{ModelCopy: m.Copy, Stable: true}
 			c.Ready = true
 			e.Copies = append(e.Copies, c)
 		}
@@ -83,7 +83,7 @@
 			if m.Span() > 1 || used+m.PartMiB() > acc.MemoryMiB {
 				continue
 			}
-			c := laburnumplacement.Copy{Stable: true, Loaded: laburnumlever.Loaded{
+			c := laburnumplacement.Copy{Stable: true, ModelCopy: laburnumlever.ModelCopy{
 				Model: m.Name, Version: m.Version, PartMiB: m.PartMiB(), Ready: true, Accelerators: []laburnumlever.AcceleratorID{acc.ID},
 			}}
 			e.Copies = append(e.Copies, c)
--- a/laburnumplacement/fits.go
+++ b/laburnumplacement/fits.go
@@ -48,7 +48,7 @@
 	}
 	e.Copies = make([]Copy, 0, len(b.Report.Loaded))
 	for _, l := range b.Report.Loaded {
-		e.Copies = append(e.Copies, Copy{Loaded: l})
+		e.Copies = append(e.Copies, Copy{ModelCopy: l})
 	}
 	return e
 }
--- a/laburnumplacement/fleet.go
+++ b/laburnumplacement/fleet.go
@@ -197,8 +197,8 @@
 }
 
 // desiredCopy returns the copy of the model that the catalogue asks for.
-func (m *model) desiredCopy(accelerators []laburnumlever.AcceleratorID) laburnumlever.Loaded {
-	l := laburnumlever.Loaded{Model: m.Name, Version: m.Version, Accelerators: accelerators, PartMiB: m.partMiB}
+func (m *model) desiredCopy(accelerators []laburnumlever.AcceleratorID) laburnumlever.ModelCopy {
+	l := laburnumlever.ModelCopy{Model: m.Name, Version: m.Version, Accelerators: accelerators, PartMiB: m.partMiB}
 	for _, a := range m.Adapters {
 		l.Adapters = append(l.Adapters, a.Name)
 	}
@@ -215,7 +215,7 @@
 	move.Copy = mod.desiredCopy(f.bestFitAccelerators(s.engine, mod.partMiB, mod.span))
 	move.Reason = reason
 	f.moves = append(f.moves, move)
-	p := &placement{Copy: Copy{Loaded: move.Copy}, engine: s.engine, model: m, current: true, planned: true}
+	p := &placement{Copy: Copy{ModelCopy: move.Copy}, engine: s.engine, model: m, current: true, planned: true}
 	mod.copies = append(mod.copies, p)
 	e.copies = append(e.copies, p)
 	f.reserve(s.engine, move.Copy.Accelerators, mod.partMiB)
@@ -231,7 +231,7 @@
 	move.Kind = laburnumlever.Unload
 	move.Engine = e.ID
 	move.Zone = e.Zone
-	move.Copy = p.Loaded
+	move.Copy = p.ModelCopy
 	move.Reason = reason
 	f.moves = append(f.moves, move)
 	p.Unloading = true
--- a/laburnumplacement/measures_test.go
+++ b/laburnumplacement/measures_test.go
@@ -87,7 +87,7 @@
 	for _, e := range p.s.Engines {
 		for _, c := range e.Copies {
 			if c.Model == m.Name && c.Version == m.Version && e.Serving && !c.Draining {
-				list = append(list, laburnumplacement.Move{Kind: laburnumlever.Unload, Engine: e.ID, Zone: e.Zone, Copy: c.Loaded})
+				list = append(list, laburnumplacement.Move{Kind: laburnumlever.Unload, Engine: e.ID, Zone: e.Zone, Copy: c.ModelCopy})
 				if c.Ready {
 					ready++
 				}
@@ -109,7 +109,7 @@
 	for _, e := range p.s.Engines { // old versions, once a new copy is ready
 		for _, c := range e.Copies {
 			if c.Model == m.Name && c.Version != m.Version && e.AcceptsOrders && !c.Draining {
-				p.moves = append(p.moves, laburnumplacement.Move{Kind: laburnumlever.Unload, Engine: e.ID, Zone: e.Zone, Copy: c.Loaded})
+				p.moves = append(p.moves, laburnumplacement.Move{Kind: laburnumlever.Unload, Engine: e.ID, Zone: e.Zone, Copy: c.ModelCopy})
 			}
 		}
 	}
@@ -134,7 +134,7 @@
 			for _, id := range ids {
 				p.free[i][id] -= m.PartMiB()
 			}
-			l := laburnumlever.Loaded{Model: m.Name, Version: m.Version, Accelerators: ids, PartMiB: m.PartMiB()}
+			l := laburnumlever.ModelCopy{Model: m.Name, Version: m.Version, Accelerators: ids, PartMiB: m.PartMiB()}
 			p.moves = append(p.moves, laburnumplacement.Move{Kind: laburnumlever.Load, Engine: e.ID, Zone: e.Zone, Copy: l})
 			return
 		}
--- a/laburnumplacement/planner_test.go
+++ b/laburnumplacement/planner_test.go
@@ -39,7 +39,7 @@
 			return c.Model == m.Copy.Model && c.Version == m.Copy.Version && slices.Equal(c.Accelerators, m.Copy.Accelerators)
 		})
 		if m.Kind == laburnumlever.Load {
-			c := laburnumplacement.Copy{Loaded: m.Copy, Stable: true}
+			c := laburnumplacement.Copy{ModelCopy: m.Copy, Stable: true}
 			c.Ready = true
 			e.Copies = append(e.Copies, c)
 		}
@@ -225,8 +225,8 @@
 	converge(t, &s)
 	reserved := engineIn("e1", "a", 100)
 	reserved.Copies = []laburnumplacement.Copy{
-		{Loaded: s.Engines[0].Copies[0].Loaded, Stable: true, StaysReserved: true},
-		{Loaded: s.Engines[0].Copies[1].Loaded, Stable: true, StaysReserved: true},
+		{ModelCopy: s.Engines[0].Copies[0].ModelCopy, Stable: true, StaysReserved: true},
+		{ModelCopy: s.Engines[0].Copies[1].ModelCopy, Stable: true, StaysReserved: true},
 	}
 	s.Engines = []laburnumplacement.Engine{reserved, s.Engines[0]}
 	s.Catalogue.Models = append(s.Catalogue.Models, laburnumlever.Model{Name: "new", Version: "v1", WeightsMiB: 70})
--- a/laburnumplacement/values.go
+++ b/laburnumplacement/values.go
@@ -57,7 +57,7 @@
 
 // Copy is a copy that is loaded on an engine or that the engine was ordered to load.
 type Copy struct {
-	laburnumlever.Loaded
+	laburnumlever.ModelCopy
 	// Stable reports whether the copy has been ready for some time, so that another copy may be
 	// unloaded because of it.
 	Stable bool
@@ -84,7 +84,7 @@
 	Kind   laburnumlever.OrderKind
 	Engine laburnumlever.BackendID
 	Zone   laburnumlever.ZoneName
-	Copy   laburnumlever.Loaded
+	Copy   laburnumlever.ModelCopy
 	Reason MoveReason
 	// For is the model that the move makes room for, if any.
 	For laburnumlever.ModelName
--- a/laburnumproxy/bench_test.go
+++ b/laburnumproxy/bench_test.go
@@ -31,7 +31,7 @@
 	backend := laburnumlever.Backend{ReportedAt: time.Now(), Announcement: laburnumlever.Announcement{
 		Backend: "e", Address: engine.Listener.Addr().String(), Slots: 1 << 20,
 	}}
-	backend.Report.Loaded = []laburnumlever.Loaded{{Model: "quote", Ready: true}}
+	backend.Report.Loaded = []laburnumlever.ModelCopy{{Model: "quote", Ready: true}}
 	views.view.Store(&laburnumlever.View{
 		Catalogue: laburnumlever.Catalogue{Revision: 1, Models: []laburnumlever.Model{{Name: "quote"}}},
 		Backends:  []laburnumlever.Backend{backend},
--- a/laburnumproxy/fakes_test.go
+++ b/laburnumproxy/fakes_test.go
@@ -144,7 +144,7 @@
 	change.Backend = laburnumlever.BackendID(fmt.Sprintf("b%d", len(view.Backends)))
 	change.Slots = 8
 	backend := laburnumlever.Backend{Announcement: change, ReportedAt: time.Now()}
-	backend.Report.Loaded = []laburnumlever.Loaded{{Model: "quote", Ready: true}}
+	backend.Report.Loaded = []laburnumlever.ModelCopy{{Model: "quote", Ready: true}}
 	view.Backends = append(append([]laburnumlever.Backend{}, view.Backends...), backend)
 	b.views.view.Store(&view)
 }
--- a/laburnumregistry/overlay.go
+++ b/laburnumregistry/overlay.go
@@ -11,14 +11,14 @@
 type Overlay struct {
 	Backend laburnumlever.BackendID `json:"backend"`
 	Fence   uint64                  `json:"fence"`
-	// Born identifies the incarnation of the engine that the overlay describes.
-	Born uint64 `json:"born,omitempty"`
+	// Incarnation identifies the incarnation of the engine that the overlay describes.
+	Incarnation uint64 `json:"born,omitempty"`
 	// Sequence is that of the engine's last heartbeat before the overlay.
 	Sequence uint64 `json:"sequence"`
 	// Withdrawn are models for which the engine must get no new requests.
 	Withdrawn []laburnumlever.ModelName `json:"withdrawn,omitempty"`
 	// Adapters lists the loaded adapters of each model.
-	Adapters []laburnumlever.HeldModel `json:"adapters,omitempty"`
+	Adapters []laburnumlever.EngineModel `json:"adapters,omitempty"`
 	// Outliers is the number of times that the backend server was detected as an outlier under the
 	// fencing number.
 	Outliers uint64 `json:"outliers,omitempty"`
@@ -28,7 +28,7 @@
 // to an engine whose last heartbeat is h. An overlay of another incarnation is ignored. For adapters,
 // a heartbeat newer than the overlay counts as well.
 func (o Overlay) Holds(h laburnumlever.Heartbeat, model laburnumlever.ModelName, adapter laburnumlever.AdapterName) bool {
-	if o.Born != h.Born {
+	if o.Incarnation != h.Incarnation {
 		o = Overlay{}
 	}
 	if slices.Contains(o.Withdrawn, model) || !h.Holds(model, "") {
--- a/laburnumregistry/registry.go
+++ b/laburnumregistry/registry.go
@@ -53,7 +53,7 @@
 // or was silent before, so that other VMs must get it.
 func (t *Table) ApplyHeartbeat(h laburnumlever.Heartbeat, now time.Time) bool {
 	e := t.entries[h.Backend]
-	if e == nil || h.Born > e.record.Heartbeat.Born {
+	if e == nil || h.Incarnation > e.record.Heartbeat.Incarnation {
 		// A restart under the same identity is a new backend server: a tombstone of an earlier
 		// incarnation does not apply to it.
 		t.entries[h.Backend] = &entry{record: Record{Heartbeat: h}, heardAt: now}
@@ -75,7 +75,7 @@
 // heartbeat is kept: the VM that received the newer one sends its content.
 func (t *Table) KeepAlive(id laburnumlever.BackendID, born, sequence uint64, now time.Time) bool {
 	e := t.entries[id]
-	if e == nil || e.record.Gone || e.record.Heartbeat.Born != born || sequence <= max(e.relayedSequence, e.record.Heartbeat.Sequence) {
+	if e == nil || e.record.Gone || e.record.Heartbeat.Incarnation != born || sequence <= max(e.relayedSequence, e.record.Heartbeat.Sequence) {
 		return false
 	}
 	e.heardAt, e.relayedSequence = now, sequence
@@ -107,17 +107,17 @@
 func (t *Table) mergeTombstone(r Record, now time.Time) bool {
 	id := r.Heartbeat.Backend
 	e := t.entries[id]
-	if e == nil || r.Heartbeat.Born > e.record.Heartbeat.Born {
+	if e == nil || r.Heartbeat.Incarnation > e.record.Heartbeat.Incarnation {
 		t.entries[id] = &entry{record: r, heardAt: now}
 		return true
 	}
-	return r.Heartbeat.Born == e.record.Heartbeat.Born && t.Remove(id, now)
+	return r.Heartbeat.Incarnation == e.record.Heartbeat.Incarnation && t.Remove(id, now)
 }
 
 // sameHeartbeat reports whether two heartbeats of one identity are the same, by incarnation and
 // sequence.
 func sameHeartbeat(a, b laburnumlever.Heartbeat) bool {
-	return a.Born == b.Born && a.Sequence == b.Sequence
+	return a.Incarnation == b.Incarnation && a.Sequence == b.Sequence
 }
 
 // MergeFromControl applies a record from another control VM and reports whether it changed. Each
--- a/laburnumregistry/registry_test.go
+++ b/laburnumregistry/registry_test.go
@@ -80,11 +80,11 @@
 
 func TestOverlayOverridesOlderHeartbeats(t *testing.T) {
 	h := heartbeat(4, func(h *laburnumlever.Heartbeat) {
-		h.Models = []laburnumlever.HeldModel{{Name: "m0", Adapters: []laburnumlever.AdapterName{"a1"}}, {Name: "m1"}}
+		h.Models = []laburnumlever.EngineModel{{Name: "m0", Adapters: []laburnumlever.AdapterName{"a1"}}, {Name: "m1"}}
 	})
 	o := laburnumregistry.Overlay{
 		Backend: "i-1", Fence: 2, Sequence: 4, Withdrawn: []laburnumlever.ModelName{"m1"},
-		Adapters: []laburnumlever.HeldModel{{Name: "m0", Adapters: []laburnumlever.AdapterName{"a2"}}},
+		Adapters: []laburnumlever.EngineModel{{Name: "m0", Adapters: []laburnumlever.AdapterName{"a2"}}},
 	}
 	require.False(t, o.Holds(h, "m1", ""), "withdrawn from gateways")
 	require.True(t, o.Holds(h, "m0", "a2"), "loaded since the heartbeat")
@@ -171,7 +171,7 @@
 // Guards against discarding heartbeats of a restarted engine as late ones of its earlier incarnation.
 func TestRestartReplacesEarlierIncarnation(t *testing.T) {
 	born := func(at uint64) func(*laburnumlever.Heartbeat) {
-		return func(h *laburnumlever.Heartbeat) { h.Born = at }
+		return func(h *laburnumlever.Heartbeat) { h.Incarnation = at }
 	}
 	table := laburnumregistry.New(period)
 	require.True(t, table.ApplyHeartbeat(heartbeat(40, born(100)), start))
--- a/laburnumregistry/summary_test.go
+++ b/laburnumregistry/summary_test.go
@@ -18,7 +18,7 @@
 	take := func(id laburnumlever.BackendID, leaving bool, models ...laburnumlever.ModelName) {
 		h := laburnumlever.Heartbeat{Backend: id, Service: "quotes", Sequence: 1, Leaving: leaving}
 		for _, m := range models {
-			h.Models = append(h.Models, laburnumlever.HeldModel{Name: m})
+			h.Models = append(h.Models, laburnumlever.EngineModel{Name: m})
 		}
 		require.True(t, table.ApplyHeartbeat(h, now))
 	}
@@ -27,7 +27,7 @@
 	take("i-3", true, "m2")
 	take("i-4", false, "m3")
 	require.True(t, table.Remove("i-4", now))
-	quotes := laburnumlever.RoutedService{Name: "quotes", Engine: &laburnumlever.EngineClass{Models: []laburnumlever.ResidentClass{
+	quotes := laburnumlever.RoutedService{Name: "quotes", Engine: &laburnumlever.EngineClass{Models: []laburnumlever.ModelClass{
 		{Name: "m0"}, {Name: "m1"}, {Name: "m2"}, {Name: "m3"},
 	}}}
 	require.Equal(t, []laburnumlever.ServiceStatus{
@@ -40,7 +40,7 @@
 func TestSummaryLimitsExamples(t *testing.T) {
 	class := &laburnumlever.EngineClass{}
 	for i := range 400 {
-		class.Models = append(class.Models, laburnumlever.ResidentClass{Name: laburnumlever.ModelName(fmt.Sprint("m", i))})
+		class.Models = append(class.Models, laburnumlever.ModelClass{Name: laburnumlever.ModelName(fmt.Sprint("m", i))})
 	}
 	got := laburnumregistry.New(time.Second).Summary([]laburnumlever.RoutedService{{Name: "quotes", Engine: class}})
 	require.Equal(t, 400, got[0].Absent)
@@ -51,13 +51,13 @@
 	const engines, models, each = 2100, 370, 4
 	class := &laburnumlever.EngineClass{}
 	for i := range models {
-		class.Models = append(class.Models, laburnumlever.ResidentClass{Name: laburnumlever.ModelName(fmt.Sprint("m", i))})
+		class.Models = append(class.Models, laburnumlever.ModelClass{Name: laburnumlever.ModelName(fmt.Sprint("m", i))})
 	}
 	table := laburnumregistry.New(time.Second)
 	for i := range engines {
 		h := laburnumlever.Heartbeat{Backend: laburnumlever.BackendID(fmt.Sprint("i-", i)), Service: "quotes", Sequence: 1}
 		for k := range each {
-			h.Models = append(h.Models, laburnumlever.HeldModel{Name: class.Models[(i*each+k)%models].Name})
+			h.Models = append(h.Models, laburnumlever.EngineModel{Name: class.Models[(i*each+k)%models].Name})
 		}
 		table.ApplyHeartbeat(h, time.Unix(1_000_000, 0))
 	}
--- a/laburnumresidency/golden_test.go
+++ b/laburnumresidency/golden_test.go
@@ -83,7 +83,7 @@
 	for _, name := range some(3) {
 		m, _ := class.Model(name)
 		if !e.Holds(name) && e.HasMemoryFor(class, m) {
-			e.Held = append(e.Held, laburnumlever.HeldModel{Name: name, Adapters: make([]laburnumlever.AdapterName, r.IntN(3))})
+			e.Held = append(e.Held, laburnumlever.EngineModel{Name: name, Adapters: make([]laburnumlever.AdapterName, r.IntN(3))})
 		}
 	}
 	e.InMemory, e.OnDisk = some(2), some(6)
--- a/laburnumresidency/layout.go
+++ b/laburnumresidency/layout.go
@@ -61,7 +61,7 @@
 }
 
 // size is the memory of a model with a few of its adapters, in MB.
-func size(m laburnumlever.ResidentClass) float64 {
+func size(m laburnumlever.ModelClass) float64 {
 	const spareAdapters = 4
 	return m.WeightsMB + m.AdapterMB*float64(min(m.Adapters, spareAdapters))
 }
--- a/laburnumresidency/planner_test.go
+++ b/laburnumresidency/planner_test.go
@@ -12,7 +12,7 @@
 func testClass(models int) *laburnumlever.EngineClass {
 	class := &laburnumlever.EngineClass{Slots: 24, WeightsMB: 200000, AdapterSlots: 8, LoadsPerSecond: 3}
 	for i := range models {
-		class.Models = append(class.Models, laburnumlever.ResidentClass{
+		class.Models = append(class.Models, laburnumlever.ModelClass{
 			Name: laburnumlever.ModelName(fmt.Sprintf("m%d", i)), WeightsMB: 72700,
 			StoreLoad: laburnumlever.Duration(4.2e9), DiskLoad: laburnumlever.Duration(0.84e9), MemoryLoad: laburnumlever.Duration(0.63e9),
 		})
@@ -23,7 +23,7 @@
 func testEngine(id int, models ...string) Engine {
 	e := Engine{ID: laburnumlever.BackendID(fmt.Sprintf("e%d", id)), Idle: true}
 	for _, m := range models {
-		e.Held = append(e.Held, laburnumlever.HeldModel{Name: laburnumlever.ModelName(m)})
+		e.Held = append(e.Held, laburnumlever.EngineModel{Name: laburnumlever.ModelName(m)})
 	}
 	return e
 }
@@ -127,7 +127,7 @@
 					continue
 				}
 				if step.Kind == laburnumlever.Load {
-					e.Held = append(e.Held, laburnumlever.HeldModel{Name: step.Model})
+					e.Held = append(e.Held, laburnumlever.EngineModel{Name: step.Model})
 				} else {
 					kept := e.Held[:0]
 					for _, h := range e.Held {
@@ -283,7 +283,7 @@
 	engines[0].Idle, engines[0].Loading, engines[0].IdleInSeconds = false, "m1", 4
 	engines[0].Held = nil
 	engines[1].OnDisk = []laburnumlever.ModelName{"m0"}
-	engines[2].Held = append(engines[2].Held[:0], laburnumlever.HeldModel{Name: "m3"}, laburnumlever.HeldModel{Name: "m2"})
+	engines[2].Held = append(engines[2].Held[:0], laburnumlever.EngineModel{Name: "m3"}, laburnumlever.EngineModel{Name: "m2"})
 	rates := map[laburnumlever.ModelName]float64{"m0": 50, "m1": 1, "m2": 1, "m3": 1}
 	steps := NextSteps(testClass(4), engines, Demand{"m0": 1}, nil, WithRequests(rates))
 	require.NotEmpty(t, steps)
@@ -338,7 +338,7 @@
 	rates := map[laburnumlever.ModelName]float64{"m4": 9, "m5": 5, "m0": 1}
 	engines := []Engine{testEngine(1), testEngine(2), testEngine(3), testEngine(4), testEngine(5)}
 	engines[0].Idle, engines[0].Loading, engines[0].IdleInSeconds = false, "m3", 2
-	engines[0].Held = []laburnumlever.HeldModel{{Name: "m3"}}
+	engines[0].Held = []laburnumlever.EngineModel{{Name: "m3"}}
 	engines[4].OnDisk = []laburnumlever.ModelName{"m0"}
 	steps := NextSteps(class, engines, Demand{"m4": 0.4, "m5": 0.2}, nil, WithRequests(rates))
 	var fromStore []laburnumlever.ModelName
--- a/laburnumresidency/values.go
+++ b/laburnumresidency/values.go
@@ -11,7 +11,7 @@
 	ID   laburnumlever.BackendID
 	Zone laburnumlever.ZoneName
 	// Held are the models that occupy memory, including loading and unloading ones.
-	Held               []laburnumlever.HeldModel
+	Held               []laburnumlever.EngineModel
 	Loading, Unloading laburnumlever.ModelName // empty for none
 	// Idle tells that the engine accepts an order.
 	Idle bool
@@ -52,7 +52,7 @@
 }
 
 // HasMemoryFor tells whether the model fits into the engine's free memory.
-func (e *Engine) HasMemoryFor(class *laburnumlever.EngineClass, m laburnumlever.ResidentClass) bool {
+func (e *Engine) HasMemoryFor(class *laburnumlever.EngineClass, m laburnumlever.ModelClass) bool {
 	return e.usedMB(class)+size(m) <= class.WeightsMB
 }
 
@@ -78,7 +78,7 @@
 
 // LoadSeconds is the duration of a load from the fastest source of the weights: host memory, disk or
 // the weight store.
-func (e *Engine) LoadSeconds(m laburnumlever.ResidentClass) float64 {
+func (e *Engine) LoadSeconds(m laburnumlever.ModelClass) float64 {
 	switch {
 	case slices.Contains(e.InMemory, m.Name):
 		return seconds(m.MemoryLoad)
--- a/laburnumroles/control.go
+++ b/laburnumroles/control.go
@@ -75,7 +75,7 @@
 )
 
 // NewControl returns a control VM that is not started. An error is a *StartError.
-func NewControl(settings laburnumsettings.Role, engines laburnumlever.ModelEngines, opts ...Option) (*Control, error) {
+func NewControl(settings laburnumsettings.RoleSettings, engines laburnumlever.ModelEngines, opts ...Option) (*Control, error) {
 	meter := laburnumcontrol.NewMeter()
 	c := &Control{process: newProcess(settings, opts), loop: laburnumcontrol.New(laburnumcontrol.WithMeter(meter)), meter: meter}
 	c.commitTimes = c.metrics.Scope().Histogram("routes_commit_seconds", commitTimeBuckets)
@@ -108,7 +108,7 @@
 
 // recordGatewayReport processes a gateway's report. A backend server whose address was taken over by
 // another one is removed at once, without waiting for its heartbeats to time out.
-func (c *Control) recordGatewayReport(vm laburnumlever.VMID, report laburnumlever.GatewayNews) {
+func (c *Control) recordGatewayReport(vm laburnumlever.VMID, report laburnumlever.GatewayReport) {
 	for _, id := range report.Replaced {
 		c.removeAndRelay(id)
 	}
@@ -133,7 +133,7 @@
 }
 
 func (c *Control) handleAdapterNeed(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
-	var need laburnumlever.AdapterNeed
+	var need laburnumlever.AdapterRequest
 	if err := json.Unmarshal(params, &need); err != nil {
 		return nil, &laburnumfeed.MessageError{Method: methodAdapterNeed, Cause: err}
 	}
@@ -213,7 +213,7 @@
 	for _, e := range u.Events {
 		events = append(events, e.String())
 	}
-	_ = level.Info(c.logger).Log("event", laburnumlever.EventControlThread, "span-ms", u.Span.Milliseconds(), "busy-ms", u.Busy.Milliseconds(),
+	_ = level.Info(c.logger).Log("event", laburnumlever.EventControlThreadTimes, "span-ms", u.Span.Milliseconds(), "busy-ms", u.Busy.Milliseconds(),
 		"waited-ms", u.MaxWait.Milliseconds(), "longest", u.Longest.Event, "longest-ms", u.Longest.Duration.Milliseconds(), "events", events)
 }
 
@@ -278,10 +278,10 @@
 func (c *Control) recordUnchanged(h unchangedHeartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.registry.KeepAlive(h.Backend, h.Born, h.Sequence, c.timers.Now()) {
+	if c.registry.KeepAlive(h.Backend, h.Incarnation, h.Sequence, c.timers.Now()) {
 		c.publishRecord(h.Backend)
 	}
-	c.director.SetHeartbeat(laburnumlever.Heartbeat{Backend: h.Backend, Born: h.Born, Sequence: h.Sequence})
+	c.director.SetHeartbeat(laburnumlever.Heartbeat{Backend: h.Backend, Incarnation: h.Incarnation, Sequence: h.Sequence})
 }
 
 func (c *Control) remove(backend laburnumlever.BackendID) {
@@ -300,7 +300,7 @@
 	}
 	c.source.SetRecord(r)
 	c.director.SetRecord(r)
-	_ = c.recordLogger(r).Log("event", laburnumlever.EventBackendKnown, "backend", id, "service", r.Heartbeat.Service,
+	_ = c.recordLogger(r).Log("event", laburnumlever.EventBackendChanged, "backend", id, "service", r.Heartbeat.Service,
 		"address", r.Heartbeat.Address, "sequence", r.Heartbeat.Sequence, "leaving", r.Heartbeat.Leaving,
 		"gone", r.Gone, "silent", r.Silent)
 }
@@ -318,7 +318,7 @@
 func (c *Control) relayToControls(batch relayBatch) {
 	encoded, err := json.Marshal(batch)
 	if err != nil {
-		_ = level.Error(c.logger).Log("event", laburnumlever.EventNewsNotEncoded, "cause", err)
+		_ = level.Error(c.logger).Log("event", laburnumlever.EventBackendStateNotEncoded, "cause", err)
 		return
 	}
 	for _, vm := range c.source.Controls() {
@@ -420,9 +420,9 @@
 func (c *Control) RoutesVersion() uint64 { return ^uint64(0) }
 
 // GatewayReport is empty: only gateways serve callers and have backend state to report.
-func (c *Control) GatewayReport() laburnumlever.GatewayNews { return laburnumlever.GatewayNews{} }
+func (c *Control) GatewayReport() laburnumlever.GatewayReport { return laburnumlever.GatewayReport{} }
 
 // Reload applies changed settings: new seeds are polled in addition to the known control VMs.
-func (c *Control) Reload(settings laburnumsettings.Role) {
+func (c *Control) Reload(settings laburnumsettings.RoleSettings) {
 	c.reload(settings, c.follower)
 }
--- a/laburnumroles/gateway.go
+++ b/laburnumroles/gateway.go
@@ -31,7 +31,7 @@
 }
 
 // NewGateway returns a gateway that is not started.
-func NewGateway(settings laburnumsettings.Role, dialect laburnumlever.Dialect, opts ...Option) *Gateway {
+func NewGateway(settings laburnumsettings.RoleSettings, dialect laburnumlever.Dialect, opts ...Option) *Gateway {
 	g := &Gateway{process: newProcess(settings, opts)}
 	seed := xxhash.Sum64String(string(g.self.ID))
 	g.fleet = laburnumgateway.NewFleet(g.timers, g.self, time.Duration(settings.Times.Heartbeat), seed,
@@ -67,7 +67,7 @@
 
 // EnsureLoaded asks the director to load an adapter and returns the engines that hold it. Errors:
 // *laburnumlever.NotFoundError while no director is known, and those of a call to another VM.
-func (g *Gateway) EnsureLoaded(ctx context.Context, need laburnumlever.AdapterNeed) ([]laburnumlever.BackendID, error) {
+func (g *Gateway) EnsureLoaded(ctx context.Context, need laburnumlever.AdapterRequest) ([]laburnumlever.BackendID, error) {
 	address := g.follower.Director()
 	if address == "" {
 		return nil, &laburnumlever.NotFoundError{Kind: "placement leader", Name: "any"}
@@ -90,4 +90,4 @@
 }
 
 // Reload applies changed settings: new seeds are polled in addition to the known control VMs.
-func (g *Gateway) Reload(settings laburnumsettings.Role) { g.reload(settings, g.follower) }
+func (g *Gateway) Reload(settings laburnumsettings.RoleSettings) { g.reload(settings, g.follower) }
--- a/laburnumroles/messages.go
+++ b/laburnumroles/messages.go
@@ -25,7 +25,7 @@
 
 // unchangedHeartbeat identifies a heartbeat whose content is the same as that of the one before.
 type unchangedHeartbeat struct {
-	Backend  laburnumlever.BackendID `json:"backend"`
-	Born     uint64                  `json:"born,omitempty"`
-	Sequence uint64                  `json:"sequence"`
+	Backend     laburnumlever.BackendID `json:"backend"`
+	Incarnation uint64                  `json:"born,omitempty"`
+	Sequence    uint64                  `json:"sequence"`
 }
--- a/laburnumroles/platform_test.go
+++ b/laburnumroles/platform_test.go
@@ -61,9 +61,9 @@
 
 func (s *deployment) control(i int) string { return s.ip(i) + ":7601" }
 
-func (s *deployment) settings(ip string) laburnumsettings.Role {
+func (s *deployment) settings(ip string) laburnumsettings.RoleSettings {
 	second := laburnumlever.Duration(time.Second)
-	return laburnumsettings.Role{
+	return laburnumsettings.RoleSettings{
 		VM: laburnumlever.VMID(ip), Zone: "brest", PeerPort: s.port, MetricsPort: metricsPort, Seeds: []string{s.control(0), s.control(1), s.control(2)},
 		Times: laburnumsettings.RoleTimes{Heartbeat: second, Grace: 8 * second, Lease: 3 * second, CatchUp: 4 * second, Apply: 2 * second},
 		Retry: laburnumsettings.RoleRetry{Ratio: 0.2, Slack: 50, Window: 10 * second}, Log: laburnumsettings.Log{Level: "info"},
@@ -359,7 +359,7 @@
 // BenchmarkHeartbeat measures the processor time of a heartbeat on a control VM, from the request's
 // bytes to the response.
 func BenchmarkHeartbeat(b *testing.B) {
-	settings := laburnumsettings.Role{
+	settings := laburnumsettings.RoleSettings{
 		VM: "127.0.0.1", Zone: "brest", PeerPort: 7600, Seeds: []string{"127.0.0.1:7601"}, DataFolder: b.TempDir(),
 		Times: laburnumsettings.RoleTimes{Heartbeat: laburnumlever.Duration(time.Second), Lease: laburnumlever.Duration(3 * time.Second)},
 		Log:   laburnumsettings.Log{Level: "info"},
--- a/laburnumroles/process.go
+++ b/laburnumroles/process.go
@@ -28,7 +28,7 @@
 
 // process is the part common to both kinds of VM.
 type process struct {
-	settings laburnumsettings.Role
+	settings laburnumsettings.RoleSettings
 	logger   log.Logger
 	metrics  *laburnummetrics.Metrics
 	timers   laburnumlever.Timers
@@ -55,7 +55,7 @@
 	return func(p *process) { p.timers = timers }
 }
 
-func newProcess(settings laburnumsettings.Role, opts []Option) process {
+func newProcess(settings laburnumsettings.RoleSettings, opts []Option) process {
 	p := process{settings: settings, logger: log.NewNopLogger()}
 	for _, opt := range opts {
 		opt(&p)
@@ -173,7 +173,7 @@
 }
 
 // reload applies changed seeds. Listeners and the data folder can't change while the process runs.
-func (p *process) reload(settings laburnumsettings.Role, follower *laburnumfeed.Follower) {
+func (p *process) reload(settings laburnumsettings.RoleSettings, follower *laburnumfeed.Follower) {
 	for _, v := range settings.SeedVoters() {
 		follower.Follow(v.PeerAddress)
 	}
--- a/laburnumroles/process_internal_test.go
+++ b/laburnumroles/process_internal_test.go
@@ -19,7 +19,7 @@
 		all     = 40 // connections
 		share   = 2  // connections served at once
 	)
-	p := process{settings: laburnumsettings.Role{Descriptors: 2 * share}, logger: log.NewNopLogger()}
+	p := process{settings: laburnumsettings.RoleSettings{Descriptors: 2 * share}, logger: log.NewNopLogger()}
 	require.NoError(t, p.serveBackends("control", address, newServer(http.NotFoundHandler())))
 	t.Cleanup(func() { _ = p.servers[0].Close() })
 	answered := make(chan net.Conn, all)
--- a/laburnumroles/relay.go
+++ b/laburnumroles/relay.go
@@ -34,10 +34,10 @@
 	if changed {
 		r.pending.Heartbeats = append(r.pending.Heartbeats, h)
 	} else {
-		r.pending.Alive = append(r.pending.Alive, unchangedHeartbeat{Backend: h.Backend, Born: h.Born, Sequence: h.Sequence})
+		r.pending.Alive = append(r.pending.Alive, unchangedHeartbeat{Backend: h.Backend, Incarnation: h.Incarnation, Sequence: h.Sequence})
 	}
 	r.mu.Unlock()
-	r.coalescer.Poke()
+	r.coalescer.Trigger()
 }
 
 // addGone adds the removal of a backend server to the batch.
@@ -45,7 +45,7 @@
 	r.mu.Lock()
 	r.pending.Gone = append(r.pending.Gone, id)
 	r.mu.Unlock()
-	r.coalescer.Poke()
+	r.coalescer.Trigger()
 }
 
 func (r *relay) flush() {
--- a/laburnumrouter/router_test.go
+++ b/laburnumrouter/router_test.go
@@ -24,7 +24,7 @@
 		b.Report.Sequence = 1
 		for j := range each {
 			name := laburnumlever.ModelName(fmt.Sprint("m", (i*each+j)%models))
-			b.Report.Loaded = append(b.Report.Loaded, laburnumlever.Loaded{Model: name, Ready: true})
+			b.Report.Loaded = append(b.Report.Loaded, laburnumlever.ModelCopy{Model: name, Ready: true})
 		}
 		view.Backends = append(view.Backends, b)
 	}
--- a/laburnumsettings/role.go
+++ b/laburnumsettings/role.go
@@ -8,10 +8,10 @@
 	"laburnumlever"
 )
 
-// Role holds the settings of a process with a single role: a gateway, which serves
+// RoleSettings holds the settings of a process with a single role: a gateway, which serves
 // callers, or a control VM, which stores the state. Limits that a platform guarantees or
 // requires are settings, never constants.
-type Role struct {
+type RoleSettings struct {
 	// VM identifies the VM to the others. On a control VM it is the IP address, as in
 	// the seeds.
 	VM     laburnumlever.VMID       `json:"vm" required:"true"`
@@ -79,23 +79,23 @@
 	Window laburnumlever.Duration `json:"window"`
 }
 
-// LoadRole reads the settings of a gateway or control VM. The error is a
+// LoadRoleSettings reads the settings of a gateway or control VM. The error is a
 // *laburnumlever.SettingsInvalidError that lists all faults.
-func LoadRole(path string) (Role, error) {
+func LoadRoleSettings(path string) (RoleSettings, error) {
 	doc := readDocument(path)
-	settings := Role{Log: Log{Level: defaultLevel}}
+	settings := RoleSettings{Log: Log{Level: defaultLevel}}
 	doc.decode(&settings)
 	if doc.root.Value != nil {
 		checkRole(doc, settings)
 	}
 	if len(doc.faults) > 0 {
 		sortFaults(doc.faults)
-		return Role{}, &laburnumlever.SettingsInvalidError{Faults: doc.faults}
+		return RoleSettings{}, &laburnumlever.SettingsInvalidError{Faults: doc.faults}
 	}
 	return settings, nil
 }
 
-func checkRole(d *document, s Role) {
+func checkRole(d *document, s RoleSettings) {
 	for _, a := range []struct{ path, address string }{
 		{"listen.callers", s.Listen.Callers}, {"listen.ready", s.Listen.Ready}, {"listen.control", s.Listen.Control},
 	} {
@@ -124,17 +124,17 @@
 }
 
 // PeerAddress returns the address at which other VMs reach this one.
-func (s Role) PeerAddress() string { return peerAddress(s.listenIP(), s.PeerPort) }
+func (s RoleSettings) PeerAddress() string { return peerAddress(s.listenIP(), s.PeerPort) }
 
 // PeerListen returns the address on which the VM listens for other VMs.
-func (s Role) PeerListen() string {
+func (s RoleSettings) PeerListen() string {
 	if s.Listen.Peers != "" {
 		return s.Listen.Peers
 	}
 	return s.PeerAddress()
 }
 
-func (s Role) listenIP() string {
+func (s RoleSettings) listenIP() string {
 	for _, address := range []string{s.Listen.Control, s.Listen.Callers, s.Listen.Ready} {
 		if parsed, err := netip.ParseAddrPort(address); err == nil {
 			return parsed.Addr().String()
@@ -146,7 +146,7 @@
 func peerAddress(ip string, port int) string { return ip + ":" + strconv.Itoa(port) }
 
 // MetricsAddress returns the address of the metrics endpoint; empty if disabled.
-func (s Role) MetricsAddress() string {
+func (s RoleSettings) MetricsAddress() string {
 	if s.MetricsPort == 0 {
 		return ""
 	}
@@ -154,7 +154,7 @@
 }
 
 // SeedVoters returns the seeds as voters, with the IP address as the ID of a control VM.
-func (s Role) SeedVoters() []laburnumlever.Voter {
+func (s RoleSettings) SeedVoters() []laburnumlever.Voter {
 	var voters []laburnumlever.Voter
 	for _, seed := range s.Seeds {
 		parsed, err := netip.ParseAddrPort(seed)
--- a/laburnumsettings/settings_fuzz_test.go
+++ b/laburnumsettings/settings_fuzz_test.go
@@ -22,7 +22,7 @@
 		}
 		file := filepath.Join(t.TempDir(), "role.jsonc")
 		require.NoError(t, os.WriteFile(file, data, 0o600))
-		if _, err := laburnumsettings.LoadRole(file); err != nil {
+		if _, err := laburnumsettings.LoadRoleSettings(file); err != nil {
 			require.NotEmpty(t, err.Error())
 		}
 		if _, err := laburnumsettings.Load(file); err != nil {
--- a/laburnumsimulation/attempt.go
+++ b/laburnumsimulation/attempt.go
@@ -133,7 +133,7 @@
 func (a *attempt) requestAdapter(until time.Time) {
 	sim, g := a.sim(), a.gateway
 	name := sim.models[a.request.model].name
-	need := laburnumlever.AdapterNeed{Service: service, Model: name, Adapter: a.request.adapter, Except: g.table.Unavailable(a.query(), sim.now())}
+	need := laburnumlever.AdapterRequest{Service: service, Model: name, Adapter: a.request.adapter, Except: g.table.Unavailable(a.query(), sim.now())}
 	sim.control.ensureAdapter(g.zone, need, func(ids []laburnumlever.BackendID) {
 		for _, id := range ids {
 			g.table.ModelLoaded(id, name, a.request.adapter, sim.now())
--- a/laburnumsimulation/control.go
+++ b/laburnumsimulation/control.go
@@ -132,13 +132,13 @@
 	if r, ok := c.registry.Record(id); ok {
 		c.records[id] = r
 		c.director.SetRecord(r)
-		c.publisher.Poke()
+		c.publisher.Trigger()
 	}
 }
 
 func (c *control) overlayChanged(o laburnumregistry.Overlay) {
 	c.overlays[o.Backend] = o
-	c.publisher.Poke()
+	c.publisher.Trigger()
 }
 
 // publish sends the records and overlays that have changed to all gateways.
@@ -162,13 +162,13 @@
 	})
 }
 
-func (c *control) receiveReport(vm laburnumlever.VMID, report laburnumlever.GatewayNews) {
+func (c *control) receiveReport(vm laburnumlever.VMID, report laburnumlever.GatewayReport) {
 	c.director.SetGatewayReport(vm, report)
 	c.loop.Drain()
 }
 
 // ensureAdapter asks the director for an adapter on behalf of a gateway.
-func (c *control) ensureAdapter(zone laburnumlever.ZoneName, need laburnumlever.AdapterNeed, reply func(ids []laburnumlever.BackendID)) {
+func (c *control) ensureAdapter(zone laburnumlever.ZoneName, need laburnumlever.AdapterRequest, reply func(ids []laburnumlever.BackendID)) {
 	link := c.sim.link(zone, "")
 	c.sim.after(link, func() {
 		c.director.EnsureAdapterAsync(need, func(ids []laburnumlever.BackendID, _ error) {
--- a/laburnumsimulation/engine.go
+++ b/laburnumsimulation/engine.go
@@ -83,7 +83,7 @@
 func (e *engine) heartbeat() laburnumlever.Heartbeat {
 	e.sequence++
 	h := laburnumlever.Heartbeat{
-		Backend: e.id, Service: service, Address: string(e.id), Zone: e.zone, Born: e.incarnation, Sequence: e.sequence,
+		Backend: e.id, Service: service, Address: string(e.id), Zone: e.zone, Incarnation: e.incarnation, Sequence: e.sequence,
 		Slots: e.sim.scenario.Engines.Slots, Leaving: e.draining, Models: e.models(),
 	}
 	for _, m := range e.host {
@@ -96,13 +96,13 @@
 }
 
 // models lists the models that the engine serves; one that is being loaded is left out.
-func (e *engine) models() []laburnumlever.HeldModel {
-	var list []laburnumlever.HeldModel
+func (e *engine) models() []laburnumlever.EngineModel {
+	var list []laburnumlever.EngineModel
 	for m, adapters := range e.held {
 		if e.order != nil && e.order.kind == laburnumlever.Load && e.order.model == m {
 			continue
 		}
-		held := laburnumlever.HeldModel{Name: e.sim.models[m].name, Version: 1}
+		held := laburnumlever.EngineModel{Name: e.sim.models[m].name, Version: 1}
 		for a, there := range adapters {
 			if there {
 				held.Adapters = append(held.Adapters, a)
@@ -111,7 +111,7 @@
 		slices.Sort(held.Adapters)
 		list = append(list, held)
 	}
-	slices.SortFunc(list, func(a, b laburnumlever.HeldModel) int { return compareNames(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b laburnumlever.EngineModel) int { return compareNames(a.Name, b.Name) })
 	return list
 }
 
--- a/laburnumsimulation/gateway.go
+++ b/laburnumsimulation/gateway.go
@@ -64,7 +64,7 @@
 // sendReport sends the gateway's report to the director unless it is empty.
 func (g *gateway) sendReport() {
 	now := g.sim.now()
-	report := laburnumlever.GatewayNews{
+	report := laburnumlever.GatewayReport{
 		Demand: g.counter.Take(now, g.readTimes), Adapters: g.uses.Take(now), Unreachable: g.table.Unreachable(now),
 		Outcomes: g.table.Outcomes(),
 	}
--- a/laburnumsimulation/orders.go
+++ b/laburnumsimulation/orders.go
@@ -25,7 +25,7 @@
 	if !e.up {
 		return laburnumlever.EngineState{}, &laburnumlever.NotSentError{Cause: &EngineUnreachableError{Backend: to.Backend}}
 	}
-	return laburnumlever.EngineState{Born: e.incarnation, Accepted: e.accepted, Busy: e.order != nil, Models: e.models()}, nil
+	return laburnumlever.EngineState{Incarnation: e.incarnation, Accepted: e.accepted, Busy: e.order != nil, Models: e.models()}, nil
 }
 
 // Order implements laburnumlever.ModelEngines.
--- a/laburnumsimulation/proportional.go
+++ b/laburnumsimulation/proportional.go
@@ -47,7 +47,7 @@
 
 // proportions holds the number of copies that each model has, and its target.
 type proportions struct {
-	models  map[laburnumlever.ModelName]laburnumlever.ResidentClass
+	models  map[laburnumlever.ModelName]laburnumlever.ModelClass
 	names   []laburnumlever.ModelName
 	copies  map[laburnumlever.ModelName]float64
 	targets map[laburnumlever.ModelName]float64
@@ -55,7 +55,7 @@
 
 func newProportions(class *laburnumlever.EngineClass, engines []laburnumresidency.Engine, demand laburnumresidency.Demand) proportions {
 	p := proportions{
-		models: map[laburnumlever.ModelName]laburnumlever.ResidentClass{}, copies: map[laburnumlever.ModelName]float64{},
+		models: map[laburnumlever.ModelName]laburnumlever.ModelClass{}, copies: map[laburnumlever.ModelName]float64{},
 		targets: map[laburnumlever.ModelName]float64{},
 	}
 	capacity, total, size := 0.0, 0.0, 0.0
--- a/laburnumsimulation/simulation.go
+++ b/laburnumsimulation/simulation.go
@@ -288,7 +288,7 @@
 		LoadsPerSecond: sim.scenario.Store.LoadsPerSecond, ReserveLimit: laburnumlever.Duration(time.Second),
 	}
 	for _, m := range sim.models {
-		class.Models = append(class.Models, laburnumlever.ResidentClass{
+		class.Models = append(class.Models, laburnumlever.ModelClass{
 			Name: m.name, WeightsMB: m.kind.WeightsMB, StoreLoad: m.kind.StoreLoad, DiskLoad: m.kind.DiskLoad, MemoryLoad: m.kind.MemoryLoad,
 			Adapters: m.kind.Adapters, AdapterMB: m.kind.AdapterMB,
 		})
--- a/laburnumsoak/fleet.go
+++ b/laburnumsoak/fleet.go
@@ -93,9 +93,9 @@
 	return p
 }
 
-func (f *fleet) settings(role, name string, number int) laburnumsettings.Role {
+func (f *fleet) settings(role, name string, number int) laburnumsettings.RoleSettings {
 	second := laburnumlever.Duration(time.Second)
-	s := laburnumsettings.Role{
+	s := laburnumsettings.RoleSettings{
 		VM: laburnumlever.VMID(fmt.Sprintf("%s.%d", f.net, number)), Name: name, Zone: "brest", Region: "bretagne",
 		PeerPort: peerPort, FirstStart: !f.bootstrapped.Load(), ControlLosses: 1,
 		Times:       laburnumsettings.RoleTimes{Heartbeat: second, Grace: 4 * second, Lease: 3 * second, CatchUp: 4 * second, Apply: 2 * second},
--- a/laburnumstandin/engine_test.go
+++ b/laburnumstandin/engine_test.go
@@ -23,7 +23,7 @@
 }
 
 func load(fence uint64, model string, part int) laburnumlever.Order {
-	return laburnumlever.Order{ID: laburnumlever.OrderID(model), Fence: fence, Copy: laburnumlever.Loaded{
+	return laburnumlever.Order{ID: laburnumlever.OrderID(model), Fence: fence, Copy: laburnumlever.ModelCopy{
 		Model: laburnumlever.ModelName(model), Version: "v1", PartMiB: part, Accelerators: []laburnumlever.AcceleratorID{"a0"},
 	}}
 }
--- a/laburnumstandin/enginememory.go
+++ b/laburnumstandin/enginememory.go
@@ -21,9 +21,9 @@
 
 // modelCopy is a copy of a model in the engine's memory.
 type modelCopy struct {
-	current laburnumlever.Loaded
+	current laburnumlever.ModelCopy
 	// next is the copy's state once the load in progress is done; nil without one.
-	next *laburnumlever.Loaded
+	next *laburnumlever.ModelCopy
 	// draining is true if the copy is to be removed once its requests have finished.
 	draining bool
 	inFlight int
@@ -38,7 +38,7 @@
 	return max(h.current.PartMiB, h.next.PartMiB)
 }
 
-func (h *modelCopy) matches(l laburnumlever.Loaded) bool {
+func (h *modelCopy) matches(l laburnumlever.ModelCopy) bool {
 	return h.current.Model == l.Model && h.current.Version == l.Version &&
 		slices.Equal(h.current.Accelerators, l.Accelerators)
 }
@@ -49,7 +49,7 @@
 	copies       []*modelCopy
 }
 
-func (m *memory) find(l laburnumlever.Loaded) *modelCopy {
+func (m *memory) find(l laburnumlever.ModelCopy) *modelCopy {
 	for _, h := range m.copies {
 		if h.matches(l) {
 			return h
@@ -79,7 +79,7 @@
 
 // overcommit finds the first accelerator that loading the copy would overcommit, and
 // the memory in MiB that would then be committed on it.
-func (m *memory) overcommit(l laburnumlever.Loaded) (laburnumlever.Accelerator, int, bool) {
+func (m *memory) overcommit(l laburnumlever.ModelCopy) (laburnumlever.Accelerator, int, bool) {
 	old := 0
 	if h := m.find(l); h != nil {
 		old = h.partMiB()
@@ -96,7 +96,7 @@
 	return laburnumlever.Accelerator{}, 0, false
 }
 
-func (m *memory) add(l laburnumlever.Loaded) *modelCopy {
+func (m *memory) add(l laburnumlever.ModelCopy) *modelCopy {
 	h := &modelCopy{current: l}
 	h.current.Ready = false
 	m.copies = append(m.copies, h)
@@ -114,8 +114,8 @@
 }
 
 // inventory lists all copies; a draining copy is reported as not ready.
-func (m *memory) inventory() []laburnumlever.Loaded {
-	list := make([]laburnumlever.Loaded, 0, len(m.copies))
+func (m *memory) inventory() []laburnumlever.ModelCopy {
+	list := make([]laburnumlever.ModelCopy, 0, len(m.copies))
 	for _, h := range m.copies {
 		l := h.current
 		l.PartMiB = h.partMiB()
--- a/laburnumstandin/engineorders.go
+++ b/laburnumstandin/engineorders.go
@@ -75,7 +75,7 @@
 	return laburnumlever.OrderDone, ""
 }
 
-func (e *Engine) unload(l laburnumlever.Loaded) (laburnumlever.OrderOutcome, string) {
+func (e *Engine) unload(l laburnumlever.ModelCopy) (laburnumlever.OrderOutcome, string) {
 	h := e.memory.find(l)
 	if h == nil {
 		return laburnumlever.OrderUnknownModel, ""
@@ -96,7 +96,7 @@
 // startLoad fetches the weights from the weight store, if there is one, and marks the
 // copy ready after the load time. next identifies this load, since a later one of the
 // same copy replaces it.
-func (e *Engine) startLoad(h *modelCopy, next *laburnumlever.Loaded) {
+func (e *Engine) startLoad(h *modelCopy, next *laburnumlever.ModelCopy) {
 	finish := func() {
 		e.cfg.timers.After(e.cfg.loadTime, func(time.Time) { e.finishLoad(h, next) })
 	}
@@ -114,7 +114,7 @@
 	}()
 }
 
-func (e *Engine) finishLoad(h *modelCopy, next *laburnumlever.Loaded) {
+func (e *Engine) finishLoad(h *modelCopy, next *laburnumlever.ModelCopy) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if h.next != next {
@@ -125,7 +125,7 @@
 	h.next = nil
 }
 
-func (e *Engine) failLoad(h *modelCopy, next *laburnumlever.Loaded) {
+func (e *Engine) failLoad(h *modelCopy, next *laburnumlever.ModelCopy) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if h.next != next {
@@ -137,7 +137,7 @@
 	}
 }
 
-func (e *Engine) fetchWeights(l laburnumlever.Loaded) error {
+func (e *Engine) fetchWeights(l laburnumlever.ModelCopy) error {
 	var err error
 	for range weightStoreTries {
 		if err = e.fetchOnce(l); err == nil {
@@ -147,7 +147,7 @@
 	return err
 }
 
-func (e *Engine) fetchOnce(l laburnumlever.Loaded) error {
+func (e *Engine) fetchOnce(l laburnumlever.ModelCopy) error {
 	ctx, cancel := context.WithTimeout(context.Background(), weightStoreTimeout)
 	defer cancel()
 	query := url.Values{}
--- a/laburnumstate/replay_test.go
+++ b/laburnumstate/replay_test.go
@@ -16,7 +16,7 @@
 	const changes, models = 50, 353
 	class := laburnumlever.EngineClass{Slots: 12}
 	for i := range models {
-		class.Models = append(class.Models, laburnumlever.ResidentClass{Name: laburnumlever.ModelName(fmt.Sprintf("model-%d", i)), WeightsMB: 72700, AdapterMB: 66})
+		class.Models = append(class.Models, laburnumlever.ModelClass{Name: laburnumlever.ModelName(fmt.Sprintf("model-%d", i)), WeightsMB: 72700, AdapterMB: 66})
 	}
 	table := laburnumlever.RouteTable{Services: []laburnumlever.RoutedService{{Name: "quotes", Engine: &class}}}
 	document, err := json.Marshal(table)
--- a/laburnumtimer/coalescer.go
+++ b/laburnumtimer/coalescer.go
@@ -27,7 +27,7 @@
 
 // Trigger schedules a run: at once if the last one started at least a period ago, else
 // when that period ends. It does nothing while a run is scheduled.
-func (g *Coalescer) Poke() {
+func (g *Coalescer) Trigger() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.pending {
--- a/laburnumvoter/members.go
+++ b/laburnumvoter/members.go
@@ -162,7 +162,7 @@
 			v.peers.Notify(m.Address, methodSuperseded, supersededMessage{ID: m.ID, Boot: p.ConflictingBoot})
 		}
 		if ok && p.DataLost {
-			_ = level.Error(v.cfg.logger).Log("event", laburnumlever.EventReplicaWentBack, "replica", m.ID)
+			_ = level.Error(v.cfg.logger).Log("event", laburnumlever.EventReplicaRegressed, "replica", m.ID)
 			v.peers.Notify(m.Address, methodSuperseded, supersededMessage{ID: m.ID, Boot: p.Boot})
 		}
 	}
@@ -174,7 +174,7 @@
 	if v.log == nil || m.ID != v.log.ID() || m.Boot != v.boot {
 		return
 	}
-	_ = level.Error(v.cfg.logger).Log("event", laburnumlever.EventDataFolderWentBack, "replica", m.ID)
+	_ = level.Error(v.cfg.logger).Log("event", laburnumlever.EventDataFolderRegressed, "replica", m.ID)
 	old := v.writer
 	v.stopReplica()
 	go v.open(func() (*replica, error) {
--- a/laburnumvoter/report.go
+++ b/laburnumvoter/report.go
@@ -52,7 +52,7 @@
 	}
 	v.logged.configuration, v.logged.committed = index, committed
 	c := v.log.Configuration()
-	_ = level.Info(v.cfg.logger).Log("event", laburnumlever.EventVotersInForce, "voters", names(c.Voters()),
+	_ = level.Info(v.cfg.logger).Log("event", laburnumlever.EventVotersChanged, "voters", names(c.Voters()),
 		"learners", names(learners(c)), "configuration", index, "committed", committed,
 		"took", v.timers.Now().Sub(v.logged.since))
 }
--- a/laburnumvoter/report_test.go
+++ b/laburnumvoter/report_test.go
@@ -72,5 +72,5 @@
 	require.ErrorAs(t, err, &none)
 	require.Contains(t, none.Detail, "waiting for b/")
 	require.True(t, logs.has(laburnumlever.EventReplicaOpened, "last 0"))
-	require.True(t, logs.has(laburnumlever.EventVotersInForce, "voters [a/", "committed true"))
+	require.True(t, logs.has(laburnumlever.EventVotersChanged, "voters [a/", "committed true"))
 }
--- a/logevent.go
+++ b/logevent.go
@@ -14,9 +14,9 @@
 	EventRequestRefused
 	// EventAttemptFailed is an attempt at a backend server that returned no complete answer.
 	EventAttemptFailed
-	// EventPlaceNotReserved is an engine's answer to a slot reservation that is neither a grant
+	// EventReservationUnclear is an engine's answer to a slot reservation that is neither a grant
 	// nor a refusal.
-	EventPlaceNotReserved // place-not-reserved
+	EventReservationUnclear // place-not-reserved
 	// EventCrossedAnswer is an answer that belongs to another request.
 	EventCrossedAnswer
 	// EventRefused is a request that an entry VM refused.
@@ -27,12 +27,12 @@
 
 	// Backend servers and their models.
 
-	// EventBackendKnown is a backend server that is new, leaving, gone or silent.
-	EventBackendKnown // backend-known
+	// EventBackendChanged is a backend server that is new, leaving, gone or silent.
+	EventBackendChanged // backend-known
 	// EventBackendReplaced is an address that another backend server has taken over.
 	EventBackendReplaced
-	// EventAdapterThere is an adapter that has been loaded.
-	EventAdapterThere // adapter-there
+	// EventAdapterLoaded is an adapter that has been loaded.
+	EventAdapterLoaded // adapter-there
 	// EventLoadDecided is a decision to load a model on an engine.
 	EventLoadDecided
 	// EventLayout is a periodic summary of the number of engines per model.
@@ -45,20 +45,20 @@
 	EventOrderAnswered
 	// EventOrderDone is the completion of an order.
 	EventOrderDone
-	// EventOrderChart is a state transition of an order.
-	EventOrderChart // order-chart
+	// EventOrderStateChanged is a state transition of an order.
+	EventOrderStateChanged // order-chart
 	// EventOrderRefused is an order that an engine refused.
 	EventOrderRefused
 	// EventOrderOutcomeUnknown is an order that may or may not have been carried out.
 	EventOrderOutcomeUnknown
-	// EventEngineNotAsked is a failure to read an engine's state.
-	EventEngineNotAsked // engine-not-asked
+	// EventEngineStateNotRead is a failure to read an engine's state.
+	EventEngineStateNotRead // engine-not-asked
 	// EventInventoryNotRead is a failure to read an engine's inventory.
 	EventInventoryNotRead
 	// EventLoadFailed is a failed load from the weight store.
 	EventLoadFailed
-	// EventNewsNotEncoded is a backend server's state that could not be encoded.
-	EventNewsNotEncoded // news-not-encoded
+	// EventBackendStateNotEncoded is a backend server's state that could not be encoded.
+	EventBackendStateNotEncoded // news-not-encoded
 	// EventRegistryRefused is an announcement that was not accepted.
 	EventRegistryRefused
 
@@ -70,12 +70,12 @@
 	EventRoutesRefused
 	// EventRoutesApplied is a route table that was applied from the log.
 	EventRoutesApplied
-	// EventRoutesInForce is a route table that has taken effect for requests.
-	EventRoutesInForce // routes-in-force
+	// EventRoutesInEffect is a route table that has taken effect for requests.
+	EventRoutesInEffect // routes-in-force
 	// EventRoutesNotFetched is a failure to fetch a route table.
 	EventRoutesNotFetched
-	// EventCatalogueInForce is a catalogue that has taken effect for requests.
-	EventCatalogueInForce // catalogue-in-force
+	// EventCatalogueInEffect is a catalogue that has taken effect for requests.
+	EventCatalogueInEffect // catalogue-in-force
 
 	// The log, its leader and its members.
 
@@ -86,8 +86,8 @@
 	EventNoLeader
 	// EventReplicaOpened is a replica opened from its data folder, with what it found there.
 	EventReplicaOpened
-	// EventVotersInForce is a change of the voters or learners in this VM's replica.
-	EventVotersInForce // voters-in-force
+	// EventVotersChanged is a change of the voters or learners in this VM's replica.
+	EventVotersChanged // voters-in-force
 	// EventLearnerAdded is a learner that was added to catch up with the log.
 	EventLearnerAdded
 	// EventLearnerRemoved is a learner that is no longer needed or failed to catch up.
@@ -104,14 +104,14 @@
 	EventExpiryNotEncoded
 	// EventReplicaFailed is a replica that stopped after an unrecoverable error.
 	EventReplicaFailed
-	// EventReplicaWentBack is a replica whose disk lacks entries that it has acknowledged.
-	EventReplicaWentBack // replica-went-back
+	// EventReplicaRegressed is a replica whose disk lacks entries that it has acknowledged.
+	EventReplicaRegressed // replica-went-back
 	// EventDataFolderDamaged is a data folder that can't be read.
 	EventDataFolderDamaged
-	// EventDataFolderWentBack is a data folder that has lost data that it held before.
-	EventDataFolderWentBack // data-folder-went-back
-	// EventLeaseGot is this VM acquiring the lease and becoming the director.
-	EventLeaseGot // lease-got
+	// EventDataFolderRegressed is a data folder that has lost data that it held before.
+	EventDataFolderRegressed // data-folder-went-back
+	// EventLeaseAcquired is this VM acquiring the lease and becoming the director.
+	EventLeaseAcquired // lease-got
 	// EventLeaseLost is this VM losing the lease and ceasing to be the director.
 	EventLeaseLost
 	// EventLeaseNotRenewed is a failed lease renewal.
@@ -123,8 +123,8 @@
 
 	// Other VMs and this process.
 
-	// EventControlThread is a breakdown of the time used by the control thread.
-	EventControlThread // control-thread
+	// EventControlThreadTimes is a breakdown of the time used by the control thread.
+	EventControlThreadTimes // control-thread
 	// EventControlLost is a control VM that does not answer.
 	EventControlLost
 	// EventControlRegained is a control VM that answers again.
--- a/logevent_gen.go
+++ b/logevent_gen.go
@@ -27,37 +27,37 @@
 	_ = x[EventRequestServed-(0)]
 	_ = x[EventRequestRefused-(1)]
 	_ = x[EventAttemptFailed-(2)]
-	_ = x[EventPlaceNotReserved-(3)]
+	_ = x[EventReservationUnclear-(3)]
 	_ = x[EventCrossedAnswer-(4)]
 	_ = x[EventRefused-(5)]
 	_ = x[EventAnswerNotRecorded-(6)]
-	_ = x[EventBackendKnown-(7)]
+	_ = x[EventBackendChanged-(7)]
 	_ = x[EventBackendReplaced-(8)]
-	_ = x[EventAdapterThere-(9)]
+	_ = x[EventAdapterLoaded-(9)]
 	_ = x[EventLoadDecided-(10)]
 	_ = x[EventLayout-(11)]
 	_ = x[EventOutlierDetected-(12)]
 	_ = x[EventModelWithdrawn-(13)]
 	_ = x[EventOrderAnswered-(14)]
 	_ = x[EventOrderDone-(15)]
-	_ = x[EventOrderChart-(16)]
+	_ = x[EventOrderStateChanged-(16)]
 	_ = x[EventOrderRefused-(17)]
 	_ = x[EventOrderOutcomeUnknown-(18)]
-	_ = x[EventEngineNotAsked-(19)]
+	_ = x[EventEngineStateNotRead-(19)]
 	_ = x[EventInventoryNotRead-(20)]
 	_ = x[EventLoadFailed-(21)]
-	_ = x[EventNewsNotEncoded-(22)]
+	_ = x[EventBackendStateNotEncoded-(22)]
 	_ = x[EventRegistryRefused-(23)]
 	_ = x[EventRoutesProposed-(24)]
 	_ = x[EventRoutesRefused-(25)]
 	_ = x[EventRoutesApplied-(26)]
-	_ = x[EventRoutesInForce-(27)]
+	_ = x[EventRoutesInEffect-(27)]
 	_ = x[EventRoutesNotFetched-(28)]
-	_ = x[EventCatalogueInForce-(29)]
+	_ = x[EventCatalogueInEffect-(29)]
 	_ = x[EventBecameLeader-(30)]
 	_ = x[EventNoLeader-(31)]
 	_ = x[EventReplicaOpened-(32)]
-	_ = x[EventVotersInForce-(33)]
+	_ = x[EventVotersChanged-(33)]
 	_ = x[EventLearnerAdded-(34)]
 	_ = x[EventLearnerRemoved-(35)]
 	_ = x[EventVoterAdded-(36)]
@@ -66,15 +66,15 @@
 	_ = x[EventLeadershipNotHandedOver-(39)]
 	_ = x[EventExpiryNotEncoded-(40)]
 	_ = x[EventReplicaFailed-(41)]
-	_ = x[EventReplicaWentBack-(42)]
+	_ = x[EventReplicaRegressed-(42)]
 	_ = x[EventDataFolderDamaged-(43)]
-	_ = x[EventDataFolderWentBack-(44)]
-	_ = x[EventLeaseGot-(45)]
+	_ = x[EventDataFolderRegressed-(44)]
+	_ = x[EventLeaseAcquired-(45)]
 	_ = x[EventLeaseLost-(46)]
 	_ = x[EventLeaseNotRenewed-(47)]
 	_ = x[EventZoneOwned-(48)]
 	_ = x[EventZoneLost-(49)]
-	_ = x[EventControlThread-(50)]
+	_ = x[EventControlThreadTimes-(50)]
 	_ = x[EventControlLost-(51)]
 	_ = x[EventControlRegained-(52)]
 	_ = x[EventStarted-(53)]
@@ -89,43 +89,43 @@
 	_ = x[EventLogLinesDropped-(62)]
 }
 
-var _LogEventValues = []LogEvent{EventRequestServed, EventRequestRefused, EventAttemptFailed, EventPlaceNotReserved, EventCrossedAnswer, EventRefused, EventAnswerNotRecorded, EventBackendKnown, EventBackendReplaced, EventAdapterThere, EventLoadDecided, EventLayout, EventOutlierDetected, EventModelWithdrawn, EventOrderAnswered, EventOrderDone, EventOrderChart, EventOrderRefused, EventOrderOutcomeUnknown, EventEngineNotAsked, EventInventoryNotRead, EventLoadFailed, EventNewsNotEncoded, EventRegistryRefused, EventRoutesProposed, EventRoutesRefused, EventRoutesApplied, EventRoutesInForce, EventRoutesNotFetched, EventCatalogueInForce, EventBecameLeader, EventNoLeader, EventReplicaOpened, EventVotersInForce, EventLearnerAdded, EventLearnerRemoved, EventVoterAdded, EventVoterReplaced, EventVoterStandby, EventLeadershipNotHandedOver, EventExpiryNotEncoded, EventReplicaFailed, EventReplicaWentBack, EventDataFolderDamaged, EventDataFolderWentBack, EventLeaseGot, EventLeaseLost, EventLeaseNotRenewed, EventZoneOwned, EventZoneLost, EventControlThread, EventControlLost, EventControlRegained, EventStarted, EventDraining, EventDrained, EventStopped, EventSettingsReloaded, EventSettingsRefused, EventListenerEnded, EventMetricsNotServed, EventUnknownEvent, EventLogLinesDropped}
+var _LogEventValues = []LogEvent{EventRequestServed, EventRequestRefused, EventAttemptFailed, EventReservationUnclear, EventCrossedAnswer, EventRefused, EventAnswerNotRecorded, EventBackendChanged, EventBackendReplaced, EventAdapterLoaded, EventLoadDecided, EventLayout, EventOutlierDetected, EventModelWithdrawn, EventOrderAnswered, EventOrderDone, EventOrderStateChanged, EventOrderRefused, EventOrderOutcomeUnknown, EventEngineStateNotRead, EventInventoryNotRead, EventLoadFailed, EventBackendStateNotEncoded, EventRegistryRefused, EventRoutesProposed, EventRoutesRefused, EventRoutesApplied, EventRoutesInEffect, EventRoutesNotFetched, EventCatalogueInEffect, EventBecameLeader, EventNoLeader, EventReplicaOpened, EventVotersChanged, EventLearnerAdded, EventLearnerRemoved, EventVoterAdded, EventVoterReplaced, EventVoterStandby, EventLeadershipNotHandedOver, EventExpiryNotEncoded, EventReplicaFailed, EventReplicaRegressed, EventDataFolderDamaged, EventDataFolderRegressed, EventLeaseAcquired, EventLeaseLost, EventLeaseNotRenewed, EventZoneOwned, EventZoneLost, EventControlThreadTimes, EventControlLost, EventControlRegained, EventStarted, EventDraining, EventDrained, EventStopped, EventSettingsReloaded, EventSettingsRefused, EventListenerEnded, EventMetricsNotServed, EventUnknownEvent, EventLogLinesDropped}
 
 var _LogEventNameToValueMap = map[string]LogEvent{
 	_LogEventName[0:14]:    EventRequestServed,
 	_LogEventName[14:29]:   EventRequestRefused,
 	_LogEventName[29:43]:   EventAttemptFailed,
-	_LogEventName[43:61]:   EventPlaceNotReserved,
+	_LogEventName[43:61]:   EventReservationUnclear,
 	_LogEventName[61:75]:   EventCrossedAnswer,
 	_LogEventName[75:82]:   EventRefused,
 	_LogEventName[82:101]:  EventAnswerNotRecorded,
-	_LogEventName[101:114]: EventBackendKnown,
+	_LogEventName[101:114]: EventBackendChanged,
 	_LogEventName[114:130]: EventBackendReplaced,
-	_LogEventName[130:143]: EventAdapterThere,
+	_LogEventName[130:143]: EventAdapterLoaded,
 	_LogEventName[143:155]: EventLoadDecided,
 	_LogEventName[155:161]: EventLayout,
 	_LogEventName[161:177]: EventOutlierDetected,
 	_LogEventName[177:192]: EventModelWithdrawn,
 	_LogEventName[192:206]: EventOrderAnswered,
 	_LogEventName[206:216]: EventOrderDone,
-	_LogEventName[216:227]: EventOrderChart,
+	_LogEventName[216:227]: EventOrderStateChanged,
 	_LogEventName[227:240]: EventOrderRefused,
 	_LogEventName[240:261]: EventOrderOutcomeUnknown,
-	_LogEventName[261:277]: EventEngineNotAsked,
+	_LogEventName[261:277]: EventEngineStateNotRead,
 	_LogEventName[277:295]: EventInventoryNotRead,
 	_LogEventName[295:306]: EventLoadFailed,
-	_LogEventName[306:322]: EventNewsNotEncoded,
+	_LogEventName[306:322]: EventBackendStateNotEncoded,
 	_LogEventName[322:338]: EventRegistryRefused,
 	_LogEventName[338:353]: EventRoutesProposed,
 	_LogEventName[353:367]: EventRoutesRefused,
 	_LogEventName[367:381]: EventRoutesApplied,
-	_LogEventName[381:396]: EventRoutesInForce,
+	_LogEventName[381:396]: EventRoutesInEffect,
 	_LogEventName[396:414]: EventRoutesNotFetched,
-	_LogEventName[414:432]: EventCatalogueInForce,
+	_LogEventName[414:432]: EventCatalogueInEffect,
 	_LogEventName[432:445]: EventBecameLeader,
 	_LogEventName[445:454]: EventNoLeader,
 	_LogEventName[454:468]: EventReplicaOpened,
-	_LogEventName[468:483]: EventVotersInForce,
+	_LogEventName[468:483]: EventVotersChanged,
 	_LogEventName[483:496]: EventLearnerAdded,
 	_LogEventName[496:511]: EventLearnerRemoved,
 	_LogEventName[511:522]: EventVoterAdded,
@@ -134,15 +134,15 @@
 	_LogEventName[549:575]: EventLeadershipNotHandedOver,
 	_LogEventName[575:593]: EventExpiryNotEncoded,
 	_LogEventName[593:607]: EventReplicaFailed,
-	_LogEventName[607:624]: EventReplicaWentBack,
+	_LogEventName[607:624]: EventReplicaRegressed,
 	_LogEventName[624:643]: EventDataFolderDamaged,
-	_LogEventName[643:664]: EventDataFolderWentBack,
-	_LogEventName[664:673]: EventLeaseGot,
+	_LogEventName[643:664]: EventDataFolderRegressed,
+	_LogEventName[664:673]: EventLeaseAcquired,
 	_LogEventName[673:683]: EventLeaseLost,
 	_LogEventName[683:700]: EventLeaseNotRenewed,
 	_LogEventName[700:710]: EventZoneOwned,
 	_LogEventName[710:719]: EventZoneLost,
-	_LogEventName[719:733]: EventControlThread,
+	_LogEventName[719:733]: EventControlThreadTimes,
 	_LogEventName[733:745]: EventControlLost,
 	_LogEventName[745:761]: EventControlRegained,
 	_LogEventName[761:768]: EventStarted,
@@ -161,37 +161,37 @@
 	_LogEventLowerName[0:14]:    EventRequestServed,
 	_LogEventLowerName[14:29]:   EventRequestRefused,
 	_LogEventLowerName[29:43]:   EventAttemptFailed,
-	_LogEventLowerName[43:61]:   EventPlaceNotReserved,
+	_LogEventLowerName[43:61]:   EventReservationUnclear,
 	_LogEventLowerName[61:75]:   EventCrossedAnswer,
 	_LogEventLowerName[75:82]:   EventRefused,
 	_LogEventLowerName[82:101]:  EventAnswerNotRecorded,
-	_LogEventLowerName[101:114]: EventBackendKnown,
+	_LogEventLowerName[101:114]: EventBackendChanged,
 	_LogEventLowerName[114:130]: EventBackendReplaced,
-	_LogEventLowerName[130:143]: EventAdapterThere,
+	_LogEventLowerName[130:143]: EventAdapterLoaded,
 	_LogEventLowerName[143:155]: EventLoadDecided,
 	_LogEventLowerName[155:161]: EventLayout,
 	_LogEventLowerName[161:177]: EventOutlierDetected,
 	_LogEventLowerName[177:192]: EventModelWithdrawn,
 	_LogEventLowerName[192:206]: EventOrderAnswered,
 	_LogEventLowerName[206:216]: EventOrderDone,
-	_LogEventLowerName[216:227]: EventOrderChart,
+	_LogEventLowerName[216:227]: EventOrderStateChanged,
 	_LogEventLowerName[227:240]: EventOrderRefused,
 	_LogEventLowerName[240:261]: EventOrderOutcomeUnknown,
-	_LogEventLowerName[261:277]: EventEngineNotAsked,
+	_LogEventLowerName[261:277]: EventEngineStateNotRead,
 	_LogEventLowerName[277:295]: EventInventoryNotRead,
 	_LogEventLowerName[295:306]: EventLoadFailed,
-	_LogEventLowerName[306:322]: EventNewsNotEncoded,
+	_LogEventLowerName[306:322]: EventBackendStateNotEncoded,
 	_LogEventLowerName[322:338]: EventRegistryRefused,
 	_LogEventLowerName[338:353]: EventRoutesProposed,
 	_LogEventLowerName[353:367]: EventRoutesRefused,
 	_LogEventLowerName[367:381]: EventRoutesApplied,
-	_LogEventLowerName[381:396]: EventRoutesInForce,
+	_LogEventLowerName[381:396]: EventRoutesInEffect,
 	_LogEventLowerName[396:414]: EventRoutesNotFetched,
-	_LogEventLowerName[414:432]: EventCatalogueInForce,
+	_LogEventLowerName[414:432]: EventCatalogueInEffect,
 	_LogEventLowerName[432:445]: EventBecameLeader,
 	_LogEventLowerName[445:454]: EventNoLeader,
 	_LogEventLowerName[454:468]: EventReplicaOpened,
-	_LogEventLowerName[468:483]: EventVotersInForce,
+	_LogEventLowerName[468:483]: EventVotersChanged,
 	_LogEventLowerName[483:496]: EventLearnerAdded,
 	_LogEventLowerName[496:511]: EventLearnerRemoved,
 	_LogEventLowerName[511:522]: EventVoterAdded,
@@ -200,15 +200,15 @@
 	_LogEventLowerName[549:575]: EventLeadershipNotHandedOver,
 	_LogEventLowerName[575:593]: EventExpiryNotEncoded,
 	_LogEventLowerName[593:607]: EventReplicaFailed,
-	_LogEventLowerName[607:624]: EventReplicaWentBack,
+	_LogEventLowerName[607:624]: EventReplicaRegressed,
 	_LogEventLowerName[624:643]: EventDataFolderDamaged,
-	_LogEventLowerName[643:664]: EventDataFolderWentBack,
-	_LogEventLowerName[664:673]: EventLeaseGot,
+	_LogEventLowerName[643:664]: EventDataFolderRegressed,
+	_LogEventLowerName[664:673]: EventLeaseAcquired,
 	_LogEventLowerName[673:683]: EventLeaseLost,
 	_LogEventLowerName[683:700]: EventLeaseNotRenewed,
 	_LogEventLowerName[700:710]: EventZoneOwned,
 	_LogEventLowerName[710:719]: EventZoneLost,
-	_LogEventLowerName[719:733]: EventControlThread,
+	_LogEventLowerName[719:733]: EventControlThreadTimes,
 	_LogEventLowerName[733:745]: EventControlLost,
 	_LogEventLowerName[745:761]: EventControlRegained,
 	_LogEventLowerName[761:768]: EventStarted,
--- a/routes.go
+++ b/routes.go
@@ -72,12 +72,12 @@
 	LoadsPerSecond float64 `json:"loads-per-second"`
 	// ReserveLimit is the longest time for which a slot can be reserved; 0 if the engines
 	// support no reservations.
-	ReserveLimit Duration        `json:"reserve-limit,omitempty"`
-	Models       []ResidentClass `json:"models"`
+	ReserveLimit Duration     `json:"reserve-limit,omitempty"`
+	Models       []ModelClass `json:"models"`
 }
 
-// ResidentClass describes the memory and load times of one model on an engine.
-type ResidentClass struct {
+// ModelClass describes the memory and load times of one model on an engine.
+type ModelClass struct {
 	Name      ModelName `json:"name"`
 	WeightsMB float64   `json:"weights-mb"`
 	// StoreLoad is the time to load the model from the weight store, DiskLoad from the
@@ -110,10 +110,10 @@
 func (r Route) Repeatable() bool { return r.Kind == KindIdempotent || r.Resumable }
 
 // Model finds a model of the class by name.
-func (c EngineClass) Model(name ModelName) (ResidentClass, bool) {
-	i := slices.IndexFunc(c.Models, func(m ResidentClass) bool { return m.Name == name })
+func (c EngineClass) Model(name ModelName) (ModelClass, bool) {
+	i := slices.IndexFunc(c.Models, func(m ModelClass) bool { return m.Name == name })
 	if i < 0 {
-		return ResidentClass{}, false
+		return ModelClass{}, false
 	}
 	return c.Models[i], true
 }
