--- a/heartbeat.go
+++ b/heartbeat.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // Heartbeat is the state that a backend server announces periodically. Heartbeats of one
-// backend server are ordered by Born, then by Sequence.
+// backend server are ordered by Incarnation, then by Sequence.
 type Heartbeat struct {
 	Backend BackendID   `json:"backend"`
 	Service ServiceName `json:"service"`
--- a/laburnumchart/chart.go
+++ b/laburnumchart/chart.go
@@ -43,7 +43,7 @@
 }
 
 // Load returns the embedded chart with this name. Errors: *UnknownChartError,
-// *BadChartError.
+// *InvalidChartError.
 func Load(name string) (Chart, error) {
 	text, err := files.ReadFile("charts/" + name + ".jsonc")
 	if err != nil {
@@ -63,7 +63,7 @@
 }
 
 // Parse parses and validates a chart in JSON with comments. An error is a
-// *BadChartError.
+// *InvalidChartError.
 func Parse(name string, text []byte) (Chart, error) {
 	plain, err := hujson.Standardize(slices.Clone(text))
 	if err != nil {
--- a/laburnumdemand/doc.go
+++ b/laburnumdemand/doc.go
@@ -9,7 +9,7 @@
 //
 //	counter, times, uses := laburnumdemand.NewCounter(vm), laburnumdemand.ReadTimes{}, laburnumdemand.AdapterUses{}
 //	counter.Received(laburnumdemand.Request{Model: "m1", PromptTokens: 700, AnswerTokens: 280})
-//	report := laburnumlever.GatewayNews{Demand: counter.Take(now, times), Adapters: uses.Take(now)}
+//	report := laburnumlever.GatewayReport{Demand: counter.Take(now, times), Adapters: uses.Take(now)}
 //
 // None of the types is safe for concurrent use.
 package laburnumdemand
--- a/laburnumdirector/cluster_test.go
+++ b/laburnumdirector/cluster_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
 	"laburnumlever/laburnumdirector"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnumregistry"
 	"laburnumlever/laburnumstate"
 	"laburnumlever/laburnumtimer"
@@ -52,7 +52,7 @@
 type node struct {
 	w            *cluster
 	vm           laburnumlever.VM
-	loop         *laburnumcontrol.Loop
+	loop         *laburnumeventloop.Loop
 	director     *laburnumdirector.Director
 	isLeader     bool
 	disconnected bool // Propose fails
@@ -128,7 +128,7 @@
 func (w *cluster) addDirector(i int) {
 	n := &node{
 		w: w, vm: laburnumlever.VM{ID: laburnumlever.VMID(fmt.Sprintf("10.0.0.%d", i)), Incarnation: 1},
-		loop: laburnumcontrol.New(), overlays: map[laburnumlever.BackendID]laburnumregistry.Overlay{},
+		loop: laburnumeventloop.New(), overlays: map[laburnumlever.BackendID]laburnumregistry.Overlay{},
 		registry: laburnumregistry.New(time.Second),
 	}
 	n.director = laburnumdirector.New(n.loop, w.timers, n, engineCalls{n}, n.vm,
--- a/laburnumdistribution/distributor_test.go
+++ b/laburnumdistribution/distributor_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
 	"laburnumlever/laburnumdistribution"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnumpeer"
 	"laburnumlever/laburnumtimer"
 
@@ -41,9 +41,9 @@
 	}
 	revisions := make([]atomic.Uint64, count)
 	distributors := make([]*laburnumdistribution.Distributor, count)
-	loops := make([]*laburnumcontrol.Loop, count)
+	loops := make([]*laburnumeventloop.Loop, count)
 	for i, ln := range listeners {
-		loop, timers, peers := laburnumcontrol.New(), laburnumtimer.New(), laburnumpeer.New(vms[i].ID)
+		loop, timers, peers := laburnumeventloop.New(), laburnumtimer.New(), laburnumpeer.New(vms[i].ID)
 		d := laburnumdistribution.New(loop, timers, peers, func() []laburnumlever.VM { return vms }, laburnumdistribution.WithSelf(vms[i].ID))
 		d.OnNewRevision(func(c laburnumlever.Catalogue) {
 			require.Greater(t, c.Revision, revisions[i].Load())
--- a/laburnumcontrol/loop.go
+++ b/laburnumeventloop/loop.go
@@ -1,16 +1,16 @@
-// Package laburnumcontrol is the event loop of the control thread: one goroutine that
+// Package laburnumeventloop is the event loop of the control thread: one goroutine that
 // dispatches typed events, one at a time, to the components that own control state.
 //
 // # Usage
 //
-//	loop := laburnumcontrol.New()
+//	loop := laburnumeventloop.New()
 //	go loop.Run()
 //	loop.Post(membership, announced{…})
 //	defer loop.Stop()
 //
 // Tests call Drain instead of Run: it handles queued events on the caller's goroutine,
 // so that the order is deterministic.
-package laburnumcontrol
+package laburnumeventloop
 
 import (
 	"sync"
--- a/laburnumcontrol/loop_test.go
+++ b/laburnumeventloop/loop_test.go
@@ -1,10 +1,10 @@
-package laburnumcontrol_test
+package laburnumeventloop_test
 
 import (
 	"testing"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
+	"laburnumlever/laburnumeventloop"
 
 	"github.com/stretchr/testify/require"
 )
@@ -14,7 +14,7 @@
 func (number) EventName() string { return "number" }
 
 type recorder struct {
-	loop *laburnumcontrol.Loop
+	loop *laburnumeventloop.Loop
 	got  []int
 }
 
@@ -32,7 +32,7 @@
 // Guards against events that a handler posts and that Drain leaves in the queue.
 func TestDrainHandlesEventsPostedByEvents(t *testing.T) {
 	after := 0
-	loop := laburnumcontrol.New(laburnumcontrol.WithAfterEvent(func(laburnumlever.Event) { after++ }))
+	loop := laburnumeventloop.New(laburnumeventloop.WithAfterEvent(func(laburnumlever.Event) { after++ }))
 	part := &recorder{loop: loop}
 	loop.Post(part, number(1))
 	loop.Post(part, number(2))
@@ -43,7 +43,7 @@
 
 // Guards against a queue that grows after the loop was stopped.
 func TestPostAfterStopIsDropped(t *testing.T) {
-	loop := laburnumcontrol.New()
+	loop := laburnumeventloop.New()
 	go loop.Run()
 	loop.Stop()
 	<-loop.Done()
--- a/laburnumcontrol/meter.go
+++ b/laburnumeventloop/meter.go
@@ -1,4 +1,4 @@
-package laburnumcontrol
+package laburnumeventloop
 
 import (
 	"cmp"
--- a/laburnumcontrol/meter_test.go
+++ b/laburnumeventloop/meter_test.go
@@ -1,11 +1,11 @@
-package laburnumcontrol_test
+package laburnumeventloop_test
 
 import (
 	"testing"
 	"time"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
+	"laburnumlever/laburnumeventloop"
 
 	"github.com/stretchr/testify/require"
 )
@@ -24,8 +24,8 @@
 
 // Guards against a usage that attributes time or waits to the wrong events.
 func TestMeterAttributesTimeToEvents(t *testing.T) {
-	meter := laburnumcontrol.NewMeter()
-	loop := laburnumcontrol.New(laburnumcontrol.WithMeter(meter))
+	meter := laburnumeventloop.NewMeter()
+	loop := laburnumeventloop.New(laburnumeventloop.WithMeter(meter))
 	loop.Post(sleeper{}, slow{})
 	loop.Post(sleeper{}, number(1))
 	loop.Post(sleeper{}, number(2))
--- a/laburnummembership/backends.go
+++ b/laburnummembership/backends.go
@@ -8,7 +8,7 @@
 )
 
 // announce handles an announcement that a backend server sent to this VM. It returns a
-// *StaleNewsError for an incarnation older than the known one.
+// *StaleReportError for an incarnation older than the known one.
 func (c *core) announce(a laburnumlever.Announcement, now time.Time) error {
 	r, ok := c.backends.records[a.Backend]
 	if ok && a.Incarnation < r.state.Incarnation {
@@ -39,7 +39,7 @@
 }
 
 // report handles a load report that a backend server sent to this VM. It returns a
-// *NotFoundError for an incarnation not yet announced and a *StaleNewsError for an older
+// *NotFoundError for an incarnation not yet announced and a *StaleReportError for an older
 // incarnation or a repeated sequence number.
 func (c *core) report(given laburnumlever.LoadReport, now time.Time) error {
 	r, ok := c.backends.records[given.Backend]
--- a/laburnummembership/membership_test.go
+++ b/laburnummembership/membership_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnummembership"
 	"laburnumlever/laburnumpeer"
 	"laburnumlever/laburnumtimer"
@@ -19,7 +19,7 @@
 // node is a VM with real sockets and only the parts that membership needs.
 type node struct {
 	membership *laburnummembership.Membership
-	loop       *laburnumcontrol.Loop
+	loop       *laburnumeventloop.Loop
 }
 
 type ask struct{ fn func() }
@@ -68,7 +68,7 @@
 			seed = ln.Addr().String()
 		}
 		id := laburnumlever.VMID(fmt.Sprintf("vm-%d", i))
-		loop, timers, peers := laburnumcontrol.New(), laburnumtimer.New(), laburnumpeer.New(id)
+		loop, timers, peers := laburnumeventloop.New(), laburnumtimer.New(), laburnumpeer.New(id)
 		self := laburnumlever.VM{ID: id, Zone: laburnumlever.ZoneName(fmt.Sprintf("zone-%d", i%2)), PeerAddress: ln.Addr().String()}
 		m := laburnummembership.New(loop, timers, peers, self, laburnummembership.WithSeeds([]string{seed}))
 		nodes[i] = &node{membership: m, loop: loop}
--- a/laburnumnode/node.go
+++ b/laburnumnode/node.go
@@ -9,8 +9,8 @@
 	"github.com/go-kit/log/level"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
 	"laburnumlever/laburnumdistribution"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnummembership"
 	"laburnumlever/laburnummetrics"
 	"laburnumlever/laburnumorder"
@@ -32,7 +32,7 @@
 	self      laburnumlever.VM
 	listeners *listeners
 	servers   []*http.Server
-	loop      *laburnumcontrol.Loop
+	loop      *laburnumeventloop.Loop
 	publisher *publisher
 
 	peers      *laburnumpeer.Peers
--- a/laburnumnode/publisher_internal_test.go
+++ b/laburnumnode/publisher_internal_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnumtimer"
 )
 
@@ -16,7 +16,7 @@
 func TestViewRebuildsAreRateLimited(t *testing.T) {
 	const cost = 5 * time.Millisecond
 	timers := laburnumtimer.NewManual(time.Unix(0, 0))
-	loop := laburnumcontrol.New()
+	loop := laburnumeventloop.New()
 	built := 0
 	p := &publisher{loop: loop, timers: timers, build: func() laburnumlever.View {
 		built++
--- a/laburnumnode/wiring.go
+++ b/laburnumnode/wiring.go
@@ -9,8 +9,8 @@
 	"github.com/go-kit/log/level"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
 	"laburnumlever/laburnumdistribution"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnummembership"
 	"laburnumlever/laburnumoperator"
 	"laburnumlever/laburnumorder"
@@ -36,7 +36,7 @@
 func (n *Node) build() error {
 	n.notReady = notReadyStarting
 	n.publisher = &publisher{timers: n.timers, build: n.buildView}
-	n.loop = laburnumcontrol.New(laburnumcontrol.WithAfterEvent(func(laburnumlever.Event) {
+	n.loop = laburnumeventloop.New(laburnumeventloop.WithAfterEvent(func(laburnumlever.Event) {
 		n.publisher.publishIfDirty()
 	}))
 	n.publisher.loop = n.loop
--- a/laburnumorder/bench_test.go
+++ b/laburnumorder/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnumorder"
 	"laburnumlever/laburnumtimer"
 )
@@ -58,7 +58,7 @@
 				})
 			}
 			timers := laburnumtimer.NewManual(time.Unix(1000, 0))
-			loop := laburnumcontrol.New()
+			loop := laburnumeventloop.New()
 			owner := laburnumorder.New(loop, timers, q, q, q, laburnumlever.VM{ID: "vm", Zone: "z0"},
 				laburnumorder.WithRunner(func(work func()) { work() }))
 			owner.Start()
--- a/laburnumregistry/doc.go
+++ b/laburnumregistry/doc.go
@@ -5,7 +5,7 @@
 // Heartbeats arrive late, out of order, through other VMs, and from backend servers that have
 // stopped. For one identity the highest sequence wins, and leaving is final. A stopped backend
 // server leaves a tombstone, so that a late heartbeat does not revive it. A restart has a greater
-// Born and replaces the earlier incarnation's record.
+// Incarnation and replaces the earlier incarnation's record.
 //
 // # Usage
 //
--- a/laburnumroles/control.go
+++ b/laburnumroles/control.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
 	"laburnumlever/laburnumdirector"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnumfeed"
 	"laburnumlever/laburnumlog"
 	"laburnumlever/laburnumregistry"
@@ -53,8 +53,8 @@
 // Control is a control VM's process. It implements laburnumlever.FleetControl.
 type Control struct {
 	process
-	loop     *laburnumcontrol.Loop
-	meter    *laburnumcontrol.Meter
+	loop     *laburnumeventloop.Loop
+	meter    *laburnumeventloop.Meter
 	voter    *laburnumvoter.Voter
 	source   *laburnumfeed.Source
 	follower *laburnumfeed.Follower
@@ -76,8 +76,8 @@
 
 // NewControl returns a control VM that is not started. An error is a *StartError.
 func NewControl(settings laburnumsettings.RoleSettings, engines laburnumlever.ModelEngines, opts ...Option) (*Control, error) {
-	meter := laburnumcontrol.NewMeter()
-	c := &Control{process: newProcess(settings, opts), loop: laburnumcontrol.New(laburnumcontrol.WithMeter(meter)), meter: meter}
+	meter := laburnumeventloop.NewMeter()
+	c := &Control{process: newProcess(settings, opts), loop: laburnumeventloop.New(laburnumeventloop.WithMeter(meter)), meter: meter}
 	c.commitTimes = c.metrics.Scope().Histogram("routes_commit_seconds", commitTimeBuckets)
 	c.registry = laburnumregistry.New(time.Duration(settings.Times.Heartbeat))
 	c.source = laburnumfeed.NewSource(c.peers, c.timers, c.self, laburnumfeed.WithSourceLogger(c.logger))
--- a/laburnumsettings/role.go
+++ b/laburnumsettings/role.go
@@ -159,7 +159,7 @@
 	for _, seed := range s.Seeds {
 		parsed, err := netip.ParseAddrPort(seed)
 		if err != nil {
-			continue // LoadRole refuses such a file
+			continue // LoadRoleSettings refuses such a file
 		}
 		ip := parsed.Addr().String()
 		voters = append(voters, laburnumlever.Voter{VM: laburnumlever.VMID(ip), PeerAddress: peerAddress(ip, s.PeerPort)})
--- a/laburnumsimulation/control.go
+++ b/laburnumsimulation/control.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
 	"laburnumlever/laburnumdirector"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnumregistry"
 	"laburnumlever/laburnumstate"
 	"laburnumlever/laburnumtimer"
@@ -32,7 +32,7 @@
 // control models all control VMs as one: the registry, the director and publication to gateways.
 type control struct {
 	sim       *simulation
-	loop      *laburnumcontrol.Loop
+	loop      *laburnumeventloop.Loop
 	director  *laburnumdirector.Director
 	registry  *laburnumregistry.Table
 	machine   *laburnumstate.Machine
@@ -46,7 +46,7 @@
 // drainingTimers drains the control loop after each of the director's timers.
 type drainingTimers struct {
 	laburnumlever.Timers
-	loop *laburnumcontrol.Loop
+	loop *laburnumeventloop.Loop
 }
 
 // Every implements laburnumlever.Timers.
@@ -67,7 +67,7 @@
 
 func newControl(sim *simulation) *control {
 	c := &control{
-		sim: sim, loop: laburnumcontrol.New(), machine: laburnumstate.New(),
+		sim: sim, loop: laburnumeventloop.New(), machine: laburnumstate.New(),
 		registry: laburnumregistry.New(time.Duration(sim.scenario.Engines.Heartbeat)),
 		records:  map[laburnumlever.BackendID]laburnumregistry.Record{}, overlays: map[laburnumlever.BackendID]laburnumregistry.Overlay{},
 	}
--- a/laburnumvoter/voter.go
+++ b/laburnumvoter/voter.go
@@ -133,7 +133,7 @@
 }
 
 // Close stops the replica after its queued writes are on disk. It doesn't transfer leadership; call
-// HandOver first.
+// TransferLeadership first.
 func (v *Voter) Close() error {
 	v.closed.Do(func() {
 		close(v.done)
--- a/laburnumvoter/voter_test.go
+++ b/laburnumvoter/voter_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnumtimer"
 	"laburnumlever/laburnumvoter"
 
@@ -82,7 +82,7 @@
 type vm struct {
 	*laburnumvoter.Voter
 	port      *port
-	loop      *laburnumcontrol.Loop
+	loop      *laburnumeventloop.Loop
 	timers    *laburnumtimer.Timers
 	revisions chan uint64
 	ticks     atomic.Int64
@@ -105,7 +105,7 @@
 
 // start starts a VM. With an empty folder the VM has no replica.
 func (f *fleet) start(name, folder string, opts ...laburnumvoter.Option) *vm {
-	m := &vm{port: f.net.open(name), loop: laburnumcontrol.New(), timers: laburnumtimer.New(), revisions: make(chan uint64, 1<<12)}
+	m := &vm{port: f.net.open(name), loop: laburnumeventloop.New(), timers: laburnumtimer.New(), revisions: make(chan uint64, 1<<12)}
 	all := append([]laburnumvoter.Option{
 		laburnumvoter.WithDataFolder(folder), laburnumvoter.WithVoters(f.voters), laburnumvoter.WithTick(tick),
 		laburnumvoter.WithProposalTimeout(waitTimeout),
