--- a/backend.go
+++ b/backend.go
@@ -237,6 +237,6 @@
 }
 
 // IsZero reports whether the report is empty.
-func (n GatewayReport) IsZero() bool {
-	return len(n.Demand)+len(n.Adapters)+len(n.Unreachable)+len(n.Replaced)+len(n.Outcomes) == 0
+func (r GatewayReport) IsZero() bool {
+	return len(r.Demand)+len(r.Adapters)+len(r.Unreachable)+len(r.Replaced)+len(r.Outcomes) == 0
 }
--- a/cmd/laburnumlever/explaincmd.go
+++ b/cmd/laburnumlever/explaincmd.go
@@ -78,11 +78,11 @@
 	if err != nil {
 		return err
 	}
-	story, err := laburnumexplain.NewTimeline(id, lines)
+	timeline, err := laburnumexplain.NewTimeline(id, lines)
 	if err != nil {
 		return err
 	}
-	return reportExplanation(c, laburnumlever.Explanation{Subject: "request " + id, Lines: story.Text()}, nil)
+	return reportExplanation(c, laburnumlever.Explanation{Subject: "request " + id, Lines: timeline.Text()}, nil)
 }
 
 func logsFlag() cli.Flag {
--- a/dialect.go
+++ b/dialect.go
@@ -85,7 +85,7 @@
 	Request(header http.Header) (CallerRequest, error)
 	// Forward returns the headers for a backend server: the caller's end-to-end
 	// headers and those for send.
-	Forward(from http.Header, send ForwardParams) http.Header
+	Forward(from http.Header, params ForwardParams) http.Header
 	// Answer parses a backend server's response headers.
 	Answer(status int, header http.Header) AnswerHeaders
 	// ReservationCall builds the call that reserves a slot.
--- a/laburnumbalance/balance.go
+++ b/laburnumbalance/balance.go
@@ -193,7 +193,7 @@
 // index updates byModel, which lists the server under each model that it may hold.
 func (t *Table) index(s *server) {
 	for _, model := range slices.Clone(s.listed) {
-		if !s.record.Heartbeat.Holds(model, "") && !s.wasAdded(model) {
+		if !s.record.Heartbeat.Holds(model, "") && !s.wasLoaded(model) {
 			t.unlist(s, model)
 		}
 	}
@@ -259,7 +259,7 @@
 // ModelLoaded records a model or adapter that a server holds before its heartbeat lists it.
 func (t *Table) ModelLoaded(id laburnumlever.BackendID, model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) {
 	if s := t.servers[id]; s != nil {
-		s.added = setExpiry(s.added, heldModel{model: model, adapter: adapter}, now.Add(addedTime), now)
+		s.loaded = setExpiry(s.loaded, heldModel{model: model, adapter: adapter}, now.Add(loadedTime), now)
 		t.list(s, model)
 		delete(s.absent, heldModel{model: model, adapter: adapter})
 	}
@@ -436,7 +436,7 @@
 	if result.Absent {
 		key := heldModel{model: ticket.query.Model, adapter: ticket.query.Adapter}
 		s.absent = setExpiry(s.absent, key, now.Add(absentTime), now)
-		delete(s.added, key)
+		delete(s.loaded, key)
 	}
 }
 
--- a/laburnumbalance/prefixes.go
+++ b/laburnumbalance/prefixes.go
@@ -9,15 +9,15 @@
 // partKey identifies a prompt part in an engine's cache. Engines cache by model and adapter, and
 // lose the cache when they restart.
 type partKey struct {
-	backend laburnumlever.BackendID
-	born    uint64
-	model   laburnumlever.ModelName
-	adapter laburnumlever.AdapterName
-	id      uint64
+	backend     laburnumlever.BackendID
+	incarnation uint64
+	model       laburnumlever.ModelName
+	adapter     laburnumlever.AdapterName
+	id          uint64
 }
 
 func (q Query) cacheKey(to laburnumlever.Heartbeat, part laburnumlever.PromptPart) partKey {
-	return partKey{backend: to.Backend, born: to.Incarnation, model: q.Model, adapter: q.Adapter, id: part.ID}
+	return partKey{backend: to.Backend, incarnation: to.Incarnation, model: q.Model, adapter: q.Adapter, id: part.ID}
 }
 
 // prefixes estimates which prompt parts each server has cached, from the prompts sent to it.
--- a/laburnumbalance/server.go
+++ b/laburnumbalance/server.go
@@ -35,7 +35,7 @@
 	maxUnreachable = time.Second
 
 	absentTime = 1500 * time.Millisecond // longer than a stale heartbeat keeps listing the model
-	addedTime  = 4 * time.Second         // longer than it takes heartbeats to list the model
+	loadedTime = 4 * time.Second         // longer than it takes heartbeats to list the model
 )
 
 // heldModel identifies a model, or an adapter of it, on a server.
@@ -70,10 +70,10 @@
 	// unreachableUntil is the end of the current backoff, unreachableTime its length.
 	unreachableUntil time.Time
 	unreachableTime  time.Duration
-	// absent and added hold the models and adapters of which answers are newer than the heartbeat;
+	// absent and loaded hold the models and adapters of which answers are newer than the heartbeat;
 	// an entry expires at its time.
 	absent map[heldModel]time.Time
-	added  map[heldModel]time.Time
+	loaded map[heldModel]time.Time
 }
 
 // load estimates the number of requests at the server, running or queued.
@@ -152,13 +152,13 @@
 	if s.overlay.Holds(s.record.Heartbeat, model, adapter) {
 		return true
 	}
-	return now.Before(s.added[heldModel{model: model, adapter: adapter}]) &&
+	return now.Before(s.loaded[heldModel{model: model, adapter: adapter}]) &&
 		(adapter == "" || s.holds(model, "", now))
 }
 
-// wasAdded tells whether the model, or an adapter of it, is in added.
-func (s *server) wasAdded(model laburnumlever.ModelName) bool {
-	for key := range s.added {
+// wasLoaded tells whether the model, or an adapter of it, is in loaded.
+func (s *server) wasLoaded(model laburnumlever.ModelName) bool {
+	for key := range s.loaded {
 		if key.model == model {
 			return true
 		}
--- a/laburnumdirector/cluster_test.go
+++ b/laburnumdirector/cluster_test.go
@@ -72,15 +72,15 @@
 // fakeEngine implements the platform's rules on orders. It fails the test if an order overcommits
 // its memory or adapter slots.
 type fakeEngine struct {
-	w         *cluster
-	id        laburnumlever.BackendID
-	held      map[laburnumlever.ModelName]map[laburnumlever.AdapterName]bool
-	born      uint64
-	accepted  uint64
-	fence     uint64
-	busyUntil time.Time
-	pending   func() // the effect of the order in progress, applied at its end
-	sequence  uint64
+	w           *cluster
+	id          laburnumlever.BackendID
+	held        map[laburnumlever.ModelName]map[laburnumlever.AdapterName]bool
+	incarnation uint64
+	accepted    uint64
+	fence       uint64
+	busyUntil   time.Time
+	pending     func() // the effect of the order in progress, applied at its end
+	sequence    uint64
 	// instant makes orders end at once, so that the heartbeat showing the end overtakes the answer.
 	instant bool
 	// losesRecords drops the heartbeats that change what the engine holds.
@@ -242,7 +242,7 @@
 }
 
 func (e *fakeEngine) heartbeat() laburnumlever.Heartbeat {
-	h := laburnumlever.Heartbeat{Backend: e.id, Service: "quotes", Address: string(e.id), Zone: "brest", Incarnation: e.born, Sequence: e.sequence, Slots: 24}
+	h := laburnumlever.Heartbeat{Backend: e.id, Service: "quotes", Address: string(e.id), Zone: "brest", Incarnation: e.incarnation, Sequence: e.sequence, Slots: 24}
 	h.Models = e.models()
 	return h
 }
@@ -280,7 +280,7 @@
 
 // restart restarts the engine with the same identity and empty state. Delayed orders still arrive.
 func (e *fakeEngine) restart() {
-	e.born, e.sequence, e.accepted, e.fence, e.pending = e.born+1, 0, 0, 0, nil
+	e.incarnation, e.sequence, e.accepted, e.fence, e.pending = e.incarnation+1, 0, 0, 0, nil
 	e.held = map[laburnumlever.ModelName]map[laburnumlever.AdapterName]bool{}
 	e.sendHeartbeat()
 }
@@ -304,7 +304,7 @@
 	if e == nil {
 		return laburnumlever.EngineState{}, &laburnumlever.NotSentError{Cause: errors.New("refused")}
 	}
-	return laburnumlever.EngineState{Incarnation: e.born, Accepted: e.accepted, Busy: e.pending != nil, Models: e.models()}, nil
+	return laburnumlever.EngineState{Incarnation: e.incarnation, Accepted: e.accepted, Busy: e.pending != nil, Models: e.models()}, nil
 }
 
 func (c engineCalls) Order(_ context.Context, to laburnumlever.Heartbeat, order laburnumlever.EngineOrder) (laburnumlever.EngineVerdict, error) {
--- a/laburnumdirector/engine.go
+++ b/laburnumdirector/engine.go
@@ -251,9 +251,9 @@
 }
 
 // withLoading returns the model with its loading adapters added.
-func withLoading(m laburnumlever.EngineModel, coming []laburnumlever.EngineModel) laburnumlever.EngineModel {
+func withLoading(m laburnumlever.EngineModel, loading []laburnumlever.EngineModel) laburnumlever.EngineModel {
 	m.Adapters = slices.Clone(m.Adapters)
-	for _, c := range coming {
+	for _, c := range loading {
 		if c.Name == m.Name {
 			m.Adapters = append(m.Adapters, c.Adapters...)
 		}
--- a/laburnumdispatch/simulation_test.go
+++ b/laburnumdispatch/simulation_test.go
@@ -28,7 +28,7 @@
 	at, first           time.Time
 	vm                  policy
 	abandoned, answered bool
-	sends               int
+	sent                int
 	ticket              any
 }
 
@@ -171,8 +171,8 @@
 
 // send sends the call to an engine.
 func (p *simulation) send(c *call, e *engine) {
-	c.sends++
-	if c.sends > 1 {
+	c.sent++
+	if c.sent > 1 {
 		p.retries++
 	}
 	switch {
--- a/laburnumexplain/day.go
+++ b/laburnumexplain/day.go
@@ -121,11 +121,11 @@
 	}
 }
 
-func countsOf(accounts map[string]*OutcomeCounts, subject string) *OutcomeCounts {
-	if accounts[subject] == nil {
-		accounts[subject] = &OutcomeCounts{}
+func countsOf(counts map[string]*OutcomeCounts, subject string) *OutcomeCounts {
+	if counts[subject] == nil {
+		counts[subject] = &OutcomeCounts{}
 	}
-	return accounts[subject]
+	return counts[subject]
 }
 
 // window returns the window that a time falls into and adds windows up to it. Times must not
--- a/laburnumexplain/daytext.go
+++ b/laburnumexplain/daytext.go
@@ -22,9 +22,9 @@
 	row(fmt.Sprintf("%d requests in %d windows of %s from %s", d.Total.Requests, len(d.Windows), d.Width, d.Start.UTC().Format("2006-01-02 15:04:05")))
 	row()
 	row("subject", "asked", "in time", "late", "refused", "failed", "mostly")
-	row("all", accountCells(d.Total))
+	row("all", outcomeCells(d.Total))
 	for _, subject := range subjectsByLoss(d.Subjects, len(d.Subjects)) {
-		row(subject, accountCells(*d.Subjects[subject]))
+		row(subject, outcomeCells(*d.Subjects[subject]))
 	}
 	row()
 	row("from", "subject", "asked", "in time", "late", "refused", "failed", "held", "loading", "room", "mostly")
@@ -40,20 +40,20 @@
 }
 
 // subjectsByLoss returns at most limit subjects with losses, the largest first.
-func subjectsByLoss(accounts map[string]*OutcomeCounts, limit int) []string {
+func subjectsByLoss(counts map[string]*OutcomeCounts, limit int) []string {
 	var list []string
-	for subject, a := range accounts {
+	for subject, a := range counts {
 		if a.NotInTime() > 0 {
 			list = append(list, subject)
 		}
 	}
 	slices.SortFunc(list, func(a, b string) int {
-		return cmp.Or(accounts[b].NotInTime()-accounts[a].NotInTime(), strings.Compare(a, b))
+		return cmp.Or(counts[b].NotInTime()-counts[a].NotInTime(), strings.Compare(a, b))
 	})
 	return list[:min(limit, len(list))]
 }
 
-func accountCells(a OutcomeCounts) []any { return append(countCells(a), causesText(a)) }
+func outcomeCells(a OutcomeCounts) []any { return append(countCells(a), causesText(a)) }
 
 func countCells(a OutcomeCounts) []any {
 	return []any{a.Requests, a.Outcomes[InTime], a.Outcomes[Late], a.Outcomes[Refused], a.Outcomes[Failed]}
--- a/laburnumexplain/timeline.go
+++ b/laburnumexplain/timeline.go
@@ -102,12 +102,12 @@
 
 // Text formats the cause and the events, one per line. Lines of the request itself are marked with
 // a star.
-func (s Timeline) Text() []string {
-	out := []string{"cause: " + s.Cause}
-	start := s.Lines[0].At
-	for _, l := range s.Lines {
+func (t Timeline) Text() []string {
+	out := []string{"cause: " + t.Cause}
+	start := t.Lines[0].At
+	for _, l := range t.Lines {
 		mark := " "
-		if l.is("request-id", s.ID) {
+		if l.is("request-id", t.ID) {
 			mark = "*"
 		}
 		out = append(out, fmt.Sprintf("%s %9.3f s  %-20s %-18s %s", mark, l.At.Sub(start).Seconds(), l.VM, l.Event, l.text()))
--- a/laburnumgateway/attempt.go
+++ b/laburnumgateway/attempt.go
@@ -68,7 +68,7 @@
 	if err := conn.SetDeadline(q.deadline.Add(backendTimeoutSlack)); err != nil {
 		return &failure{stage: laburnumretry.StageNotSent, reason: laburnumlever.RefusedBackendUnreachable, cause: err}, nil
 	}
-	q.sends++
+	q.sent++
 	resp, err := conn.Exchange(laburnumupstream.Request{
 		Method: q.method, URI: q.uri, Host: q.host, Body: q.body,
 		Header: g.dialect.Forward(q.header, laburnumlever.ForwardParams{
@@ -79,9 +79,9 @@
 		result.Failed = ctx.Err() == nil
 		return &failure{stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedBackendError, cause: err}, nil
 	}
-	marks := g.dialect.Answer(resp.StatusCode, resp.Header)
-	g.fleet.updateLoad(ticket.Backend.Backend, marks)
-	if fail := g.checkAnswer(q, ticket, resp, marks, result); fail != nil {
+	headers := g.dialect.Answer(resp.StatusCode, resp.Header)
+	g.fleet.updateLoad(ticket.Backend.Backend, headers)
+	if fail := g.checkAnswer(q, ticket, resp, headers, result); fail != nil {
 		return fail, resp
 	}
 	return g.forwardAnswer(ctx, q, out, ticket, resp, result), resp
@@ -89,20 +89,20 @@
 
 // checkAnswer returns a failure for an answer that must not be forwarded: one to another request, or
 // one which says that the request did not run.
-func (g *Gateway) checkAnswer(q *request, ticket *laburnumbalance.Ticket, resp *http.Response, marks laburnumlever.AnswerHeaders, result *laburnumbalance.AttemptResult) *failure {
-	if marks.RequestID != q.caller.ID && (marks.RequestID != "" || !marks.NotRun) {
+func (g *Gateway) checkAnswer(q *request, ticket *laburnumbalance.Ticket, resp *http.Response, headers laburnumlever.AnswerHeaders, result *laburnumbalance.AttemptResult) *failure {
+	if headers.RequestID != q.caller.ID && (headers.RequestID != "" || !headers.NotRun) {
 		result.Failed, result.Faulty = true, true
 		return &failure{
 			stage: laburnumretry.StageUnknown, reason: laburnumlever.RefusedCrossedAnswer,
-			cause: &CrossedAnswerError{Want: q.caller.ID, Got: marks.RequestID},
+			cause: &CrossedAnswerError{Want: q.caller.ID, Got: headers.RequestID},
 		}
 	}
-	if !marks.NotRun {
+	if !headers.NotRun {
 		return nil
 	}
 	cause := &AnswerStatusError{Status: resp.StatusCode}
 	if resp.StatusCode == http.StatusMisdirectedRequest {
-		if marks.Backend != "" && marks.Backend != ticket.Backend.Backend {
+		if headers.Backend != "" && headers.Backend != ticket.Backend.Backend {
 			g.fleet.removeReplaced(ticket.Backend.Backend)
 		} else {
 			result.Absent = true
--- a/laburnumgateway/fleet.go
+++ b/laburnumgateway/fleet.go
@@ -197,13 +197,13 @@
 }
 
 // updateLoad updates the load of a backend server from the headers of an answer.
-func (f *Fleet) updateLoad(id laburnumlever.BackendID, marks laburnumlever.AnswerHeaders) {
-	if !marks.HasLoad {
+func (f *Fleet) updateLoad(id laburnumlever.BackendID, headers laburnumlever.AnswerHeaders) {
+	if !headers.HasLoad {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.balance.Observe(id, laburnumbalance.AttemptResult{HasLoad: true, Running: marks.Running, Waiting: marks.Waiting}, f.timers.Now())
+	f.balance.Observe(id, laburnumbalance.AttemptResult{HasLoad: true, Running: headers.Running, Waiting: headers.Waiting}, f.timers.Now())
 	f.serveQueue()
 }
 
--- a/laburnumgateway/forward.go
+++ b/laburnumgateway/forward.go
@@ -89,7 +89,7 @@
 	}
 	reason, paid, ok := laburnumretry.Attempt{
 		Stage: fail.stage, MayHaveRun: q.mayHaveRun, Started: out.started, Idempotent: q.route.Repeatable(),
-		Resumable: q.route.Resumable, Sent: q.sends, Tries: q.tries, MaxSent: q.route.MaxAttempts,
+		Resumable: q.route.Resumable, Sent: q.sent, Tries: q.tries, MaxSent: q.route.MaxAttempts,
 	}.Next()
 	if ok && paid && !g.chargeRetry(q) {
 		fail.reason = laburnumlever.RefusedRetryBudget
--- a/laburnumgateway/gateway.go
+++ b/laburnumgateway/gateway.go
@@ -22,7 +22,7 @@
 // AdapterLoader loads adapters on demand.
 type AdapterLoader interface {
 	// EnsureLoaded waits until an adapter is loaded and returns the engines that hold it.
-	EnsureLoaded(ctx context.Context, need laburnumlever.AdapterRequest) ([]laburnumlever.BackendID, error)
+	EnsureLoaded(ctx context.Context, adapterRequest laburnumlever.AdapterRequest) ([]laburnumlever.BackendID, error)
 }
 
 // RetryBudget limits the retries of all gateways together. For each service and in any Window they
@@ -126,10 +126,10 @@
 func (g *Gateway) logServed(q *request, out *answer) {
 	t := timing{
 		target: time.Duration(q.route.Target), pauseTarget: time.Duration(q.route.PauseTarget), waited: q.waited,
-		first: out.firstAt.Sub(q.arrived), pause: out.pause, sends: q.sends,
+		first: out.firstAt.Sub(q.arrived), pause: out.pause, sent: q.sent,
 	}
 	_ = level.Info(g.logger).Log("event", laburnumlever.EventRequestServed, "request-id", q.caller.ID, "route", q.route.Name,
-		"backend", q.backend, "model", q.caller.Model, "adapter", q.caller.Adapter, "sends", q.sends, "taken", q.refusedReservations,
+		"backend", q.backend, "model", q.caller.Model, "adapter", q.caller.Adapter, "sends", q.sent, "taken", q.refusedReservations,
 		"late", t.lateness(), "waited-ms", millis(q.waited), "first-ms", millis(t.first), "pause-ms", millis(out.pause),
 		"whole-ms", millis(out.lastAt.Sub(q.arrived)), "events", out.events, "prompt-tokens", q.caller.PromptTokens,
 		"routes-version", q.routesVersion)
@@ -239,7 +239,7 @@
 		route = q.route.Name
 	}
 	_ = level.Info(g.logger).Log("event", laburnumlever.EventRequestRefused, "request-id", q.caller.ID, "route", route, "reason", reason,
-		"status", status, "touched", q.mayHaveRun, "sends", q.sends, "tries", q.tries, "taken", q.refusedReservations, "routes-version", q.routesVersion,
+		"status", status, "touched", q.mayHaveRun, "sends", q.sent, "tries", q.tries, "taken", q.refusedReservations, "routes-version", q.routesVersion,
 		"model", q.caller.Model, "adapter", q.caller.Adapter, "avoid", q.avoid,
 		"ms", g.timers.Now().Sub(q.arrived).Milliseconds(), "cause", err)
 }
--- a/laburnumgateway/gateway_test.go
+++ b/laburnumgateway/gateway_test.go
@@ -441,8 +441,8 @@
 	holder   laburnumlever.BackendID
 }
 
-func (a fakeAdapterLoader) EnsureLoaded(_ context.Context, need laburnumlever.AdapterRequest) ([]laburnumlever.BackendID, error) {
-	a.requests <- need
+func (a fakeAdapterLoader) EnsureLoaded(_ context.Context, adapterRequest laburnumlever.AdapterRequest) ([]laburnumlever.BackendID, error) {
+	a.requests <- adapterRequest
 	return []laburnumlever.BackendID{a.holder}, nil
 }
 
--- a/laburnumgateway/lateness.go
+++ b/laburnumgateway/lateness.go
@@ -25,7 +25,7 @@
 type timing struct {
 	target, pauseTarget  time.Duration
 	waited, first, pause time.Duration
-	sends                int
+	sent                 int
 }
 
 // lateness returns the first reason, in the order of the constants, without which the answer would
@@ -34,7 +34,7 @@
 	switch {
 	case t.target > 0 && t.first > t.target && t.first-t.waited <= t.target:
 		return lateWaited
-	case t.target > 0 && t.first > t.target && t.sends > 1:
+	case t.target > 0 && t.first > t.target && t.sent > 1:
 		return lateResent
 	case t.target > 0 && t.first > t.target:
 		return lateReading
--- a/laburnumgateway/request.go
+++ b/laburnumgateway/request.go
@@ -41,9 +41,9 @@
 	deadline      time.Time
 	routesVersion uint64
 
-	// sends counts the attempts that were sent; tries also counts those that were not.
-	sends, tries int
-	avoid        []laburnumlever.BackendID
+	// sent counts the attempts that were sent; tries also counts those that were not.
+	sent, tries int
+	avoid       []laburnumlever.BackendID
 	// mayHaveRun is set once a backend server may have run the request.
 	mayHaveRun bool
 	backend    laburnumlever.BackendID // of the last attempt
--- a/laburnumload/runner.go
+++ b/laburnumload/runner.go
@@ -50,8 +50,8 @@
 
 // WithEventHandler sets the handler of the events that are not HTTP requests. Without it,
 // such events fail.
-func WithEventHandler(actor EventHandler) Option {
-	return func(r *Runner) { r.eventHandler = actor }
+func WithEventHandler(handler EventHandler) Option {
+	return func(r *Runner) { r.eventHandler = handler }
 }
 
 // NewRunner makes a runner for a system, given its VMs' operators addresses. The callers
--- a/laburnumload/verdict_test.go
+++ b/laburnumload/verdict_test.go
@@ -67,7 +67,7 @@
 // as not-run, so that the caller books elsewhere.
 func TestCheckLedger(t *testing.T) {
 	ledger := [][]laburnumstandin.LedgerEntry{{{Key: "once"}, {Key: "twice"}, {Key: "denied"}}, {{Key: "twice"}, {Key: "recovered"}}}
-	told := []laburnumload.CallResult{
+	results := []laburnumload.CallResult{
 		{Key: "once", Answered: true},
 		{Key: "once", Outcome: "unknown"},
 		{Key: "twice", Answered: true},
@@ -83,5 +83,5 @@
 		"key twice ran 2 times",
 		"key phantom was answered but never ran",
 		"key denied was refused as not-run but ran",
-	}, laburnumload.CheckLedger(told, ledger))
+	}, laburnumload.CheckLedger(results, ledger))
 }
--- a/laburnumorder/plan.go
+++ b/laburnumorder/plan.go
@@ -58,7 +58,7 @@
 		s.Engines = append(s.Engines, e)
 	}
 	o.readiness.markStable(s.Engines, old, now)
-	s.RecentlyChanged = o.versions.fresh(view.Catalogue.Models, now)
+	s.RecentlyChanged = o.versions.recentlyChanged(view.Catalogue.Models, now)
 	s.Overdue = o.progress.overdue(s, now)
 	return s
 }
--- a/laburnumorder/readiness.go
+++ b/laburnumorder/readiness.go
@@ -106,8 +106,8 @@
 	since   time.Time
 }
 
-// fresh returns the models whose version changed within freshVersionPeriod.
-func (v versions) fresh(models []laburnumlever.Model, now time.Time) map[laburnumlever.ModelName]bool {
+// recentlyChanged returns the models whose version changed within freshVersionPeriod.
+func (v versions) recentlyChanged(models []laburnumlever.Model, now time.Time) map[laburnumlever.ModelName]bool {
 	list := make(map[laburnumlever.ModelName]bool)
 	for _, m := range models {
 		known, ok := v[m.Name]
--- a/laburnumregistry/registry.go
+++ b/laburnumregistry/registry.go
@@ -73,9 +73,9 @@
 // there. It reports whether the record was silent before, so that other VMs must get it. Unknown
 // backend servers, tombstones and other incarnations are ignored, and the content of an older
 // heartbeat is kept: the VM that received the newer one sends its content.
-func (t *Table) KeepAlive(id laburnumlever.BackendID, born, sequence uint64, now time.Time) bool {
+func (t *Table) KeepAlive(id laburnumlever.BackendID, incarnation, sequence uint64, now time.Time) bool {
 	e := t.entries[id]
-	if e == nil || e.record.Gone || e.record.Heartbeat.Incarnation != born || sequence <= max(e.relayedSequence, e.record.Heartbeat.Sequence) {
+	if e == nil || e.record.Gone || e.record.Heartbeat.Incarnation != incarnation || sequence <= max(e.relayedSequence, e.record.Heartbeat.Sequence) {
 		return false
 	}
 	e.heardAt, e.relayedSequence = now, sequence
--- a/laburnumregistry/registry_test.go
+++ b/laburnumregistry/registry_test.go
@@ -170,21 +170,21 @@
 
 // Guards against discarding heartbeats of a restarted engine as late ones of its earlier incarnation.
 func TestRestartReplacesEarlierIncarnation(t *testing.T) {
-	born := func(at uint64) func(*laburnumlever.Heartbeat) {
+	incarnation := func(at uint64) func(*laburnumlever.Heartbeat) {
 		return func(h *laburnumlever.Heartbeat) { h.Incarnation = at }
 	}
 	table := laburnumregistry.New(period)
-	require.True(t, table.ApplyHeartbeat(heartbeat(40, born(100)), start))
-	require.True(t, table.ApplyHeartbeat(heartbeat(1, born(200)), start))
-	require.False(t, table.ApplyHeartbeat(heartbeat(41, born(100)), start), "a late one of the earlier incarnation")
+	require.True(t, table.ApplyHeartbeat(heartbeat(40, incarnation(100)), start))
+	require.True(t, table.ApplyHeartbeat(heartbeat(1, incarnation(200)), start))
+	require.False(t, table.ApplyHeartbeat(heartbeat(41, incarnation(100)), start), "a late one of the earlier incarnation")
 	require.False(t, table.KeepAlive("i-1", 100, 50, start))
-	gone := laburnumregistry.Record{Heartbeat: heartbeat(41, born(100)), Gone: true}
+	gone := laburnumregistry.Record{Heartbeat: heartbeat(41, incarnation(100)), Gone: true}
 	require.False(t, table.Merge(gone, start), "a tombstone of the earlier incarnation")
 	r, _ := table.Record("i-1")
-	require.Equal(t, laburnumregistry.Record{Heartbeat: heartbeat(1, born(200))}, r)
+	require.Equal(t, laburnumregistry.Record{Heartbeat: heartbeat(1, incarnation(200))}, r)
 	require.True(t, table.Remove("i-1", start))
-	require.False(t, table.ApplyHeartbeat(heartbeat(2, born(200)), start), "its own tombstone is final")
-	require.True(t, table.ApplyHeartbeat(heartbeat(1, born(300)), start))
-	require.True(t, table.Merge(laburnumregistry.Record{Heartbeat: heartbeat(9, born(400)), Gone: true}, start))
-	require.False(t, table.ApplyHeartbeat(heartbeat(8, born(400)), start))
+	require.False(t, table.ApplyHeartbeat(heartbeat(2, incarnation(200)), start), "its own tombstone is final")
+	require.True(t, table.ApplyHeartbeat(heartbeat(1, incarnation(300)), start))
+	require.True(t, table.Merge(laburnumregistry.Record{Heartbeat: heartbeat(9, incarnation(400)), Gone: true}, start))
+	require.False(t, table.ApplyHeartbeat(heartbeat(8, incarnation(400)), start))
 }
--- a/laburnumroles/control.go
+++ b/laburnumroles/control.go
@@ -102,7 +102,7 @@
 	d.OnLeaseChange(c.leaseChanged)
 	d.OnReplaced(c.removeAndRelay)
 	c.source.OnGatewayReport(c.recordGatewayReport)
-	c.peers.Handle(methodAdapterNeed, c.handleAdapterNeed)
+	c.peers.Handle(methodAdapterRequest, c.handleAdapterRequest)
 	c.director = d
 }
 
@@ -132,13 +132,13 @@
 	c.source.SetDirector("")
 }
 
-func (c *Control) handleAdapterNeed(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
-	var need laburnumlever.AdapterRequest
-	if err := json.Unmarshal(params, &need); err != nil {
-		return nil, &laburnumfeed.MessageError{Method: methodAdapterNeed, Cause: err}
+func (c *Control) handleAdapterRequest(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
+	var request laburnumlever.AdapterRequest
+	if err := json.Unmarshal(params, &request); err != nil {
+		return nil, &laburnumfeed.MessageError{Method: methodAdapterRequest, Cause: err}
 	}
-	backends, err := c.director.EnsureAdapter(ctx, need)
-	return adapterNeedAnswer{Backends: backends}, err
+	backends, err := c.director.EnsureAdapter(ctx, request)
+	return adapterRequestAnswer{Backends: backends}, err
 }
 
 func (c *Control) buildVoter() error {
--- a/laburnumroles/gateway.go
+++ b/laburnumroles/gateway.go
@@ -67,13 +67,13 @@
 
 // EnsureLoaded asks the director to load an adapter and returns the engines that hold it. Errors:
 // *laburnumlever.NotFoundError while no director is known, and those of a call to another VM.
-func (g *Gateway) EnsureLoaded(ctx context.Context, need laburnumlever.AdapterRequest) ([]laburnumlever.BackendID, error) {
+func (g *Gateway) EnsureLoaded(ctx context.Context, request laburnumlever.AdapterRequest) ([]laburnumlever.BackendID, error) {
 	address := g.follower.Director()
 	if address == "" {
 		return nil, &laburnumlever.NotFoundError{Kind: "placement leader", Name: "any"}
 	}
-	var answer adapterNeedAnswer
-	err := g.peers.Call(ctx, address, methodAdapterNeed, need, &answer)
+	var answer adapterRequestAnswer
+	err := g.peers.Call(ctx, address, methodAdapterRequest, request, &answer)
 	var refused *laburnumlever.PeerRefusedError
 	if errors.As(err, &refused) && refused.Kind == kindNotDirector {
 		g.follower.ForgetDirector(address)
--- a/laburnumroles/messages.go
+++ b/laburnumroles/messages.go
@@ -4,12 +4,12 @@
 
 // JSON-RPC methods between VMs.
 const (
-	methodAdapterNeed    = "adapter-need"
+	methodAdapterRequest = "adapter-need"
 	methodHeartbeatRelay = "heartbeat-relay"
 )
 
-// adapterNeedAnswer lists the engines that hold the adapter.
-type adapterNeedAnswer struct {
+// adapterRequestAnswer lists the engines that hold the adapter.
+type adapterRequestAnswer struct {
 	Backends []laburnumlever.BackendID `json:"backends"`
 }
 
--- a/laburnumsimulation/attempt.go
+++ b/laburnumsimulation/attempt.go
@@ -15,7 +15,7 @@
 	gateway             *gateway
 	arrived             time.Time
 	disconnectedAt      time.Time
-	sends               int
+	sent                int
 	tries               int
 	refusedReservations int
 	mayHaveRun          bool
@@ -133,8 +133,8 @@
 func (a *attempt) requestAdapter(until time.Time) {
 	sim, g := a.sim(), a.gateway
 	name := sim.models[a.request.model].name
-	need := laburnumlever.AdapterRequest{Service: service, Model: name, Adapter: a.request.adapter, Except: g.table.Unavailable(a.query(), sim.now())}
-	sim.control.ensureAdapter(g.zone, need, func(ids []laburnumlever.BackendID) {
+	adapterRequest := laburnumlever.AdapterRequest{Service: service, Model: name, Adapter: a.request.adapter, Except: g.table.Unavailable(a.query(), sim.now())}
+	sim.control.ensureAdapter(g.zone, adapterRequest, func(ids []laburnumlever.BackendID) {
 		for _, id := range ids {
 			g.table.ModelLoaded(id, name, a.request.adapter, sim.now())
 		}
@@ -212,7 +212,7 @@
 		a.onUnreachable()
 		return
 	}
-	a.sends++
+	a.sent++
 	r := &run{attempt: a, engine: e.id, urgency: a.urgency(), answerTokens: a.request.answerTokens, written: a.written}
 	a.run = r
 	if outcome := e.accept(r, reservation); outcome != admitted {
@@ -277,7 +277,7 @@
 	a.avoid = append(a.avoid, a.lastBackend())
 	next := laburnumretry.Attempt{
 		Stage: stage, MayHaveRun: a.mayHaveRun, Started: a.started, Idempotent: c.Resumable, Resumable: c.Resumable,
-		Sent: a.sends, Tries: a.tries, MaxSent: max(1, c.Attempts),
+		Sent: a.sent, Tries: a.tries, MaxSent: max(1, c.Attempts),
 	}
 	_, paid, ok := next.Next()
 	now := a.sim().now()
--- a/laburnumsimulation/compare.go
+++ b/laburnumsimulation/compare.go
@@ -109,15 +109,15 @@
 	n := float64(len(days))
 	for i, o := range days {
 		values[i], gains[i] = o.Value, o.Value-first[i].Value
-		asked := max(1, float64(o.Requests))
+		requests := max(1, float64(o.Requests))
 		r.Mean.Day += o.Day / n
 		r.Mean.WorstWindows += o.WorstWindows / n
 		r.Mean.WorstClass += o.WorstClass / n
-		r.Mean.OnTime += float64(o.OnTime) / asked / n
-		r.Mean.Late += float64(o.Late) / asked / n
-		r.Mean.LatePause += float64(o.LatePause) / asked / n
-		r.Mean.Refused += float64(o.Refused) / asked / n
-		r.Mean.Failed += float64(o.Failed) / asked / n
+		r.Mean.OnTime += float64(o.OnTime) / requests / n
+		r.Mean.Late += float64(o.Late) / requests / n
+		r.Mean.LatePause += float64(o.LatePause) / requests / n
+		r.Mean.Refused += float64(o.Refused) / requests / n
+		r.Mean.Failed += float64(o.Failed) / requests / n
 		r.Mean.Loads += float64(o.Loads) / n
 	}
 	r.Value, r.Interval = interval(values)
--- a/laburnumsimulation/control.go
+++ b/laburnumsimulation/control.go
@@ -168,10 +168,10 @@
 }
 
 // ensureAdapter asks the director for an adapter on behalf of a gateway.
-func (c *control) ensureAdapter(zone laburnumlever.ZoneName, need laburnumlever.AdapterRequest, reply func(ids []laburnumlever.BackendID)) {
+func (c *control) ensureAdapter(zone laburnumlever.ZoneName, adapterRequest laburnumlever.AdapterRequest, reply func(ids []laburnumlever.BackendID)) {
 	link := c.sim.link(zone, "")
 	c.sim.after(link, func() {
-		c.director.EnsureAdapterAsync(need, func(ids []laburnumlever.BackendID, _ error) {
+		c.director.EnsureAdapterAsync(adapterRequest, func(ids []laburnumlever.BackendID, _ error) {
 			c.sim.after(link, func() { reply(ids) })
 		})
 		c.loop.Drain()
--- a/laburnumstandin/link.go
+++ b/laburnumstandin/link.go
@@ -75,11 +75,11 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 
-	mu      sync.Mutex
-	state   LinkState
-	changed chan struct{}
-	conns   map[net.Conn]string // source IP address of the inbound connection
-	passed  int
+	mu          sync.Mutex
+	state       LinkState
+	changed     chan struct{}
+	conns       map[net.Conn]string // source IP address of the inbound connection
+	passedBytes int
 }
 
 // NewLink makes an open link to the target, an IP address and port.
@@ -122,7 +122,7 @@
 func (l *Link) PassedBytes() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.passed
+	return l.passedBytes
 }
 
 // Serve accepts connections until Accept fails, and returns that error.
@@ -233,9 +233,9 @@
 	}
 }
 
-func (l *Link) addPassed(n int) {
+func (l *Link) addPassedBytes(n int) {
 	l.mu.Lock()
-	l.passed += n
+	l.passedBytes += n
 	l.mu.Unlock()
 }
 
--- a/laburnumstandin/linkpump.go
+++ b/laburnumstandin/linkpump.go
@@ -35,7 +35,7 @@
 			_ = from.Close()
 			return
 		}
-		l.addPassed(len(p.bytes))
+		l.addPassedBytes(len(p.bytes))
 	}
 	if tcp, ok := to.(*net.TCPConn); ok && l.awaitOpen(source, toTarget) == nil {
 		_ = tcp.CloseWrite()
--- a/laburnumvoter/events.go
+++ b/laburnumvoter/events.go
@@ -32,7 +32,7 @@
 		// open is the function to retry if err is set.
 		open func() (*replica, error)
 	}
-	handOverRequested struct{ done chan struct{} }
+	transferRequested struct{ done chan struct{} }
 )
 
 func (ticked) EventName() string             { return "voter-tick" }
@@ -45,4 +45,4 @@
 func (bootstrapReceived) EventName() string  { return "voter-bootstrap" }
 func (supersededReceived) EventName() string { return "voter-superseded" }
 func (reopened) EventName() string           { return "voter-reopened" }
-func (handOverRequested) EventName() string  { return "voter-hand-over" }
+func (transferRequested) EventName() string  { return "voter-hand-over" }
--- a/laburnumvoter/lead.go
+++ b/laburnumvoter/lead.go
@@ -37,10 +37,10 @@
 		}
 	}
 	if !leads {
-		for _, done := range v.handOvers {
+		for _, done := range v.transfers {
 			close(done)
 		}
-		v.handOvers = nil
+		v.transfers = nil
 	}
 }
 
@@ -92,7 +92,7 @@
 // or the voter is closed, or ctx's error.
 func (v *Voter) TransferLeadership(ctx context.Context) error {
 	done := make(chan struct{})
-	v.loop.Post(v, handOverRequested{done: done})
+	v.loop.Post(v, transferRequested{done: done})
 	select {
 	case <-done:
 		return nil
@@ -103,12 +103,12 @@
 	}
 }
 
-func (v *Voter) onHandOverRequested(ev handOverRequested) {
+func (v *Voter) onTransferRequested(ev transferRequested) {
 	if v.log != nil && len(v.log.Configuration().Voters()) == 1 {
 		// There is no other voter to take over.
 		close(ev.done)
 		return
 	}
-	v.handOvers = append(v.handOvers, ev.done)
+	v.transfers = append(v.transfers, ev.done)
 	v.step(laburnumlog.TransferLeadership{})
 }
--- a/laburnumvoter/voter.go
+++ b/laburnumvoter/voter.go
@@ -47,7 +47,7 @@
 	wasLeader        bool
 	clockBase        int64
 	clockStart       time.Time
-	handOvers        []chan struct{}
+	transfers        []chan struct{}
 	failure          error
 	published        publishedKey
 	logged           loggedState
@@ -176,8 +176,8 @@
 		v.onSuperseded(ev.message)
 	case reopened:
 		v.onReopened(ev)
-	case handOverRequested:
-		v.onHandOverRequested(ev)
+	case transferRequested:
+		v.onTransferRequested(ev)
 	}
 	v.finishEvent()
 }
