--- a/dialect.go
+++ b/dialect.go
@@ -84,7 +84,7 @@
 	// Request parses a caller's headers. An error is an *InvalidValueError.
 	Request(header http.Header) (CallerRequest, error)
 	// Forward returns the headers for a backend server: the caller's end-to-end
-	// headers and those for send.
+	// headers and those for params.
 	Forward(from http.Header, params ForwardParams) http.Header
 	// Answer parses a backend server's response headers.
 	Answer(status int, header http.Header) AnswerHeaders
--- a/laburnumdirector/adapters.go
+++ b/laburnumdirector/adapters.go
@@ -63,48 +63,48 @@
 	}
 }
 
-func (d *Director) onAdapterRequest(n *adapterRequest) {
+func (d *Director) onAdapterRequest(r *adapterRequest) {
 	if !d.lease.valid(d.clock()) {
-		n.reply(nil, &NotDirectorError{VM: d.self.ID})
+		r.reply(nil, &NotDirectorError{VM: d.self.ID})
 		return
 	}
-	if !d.tryAnswer(n) {
-		d.adapterRequests = append(d.adapterRequests, n)
+	if !d.tryAnswer(r) {
+		d.adapterRequests = append(d.adapterRequests, r)
 	}
 }
 
 // retryAdapterRequests retries the pending requests and fails those that have timed out.
 func (d *Director) retryAdapterRequests(now time.Time) {
 	var pending []*adapterRequest
-	for _, n := range d.adapterRequests {
-		if d.tryAnswer(n) {
+	for _, r := range d.adapterRequests {
+		if d.tryAnswer(r) {
 			continue
 		}
-		if now.Sub(n.since) > adapterRequestTimeout {
-			n.reply(nil, &NoAdapterSlotError{Model: n.key.model, Adapter: n.key.adapter, Detail: "no slot became free in time"})
+		if now.Sub(r.since) > adapterRequestTimeout {
+			r.reply(nil, &NoAdapterSlotError{Model: r.key.model, Adapter: r.key.adapter, Detail: "no slot became free in time"})
 			continue
 		}
-		pending = append(pending, n)
+		pending = append(pending, r)
 	}
 	d.adapterRequests = pending
 }
 
 func (d *Director) failAdapterRequests() {
-	for _, n := range d.adapterRequests {
-		n.reply(nil, &NotDirectorError{VM: d.self.ID})
+	for _, r := range d.adapterRequests {
+		r.reply(nil, &NotDirectorError{VM: d.self.ID})
 	}
 	d.adapterRequests = nil
 }
 
 // tryAnswer replies to a request whose adapter is loaded, and tells whether it did. Otherwise it
 // orders the load, unless one is in progress.
-func (d *Director) tryAnswer(n *adapterRequest) bool {
+func (d *Director) tryAnswer(r *adapterRequest) bool {
 	now := d.timers.Now()
 	var ready []laburnumlever.BackendID
 	found := false
-	for _, e := range d.engines.holdersOf(n.key.model) {
-		a := e.adapter(n.key)
-		if a == nil || slices.Contains(n.except, e.heartbeat.Backend) {
+	for _, e := range d.engines.holdersOf(r.key.model) {
+		a := e.adapter(r.key)
+		if a == nil || slices.Contains(r.except, e.heartbeat.Backend) {
 			continue
 		}
 		found = true
@@ -114,11 +114,11 @@
 		}
 	}
 	if len(ready) > 0 {
-		n.reply(ready, nil)
+		r.reply(ready, nil)
 		return true
 	}
 	if !found {
-		d.orderAdapter(n, now)
+		d.orderAdapter(r, now)
 	}
 	return false
 }
@@ -142,14 +142,14 @@
 
 // orderAdapter orders the load of an adapter on the engine with the fewest adapters. If that engine
 // has no free slot or memory, it orders the unload of the least recently used adapter there.
-func (d *Director) orderAdapter(n *adapterRequest, now time.Time) {
-	class := d.services[n.service]
+func (d *Director) orderAdapter(r *adapterRequest, now time.Time) {
+	class := d.services[r.service]
 	if class == nil {
 		return
 	}
 	var best *engine
-	for _, e := range d.engines.holdersOf(n.key.model) {
-		if slices.Contains(n.except, e.heartbeat.Backend) || !e.acceptsAdapterOf(n.key.model, now) {
+	for _, e := range d.engines.holdersOf(r.key.model) {
+		if slices.Contains(r.except, e.heartbeat.Backend) || !e.acceptsAdapterOf(r.key.model, now) {
 			continue
 		}
 		if best == nil || e.adapterCount() < best.adapterCount() {
@@ -159,8 +159,8 @@
 	if best == nil {
 		return
 	}
-	if best.adapterCount() < class.AdapterSlots && best.hasMemoryFor(class, n.key.model) {
-		d.send(best, laburnumlever.EngineOrder{Kind: laburnumlever.Load, Model: n.key.model, Adapter: n.key.adapter})
+	if best.adapterCount() < class.AdapterSlots && best.hasMemoryFor(class, r.key.model) {
+		d.send(best, laburnumlever.EngineOrder{Kind: laburnumlever.Load, Model: r.key.model, Adapter: r.key.adapter})
 		return
 	}
 	if victim, ok := best.leastRecentlyUsed(now); ok {
--- a/laburnumnode/node.go
+++ b/laburnumnode/node.go
@@ -35,12 +35,12 @@
 	loop      *laburnumeventloop.Loop
 	publisher *publisher
 
-	peers      *laburnumpeer.Peers
-	membership *laburnummembership.Membership
-	spread     *laburnumdistribution.Distributor
-	voter      *laburnumvoter.Voter
-	owner      *laburnumorder.Owner
-	proxy      *laburnumproxy.Proxy
+	peers       *laburnumpeer.Peers
+	membership  *laburnummembership.Membership
+	distributor *laburnumdistribution.Distributor
+	voter       *laburnumvoter.Voter
+	owner       *laburnumorder.Owner
+	proxy       *laburnumproxy.Proxy
 
 	// notReady is the reason that the VM does not serve callers, empty if it does.
 	// Only the control thread uses it.
--- a/laburnumnode/shutdown.go
+++ b/laburnumnode/shutdown.go
@@ -45,7 +45,7 @@
 		_ = server.Close()
 	}
 	n.owner.Close()
-	n.spread.Close()
+	n.distributor.Close()
 	n.membership.Close()
 	_ = n.voter.Close()
 	_ = n.peers.Close()
--- a/laburnumnode/wiring.go
+++ b/laburnumnode/wiring.go
@@ -76,12 +76,12 @@
 		laburnummembership.WithScope(scope),
 	)
 	n.membership.OnChange(n.publisher.markDirty)
-	n.spread = laburnumdistribution.New(n.loop, n.timers, n.peers, n.membership.VMs,
+	n.distributor = laburnumdistribution.New(n.loop, n.timers, n.peers, n.membership.VMs,
 		laburnumdistribution.WithSelf(n.self.ID),
 		laburnumdistribution.WithLogger(n.logger),
 		laburnumdistribution.WithScope(scope),
 	)
-	n.spread.OnNewRevision(func(laburnumlever.Catalogue) { n.publisher.markDirty() })
+	n.distributor.OnNewRevision(func(laburnumlever.Catalogue) { n.publisher.markDirty() })
 }
 
 func (n *Node) buildVoter() error {
@@ -95,7 +95,7 @@
 	if err != nil {
 		return &laburnumlever.StartError{Part: "voter", Cause: err}
 	}
-	voter.OnCatalogue(n.spread.Publish)
+	voter.OnCatalogue(n.distributor.Publish)
 	n.voter = voter
 	return nil
 }
@@ -139,7 +139,7 @@
 func (n *Node) startParts() {
 	n.voter.Start()
 	n.membership.Start()
-	n.spread.Start()
+	n.distributor.Start()
 	n.owner.Start()
 	n.runOnControlThread(func() {
 		n.notReady = ""
@@ -195,7 +195,7 @@
 // buildView returns the current view. It runs on the control thread, or before its
 // start.
 func (n *Node) buildView() laburnumlever.View {
-	catalogue, known := n.spread.Catalogue()
+	catalogue, known := n.distributor.Catalogue()
 	notReady := n.notReady
 	if notReady == "" && !known {
 		notReady = notReadyNoCatalogue
--- a/laburnumtimer/coalescer.go
+++ b/laburnumtimer/coalescer.go
@@ -27,19 +27,19 @@
 
 // Trigger schedules a run: at once if the last one started at least a period ago, else
 // when that period ends. It does nothing while a run is scheduled.
-func (g *Coalescer) Trigger() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.pending {
+func (c *Coalescer) Trigger() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.pending {
 		return
 	}
-	g.pending = true
-	g.timers.After(max(0, g.period()-g.timers.Now().Sub(g.last)), g.run)
+	c.pending = true
+	c.timers.After(max(0, c.period()-c.timers.Now().Sub(c.last)), c.run)
 }
 
-func (g *Coalescer) run(now time.Time) {
-	g.mu.Lock()
-	g.last, g.pending = now, false
-	g.mu.Unlock()
-	g.fn()
+func (c *Coalescer) run(now time.Time) {
+	c.mu.Lock()
+	c.last, c.pending = now, false
+	c.mu.Unlock()
+	c.fn()
 }
--- a/laburnumtimer/coalescer_test.go
+++ b/laburnumtimer/coalescer_test.go
@@ -14,12 +14,12 @@
 func TestCoalescerRunsOncePerPeriod(t *testing.T) {
 	timers := laburnumtimer.NewManual(time.Unix(1_000_000, 0))
 	runs := 0
-	g := laburnumtimer.NewCoalescer(timers, func() time.Duration { return 100 * time.Millisecond }, func() { runs++ })
-	g.Trigger()
+	c := laburnumtimer.NewCoalescer(timers, func() time.Duration { return 100 * time.Millisecond }, func() { runs++ })
+	c.Trigger()
 	timers.Advance(0)
 	require.Equal(t, 1, runs)
 	for range 1000 {
-		g.Trigger()
+		c.Trigger()
 	}
 	timers.Advance(99 * time.Millisecond)
 	require.Equal(t, 1, runs)
--- a/laburnumvoter/fault_test.go
+++ b/laburnumvoter/fault_test.go
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestHandOverIsQuick(t *testing.T) {
+func TestLeadershipTransferIsQuick(t *testing.T) {
 	f := newFleet(t, []string{"a", "b", "c"})
 	f.startAll()
 	f.vms["a"].apply(t, "first", 0)
