--- a/laburnumdirector/cluster_test.go
+++ b/laburnumdirector/cluster_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
 	"laburnumlever/laburnumdirector"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnumregistry"
 	"laburnumlever/laburnumstate"
 	"laburnumlever/laburnumtimer"
@@ -52,7 +52,7 @@
 type node struct {
 	w            *cluster
 	vm           laburnumlever.VM
-	loop         *laburnumcontrol.Loop
+	loop         *laburnumeventloop.Loop
 	director     *laburnumdirector.Director
 	isLeader     bool
 	disconnected bool // Propose fails
@@ -72,15 +72,15 @@
 // fakeEngine implements the platform's rules on orders. It fails the test if an order overcommits
 // its memory or adapter slots.
 type fakeEngine struct {
-	w         *cluster
-	id        laburnumlever.BackendID
-	held      map[laburnumlever.ModelName]map[laburnumlever.AdapterName]bool
-	born      uint64
-	accepted  uint64
-	fence     uint64
-	busyUntil time.Time
-	pending   func() // the effect of the order in progress, applied at its end
-	sequence  uint64
+	w           *cluster
+	id          laburnumlever.BackendID
+	held        map[laburnumlever.ModelName]map[laburnumlever.AdapterName]bool
+	incarnation uint64
+	accepted    uint64
+	fence       uint64
+	busyUntil   time.Time
+	pending     func() // the effect of the order in progress, applied at its end
+	sequence    uint64
 	// instant makes orders end at once, so that the heartbeat showing the end overtakes the answer.
 	instant bool
 	// losesRecords drops the heartbeats that change what the engine holds.
@@ -100,7 +100,7 @@
 	}
 	w.now = w.timers.Now()
 	for i := range models {
-		w.class.Models = append(w.class.Models, laburnumlever.ResidentClass{
+		w.class.Models = append(w.class.Models, laburnumlever.ModelClass{
 			Name: modelName(i), WeightsMB: 72, Adapters: 6, AdapterMB: 1,
 			StoreLoad: laburnumlever.Duration(4 * time.Second), DiskLoad: laburnumlever.Duration(time.Second), MemoryLoad: laburnumlever.Duration(600 * time.Millisecond),
 		})
@@ -128,7 +128,7 @@
 func (w *cluster) addDirector(i int) {
 	n := &node{
 		w: w, vm: laburnumlever.VM{ID: laburnumlever.VMID(fmt.Sprintf("10.0.0.%d", i)), Incarnation: 1},
-		loop: laburnumcontrol.New(), overlays: map[laburnumlever.BackendID]laburnumregistry.Overlay{},
+		loop: laburnumeventloop.New(), overlays: map[laburnumlever.BackendID]laburnumregistry.Overlay{},
 		registry: laburnumregistry.New(time.Second),
 	}
 	n.director = laburnumdirector.New(n.loop, w.timers, n, engineCalls{n}, n.vm,
@@ -235,29 +235,29 @@
 
 func (w *cluster) setDemand(model int, perSecond float64) {
 	for _, n := range w.directors {
-		n.director.SetGatewayReport("gateway", laburnumlever.GatewayNews{Demand: []laburnumlever.ModelDemand{{
+		n.director.SetGatewayReport("gateway", laburnumlever.GatewayReport{Demand: []laburnumlever.ModelDemand{{
 			Model: modelName(model), VM: "gateway", RequestsPerSecond: perSecond, PromptTokens: perSecond * 700, AnswerTokens: perSecond * 280,
 		}}})
 	}
 }
 
 func (e *fakeEngine) heartbeat() laburnumlever.Heartbeat {
-	h := laburnumlever.Heartbeat{Backend: e.id, Service: "quotes", Address: string(e.id), Zone: "brest", Born: e.born, Sequence: e.sequence, Slots: 24}
+	h := laburnumlever.Heartbeat{Backend: e.id, Service: "quotes", Address: string(e.id), Zone: "brest", Incarnation: e.incarnation, Sequence: e.sequence, Slots: 24}
 	h.Models = e.models()
 	return h
 }
 
-func (e *fakeEngine) models() []laburnumlever.HeldModel {
-	var list []laburnumlever.HeldModel
+func (e *fakeEngine) models() []laburnumlever.EngineModel {
+	var list []laburnumlever.EngineModel
 	for name, adapters := range e.held {
-		m := laburnumlever.HeldModel{Name: name, Version: 1}
+		m := laburnumlever.EngineModel{Name: name, Version: 1}
 		for a := range adapters {
 			m.Adapters = append(m.Adapters, a)
 		}
 		slices.Sort(m.Adapters)
 		list = append(list, m)
 	}
-	slices.SortFunc(list, func(a, b laburnumlever.HeldModel) int { return strings.Compare(string(a.Name), string(b.Name)) })
+	slices.SortFunc(list, func(a, b laburnumlever.EngineModel) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	return list
 }
 
@@ -280,7 +280,7 @@
 
 // restart restarts the engine with the same identity and empty state. Delayed orders still arrive.
 func (e *fakeEngine) restart() {
-	e.born, e.sequence, e.accepted, e.fence, e.pending = e.born+1, 0, 0, 0, nil
+	e.incarnation, e.sequence, e.accepted, e.fence, e.pending = e.incarnation+1, 0, 0, 0, nil
 	e.held = map[laburnumlever.ModelName]map[laburnumlever.AdapterName]bool{}
 	e.sendHeartbeat()
 }
@@ -304,7 +304,7 @@
 	if e == nil {
 		return laburnumlever.EngineState{}, &laburnumlever.NotSentError{Cause: errors.New("refused")}
 	}
-	return laburnumlever.EngineState{Born: e.born, Accepted: e.accepted, Busy: e.pending != nil, Models: e.models()}, nil
+	return laburnumlever.EngineState{Incarnation: e.incarnation, Accepted: e.accepted, Busy: e.pending != nil, Models: e.models()}, nil
 }
 
 func (c engineCalls) Order(_ context.Context, to laburnumlever.Heartbeat, order laburnumlever.EngineOrder) (laburnumlever.EngineVerdict, error) {
--- a/laburnumdispatch/simulation_test.go
+++ b/laburnumdispatch/simulation_test.go
@@ -28,7 +28,7 @@
 	at, first           time.Time
 	vm                  policy
 	abandoned, answered bool
-	sends               int
+	sent                int
 	ticket              any
 }
 
@@ -154,7 +154,7 @@
 		b.Announcement = laburnumlever.Announcement{Backend: laburnumlever.BackendID(strconv.Itoa(e.id)), Slots: 4, TokensPerSecond: 200}
 		b.Report = laburnumlever.LoadReport{
 			Sequence: e.nextCount, InFlight: e.running, Queued: len(e.waiting),
-			Loaded: []laburnumlever.Loaded{{Model: "m", Ready: true}},
+			Loaded: []laburnumlever.ModelCopy{{Model: "m", Ready: true}},
 		}
 		view.Backends = append(view.Backends, b)
 	}
@@ -171,8 +171,8 @@
 
 // send sends the call to an engine.
 func (p *simulation) send(c *call, e *engine) {
-	c.sends++
-	if c.sends > 1 {
+	c.sent++
+	if c.sent > 1 {
 		p.retries++
 	}
 	switch {
--- a/laburnumcontrol/loop.go
+++ b/laburnumeventloop/loop.go
@@ -1,16 +1,16 @@
-// Package laburnumcontrol is the event loop of the control thread: one goroutine that
+// Package laburnumeventloop is the event loop of the control thread: one goroutine that
 // dispatches typed events, one at a time, to the components that own control state.
 //
 // # Usage
 //
-//	loop := laburnumcontrol.New()
+//	loop := laburnumeventloop.New()
 //	go loop.Run()
 //	loop.Post(membership, announced{…})
 //	defer loop.Stop()
 //
 // Tests call Drain instead of Run: it handles queued events on the caller's goroutine,
 // so that the order is deterministic.
-package laburnumcontrol
+package laburnumeventloop
 
 import (
 	"sync"
@@ -43,7 +43,7 @@
 
 // WithAfterEvent sets a function that runs on the control thread after each event, for
 // example to publish a new view.
-func WithAfter(after func(ev laburnumlever.Event)) Option {
+func WithAfterEvent(after func(ev laburnumlever.Event)) Option {
 	return func(l *Loop) { l.afterEvent = after }
 }
 
--- a/laburnumcontrol/meter_test.go
+++ b/laburnumeventloop/meter_test.go
@@ -1,11 +1,11 @@
-package laburnumcontrol_test
+package laburnumeventloop_test
 
 import (
 	"testing"
 	"time"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
+	"laburnumlever/laburnumeventloop"
 
 	"github.com/stretchr/testify/require"
 )
@@ -24,8 +24,8 @@
 
 // Guards against a usage that attributes time or waits to the wrong events.
 func TestMeterAttributesTimeToEvents(t *testing.T) {
-	meter := laburnumcontrol.NewMeter()
-	loop := laburnumcontrol.New(laburnumcontrol.WithMeter(meter))
+	meter := laburnumeventloop.NewMeter()
+	loop := laburnumeventloop.New(laburnumeventloop.WithMeter(meter))
 	loop.Post(sleeper{}, slow{})
 	loop.Post(sleeper{}, number(1))
 	loop.Post(sleeper{}, number(2))
@@ -35,6 +35,6 @@
 	require.Equal(t, []string{"slow", "number"}, []string{usage.Events[0].Event, usage.Events[1].Event})
 	require.Equal(t, 2, usage.Events[1].Count)
 	require.GreaterOrEqual(t, usage.Busy, 10*time.Millisecond)
-	require.GreaterOrEqual(t, usage.Waited, 10*time.Millisecond, "the number events were queued behind the slow event")
+	require.GreaterOrEqual(t, usage.MaxWait, 10*time.Millisecond, "the number events were queued behind the slow event")
 	require.Zero(t, meter.Take().Busy)
 }
--- a/laburnumgateway/forward.go
+++ b/laburnumgateway/forward.go
@@ -89,7 +89,7 @@
 	}
 	reason, paid, ok := laburnumretry.Attempt{
 		Stage: fail.stage, MayHaveRun: q.mayHaveRun, Started: out.started, Idempotent: q.route.Repeatable(),
-		Resumable: q.route.Resumable, Sent: q.sends, Tries: q.tries, MaxSent: q.route.MaxAttempts,
+		Resumable: q.route.Resumable, Sent: q.sent, Tries: q.tries, MaxSent: q.route.MaxAttempts,
 	}.Next()
 	if ok && paid && !g.chargeRetry(q) {
 		fail.reason = laburnumlever.RefusedRetryBudget
@@ -153,7 +153,7 @@
 func (g *Gateway) loadAdapter(ctx context.Context, q *request) error {
 	ctx, cancel := context.WithTimeout(ctx, adapterLoadTimeout)
 	defer cancel()
-	ids, err := g.adapters.EnsureLoaded(ctx, laburnumlever.AdapterNeed{
+	ids, err := g.adapters.EnsureLoaded(ctx, laburnumlever.AdapterRequest{
 		Service: q.service.Name, Model: q.caller.Model, Adapter: q.caller.Adapter, Except: g.fleet.unusableEngines(q),
 	})
 	if err != nil {
--- a/laburnumnode/node.go
+++ b/laburnumnode/node.go
@@ -9,8 +9,8 @@
 	"github.com/go-kit/log/level"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
 	"laburnumlever/laburnumdistribution"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnummembership"
 	"laburnumlever/laburnummetrics"
 	"laburnumlever/laburnumorder"
@@ -32,15 +32,15 @@
 	self      laburnumlever.VM
 	listeners *listeners
 	servers   []*http.Server
-	loop      *laburnumcontrol.Loop
+	loop      *laburnumeventloop.Loop
 	publisher *publisher
 
-	peers      *laburnumpeer.Peers
-	membership *laburnummembership.Membership
-	spread     *laburnumdistribution.Distributor
-	voter      *laburnumvoter.Voter
-	owner      *laburnumorder.Owner
-	proxy      *laburnumproxy.Proxy
+	peers       *laburnumpeer.Peers
+	membership  *laburnummembership.Membership
+	distributor *laburnumdistribution.Distributor
+	voter       *laburnumvoter.Voter
+	owner       *laburnumorder.Owner
+	proxy       *laburnumproxy.Proxy
 
 	// notReady is the reason that the VM does not serve callers, empty if it does.
 	// Only the control thread uses it.
--- a/laburnumroles/control.go
+++ b/laburnumroles/control.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
 	"laburnumlever/laburnumdirector"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnumfeed"
 	"laburnumlever/laburnumlog"
 	"laburnumlever/laburnumregistry"
@@ -53,8 +53,8 @@
 // Control is a control VM's process. It implements laburnumlever.FleetControl.
 type Control struct {
 	process
-	loop     *laburnumcontrol.Loop
-	meter    *laburnumcontrol.Meter
+	loop     *laburnumeventloop.Loop
+	meter    *laburnumeventloop.Meter
 	voter    *laburnumvoter.Voter
 	source   *laburnumfeed.Source
 	follower *laburnumfeed.Follower
@@ -75,9 +75,9 @@
 )
 
 // NewControl returns a control VM that is not started. An error is a *StartError.
-func NewControl(settings laburnumsettings.Role, engines laburnumlever.ModelEngines, opts ...Option) (*Control, error) {
-	meter := laburnumcontrol.NewMeter()
-	c := &Control{process: newProcess(settings, opts), loop: laburnumcontrol.New(laburnumcontrol.WithMeter(meter)), meter: meter}
+func NewControl(settings laburnumsettings.RoleSettings, engines laburnumlever.ModelEngines, opts ...Option) (*Control, error) {
+	meter := laburnumeventloop.NewMeter()
+	c := &Control{process: newProcess(settings, opts), loop: laburnumeventloop.New(laburnumeventloop.WithMeter(meter)), meter: meter}
 	c.commitTimes = c.metrics.Scope().Histogram("routes_commit_seconds", commitTimeBuckets)
 	c.registry = laburnumregistry.New(time.Duration(settings.Times.Heartbeat))
 	c.source = laburnumfeed.NewSource(c.peers, c.timers, c.self, laburnumfeed.WithSourceLogger(c.logger))
@@ -102,13 +102,13 @@
 	d.OnLeaseChange(c.leaseChanged)
 	d.OnReplaced(c.removeAndRelay)
 	c.source.OnGatewayReport(c.recordGatewayReport)
-	c.peers.Handle(methodAdapterNeed, c.handleAdapterNeed)
+	c.peers.Handle(methodAdapterRequest, c.handleAdapterRequest)
 	c.director = d
 }
 
 // recordGatewayReport processes a gateway's report. A backend server whose address was taken over by
 // another one is removed at once, without waiting for its heartbeats to time out.
-func (c *Control) recordGatewayReport(vm laburnumlever.VMID, report laburnumlever.GatewayNews) {
+func (c *Control) recordGatewayReport(vm laburnumlever.VMID, report laburnumlever.GatewayReport) {
 	for _, id := range report.Replaced {
 		c.removeAndRelay(id)
 	}
@@ -132,13 +132,13 @@
 	c.source.SetDirector("")
 }
 
-func (c *Control) handleAdapterNeed(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
-	var need laburnumlever.AdapterNeed
-	if err := json.Unmarshal(params, &need); err != nil {
-		return nil, &laburnumfeed.MessageError{Method: methodAdapterNeed, Cause: err}
+func (c *Control) handleAdapterRequest(ctx context.Context, params laburnumlever.RawMessage) (any, error) {
+	var request laburnumlever.AdapterRequest
+	if err := json.Unmarshal(params, &request); err != nil {
+		return nil, &laburnumfeed.MessageError{Method: methodAdapterRequest, Cause: err}
 	}
-	backends, err := c.director.EnsureAdapter(ctx, need)
-	return adapterNeedAnswer{Backends: backends}, err
+	backends, err := c.director.EnsureAdapter(ctx, request)
+	return adapterRequestAnswer{Backends: backends}, err
 }
 
 func (c *Control) buildVoter() error {
@@ -213,15 +213,15 @@
 	for _, e := range u.Events {
 		events = append(events, e.String())
 	}
-	_ = level.Info(c.logger).Log("event", laburnumlever.EventControlThread, "span-ms", u.Span.Milliseconds(), "busy-ms", u.Busy.Milliseconds(),
-		"waited-ms", u.Waited.Milliseconds(), "longest", u.Longest.Event, "longest-ms", u.Longest.Took.Milliseconds(), "events", events)
+	_ = level.Info(c.logger).Log("event", laburnumlever.EventControlThreadTimes, "span-ms", u.Span.Milliseconds(), "busy-ms", u.Busy.Milliseconds(),
+		"waited-ms", u.MaxWait.Milliseconds(), "longest", u.Longest.Event, "longest-ms", u.Longest.Duration.Milliseconds(), "events", events)
 }
 
 // Shutdown transfers leadership of the log and stops the process. ctx bounds the transfer.
 func (c *Control) Shutdown(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leadershipTransferTimeout)
 	defer cancel()
-	if err := c.voter.HandOver(ctx); err != nil {
+	if err := c.voter.TransferLeadership(ctx); err != nil {
 		_ = level.Warn(c.logger).Log("event", laburnumlever.EventLeadershipNotHandedOver, "cause", err)
 	}
 	c.follower.Close()
@@ -278,10 +278,10 @@
 func (c *Control) recordUnchanged(h unchangedHeartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.registry.KeepAlive(h.Backend, h.Born, h.Sequence, c.timers.Now()) {
+	if c.registry.KeepAlive(h.Backend, h.Incarnation, h.Sequence, c.timers.Now()) {
 		c.publishRecord(h.Backend)
 	}
-	c.director.SetHeartbeat(laburnumlever.Heartbeat{Backend: h.Backend, Born: h.Born, Sequence: h.Sequence})
+	c.director.SetHeartbeat(laburnumlever.Heartbeat{Backend: h.Backend, Incarnation: h.Incarnation, Sequence: h.Sequence})
 }
 
 func (c *Control) remove(backend laburnumlever.BackendID) {
@@ -300,7 +300,7 @@
 	}
 	c.source.SetRecord(r)
 	c.director.SetRecord(r)
-	_ = c.recordLogger(r).Log("event", laburnumlever.EventBackendKnown, "backend", id, "service", r.Heartbeat.Service,
+	_ = c.recordLogger(r).Log("event", laburnumlever.EventBackendChanged, "backend", id, "service", r.Heartbeat.Service,
 		"address", r.Heartbeat.Address, "sequence", r.Heartbeat.Sequence, "leaving", r.Heartbeat.Leaving,
 		"gone", r.Gone, "silent", r.Silent)
 }
@@ -318,7 +318,7 @@
 func (c *Control) relayToControls(batch relayBatch) {
 	encoded, err := json.Marshal(batch)
 	if err != nil {
-		_ = level.Error(c.logger).Log("event", laburnumlever.EventNewsNotEncoded, "cause", err)
+		_ = level.Error(c.logger).Log("event", laburnumlever.EventBackendStateNotEncoded, "cause", err)
 		return
 	}
 	for _, vm := range c.source.Controls() {
@@ -420,9 +420,9 @@
 func (c *Control) RoutesVersion() uint64 { return ^uint64(0) }
 
 // GatewayReport is empty: only gateways serve callers and have backend state to report.
-func (c *Control) GatewayReport() laburnumlever.GatewayNews { return laburnumlever.GatewayNews{} }
+func (c *Control) GatewayReport() laburnumlever.GatewayReport { return laburnumlever.GatewayReport{} }
 
 // Reload applies changed settings: new seeds are polled in addition to the known control VMs.
-func (c *Control) Reload(settings laburnumsettings.Role) {
+func (c *Control) Reload(settings laburnumsettings.RoleSettings) {
 	c.reload(settings, c.follower)
 }
--- a/laburnumroles/messages.go
+++ b/laburnumroles/messages.go
@@ -4,12 +4,12 @@
 
 // JSON-RPC methods between VMs.
 const (
-	methodAdapterNeed    = "adapter-need"
+	methodAdapterRequest = "adapter-need"
 	methodHeartbeatRelay = "heartbeat-relay"
 )
 
-// adapterNeedAnswer lists the engines that hold the adapter.
-type adapterNeedAnswer struct {
+// adapterRequestAnswer lists the engines that hold the adapter.
+type adapterRequestAnswer struct {
 	Backends []laburnumlever.BackendID `json:"backends"`
 }
 
@@ -25,7 +25,7 @@
 
 // unchangedHeartbeat identifies a heartbeat whose content is the same as that of the one before.
 type unchangedHeartbeat struct {
-	Backend  laburnumlever.BackendID `json:"backend"`
-	Born     uint64                  `json:"born,omitempty"`
-	Sequence uint64                  `json:"sequence"`
+	Backend     laburnumlever.BackendID `json:"backend"`
+	Incarnation uint64                  `json:"born,omitempty"`
+	Sequence    uint64                  `json:"sequence"`
 }
--- a/laburnumsimulation/control.go
+++ b/laburnumsimulation/control.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"laburnumlever"
-	"laburnumlever/laburnumcontrol"
 	"laburnumlever/laburnumdirector"
+	"laburnumlever/laburnumeventloop"
 	"laburnumlever/laburnumregistry"
 	"laburnumlever/laburnumstate"
 	"laburnumlever/laburnumtimer"
@@ -32,11 +32,11 @@
 // control models all control VMs as one: the registry, the director and publication to gateways.
 type control struct {
 	sim       *simulation
-	loop      *laburnumcontrol.Loop
+	loop      *laburnumeventloop.Loop
 	director  *laburnumdirector.Director
 	registry  *laburnumregistry.Table
 	machine   *laburnumstate.Machine
-	publisher *laburnumtimer.Gatherer
+	publisher *laburnumtimer.Coalescer
 	// noQuorum makes every proposal fail, so that no lease can be acquired or renewed.
 	noQuorum bool
 	records  map[laburnumlever.BackendID]laburnumregistry.Record
@@ -46,7 +46,7 @@
 // drainingTimers drains the control loop after each of the director's timers.
 type drainingTimers struct {
 	laburnumlever.Timers
-	loop *laburnumcontrol.Loop
+	loop *laburnumeventloop.Loop
 }
 
 // Every implements laburnumlever.Timers.
@@ -67,12 +67,12 @@
 
 func newControl(sim *simulation) *control {
 	c := &control{
-		sim: sim, loop: laburnumcontrol.New(), machine: laburnumstate.New(),
+		sim: sim, loop: laburnumeventloop.New(), machine: laburnumstate.New(),
 		registry: laburnumregistry.New(time.Duration(sim.scenario.Engines.Heartbeat)),
 		records:  map[laburnumlever.BackendID]laburnumregistry.Record{}, overlays: map[laburnumlever.BackendID]laburnumregistry.Overlay{},
 	}
 	period := func() time.Duration { return time.Duration(len(sim.gateways)+1) * publishDelayPerVM }
-	c.publisher = laburnumtimer.NewGatherer(sim.timers, period, c.publish)
+	c.publisher = laburnumtimer.NewCoalescer(sim.timers, period, c.publish)
 	later := func(d time.Duration) func(func()) {
 		return func(call func()) {
 			sim.after(d, func() {
@@ -132,13 +132,13 @@
 	if r, ok := c.registry.Record(id); ok {
 		c.records[id] = r
 		c.director.SetRecord(r)
-		c.publisher.Poke()
+		c.publisher.Trigger()
 	}
 }
 
 func (c *control) overlayChanged(o laburnumregistry.Overlay) {
 	c.overlays[o.Backend] = o
-	c.publisher.Poke()
+	c.publisher.Trigger()
 }
 
 // publish sends the records and overlays that have changed to all gateways.
@@ -162,16 +162,16 @@
 	})
 }
 
-func (c *control) receiveReport(vm laburnumlever.VMID, report laburnumlever.GatewayNews) {
+func (c *control) receiveReport(vm laburnumlever.VMID, report laburnumlever.GatewayReport) {
 	c.director.SetGatewayReport(vm, report)
 	c.loop.Drain()
 }
 
 // ensureAdapter asks the director for an adapter on behalf of a gateway.
-func (c *control) ensureAdapter(zone laburnumlever.ZoneName, need laburnumlever.AdapterNeed, reply func(ids []laburnumlever.BackendID)) {
+func (c *control) ensureAdapter(zone laburnumlever.ZoneName, adapterRequest laburnumlever.AdapterRequest, reply func(ids []laburnumlever.BackendID)) {
 	link := c.sim.link(zone, "")
 	c.sim.after(link, func() {
-		c.director.EnsureAdapterAsync(need, func(ids []laburnumlever.BackendID, _ error) {
+		c.director.EnsureAdapterAsync(adapterRequest, func(ids []laburnumlever.BackendID, _ error) {
 			c.sim.after(link, func() { reply(ids) })
 		})
 		c.loop.Drain()
