--- a/errors.go
+++ b/errors.go
@@ -140,13 +140,14 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// StaleReportError is a report of a backend server that is older than the known state.
-type StaleReportError struct {
+// StaleNewsError is a report of a backend server that is older than the known state; the name of
+// the type is the kind of the error on the wire.
+type StaleNewsError struct {
 	Backend      BackendID
 	Known, Given uint64
 }
 
-func (e *StaleReportError) Error() string {
+func (e *StaleNewsError) Error() string {
 	return fmt.Sprintf("backend server %s: report %d is older than known report %d", e.Backend, e.Given, e.Known)
 }
 
--- a/interfaces.go
+++ b/interfaces.go
@@ -63,7 +63,7 @@
 }
 
 // BackendRegistry accepts announcements and reports of backend servers from any
-// goroutine. A lower incarnation or sequence than the known one is a *StaleReportError.
+// goroutine. A lower incarnation or sequence than the known one is a *StaleNewsError.
 type BackendRegistry interface {
 	Announce(ctx context.Context, a Announcement) error
 	Report(ctx context.Context, r LoadReport) error
--- a/laburnumdirector/adapters.go
+++ b/laburnumdirector/adapters.go
@@ -29,7 +29,7 @@
 }
 
 // AdapterFunc receives the engines that hold an adapter. Errors: *NotDirectorError,
-// *NoAdapterSlotError.
+// *NoAdapterPlaceError.
 type AdapterFunc func(backends []laburnumlever.BackendID, err error)
 
 type adapterAnswer struct {
@@ -81,7 +81,7 @@
 			continue
 		}
 		if now.Sub(r.since) > adapterRequestTimeout {
-			r.reply(nil, &NoAdapterSlotError{Model: r.key.model, Adapter: r.key.adapter, Detail: "no slot became free in time"})
+			r.reply(nil, &NoAdapterPlaceError{Model: r.key.model, Adapter: r.key.adapter, Detail: "no slot became free in time"})
 			continue
 		}
 		pending = append(pending, r)
--- a/laburnumdirector/errors.go
+++ b/laburnumdirector/errors.go
@@ -13,14 +13,15 @@
 	return fmt.Sprintf("control VM %s does not hold the placement lease", e.VM)
 }
 
-// NoAdapterSlotError reports an adapter that no engine has a slot for.
-type NoAdapterSlotError struct {
+// NoAdapterPlaceError reports an adapter that no engine has a slot for; the name of the type is the
+// kind of the error on the wire.
+type NoAdapterPlaceError struct {
 	Model   laburnumlever.ModelName
 	Adapter laburnumlever.AdapterName
 	Detail  string
 }
 
-func (e *NoAdapterSlotError) Error() string {
+func (e *NoAdapterPlaceError) Error() string {
 	return fmt.Sprintf("no engine can load adapter %s/%s: %s", e.Model, e.Adapter, e.Detail)
 }
 
--- a/laburnumdistribution/body.go
+++ b/laburnumdistribution/body.go
@@ -49,18 +49,18 @@
 func (e envelope) unpack() (*catalogueBody, error) {
 	r, err := gzip.NewReader(bytes.NewReader(e.Gzip))
 	if err != nil {
-		return nil, &DecodeError{Revision: e.Revision, Cause: err}
+		return nil, &BodyError{Revision: e.Revision, Cause: err}
 	}
 	raw, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
 	if err != nil {
-		return nil, &DecodeError{Revision: e.Revision, Cause: err}
+		return nil, &BodyError{Revision: e.Revision, Cause: err}
 	}
 	if len(raw) > maxUnpackedBytes {
-		return nil, &DecodeError{Revision: e.Revision, Cause: &TooLargeError{Limit: maxUnpackedBytes}}
+		return nil, &BodyError{Revision: e.Revision, Cause: &TooLargeError{Limit: maxUnpackedBytes}}
 	}
 	b := &catalogueBody{packed: e.Gzip}
 	if err := json.Unmarshal(raw, &b.catalogue); err != nil {
-		return nil, &DecodeError{Revision: e.Revision, Cause: err}
+		return nil, &BodyError{Revision: e.Revision, Cause: err}
 	}
 	b.once.Do(func() {}) // already packed
 	return b, nil
--- a/laburnumdistribution/errors.go
+++ b/laburnumdistribution/errors.go
@@ -2,18 +2,19 @@
 
 import "fmt"
 
-// DecodeError reports a catalogue from another VM that can't be decoded.
-type DecodeError struct {
+// BodyError reports a catalogue from another VM that can't be decoded; the name of the type is the
+// kind of the error on the wire if it has no Cause, else the name of the innermost cause's type is.
+type BodyError struct {
 	Revision uint64
 	Cause    error
 }
 
-func (e *DecodeError) Error() string {
+func (e *BodyError) Error() string {
 	return fmt.Sprintf("decode catalogue revision %d from another VM: %v", e.Revision, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *DecodeError) Unwrap() error { return e.Cause }
+func (e *BodyError) Unwrap() error { return e.Cause }
 
 // NoCatalogueError is the answer to a pull from a VM that has no catalogue yet.
 type NoCatalogueError struct{}
--- a/laburnummembership/backends.go
+++ b/laburnummembership/backends.go
@@ -8,11 +8,11 @@
 )
 
 // announce handles an announcement that a backend server sent to this VM. It returns a
-// *StaleReportError for an incarnation older than the known one.
+// *StaleNewsError for an incarnation older than the known one.
 func (c *core) announce(a laburnumlever.Announcement, now time.Time) error {
 	r, ok := c.backends.records[a.Backend]
 	if ok && a.Incarnation < r.state.Incarnation {
-		return &laburnumlever.StaleReportError{Backend: a.Backend, Known: r.state.Incarnation, Given: a.Incarnation}
+		return &laburnumlever.StaleNewsError{Backend: a.Backend, Known: r.state.Incarnation, Given: a.Incarnation}
 	}
 	if !ok || a.Incarnation > r.state.Incarnation {
 		n := backendState{Backend: a.Backend, Incarnation: a.Incarnation, StateVersion: 1, Publisher: c.self.ID, Announcement: &a}
@@ -39,7 +39,7 @@
 }
 
 // report handles a load report that a backend server sent to this VM. It returns a
-// *NotFoundError for an incarnation not yet announced and a *StaleReportError for an older
+// *NotFoundError for an incarnation not yet announced and a *StaleNewsError for an older
 // incarnation or a repeated sequence number.
 func (c *core) report(given laburnumlever.LoadReport, now time.Time) error {
 	r, ok := c.backends.records[given.Backend]
@@ -47,9 +47,9 @@
 	case !ok || given.Incarnation > r.state.Incarnation:
 		return &laburnumlever.NotFoundError{Kind: "announced backend server", Name: string(given.Backend)}
 	case given.Incarnation < r.state.Incarnation:
-		return &laburnumlever.StaleReportError{Backend: given.Backend, Known: r.state.Incarnation, Given: given.Incarnation}
+		return &laburnumlever.StaleNewsError{Backend: given.Backend, Known: r.state.Incarnation, Given: given.Incarnation}
 	case given.Sequence <= r.directSequence:
-		return &laburnumlever.StaleReportError{Backend: given.Backend, Known: r.directSequence, Given: given.Sequence}
+		return &laburnumlever.StaleNewsError{Backend: given.Backend, Known: r.directSequence, Given: given.Sequence}
 	}
 	c.backends.recordContact(r, now)
 	r.directSequence = given.Sequence
@@ -119,7 +119,7 @@
 	case !ok || incarnation > r.state.Incarnation:
 		return &laburnumlever.NotFoundError{Kind: "announced backend server", Name: string(id)}
 	case incarnation < r.state.Incarnation:
-		return &laburnumlever.StaleReportError{Backend: id, Known: r.state.Incarnation, Given: incarnation}
+		return &laburnumlever.StaleNewsError{Backend: id, Known: r.state.Incarnation, Given: incarnation}
 	case r.state.Leaving:
 		return nil
 	}
--- a/laburnummembership/registry.go
+++ b/laburnummembership/registry.go
@@ -6,7 +6,7 @@
 	"laburnumlever"
 )
 
-// Announce handles a backend server's announcement. It returns a *laburnumlever.StaleReportError
+// Announce handles a backend server's announcement. It returns a *laburnumlever.StaleNewsError
 // for an incarnation older than the known one.
 func (m *Membership) Announce(ctx context.Context, a laburnumlever.Announcement) error {
 	answer := make(chan error, 1)
@@ -15,7 +15,7 @@
 }
 
 // Report handles a backend server's load report. It returns a *laburnumlever.NotFoundError if
-// its incarnation has not been announced, and a *laburnumlever.StaleReportError if its
+// its incarnation has not been announced, and a *laburnumlever.StaleNewsError if its
 // incarnation or sequence number is out of date.
 func (m *Membership) Report(ctx context.Context, r laburnumlever.LoadReport) error {
 	answer := make(chan error, 1)
--- a/laburnummembership/staleupdates_test.go
+++ b/laburnummembership/staleupdates_test.go
@@ -26,7 +26,7 @@
 func TestAnnouncementOfEarlierIncarnationIsRefused(t *testing.T) {
 	n, now := newVMWithRestartedBackend(t)
 	late := laburnumlever.Announcement{Backend: "quote-1", Kind: laburnumlever.Engine, Incarnation: 1, Address: "10.0.9.1:9000"}
-	var stale *laburnumlever.StaleReportError
+	var stale *laburnumlever.StaleNewsError
 	require.ErrorAs(t, n.announce(late, now), &stale)
 	require.Equal(t, "10.0.9.2:9000", n.backends.records["quote-1"].state.Announcement.Address)
 }
@@ -39,7 +39,7 @@
 		Backend: "quote-1", Incarnation: 1, Sequence: 900, InFlight: 40,
 		Loaded: []laburnumlever.ModelCopy{{Model: "quotes", Version: "v1", Ready: true}},
 	}
-	var stale *laburnumlever.StaleReportError
+	var stale *laburnumlever.StaleNewsError
 	require.ErrorAs(t, n.report(late, now), &stale)
 	require.Empty(t, n.backends.records["quote-1"].report.Loaded)
 	require.NoError(t, n.report(laburnumlever.LoadReport{Backend: "quote-1", Incarnation: 2, Sequence: 2}, now))
@@ -49,7 +49,7 @@
 // no work until its next restart.
 func TestLeaveOfEarlierIncarnationIsRefused(t *testing.T) {
 	n, now := newVMWithRestartedBackend(t)
-	var stale *laburnumlever.StaleReportError
+	var stale *laburnumlever.StaleNewsError
 	require.ErrorAs(t, n.leaveBackend("quote-1", 1, now), &stale)
 	require.False(t, n.backends.records["quote-1"].state.Leaving)
 }
--- a/laburnumnode/backendhandler.go
+++ b/laburnumnode/backendhandler.go
@@ -67,7 +67,7 @@
 }
 
 func writeResult(ctx iris.Context, err error) {
-	var stale *laburnumlever.StaleReportError
+	var stale *laburnumlever.StaleNewsError
 	var invalid *laburnumlever.InvalidValueError
 	switch {
 	case err == nil:
--- a/laburnumorder/engine.go
+++ b/laburnumorder/engine.go
@@ -170,7 +170,7 @@
 	case ev.inventory.Backend != ev.backend:
 		return &WrongEngineError{Want: ev.backend, Got: ev.inventory.Backend}
 	case ev.inventory.Incarnation < e.announcement.Incarnation:
-		return &laburnumlever.StaleReportError{Backend: ev.backend, Known: e.announcement.Incarnation, Given: ev.inventory.Incarnation}
+		return &laburnumlever.StaleNewsError{Backend: ev.backend, Known: e.announcement.Incarnation, Given: ev.inventory.Incarnation}
 	case !e.announcement.ChecksFencing:
 		return nil
 	}
@@ -188,7 +188,7 @@
 		// Another owner has claimed it, so this owner's lease has expired.
 		e.orderable = false
 		o.lease.next = time.Time{}
-		return &laburnumlever.StaleReportError{Backend: ev.backend, Known: ev.inventory.Fence, Given: ev.number}
+		return &laburnumlever.StaleNewsError{Backend: ev.backend, Known: ev.inventory.Fence, Given: ev.number}
 	}
 	return nil
 }
--- a/laburnumpeer/serve.go
+++ b/laburnumpeer/serve.go
@@ -136,8 +136,9 @@
 }
 
 // KindOf returns the name of an error's type in kebab case without the suffix "Error": "no-quorum" for
-// *laburnumlever.NoQuorumError. The answering VM sets the Kind of a *laburnumlever.PeerRefusedError
-// with it.
+// *laburnumlever.NoQuorumError; of a wrapped error, its innermost cause counts. The answering VM sets
+// the Kind of a *laburnumlever.PeerRefusedError with it, so renaming an error type changes what other
+// VMs receive.
 func KindOf(err error) string {
 	t := reflect.TypeOf(errors.UnwrapAll(err))
 	if t.Kind() == reflect.Pointer {
