--- a/laburnumbalance/balance.go
+++ b/laburnumbalance/balance.go
@@ -82,8 +82,8 @@
 	Backend laburnumlever.Heartbeat
 	server  *server
 	query   Query
-	// reading is the estimated time to read the prompt, in ms; 0 once the answer has begun.
-	reading float64
+	// unreadPromptTime is the estimated time to read the prompt, in ms; 0 once the answer has begun.
+	unreadPromptTime float64
 	// uncached is the number of prompt tokens that the server has probably not cached.
 	uncached  int
 	since     time.Time
@@ -182,7 +182,7 @@
 		s = nil
 	}
 	if s == nil {
-		s = &server{local: r.Heartbeat.Zone == t.zone, readingLimit: initialReadingLimit}
+		s = &server{local: r.Heartbeat.Zone == t.zone, unreadPromptLimit: initialUnreadPromptLimit}
 		t.servers[id] = s
 		t.byService[r.Heartbeat.Service] = append(t.byService[r.Heartbeat.Service], s)
 	}
@@ -269,8 +269,8 @@
 func (t *Table) Outcomes() []laburnumlever.BackendOutcome {
 	var outcomes []laburnumlever.BackendOutcome
 	for id, s := range t.failing {
-		outcomes = append(outcomes, laburnumlever.BackendOutcome{Backend: id, Failed: s.failed, Answered: s.answered})
-		s.failed, s.answered = 0, 0
+		outcomes = append(outcomes, laburnumlever.BackendOutcome{Backend: id, Failed: s.failedSinceReport, Answered: s.answeredSinceReport})
+		s.failedSinceReport, s.answeredSinceReport = 0, 0
 	}
 	clear(t.failing)
 	slices.SortFunc(outcomes, func(a, b laburnumlever.BackendOutcome) int { return cmp.Compare(a.Backend, b.Backend) })
@@ -283,12 +283,12 @@
 	case result.Faulty:
 		t.countFailure(s)
 	case !result.Failed && !result.Unreachable && !result.Full && !result.ReservationRefused:
-		s.answered++
+		s.answeredSinceReport++
 	}
 }
 
 func (t *Table) countFailure(s *server) {
-	s.failed++
+	s.failedSinceReport++
 	t.failing[s.record.Heartbeat.Backend] = s
 }
 
@@ -353,15 +353,15 @@
 	}
 	best.own++
 	uncached := t.prefixes.uncachedTokens(best.record.Heartbeat, q)
-	reading := q.readMillis(uncached)
-	best.reading += reading
+	unreadPromptTime := q.readMillis(uncached)
+	best.unreadPromptTime += unreadPromptTime
 	t.prefixes.add(best.record.Heartbeat, q)
-	return &Ticket{Backend: best.record.Heartbeat, server: best, query: q, reading: reading, uncached: uncached, since: now, mayBeFull: best.mayBeFull(now)}, Found
+	return &Ticket{Backend: best.record.Heartbeat, server: best, query: q, unreadPromptTime: unreadPromptTime, uncached: uncached, since: now, mayBeFull: best.mayBeFull(now)}, Found
 }
 
 // saturated tells whether the server has no free slot or too many prompts of this VM to read.
 func (t *Table) saturated(s *server, now time.Time, queue bool) bool {
-	return now.Before(s.fullUntil) || !queue && t.noSlot(s, now) || (s.reading > 0 && s.reading >= s.readingLimit)
+	return now.Before(s.fullUntil) || !queue && t.noSlot(s, now) || (s.unreadPromptTime > 0 && s.unreadPromptTime >= s.unreadPromptLimit)
 }
 
 // noSlot tells whether the server's slots are taken, by its last reported load.
@@ -389,7 +389,7 @@
 	if slices.Contains(q.Avoid, s.record.Heartbeat.Backend) {
 		score += avoidMillis
 	}
-	return score + s.reading + t.readMillis(s, q)
+	return score + s.unreadPromptTime + t.readMillis(s, q)
 }
 
 // readMillis estimates the time that the server takes to read the uncached part of the prompt.
@@ -408,18 +408,18 @@
 // AnswerStarted records the first part of the answer. It returns the time to the first part and
 // the number of prompt tokens that the server had to read; both are 0 on later calls.
 func (t *Table) AnswerStarted(ticket *Ticket, now time.Time) (time.Duration, int) {
-	if ticket == nil || ticket.server == nil || ticket.reading == 0 {
+	if ticket == nil || ticket.server == nil || ticket.unreadPromptTime == 0 {
 		return 0, 0
 	}
 	took := now.Sub(ticket.since)
-	ticket.server.adaptReadingLimit(took, ticket.query.Target)
+	ticket.server.adaptUnreadPromptLimit(took, ticket.query.Target)
 	ticket.promptRead()
 	return took, ticket.uncached
 }
 
 func (ticket *Ticket) promptRead() {
-	ticket.server.reading = max(0, ticket.server.reading-ticket.reading)
-	ticket.reading = 0
+	ticket.server.unreadPromptTime = max(0, ticket.server.unreadPromptTime-ticket.unreadPromptTime)
+	ticket.unreadPromptTime = 0
 }
 
 // End frees the slot and records the result of the attempt. It ignores a nil ticket.
@@ -461,12 +461,12 @@
 		// A server that refuses requests while it has free slots is failing, even if its health
 		// checks pass.
 		if s.load(now) < idleShare*float64(s.record.Heartbeat.Slots) {
-			s.fail(now)
+			s.recordFailure(now)
 			t.countFailure(s)
 		}
 	}
 	if result.Failed {
-		s.fail(now)
+		s.recordFailure(now)
 	}
 	if result.Unreachable {
 		s.backOff(now)
--- a/laburnumbalance/server.go
+++ b/laburnumbalance/server.go
@@ -11,14 +11,14 @@
 const (
 	// The limit on unread prompts of this VM at a server, in ms of reading time, adapts by
 	// additive increase and multiplicative decrease.
-	initialReadingLimit = 120
-	minReadingLimit     = 25
-	maxReadingLimit     = 300
-	readingIncrease     = 4
-	readingDecrease     = 0.9
-	// readingTarget divides the latency target: an answer that starts later than this part of it
+	initialUnreadPromptLimit = 120
+	minUnreadPromptLimit     = 25
+	maxUnreadPromptLimit     = 300
+	unreadPromptIncrease     = 4
+	unreadPromptDecrease     = 0.9
+	// latencyTargetDivisor divides the latency target: an answer that starts later than this part of it
 	// lowers the limit. The rest is for the network and the queue.
-	readingTarget = 2
+	latencyTargetDivisor = 2
 
 	loadDecay       = 3 * time.Second        // time in which a reported load decays to 0
 	currentLoadAge  = 200 * time.Millisecond // age up to which a reported load is current
@@ -59,14 +59,14 @@
 	// reservationRefused tells that the last reservation was refused and that no load has been
 	// reported since.
 	reservationRefused bool
-	// reading is the estimated time that the server takes to read this VM's unread prompts, in
+	// unreadPromptTime is the estimated time that the server takes to read this VM's unread prompts, in
 	// ms; readingLimit is its limit.
-	reading      float64
-	readingLimit float64
-	failures     float64
-	failedAt     time.Time
-	// failed and answered count outcomes since the last report of this server.
-	failed, answered int
+	unreadPromptTime  float64
+	unreadPromptLimit float64
+	recentFailures    float64
+	failedAt          time.Time
+	// failedSinceReport and answeredSinceReport count outcomes since the last report of this server.
+	failedSinceReport, answeredSinceReport int
 	// unreachableUntil is the end of the current backoff, unreachableTime its length.
 	unreachableUntil time.Time
 	unreachableTime  time.Duration
@@ -92,23 +92,23 @@
 	return s.reservationRefused || age > loadDecay || float64(s.own)+s.others >= idleShare*float64(s.record.Heartbeat.Slots)
 }
 
-// adaptReadingLimit adapts the limit on unread prompts after an answer has started. Additive
+// adaptUnreadPromptLimit adapts the limit on unread prompts after an answer has started. Additive
 // increase and multiplicative decrease converge to equal shares among the VMs that send to the
 // server.
-func (s *server) adaptReadingLimit(took, target time.Duration) {
+func (s *server) adaptUnreadPromptLimit(took, target time.Duration) {
 	if target <= 0 {
 		return
 	}
-	if took > target/readingTarget {
-		s.readingLimit = max(minReadingLimit, s.readingLimit*readingDecrease)
+	if took > target/latencyTargetDivisor {
+		s.unreadPromptLimit = max(minUnreadPromptLimit, s.unreadPromptLimit*unreadPromptDecrease)
 		return
 	}
-	s.readingLimit = min(maxReadingLimit, s.readingLimit+readingIncrease)
+	s.unreadPromptLimit = min(maxUnreadPromptLimit, s.unreadPromptLimit+unreadPromptIncrease)
 }
 
 // failurePenalty is the term of the score for recent failures, in ms.
 func (s *server) failurePenalty(now time.Time) float64 {
-	if s.failures == 0 {
+	if s.recentFailures == 0 {
 		return 0
 	}
 	return failureMillis * s.failuresAt(now)
@@ -123,17 +123,17 @@
 // failuresAt returns the number of recent failures, which halves every failureHalfLife.
 func (s *server) failuresAt(now time.Time) float64 {
 	age := now.Sub(s.failedAt).Seconds() / failureHalfLife.Seconds()
-	return s.failures / math.Exp2(age)
+	return s.recentFailures / math.Exp2(age)
 }
 
 // markOutlier counts an outlier detection as one failure, unless this VM has seen failures itself.
 func (s *server) markOutlier(now time.Time) {
-	s.failures = max(1, s.failuresAt(now))
+	s.recentFailures = max(1, s.failuresAt(now))
 	s.failedAt = now
 }
 
-func (s *server) fail(now time.Time) {
-	s.failures = min(s.failuresAt(now)+1, maxFailures)
+func (s *server) recordFailure(now time.Time) {
+	s.recentFailures = min(s.failuresAt(now)+1, maxFailures)
 	s.failedAt = now
 }
 
--- a/laburnumdirector/adapters.go
+++ b/laburnumdirector/adapters.go
@@ -14,7 +14,7 @@
 const (
 	adapterLoadTime       = 12 * time.Millisecond  // expected duration of an adapter load
 	adapterRequestTimeout = 400 * time.Millisecond // timeout of a gateway's request for an adapter
-	adapterEvictAge       = 400 * time.Millisecond // since its last use, before an adapter may be evicted
+	adapterUnloadAge      = 400 * time.Millisecond // since its last use, before an adapter may be evicted
 	adapterUseWindow      = 3 * time.Second        // since its last use, while an adapter counts as in use
 	maxAdapterLoads       = 4                      // concurrent adapter loads on an engine
 )
@@ -63,48 +63,48 @@
 	}
 }
 
-func (d *Director) onAdapterRequest(n *adapterRequest) {
+func (d *Director) onAdapterRequest(request *adapterRequest) {
 	if !d.lease.valid(d.clock()) {
-		n.reply(nil, &NotDirectorError{VM: d.self.ID})
+		request.reply(nil, &NotDirectorError{VM: d.self.ID})
 		return
 	}
-	if !d.tryAnswer(n) {
-		d.adapterRequests = append(d.adapterRequests, n)
+	if !d.tryAnswer(request) {
+		d.adapterRequests = append(d.adapterRequests, request)
 	}
 }
 
 // retryAdapterRequests retries the pending requests and fails those that have timed out.
 func (d *Director) retryAdapterRequests(now time.Time) {
 	var pending []*adapterRequest
-	for _, n := range d.adapterRequests {
-		if d.tryAnswer(n) {
+	for _, request := range d.adapterRequests {
+		if d.tryAnswer(request) {
 			continue
 		}
-		if now.Sub(n.since) > adapterRequestTimeout {
-			n.reply(nil, &NoAdapterSlotError{Model: n.key.model, Adapter: n.key.adapter, Detail: "no slot became free in time"})
+		if now.Sub(request.since) > adapterRequestTimeout {
+			request.reply(nil, &NoAdapterSlotError{Model: request.key.model, Adapter: request.key.adapter, Detail: "no slot became free in time"})
 			continue
 		}
-		pending = append(pending, n)
+		pending = append(pending, request)
 	}
 	d.adapterRequests = pending
 }
 
 func (d *Director) failAdapterRequests() {
-	for _, n := range d.adapterRequests {
-		n.reply(nil, &NotDirectorError{VM: d.self.ID})
+	for _, request := range d.adapterRequests {
+		request.reply(nil, &NotDirectorError{VM: d.self.ID})
 	}
 	d.adapterRequests = nil
 }
 
 // tryAnswer replies to a request whose adapter is loaded, and tells whether it did. Otherwise it
 // orders the load, unless one is in progress.
-func (d *Director) tryAnswer(n *adapterRequest) bool {
+func (d *Director) tryAnswer(request *adapterRequest) bool {
 	now := d.timers.Now()
 	var ready []laburnumlever.BackendID
 	found := false
-	for _, e := range d.engines.holdersOf(n.key.model) {
-		a := e.adapter(n.key)
-		if a == nil || slices.Contains(n.except, e.heartbeat.Backend) {
+	for _, e := range d.engines.holdersOf(request.key.model) {
+		a := e.adapter(request.key)
+		if a == nil || slices.Contains(request.except, e.heartbeat.Backend) {
 			continue
 		}
 		found = true
@@ -114,11 +114,11 @@
 		}
 	}
 	if len(ready) > 0 {
-		n.reply(ready, nil)
+		request.reply(ready, nil)
 		return true
 	}
 	if !found {
-		d.orderAdapter(n, now)
+		d.orderAdapter(request, now)
 	}
 	return false
 }
@@ -142,14 +142,14 @@
 
 // orderAdapter orders the load of an adapter on the engine with the fewest adapters. If that engine
 // has no free slot or memory, it orders the unload of the least recently used adapter there.
-func (d *Director) orderAdapter(n *adapterRequest, now time.Time) {
-	class := d.services[n.service]
+func (d *Director) orderAdapter(request *adapterRequest, now time.Time) {
+	class := d.engineClasses[request.service]
 	if class == nil {
 		return
 	}
 	var best *engine
-	for _, e := range d.engines.holdersOf(n.key.model) {
-		if slices.Contains(n.except, e.heartbeat.Backend) || !e.acceptsAdapterOf(n.key.model, now) {
+	for _, e := range d.engines.holdersOf(request.key.model) {
+		if slices.Contains(request.except, e.heartbeat.Backend) || !e.acceptsAdapterOrderFor(request.key.model, now) {
 			continue
 		}
 		if best == nil || e.adapterCount() < best.adapterCount() {
@@ -159,24 +159,24 @@
 	if best == nil {
 		return
 	}
-	if best.adapterCount() < class.AdapterSlots && best.hasMemoryFor(class, n.key.model) {
-		d.send(best, laburnumlever.EngineOrder{Kind: laburnumlever.Load, Model: n.key.model, Adapter: n.key.adapter})
+	if best.adapterCount() < class.AdapterSlots && best.hasMemoryFor(class, request.key.model) {
+		d.send(best, laburnumlever.EngineOrder{Kind: laburnumlever.Load, Model: request.key.model, Adapter: request.key.adapter})
 		return
 	}
-	if victim, ok := best.leastRecentlyUsed(now); ok {
-		d.send(best, laburnumlever.EngineOrder{Kind: laburnumlever.Unload, Model: victim.model, Adapter: victim.adapter})
+	if oldest, ok := best.leastRecentlyUsed(now); ok {
+		d.send(best, laburnumlever.EngineOrder{Kind: laburnumlever.Unload, Model: oldest.model, Adapter: oldest.adapter})
 	}
 }
 
-// acceptsAdapterOf tells whether the engine holds the model and accepts an order for an adapter.
-func (e *engine) acceptsAdapterOf(model laburnumlever.ModelName, now time.Time) bool {
+// acceptsAdapterOrderFor tells whether the engine holds the model and accepts an order for an adapter.
+func (e *engine) acceptsAdapterOrderFor(model laburnumlever.ModelName, now time.Time) bool {
 	h := e.held[model]
-	return h != nil && !h.withdrawn && e.acceptsAdapterOrder(now)
+	return h != nil && !h.withdrawn && e.acceptsAdapterOrders(now)
 }
 
-// acceptsAdapterOrder tells whether the engine accepts an order for an adapter. An engine that is
+// acceptsAdapterOrders tells whether the engine accepts an order for an adapter. An engine that is
 // loading a model refuses it.
-func (e *engine) acceptsAdapterOrder(now time.Time) bool {
+func (e *engine) acceptsAdapterOrders(now time.Time) bool {
 	loading := 0
 	for _, h := range e.held {
 		for _, a := range h.adapters {
@@ -185,7 +185,7 @@
 			}
 		}
 	}
-	return e.idle(now) && loading < maxAdapterLoads
+	return e.readyForOrder(now) && loading < maxAdapterLoads
 }
 
 func (e *engine) hasMemoryFor(class *laburnumlever.EngineClass, model laburnumlever.ModelName) bool {
@@ -205,7 +205,7 @@
 	for model, h := range e.held {
 		for name, a := range h.adapters {
 			k := adapterKey{model: model, adapter: name}
-			if !a.ready || now.Sub(a.usedAt) < adapterEvictAge || (oldest != nil && !usedEarlier(a, k, oldest, key)) {
+			if !a.ready || now.Sub(a.usedAt) < adapterUnloadAge || (oldest != nil && !usedEarlier(a, k, oldest, key)) {
 				continue
 			}
 			oldest, key = a, k
--- a/laburnumdirector/director.go
+++ b/laburnumdirector/director.go
@@ -51,7 +51,7 @@
 	lease lease
 	// lastFence is the fencing number of the last lease that this process held.
 	lastFence       uint64
-	services        map[laburnumlever.ServiceName]*laburnumlever.EngineClass
+	engineClasses   map[laburnumlever.ServiceName]*laburnumlever.EngineClass
 	records         map[laburnumlever.BackendID]laburnumregistry.Record
 	engines         *engineTable
 	stateRequests   int // state requests in flight
@@ -83,9 +83,9 @@
 		loop: loop, timers: timers, proposer: proposer, calls: calls, self: self, cfg: cfg, clock: cfg.clock,
 		done: make(chan struct{}), isLeader: func() bool { return false },
 		onOverlay: func(laburnumregistry.Overlay) {}, onLeaseChange: func(bool) {}, onReplaced: func(laburnumlever.BackendID) {},
-		services: map[laburnumlever.ServiceName]*laburnumlever.EngineClass{},
-		records:  map[laburnumlever.BackendID]laburnumregistry.Record{},
-		engines:  newEngineTable(), demand: newEstimator(cfg.rise, cfg.fall, cfg.quiet), outliers: laburnumoutlier.New(), startedAt: timers.Now(),
+		engineClasses: map[laburnumlever.ServiceName]*laburnumlever.EngineClass{},
+		records:       map[laburnumlever.BackendID]laburnumregistry.Record{},
+		engines:       newEngineTable(), demand: newEstimator(cfg.rise, cfg.fall, cfg.quiet), outliers: laburnumoutlier.New(), startedAt: timers.Now(),
 		storeBuckets: map[laburnumlever.ServiceName]*bucket{},
 		layoutLogged: map[laburnumlever.ServiceName]time.Time{},
 		planning:     map[laburnumlever.ServiceName]bool{},
@@ -181,7 +181,7 @@
 	}
 	if now.Sub(d.lastPlan) >= planPeriod {
 		d.lastPlan = now
-		for name, class := range d.services {
+		for name, class := range d.engineClasses {
 			d.plan(name, class, now)
 		}
 	}
@@ -205,10 +205,10 @@
 }
 
 func (d *Director) onRoutes(t laburnumlever.RouteTable) {
-	d.services = map[laburnumlever.ServiceName]*laburnumlever.EngineClass{}
+	d.engineClasses = map[laburnumlever.ServiceName]*laburnumlever.EngineClass{}
 	for _, s := range t.Services {
 		if s.Engine != nil {
-			d.services[s.Name] = s.Engine
+			d.engineClasses[s.Name] = s.Engine
 		}
 	}
 	for id, r := range d.records {
@@ -226,7 +226,7 @@
 		return
 	}
 	d.records[id] = r
-	if d.services[r.Heartbeat.Service] == nil {
+	if d.engineClasses[r.Heartbeat.Service] == nil {
 		return
 	}
 	e := d.engines.get(id)
--- a/laburnumdirector/engine.go
+++ b/laburnumdirector/engine.go
@@ -270,8 +270,8 @@
 	return e.silent || (refused && due)
 }
 
-// idle tells whether the engine can be sent an order.
-func (e *engine) idle(now time.Time) bool {
+// readyForOrder tells whether the engine can be sent an order.
+func (e *engine) readyForOrder(now time.Time) bool {
 	return e.acceptedKnown && e.inFlight == nil && e.unresolved == nil && e.activeModel == "" && !e.silent && !e.stateRequested &&
 		!now.Before(e.retryAt)
 }
@@ -279,7 +279,7 @@
 // snapshot returns the engine's state for the planner.
 func (e *engine) snapshot(now time.Time) laburnumresidency.Engine {
 	p := laburnumresidency.Engine{
-		ID: e.heartbeat.Backend, Zone: e.heartbeat.Zone, Idle: e.idle(now),
+		ID: e.heartbeat.Backend, Zone: e.heartbeat.Zone, Idle: e.readyForOrder(now),
 		InMemory: e.heartbeat.InMemory, OnDisk: e.heartbeat.OnDisk,
 	}
 	for name, h := range e.held {
--- a/laburnumdirector/orders.go
+++ b/laburnumdirector/orders.go
@@ -174,7 +174,7 @@
 		d.requestState(e, now)
 		return
 	}
-	if !e.idle(now) {
+	if !e.readyForOrder(now) {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(e.held)) {
@@ -189,7 +189,7 @@
 // twice.
 func (d *Director) resend(e *engine) {
 	order := *e.unresolved
-	class := d.services[e.heartbeat.Service]
+	class := d.engineClasses[e.heartbeat.Service]
 	if order.Kind == laburnumlever.Load && order.Adapter == "" && class != nil && !d.takeStoreToken(e, class) {
 		return
 	}
@@ -206,7 +206,7 @@
 
 // model returns a model of the engine's service; false if the service has none of that name.
 func (d *Director) model(e *engine, name laburnumlever.ModelName) (laburnumlever.ResidentClass, bool) {
-	class := d.services[e.heartbeat.Service]
+	class := d.engineClasses[e.heartbeat.Service]
 	if class == nil {
 		return laburnumlever.ResidentClass{}, false
 	}
--- a/laburnumdirector/plan.go
+++ b/laburnumdirector/plan.go
@@ -61,7 +61,7 @@
 // onRoundPlanned executes the steps for engines that have not changed since the snapshot.
 func (d *Director) onRoundPlanned(ev roundPlanned) {
 	delete(d.planning, ev.round.service)
-	if !d.lease.valid(d.clock()) || d.services[ev.round.service] != ev.round.class {
+	if !d.lease.valid(d.clock()) || d.engineClasses[ev.round.service] != ev.round.class {
 		return
 	}
 	now := d.timers.Now()
@@ -73,7 +73,7 @@
 	}
 	for _, step := range ev.steps {
 		e := d.engines.get(step.Engine)
-		if e == nil || revisions[step.Engine] != e.revision || !e.idle(now) {
+		if e == nil || revisions[step.Engine] != e.revision || !e.readyForOrder(now) {
 			continue
 		}
 		if step.Kind == laburnumlever.Unload && ev.round.removals != d.engines.removals {
@@ -95,8 +95,8 @@
 			}
 		}
 	}
-	for _, n := range d.adapterRequests {
-		used[n.key] = true
+	for _, request := range d.adapterRequests {
+		used[request.key] = true
 	}
 	counts := map[laburnumlever.ModelName]int{}
 	for key := range used {
--- a/laburnumdiskfault/supervise_linux.go
+++ b/laburnumdiskfault/supervise_linux.go
@@ -33,15 +33,15 @@
 	flags uint32
 }
 
-func (n notification) proceeds() response { return response{id: n.id, flags: continueFlag} }
+func (n notification) continueCall() response { return response{id: n.id, flags: continueFlag} }
 
-func (n notification) returns(value int) response { return response{id: n.id, value: int64(value)} }
+func (n notification) returnValue(value int) response { return response{id: n.id, value: int64(value)} }
 
-func (n notification) fails(errno unix.Errno) response {
+func (n notification) failWith(errno unix.Errno) response {
 	return response{id: n.id, errno: -int32(errno)}
 } //nolint:gosec // small numbers
 
-func (n notification) syncs() bool {
+func (n notification) isSync() bool {
 	return n.number == unix.SYS_FSYNC || n.number == unix.SYS_FDATASYNC
 }
 
@@ -122,7 +122,7 @@
 			continue // the call was interrupted meanwhile
 		}
 		if state, _ := s.disk.current(); state.Mode == Healthy {
-			s.respond(n.proceeds())
+			s.respond(n.continueCall())
 			continue
 		}
 		s.wg.Add(1)
@@ -147,21 +147,21 @@
 func (s *supervisor) decide(n notification) response {
 	path, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", s.pid, n.args[0]))
 	if err != nil || !s.disk.contains(path) {
-		return n.proceeds()
+		return n.continueCall()
 	}
 	state := s.awaitNotStalled()
 	switch {
-	case state.Mode == Slow && n.syncs():
+	case state.Mode == Slow && n.isSync():
 		select {
 		case <-time.After(state.Delay):
 		case <-s.ended:
 		}
-	case state.Mode == Full && !n.syncs():
+	case state.Mode == Full && !n.isSync():
 		return s.shortWrite(n)
-	case state.Mode == Failing && n.syncs():
-		return n.fails(unix.EIO)
+	case state.Mode == Failing && n.isSync():
+		return n.failWith(unix.EIO)
 	}
-	return n.proceeds()
+	return n.continueCall()
 }
 
 // awaitNotStalled waits until the disk isn't stalled or the process has exited.
@@ -184,13 +184,13 @@
 func (s *supervisor) shortWrite(n notification) response {
 	half := int(n.args[2]) / 2 //nolint:gosec // a length
 	if half == 0 || n.number != unix.SYS_WRITE {
-		return n.fails(unix.ENOSPC)
+		return n.failWith(unix.ENOSPC)
 	}
 	done, err := s.writeFor(n, half)
 	if err != nil || done <= 0 {
-		return n.fails(unix.ENOSPC)
+		return n.failWith(unix.ENOSPC)
 	}
-	return n.returns(done)
+	return n.returnValue(done)
 }
 
 // writeFor performs the first size bytes of a write on behalf of the program.
--- a/laburnumdispatch/loads_test.go
+++ b/laburnumdispatch/loads_test.go
@@ -30,7 +30,7 @@
 // load is one load pattern.
 type load struct {
 	name  string
-	setup func(p *simulation)
+	setup func(s *simulation)
 	kinds []kind
 	// minOnTimeShare is the required share of calls of the first kind within their target.
 	minOnTimeShare float64
@@ -48,7 +48,7 @@
 }
 
 var loads = []load{
-	{"burst: tenfold for a minute", func(p *simulation) {
+	{"burst: tenfold for a minute", func(s *simulation) {
 		rate := func(since time.Duration) float64 {
 			if since > 30*time.Second && since < 90*time.Second {
 				return 3 * capacity
@@ -56,30 +56,30 @@
 			return 0.3 * capacity
 		}
 		n := 0
-		p.arrivals(loadDuration, rate, func() *call { n++; return ordinary(fmt.Sprint(n % 50)) })
+		s.arrivals(loadDuration, rate, func() *call { n++; return ordinary(fmt.Sprint(n % 50)) })
 	}, []kind{{"all", allCalls}}, 0.36},
-	{"three callers send 90 in 100, 1.5 times capacity", func(p *simulation) {
-		p.arrivals(loadDuration, steady(1.5*capacity), func() *call {
-			if p.rand.IntN(10) > 0 {
-				return ordinary(fmt.Sprint("heavy", p.rand.IntN(3)))
+	{"three callers send 90 in 100, 1.5 times capacity", func(s *simulation) {
+		s.arrivals(loadDuration, steady(1.5*capacity), func() *call {
+			if s.rand.IntN(10) > 0 {
+				return ordinary(fmt.Sprint("heavy", s.rand.IntN(3)))
 			}
-			return ordinary(fmt.Sprint("light", p.rand.IntN(30)))
+			return ordinary(fmt.Sprint("light", s.rand.IntN(30)))
 		})
 	}, []kind{
 		{"the other thirty", func(c *call) bool { return strings.HasPrefix(c.key, "light") }},
 		{"the three", func(c *call) bool { return strings.HasPrefix(c.key, "heavy") }},
 	}, 0.93},
-	{"one engine of ten is ten times slower, 0.7 of capacity", func(p *simulation) {
-		p.engines[3].rate /= 10
-		p.engines[3].prefill /= 10
+	{"one engine of ten is ten times slower, 0.7 of capacity", func(s *simulation) {
+		s.engines[3].rate /= 10
+		s.engines[3].prefill /= 10
 		n := 0
-		p.arrivals(loadDuration, steady(0.7*capacity), func() *call { n++; return ordinary(fmt.Sprint(n % 50)) })
+		s.arrivals(loadDuration, steady(0.7*capacity), func() *call { n++; return ordinary(fmt.Sprint(n % 50)) })
 	}, []kind{{"all", allCalls}}, 0.99},
-	{"one call in ten is long, 1.3 times capacity", func(p *simulation) {
+	{"one call in ten is long, 1.3 times capacity", func(s *simulation) {
 		// a long call occupies a slot for 8000/4000 + 400/50 = 10 s
-		p.arrivals(loadDuration, steady(1.3*40/(0.9*2.05+0.1*10)), func() *call {
-			c := ordinary(fmt.Sprint(p.rand.IntN(50)))
-			if p.rand.IntN(10) == 0 {
+		s.arrivals(loadDuration, steady(1.3*40/(0.9*2.05+0.1*10)), func() *call {
+			c := ordinary(fmt.Sprint(s.rand.IntN(50)))
+			if s.rand.IntN(10) == 0 {
 				c.prompt, c.answer = 8000, 400
 				c.class.FirstToken = laburnumlever.Duration(10 * time.Second)
 			}
@@ -98,11 +98,11 @@
 	{"batch", func(c *call) bool { return c.class.Priority == laburnumlever.Batch }},
 }
 
-func saturation(times float64) func(p *simulation) {
-	return func(p *simulation) {
-		p.arrivals(loadDuration, steady(times*capacity), func() *call {
-			c := ordinary(fmt.Sprint(p.rand.IntN(50)))
-			if p.rand.IntN(10) < 3 {
+func saturation(times float64) func(s *simulation) {
+	return func(s *simulation) {
+		s.arrivals(loadDuration, steady(times*capacity), func() *call {
+			c := ordinary(fmt.Sprint(s.rand.IntN(50)))
+			if s.rand.IntN(10) < 3 {
 				c.class = batchClass
 			}
 			return c
@@ -111,13 +111,13 @@
 }
 
 func (l load) simulate(c namedPolicy) *simulation {
-	p := newSimulation(10, c.maxQueue)
+	s := newSimulation(10, c.maxQueue)
 	for i := range vms {
-		p.vms = append(p.vms, c.make(p, uint64(i)))
+		s.policies = append(s.policies, c.make(s, uint64(i)))
 	}
-	l.setup(p)
-	p.run(loadDuration + callerTimeout)
-	return p
+	l.setup(s)
+	s.run(loadDuration + callerTimeout)
+	return s
 }
 
 // Guards against overload in which engines work on calls that were abandoned. For each load,
@@ -130,15 +130,15 @@
 	for _, l := range loads {
 		best := 0.0
 		for i, c := range namedPolicies {
-			p := l.simulate(c)
+			s := l.simulate(c)
 			for _, k := range l.kinds {
-				writeRow(&table, l.name, c.name, k, p)
+				writeRow(&table, l.name, c.name, k, s)
 			}
-			first := p.stats(l.kinds[0].of)
+			first := s.stats(l.kinds[0].of)
 			if i == 0 {
 				best = first.onTimeShare()
 				require.GreaterOrEqual(t, best, l.minOnTimeShare, l.name)
-				require.LessOrEqual(t, p.retries, len(p.calls)/10+vms*5, l.name)
+				require.LessOrEqual(t, s.retries, len(s.calls)/10+vms*5, l.name)
 				continue
 			}
 			require.GreaterOrEqual(t, best, first.onTimeShare(), "%s: baseline %q has a higher on-time share", l.name, c.name)
@@ -147,13 +147,13 @@
 	t.Log("\n" + table.String())
 }
 
-func writeRow(w *strings.Builder, load, policy string, k kind, p *simulation) {
-	t := p.stats(k.of)
-	reasons := make([]string, 0, len(p.refused))
-	for reason, n := range p.refused {
+func writeRow(w *strings.Builder, load, policy string, k kind, s *simulation) {
+	stats := s.stats(k.of)
+	reasons := make([]string, 0, len(s.refused))
+	for reason, n := range s.refused {
 		reasons = append(reasons, fmt.Sprintf("%s %d", strings.TrimPrefix(reason, "refused-"), n))
 	}
 	slices.Sort(reasons)
-	fmt.Fprintf(w, "| %s | %s | %s | %d | %.1f%% | %d | %d | %.1f s | %d | %s |\n", load, policy, k.name, t.calls,
-		100*t.onTimeShare(), t.late, t.refused, t.longest.Seconds(), p.retries, strings.Join(reasons, ", "))
+	fmt.Fprintf(w, "| %s | %s | %s | %d | %.1f%% | %d | %d | %.1f s | %d | %s |\n", load, policy, k.name, stats.calls,
+		100*stats.onTimeShare(), stats.late, stats.noFirstToken, stats.longest.Seconds(), s.retries, strings.Join(reasons, ", "))
 }
--- a/laburnumdispatch/policies_test.go
+++ b/laburnumdispatch/policies_test.go
@@ -15,13 +15,13 @@
 
 // dispatcherPolicy uses the Dispatcher in the same way as the proxy.
 type dispatcherPolicy struct {
-	p *simulation
-	d *laburnumdispatch.Dispatcher
+	sim *simulation
+	d   *laburnumdispatch.Dispatcher
 }
 
 func (v *dispatcherPolicy) arrive(c *call) {
 	t := &laburnumdispatch.Ticket{Request: laburnumdispatch.Request{
-		Owner: "o", Key: c.key, Model: "m", Class: c.class, PromptTokens: c.prompt, AnswerTokens: c.answer, Received: c.at,
+		Owner: "o", Key: c.key, Model: "m", Class: c.class, PromptTokens: c.prompt, AnswerTokens: c.answer, Received: c.arrivedAt,
 	}}
 	c.ticket = t
 	t.Wake = func() {
@@ -32,7 +32,7 @@
 		v.send(c, t)
 	}
 	var refusal *laburnumlever.RefusalError
-	if errors.As(v.d.Submit(t, v.p.now), &refusal) {
+	if errors.As(v.d.Submit(t, v.sim.now), &refusal) {
 		v.refused(c, refusal)
 	} else if t.Assigned() {
 		v.send(c, t)
@@ -41,49 +41,49 @@
 
 func (v *dispatcherPolicy) refused(c *call, refusal *laburnumlever.RefusalError) {
 	c.abandoned = true
-	v.p.refused[refusal.Reason.String()]++
+	v.sim.refused[refusal.Reason.String()]++
 }
 
 func (v *dispatcherPolicy) send(c *call, t *laburnumdispatch.Ticket) {
 	i, _ := strconv.Atoi(string(t.Backend.Backend))
 	// deferred until after this event, because Wake runs within the dispatcher
-	v.p.after(0, func() { v.p.send(c, v.p.engines[i]) })
+	v.sim.after(0, func() { v.sim.send(c, v.sim.engines[i]) })
 }
 
 func (v *dispatcherPolicy) ended(c *call, _ *engine) {
 	t := c.ticket.(*laburnumdispatch.Ticket)
-	duration := v.p.now.Sub(c.first) + time.Duration(float64(c.prompt)/4000*float64(time.Second))
-	v.d.EndAttempt(t, laburnumrouter.Sample{Duration: duration, PromptTokens: c.prompt, AnswerTokens: c.answer}, v.p.now)
-	v.d.Finish(t, c.prompt+c.answer, v.p.now)
+	duration := v.sim.now.Sub(c.firstTokenAt) + time.Duration(float64(c.prompt)/4000*float64(time.Second))
+	v.d.EndAttempt(t, laburnumrouter.Sample{Duration: duration, PromptTokens: c.prompt, AnswerTokens: c.answer}, v.sim.now)
+	v.d.Finish(t, c.prompt+c.answer, v.sim.now)
 }
 
 func (v *dispatcherPolicy) busy(c *call, _ *engine) {
 	t := c.ticket.(*laburnumdispatch.Ticket)
-	v.d.EndAttempt(t, laburnumrouter.Sample{Busy: true}, v.p.now)
-	_, decision := v.d.Retry(t, laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendBusy}, v.p.now)
+	v.d.EndAttempt(t, laburnumrouter.Sample{Busy: true}, v.sim.now)
+	_, decision := v.d.Retry(t, laburnumretry.FailedRequest{Reason: laburnumlever.RefusedBackendBusy}, v.sim.now)
 	if decision == laburnumretry.Retry {
 		v.send(c, t)
 		return
 	}
-	v.d.Finish(t, 0, v.p.now)
+	v.d.Finish(t, 0, v.sim.now)
 	v.refused(c, &laburnumlever.RefusalError{Reason: laburnumlever.RefusedBackendBusy})
 }
 
 func (v *dispatcherPolicy) callerGone(c *call) {
 	t := c.ticket.(*laburnumdispatch.Ticket)
-	v.d.EndAttempt(t, laburnumrouter.Sample{Skipped: true}, v.p.now)
-	v.d.Finish(t, 0, v.p.now)
+	v.d.EndAttempt(t, laburnumrouter.Sample{Skipped: true}, v.sim.now)
+	v.d.Finish(t, 0, v.sim.now)
 }
 
 func (v *dispatcherPolicy) report(view *laburnumlever.View) {
-	v.d.Update(laburnumrouter.NewIndex(view), laburnumadmission.Share{}, v.p.now)
+	v.d.Update(laburnumrouter.NewIndex(view), laburnumadmission.Share{}, v.sim.now)
 }
 
-func (v *dispatcherPolicy) tick() { v.d.Tick(v.p.now) }
+func (v *dispatcherPolicy) tick() { v.d.Tick(v.sim.now) }
 
 // baseline sends each call at once, like a plain load balancer.
 type baseline struct {
-	p        *simulation
+	sim      *simulation
 	next     int
 	least    bool // least in flight by its own count, otherwise round robin
 	retries  bool // retries without limit when an engine is full
@@ -98,10 +98,10 @@
 		return
 	}
 	v.next++
-	e := v.p.engines[v.next%len(v.p.engines)]
+	e := v.sim.engines[v.next%len(v.sim.engines)]
 	if v.least {
-		for i := range v.p.engines {
-			other := v.p.engines[(v.next+i)%len(v.p.engines)]
+		for i := range v.sim.engines {
+			other := v.sim.engines[(v.next+i)%len(v.sim.engines)]
 			if v.inFlight[other] < v.inFlight[e] {
 				e = other
 			}
@@ -109,7 +109,7 @@
 	}
 	v.inFlight[e]++
 	v.assigned[c] = e
-	v.p.send(c, e)
+	v.sim.send(c, e)
 }
 
 func (v *baseline) ended(_ *call, e *engine) { v.inFlight[e]-- }
@@ -117,11 +117,11 @@
 func (v *baseline) busy(c *call, e *engine) {
 	v.inFlight[e]--
 	const backoff = 250 * time.Millisecond
-	v.p.after(backoff, func() { v.send(c) })
+	v.sim.after(backoff, func() { v.send(c) })
 }
 
 func (v *baseline) callerGone(c *call) {
-	v.p.refused["caller-gone"]++
+	v.sim.refused["caller-gone"]++
 	if !v.retries {
 		v.inFlight[v.assigned[c]]--
 	}
@@ -134,18 +134,18 @@
 type namedPolicy struct {
 	name     string
 	maxQueue int
-	make     func(p *simulation, seed uint64) policy
+	make     func(s *simulation, seed uint64) policy
 }
 
-func newBaseline(p *simulation, least, retries bool) policy {
-	return &baseline{p: p, least: least, retries: retries, inFlight: map[*engine]int{}, assigned: map[*call]*engine{}}
+func newBaseline(s *simulation, least, retries bool) policy {
+	return &baseline{sim: s, least: least, retries: retries, inFlight: map[*engine]int{}, assigned: map[*call]*engine{}}
 }
 
 var namedPolicies = []namedPolicy{
-	{"laburnumlever", engineQueueSize, func(p *simulation, seed uint64) policy {
-		return &dispatcherPolicy{p: p, d: laburnumdispatch.New("", seed)}
+	{"laburnumlever", engineQueueSize, func(s *simulation, seed uint64) policy {
+		return &dispatcherPolicy{sim: s, d: laburnumdispatch.New("", seed)}
 	}},
-	{"round robin, no admission", -1, func(p *simulation, _ uint64) policy { return newBaseline(p, false, false) }},
-	{"least in flight, no admission", -1, func(p *simulation, _ uint64) policy { return newBaseline(p, true, false) }},
-	{"least in flight, unlimited retry", engineQueueSize, func(p *simulation, _ uint64) policy { return newBaseline(p, true, true) }},
+	{"round robin, no admission", -1, func(s *simulation, _ uint64) policy { return newBaseline(s, false, false) }},
+	{"least in flight, no admission", -1, func(s *simulation, _ uint64) policy { return newBaseline(s, true, false) }},
+	{"least in flight, unlimited retry", engineQueueSize, func(s *simulation, _ uint64) policy { return newBaseline(s, true, true) }},
 }
--- a/laburnumdispatch/simulation_test.go
+++ b/laburnumdispatch/simulation_test.go
@@ -22,26 +22,26 @@
 
 // call is one request in a simulated load.
 type call struct {
-	key                 string
-	class               laburnumlever.Class
-	prompt, answer      int
-	at, first           time.Time
-	vm                  policy
-	abandoned, answered bool
-	sends               int
-	ticket              any
+	key                     string
+	class                   laburnumlever.Class
+	prompt, answer          int
+	arrivedAt, firstTokenAt time.Time
+	policy                  policy // of the VM at which the call arrived
+	abandoned, answered     bool
+	sends                   int
+	ticket                  any
 }
 
 // engine simulates an engine with batch slots, a prefill rate and a token rate per slot.
 type engine struct {
-	id        int
-	slots     int
-	prefill   float64
-	rate      float64
-	maxQueue  int // -1 for unbounded
-	running   int
-	waiting   []*call
-	nextCount uint64
+	id             int
+	slots          int
+	prefill        float64
+	rate           float64
+	maxQueue       int // -1 for unbounded
+	running        int
+	waiting        []*call
+	reportSequence uint64
 }
 
 // policy is the routing policy of a VM.
@@ -77,164 +77,164 @@
 
 // simulation runs one load against one policy on a simulated clock.
 type simulation struct {
-	now     time.Time
-	order   int
-	queue   events
-	rand    *rand.Rand
-	engines []*engine
-	vms     []policy
-	calls   []*call
-	refused map[string]int
-	retries int
+	now      time.Time
+	order    int
+	queue    events
+	rand     *rand.Rand
+	engines  []*engine
+	policies []policy // one for each VM
+	calls    []*call
+	refused  map[string]int
+	retries  int
 }
 
 func newSimulation(engines int, maxQueue int) *simulation {
-	p := &simulation{now: start, rand: rand.New(rand.NewPCG(1, 2)), refused: map[string]int{}}
+	s := &simulation{now: start, rand: rand.New(rand.NewPCG(1, 2)), refused: map[string]int{}}
 	for i := range engines {
-		p.engines = append(p.engines, &engine{id: i, slots: 4, prefill: 4000, rate: 50, maxQueue: maxQueue})
+		s.engines = append(s.engines, &engine{id: i, slots: 4, prefill: 4000, rate: 50, maxQueue: maxQueue})
 	}
-	return p
+	return s
 }
 
-func (p *simulation) after(d time.Duration, fn func()) {
-	p.order++
-	heap.Push(&p.queue, event{at: p.now.Add(d), order: p.order, fn: fn})
+func (s *simulation) after(d time.Duration, fn func()) {
+	s.order++
+	heap.Push(&s.queue, event{at: s.now.Add(d), order: s.order, fn: fn})
 }
 
-func (p *simulation) every(d time.Duration, fn func()) {
-	p.after(d, func() { fn(); p.every(d, fn) })
+func (s *simulation) every(d time.Duration, fn func()) {
+	s.after(d, func() { fn(); s.every(d, fn) })
 }
 
 // arrivals generates Poisson arrivals at a rate that depends on time, until end.
-func (p *simulation) arrivals(end time.Duration, rate func(since time.Duration) float64, draw func() *call) {
-	since := p.now.Sub(start)
+func (s *simulation) arrivals(end time.Duration, rate func(since time.Duration) float64, draw func() *call) {
+	since := s.now.Sub(start)
 	if since >= end {
 		return
 	}
-	wait := time.Duration(p.rand.ExpFloat64() / rate(since) * float64(time.Second))
-	p.after(wait, func() {
+	wait := time.Duration(s.rand.ExpFloat64() / rate(since) * float64(time.Second))
+	s.after(wait, func() {
 		c := draw()
-		c.at = p.now
-		c.vm = p.vms[p.rand.IntN(len(p.vms))]
-		p.calls = append(p.calls, c)
-		p.after(callerTimeout, func() {
-			if c.first.IsZero() && !c.abandoned {
+		c.arrivedAt = s.now
+		c.policy = s.policies[s.rand.IntN(len(s.policies))]
+		s.calls = append(s.calls, c)
+		s.after(callerTimeout, func() {
+			if c.firstTokenAt.IsZero() && !c.abandoned {
 				c.abandoned = true
-				p.removeFromQueues(c)
-				c.vm.callerGone(c)
+				s.removeFromQueues(c)
+				c.policy.callerGone(c)
 			}
 		})
-		c.vm.arrive(c)
-		p.arrivals(end, rate, draw)
+		c.policy.arrive(c)
+		s.arrivals(end, rate, draw)
 	})
 }
 
-func (p *simulation) run(length time.Duration) {
-	p.every(reportInterval, p.reports)
-	p.every(tickInterval, func() {
-		for _, vm := range p.vms {
-			vm.tick()
+func (s *simulation) run(length time.Duration) {
+	s.every(reportInterval, s.reports)
+	s.every(tickInterval, func() {
+		for _, p := range s.policies {
+			p.tick()
 		}
 	})
-	p.reports()
+	s.reports()
 	end := start.Add(length)
-	for len(p.queue) > 0 && !p.queue[0].at.After(end) {
-		ev := heap.Pop(&p.queue).(event)
-		p.now = ev.at
+	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
+		ev := heap.Pop(&s.queue).(event)
+		s.now = ev.at
 		ev.fn()
 	}
 }
 
 // reports sends the engines' load reports to the VMs, with reportLag except at the start.
-func (p *simulation) reports() {
+func (s *simulation) reports() {
 	view := &laburnumlever.View{}
-	for _, e := range p.engines {
-		e.nextCount++
-		b := laburnumlever.Backend{ReportedAt: p.now}
+	for _, e := range s.engines {
+		e.reportSequence++
+		b := laburnumlever.Backend{ReportedAt: s.now}
 		b.Announcement = laburnumlever.Announcement{Backend: laburnumlever.BackendID(strconv.Itoa(e.id)), Slots: 4, TokensPerSecond: 200}
 		b.Report = laburnumlever.LoadReport{
-			Sequence: e.nextCount, InFlight: e.running, Queued: len(e.waiting),
+			Sequence: e.reportSequence, InFlight: e.running, Queued: len(e.waiting),
 			Loaded: []laburnumlever.Loaded{{Model: "m", Ready: true}},
 		}
 		view.Backends = append(view.Backends, b)
 	}
 	lag := reportLag
-	if p.now.Equal(start) {
+	if s.now.Equal(start) {
 		lag = 0
 	}
-	p.after(lag, func() {
-		for _, vm := range p.vms {
-			vm.report(view)
+	s.after(lag, func() {
+		for _, p := range s.policies {
+			p.report(view)
 		}
 	})
 }
 
 // send sends the call to an engine.
-func (p *simulation) send(c *call, e *engine) {
+func (s *simulation) send(c *call, e *engine) {
 	c.sends++
 	if c.sends > 1 {
-		p.retries++
+		s.retries++
 	}
 	switch {
 	case e.running < e.slots:
-		p.serve(c, e)
+		s.serve(c, e)
 	case e.maxQueue >= 0 && len(e.waiting) >= e.maxQueue:
-		c.vm.busy(c, e)
+		c.policy.busy(c, e)
 	default:
 		e.waiting = append(e.waiting, c)
 	}
 }
 
-func (p *simulation) serve(c *call, e *engine) {
+func (s *simulation) serve(c *call, e *engine) {
 	e.running++
 	prefill := time.Duration(float64(c.prompt) / e.prefill * float64(time.Second))
 	generate := time.Duration(float64(c.answer) / e.rate * float64(time.Second))
-	p.after(prefill, func() { c.first = p.now })
-	p.after(prefill+generate, func() {
+	s.after(prefill, func() { c.firstTokenAt = s.now })
+	s.after(prefill+generate, func() {
 		c.answered = true
 		e.running--
 		if len(e.waiting) > 0 {
 			next := e.waiting[0]
 			e.waiting = e.waiting[1:]
-			p.serve(next, e)
+			s.serve(next, e)
 		}
-		c.vm.ended(c, e)
+		c.policy.ended(c, e)
 	})
 }
 
 // removeFromQueues removes an abandoned call from the engines' queues.
-func (p *simulation) removeFromQueues(c *call) {
-	for _, e := range p.engines {
+func (s *simulation) removeFromQueues(c *call) {
+	for _, e := range s.engines {
 		e.waiting = slices.DeleteFunc(e.waiting, func(other *call) bool { return other == c })
 	}
 }
 
 // callStats summarises the calls of one kind.
 type callStats struct {
-	calls, onTime, late, refused int
-	longest                      time.Duration // wait for a first token
+	calls, onTime, late, noFirstToken int
+	longest                           time.Duration // wait for a first token
 }
 
-func (t callStats) onTimeShare() float64 { return float64(t.onTime) / float64(max(1, t.calls)) }
+func (c callStats) onTimeShare() float64 { return float64(c.onTime) / float64(max(1, c.calls)) }
 
-func (p *simulation) stats(of func(c *call) bool) callStats {
-	var t callStats
-	for _, c := range p.calls {
+func (s *simulation) stats(of func(c *call) bool) callStats {
+	var stats callStats
+	for _, c := range s.calls {
 		if !of(c) {
 			continue
 		}
-		t.calls++
-		wait := c.first.Sub(c.at)
+		stats.calls++
+		wait := c.firstTokenAt.Sub(c.arrivedAt)
 		switch {
-		case c.first.IsZero():
-			t.refused++
+		case c.firstTokenAt.IsZero():
+			stats.noFirstToken++
 			continue
 		case wait <= time.Duration(c.class.FirstToken):
-			t.onTime++
+			stats.onTime++
 		default:
-			t.late++
+			stats.late++
 		}
-		t.longest = max(t.longest, wait)
+		stats.longest = max(stats.longest, wait)
 	}
-	return t
+	return stats
 }
--- a/laburnumdistribution/failures_test.go
+++ b/laburnumdistribution/failures_test.go
@@ -54,7 +54,7 @@
 
 // All VMs of a cut-off zone restart without a disk. Guards against inventing a revision that no
 // VM holds.
-func TestPartitionedVMsWithoutCatalogueReportNone(t *testing.T) {
+func TestVMsWithoutCatalogueReportNone(t *testing.T) {
 	f := laburnumdistribution.NewFleet(2, 2)
 	_, ok := f.Until(30*time.Second, func() bool { return f.Revision(0)+f.Revision(1) > 0 })
 	require.False(t, ok)
--- a/laburnumfeed/itemlog.go
+++ b/laburnumfeed/itemlog.go
@@ -47,32 +47,32 @@
 
 func (l *itemLog) outdated(item logItem) bool { return l.cursors[item.backend] != item.cursor }
 
-// after returns the current items with cursors in (since, until].
-func (l *itemLog) after(since, until uint64) []json.RawMessage {
+// itemsIn returns the current items with cursors in (after, last].
+func (l *itemLog) itemsIn(after, last uint64) []json.RawMessage {
 	var out []json.RawMessage
-	l.each(since, until, func(item logItem) bool {
+	l.each(after, last, func(item logItem) bool {
 		out = append(out, item.encoded)
 		return true
 	})
 	return out
 }
 
-// hasNewer reports whether there is a current item with a cursor in (since, until].
-func (l *itemLog) hasNewer(since, until uint64) bool {
+// hasNewer reports whether there is a current item with a cursor in (after, last].
+func (l *itemLog) hasNewer(after, last uint64) bool {
 	found := false
-	l.each(since, until, func(logItem) bool {
+	l.each(after, last, func(logItem) bool {
 		found = true
 		return false
 	})
 	return found
 }
 
-// pageEnd returns the last cursor of an answer that begins after since. It is until, or less if that
+// pageEnd returns the last cursor of an answer that begins after the cursor after. It is last, or less if that
 // would take more than pageItems items.
-func (l *itemLog) pageEnd(since, until uint64) uint64 {
+func (l *itemLog) pageEnd(after, last uint64) uint64 {
 	n := 0
-	end := until
-	l.each(since, until, func(item logItem) bool {
+	end := last
+	l.each(after, last, func(item logItem) bool {
 		n++
 		if n == pageItems {
 			end = item.cursor
@@ -82,16 +82,16 @@
 	return end
 }
 
-// each calls fn for the current items with cursors in (since, until] until it returns false.
-func (l *itemLog) each(since, until uint64, fn func(logItem) bool) {
-	from, _ := slices.BinarySearchFunc(l.items, since+1, func(item logItem, first uint64) int {
+// each calls fn for the current items with cursors in (after, last] until it returns false.
+func (l *itemLog) each(after, last uint64, fn func(logItem) bool) {
+	from, _ := slices.BinarySearchFunc(l.items, after+1, func(item logItem, first uint64) int {
 		if item.cursor < first {
 			return -1
 		}
 		return 1
 	})
 	for _, item := range l.items[from:] {
-		if item.cursor > until {
+		if item.cursor > last {
 			return
 		}
 		if !l.outdated(item) && !fn(item) {
--- a/laburnumfeed/source.go
+++ b/laburnumfeed/source.go
@@ -321,13 +321,13 @@
 		meta: meta{
 			Boot: s.boot, Cursor: end, Director: s.director, Gateways: s.pollers.gateways(now), Isolated: s.pollers.isolated(now),
 		},
-		Overlays: s.overlays.after(key.since, end),
+		Overlays: s.overlays.itemsIn(key.since, end),
 	}
 	if s.routes != nil {
 		a.RoutesVersion = s.routes.Version
 	}
 	if key.records {
-		a.Backends = s.records.after(key.since, end)
+		a.Backends = s.records.itemsIn(key.since, end)
 	}
 	if s.controlsCursor > key.since {
 		a.Controls = append(s.pollers.others(now), s.self)
--- a/laburnumproxy/claim.go
+++ b/laburnumproxy/claim.go
@@ -35,12 +35,12 @@
 	}
 	q.trace.add(p.timers.Now(), "claimed its idempotency key")
 	recorded := false
-	out.record = func(whole *laburnumlever.RecordedAnswer) {
+	out.record = func(response *laburnumlever.RecordedAnswer) {
 		recorded = true
-		if whole != nil && len(whole.Body) > maxRecordedBody {
-			whole = nil
+		if response != nil && len(response.Body) > maxRecordedBody {
+			response = nil
 		}
-		p.record(ctx, q, laburnumlever.OutcomeAnswered, whole)
+		p.record(ctx, q, laburnumlever.OutcomeAnswered, response)
 	}
 	err = p.run(ctx, q, out)
 	if err != nil && !recorded {
@@ -146,25 +146,25 @@
 
 // record writes the outcome of a claimed call to the replicated state. If that fails, the
 // claim has no recorded response and a resend is refused with an unknown outcome.
-func (p *Proxy) record(ctx context.Context, q *request, outcome laburnumlever.RequestOutcome, whole *laburnumlever.RecordedAnswer) {
+func (p *Proxy) record(ctx context.Context, q *request, outcome laburnumlever.RequestOutcome, response *laburnumlever.RecordedAnswer) {
 	ctx, cancel := p.withTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
-	if outcome == laburnumlever.OutcomeAnswered && whole == nil {
+	if outcome == laburnumlever.OutcomeAnswered && response == nil {
 		outcome = laburnumlever.OutcomeUnknown // longer than maxRecordedBody
 	}
-	_, err := p.proposer.Propose(ctx, p.recordCommand(q, outcome, whole))
+	_, err := p.proposer.Propose(ctx, p.recordCommand(q, outcome, response))
 	if err != nil {
 		p.counters.recordsFailed.Inc(1)
 		_ = level.Warn(p.logger).Log("event", laburnumlever.EventAnswerNotRecorded, "request-id", q.id, "err", err)
 	}
 }
 
-func (p *Proxy) recordCommand(q *request, outcome laburnumlever.RequestOutcome, whole *laburnumlever.RecordedAnswer) laburnumlever.Command {
+func (p *Proxy) recordCommand(q *request, outcome laburnumlever.RequestOutcome, response *laburnumlever.RecordedAnswer) laburnumlever.Command {
 	return laburnumlever.Command{
 		Kind: laburnumlever.CommandRecordAnswer,
 		Answer: &laburnumlever.RecordAnswer{
 			Service: q.service, Owner: q.owner, Key: q.claimKey(), VM: p.views.View().Self.ID, Claim: q.claimID,
-			Outcome: outcome, Answer: whole,
+			Outcome: outcome, Answer: response,
 		},
 	}
 }
--- a/laburnumproxy/response.go
+++ b/laburnumproxy/response.go
@@ -27,7 +27,7 @@
 	timers laburnumlever.Timers
 	// record, if set, is called with the complete response before it is forwarded; with nil
 	// if the response is longer than maxBufferedResponse.
-	record      func(whole *laburnumlever.RecordedAnswer)
+	record      func(response *laburnumlever.RecordedAnswer)
 	started     bool
 	eventStream bool // the response is a stream of token events
 	firstByteAt time.Time
--- a/laburnumsimulation/gateway.go
+++ b/laburnumsimulation/gateway.go
@@ -84,8 +84,8 @@
 	})
 }
 
-// demand returns a request as the demand counter takes it.
-func (g *gateway) demand(q *request) laburnumdemand.Request {
+// workOf returns a request as the workOf counter takes it.
+func (g *gateway) workOf(q *request) laburnumdemand.Request {
 	return laburnumdemand.Request{Model: g.sim.models[q.model].name, PromptTokens: q.promptTokens, AnswerTokens: q.answerHint}
 }
 
@@ -93,15 +93,15 @@
 // so. countEnd also counts requests that were not served.
 func (g *gateway) countArrival(q *request) {
 	if !g.sim.policy.countsAtEnd {
-		g.counter.Received(g.demand(q))
+		g.counter.Received(g.workOf(q))
 	}
 }
 
 func (g *gateway) countEnd(q *request, served bool) {
 	if g.sim.policy.countsAtEnd {
-		g.counter.Received(g.demand(q))
+		g.counter.Received(g.workOf(q))
 	}
 	if !served {
-		g.counter.Refused(g.demand(q))
+		g.counter.Refused(g.workOf(q))
 	}
 }
