--- a/cmd/laburnumlever/standincmd.go
+++ b/cmd/laburnumlever/standincmd.go
@@ -15,11 +15,11 @@
 
 const (
 	anyPort                = "127.0.0.1:0"
-	standInShutdownTimeout = 30 * time.Second
+	standInShutdownTimeout = 30 * time.Second // for running requests to end
 	readHeaderTimeout      = 10 * time.Second
 	defaultSlots           = 8
-	defaultPrefillRate     = 20000.0
-	defaultTokenRate       = 2000.0
+	defaultPrefillRate     = 20000.0 // prompt tokens per second
+	defaultTokenRate       = 2000.0  // generated tokens per second
 )
 
 func standInCommand() *cli.Command {
@@ -27,7 +27,8 @@
 		Name:  "stand-in",
 		Usage: "run a stand-in for a component outside the system",
 		Description: "Stand-ins are for demonstrations and tests. Each prints a line that starts with ready\n" +
-			"once it listens, and shuts down gracefully when it is interrupted.",
+			"once it listens, and runs until it is interrupted. A stand-in for a backend server then\n" +
+			"announces that it leaves, and completes its running requests.",
 		Subcommands: []*cli.Command{
 			standInEngineCommand(),
 			standInServiceCommand(),
@@ -49,9 +50,9 @@
 		listenFlag(),
 		&cli.StringFlag{Name: "id", Usage: "`ID` of the backend server"},
 		&cli.StringFlag{Name: "zone", Usage: "its availability `ZONE`"},
-		&cli.StringSliceFlag{Name: "registry", Usage: "`ADDRESS` of an entry VM's backends listener; may be repeated"},
+		&cli.StringSliceFlag{Name: "registry", Usage: "`ADDRESS` (IP and port) at which an entry VM listens for backend servers; may be repeated"},
 		&cli.IntFlag{Name: "slots", Value: defaultSlots, Usage: "how many requests it processes concurrently"},
-		&cli.DurationFlag{Name: "announce-period", Value: time.Second, Usage: "how often it announces itself; it reports twice as often"},
+		&cli.DurationFlag{Name: "announce-period", Value: time.Second, Usage: "how often it announces itself; it reports its load twice as often"},
 	}
 }
 
@@ -102,7 +103,8 @@
 	return group.Wait()
 }
 
-// serveHandler runs a stand-in that needs no graceful shutdown.
+// serveHandler runs a stand-in that is not a backend server, until ctx is done. It ends running
+// requests at once.
 func serveHandler(ctx context.Context, ln net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	var group errgroup.Group
--- a/laburnumbalance/balance.go
+++ b/laburnumbalance/balance.go
@@ -29,11 +29,13 @@
 	// sent since its last answer. Requests queue on gateways rather than at engines, since an
 	// engine preempts running answers in favour of urgent requests in its queue.
 	freeShare = 0.05
-	// maxFailures caps a server's failure count, so that it recovers within seconds.
+	// maxFailures caps a server's number of recent failures, so that the server recovers within
+	// seconds.
 	maxFailures = 8
-	// idleShare is the share of busy slots below which a server can't be full.
+	// idleShare is the share of busy slots, by the last reported load, below which a server is
+	// taken to have a free slot.
 	idleShare = 0.5
-	// fullTime is how long a server that refused a request counts as full.
+	// fullTime is how long a server that refused a request for lack of a slot counts as full.
 	fullTime = 300 * time.Millisecond
 
 	// UrgentReservations is the number of engines that an urgent request tries to reserve a slot
@@ -69,15 +71,16 @@
 	Found Verdict = iota
 	// NoServer means that no server of the service accepts requests.
 	NoServer
-	// ModelAbsent means that no server holds the model.
+	// ModelAbsent means that no server outside backoff holds the model.
 	ModelAbsent
-	// AdapterAbsent means that servers hold the model but not the adapter.
+	// AdapterAbsent means that servers outside backoff hold the model, but none the adapter.
 	AdapterAbsent
-	// Full means that no server that holds the model has a free slot.
+	// Full means that every server outside backoff that holds the model and adapter has no free
+	// slot, has just refused a request or has too many unread prompts.
 	Full
 )
 
-// Ticket represents the slot that a request occupies at a server, from Pick to End.
+// Ticket is the slot that a request occupies at a server, from Pick to End.
 type Ticket struct {
 	Backend laburnumlever.Heartbeat
 	server  *server
@@ -86,11 +89,12 @@
 	unreadPromptTime float64
 	// uncached is the number of prompt tokens that the server has probably not cached.
 	uncached  int
-	since     time.Time
+	since     time.Time // when Pick returned the ticket
 	mayBeFull bool
 }
 
-// MayBeFull tells whether the server's load is stale, so that it may have no free slot.
+// MayBeFull tells whether the server may have no free slot, since its load was stale at Pick or its
+// last reservation was refused.
 func (ticket *Ticket) MayBeFull() bool { return ticket.mayBeFull }
 
 // Model returns the request's model; it is empty for a plain service.
@@ -116,7 +120,7 @@
 	ReservationRefused bool
 }
 
-// Table holds the endpoint state of the servers.
+// Table holds the state of the backend servers as seen by this VM.
 type Table struct {
 	zone      laburnumlever.ZoneName
 	rand      *rand.Rand
@@ -125,7 +129,7 @@
 	byModel   map[serviceModel][]*server
 	// unreachable are the servers in backoff after a failed connection.
 	unreachable map[laburnumlever.BackendID]struct{}
-	// failing are the servers with failures since the last call of Outcomes.
+	// failing are the servers that have counted a failure since the last call of Outcomes.
 	failing   map[laburnumlever.BackendID]*server
 	prefixes  *prefixes
 	freeShare float64
@@ -161,7 +165,7 @@
 	return t
 }
 
-// SetGateways sets the number of gateways that send to the servers, which RetryTime grows with.
+// SetGateways sets the number of gateways that send to the servers. RetryTime grows with it.
 func (t *Table) SetGateways(n int) {
 	t.retryTime = min(maxRetry, max(minRetry, time.Duration(n)*retryPerGateway))
 }
@@ -229,8 +233,8 @@
 	return t.byModel[serviceModel{service: q.Service, model: q.Model}]
 }
 
-// SetOverlay updates what the placement leader knows of an engine beyond its heartbeats. An
-// overlay of an earlier lease term (a lower fence) is ignored.
+// SetOverlay updates what the director knows of an engine beyond its heartbeats. An overlay of an
+// earlier director (a lower fencing number) is ignored.
 func (t *Table) SetOverlay(o laburnumregistry.Overlay, now time.Time) {
 	s := t.servers[o.Backend]
 	if s == nil || o.Fence < s.overlay.Fence {
@@ -359,12 +363,15 @@
 	return &Ticket{Backend: best.record.Heartbeat, server: best, query: q, unreadPromptTime: unreadPromptTime, uncached: uncached, since: now, mayBeFull: best.mayBeFull(now)}, Found
 }
 
-// saturated tells whether the server has no free slot or too many prompts of this VM to read.
+// saturated tells whether the server has recently refused a request, has no free slot (unless the
+// request may queue there), or has reached the limit on this VM's unread prompts.
 func (t *Table) saturated(s *server, now time.Time, queue bool) bool {
 	return now.Before(s.fullUntil) || !queue && t.noSlot(s, now) || (s.unreadPromptTime > 0 && s.unreadPromptTime >= s.unreadPromptLimit)
 }
 
-// noSlot tells whether the server's slots are taken, by its last reported load.
+// noSlot tells whether the server's slots are taken, except for freeShare, by its last reported load.
+// After a refused reservation they count as taken until retryTime has passed, and then if this VM's
+// own requests take them.
 func (t *Table) noSlot(s *server, now time.Time) bool {
 	limit := float64(max(1, s.record.Heartbeat.Slots)) * (1 - t.freeShare)
 	if s.reservationRefused {
@@ -405,8 +412,9 @@
 	return float64(tokens) * float64(read) / float64(time.Millisecond)
 }
 
-// AnswerStarted records the first part of the answer. It returns the time to the first part and
-// the number of prompt tokens that the server had to read; both are 0 on later calls.
+// AnswerStarted records the first part of the answer. It returns the time to the first part and the
+// estimated number of prompt tokens that the server had to read. Both are 0 on later calls, and if
+// there was nothing to read.
 func (t *Table) AnswerStarted(ticket *Ticket, now time.Time) (time.Duration, int) {
 	if ticket == nil || ticket.server == nil || ticket.unreadPromptTime == 0 {
 		return 0, 0
@@ -422,7 +430,7 @@
 	ticket.unreadPromptTime = 0
 }
 
-// End frees the slot and records the result of the attempt. It ignores a nil ticket.
+// End frees the slot and records the result of the attempt. A nil or ended ticket is ignored.
 func (t *Table) End(ticket *Ticket, result AttemptResult, now time.Time) {
 	if ticket == nil || ticket.server == nil {
 		return
@@ -458,8 +466,8 @@
 	}
 	if result.Full {
 		s.fullUntil = now.Add(fullTime)
-		// A server that refuses requests while it has free slots is failing, even if its health
-		// checks pass.
+		// A server that refuses requests although most of its slots are free is failing, even if
+		// its health checks pass.
 		if s.load(now) < idleShare*float64(s.record.Heartbeat.Slots) {
 			s.recordFailure(now)
 			t.countFailure(s)
--- a/laburnumbalance/server.go
+++ b/laburnumbalance/server.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// The limit on unread prompts of this VM at a server, in ms of reading time, adapts by
-	// additive increase and multiplicative decrease.
+	// The limit on this VM's unread prompts at a server, in ms that the server takes to read
+	// (prefill) them, adapts by additive increase and multiplicative decrease.
 	initialUnreadPromptLimit = 120
 	minUnreadPromptLimit     = 25
 	maxUnreadPromptLimit     = 300
 	unreadPromptIncrease     = 4
 	unreadPromptDecrease     = 0.9
-	// latencyTargetDivisor divides the latency target: an answer that starts later than this part of it
-	// lowers the limit. The rest is for the network and the queue.
+	// latencyTargetDivisor is the divisor of the latency target: an answer that starts later than
+	// the quotient lowers the limit. The rest of the target is for the network and the queue.
 	latencyTargetDivisor = 2
 
-	loadDecay       = 3 * time.Second        // time in which a reported load decays to 0
-	currentLoadAge  = 200 * time.Millisecond // age up to which a reported load is current
-	failureHalfLife = 4 * time.Second
+	loadDecay       = 3 * time.Second        // time in which the reported load of other VMs decays to 0
+	currentLoadAge  = 200 * time.Millisecond // age up to which a reported load counts as current
+	failureHalfLife = 4 * time.Second        // time in which the number of recent failures halves
 
 	// A server whose slots are all taken is tried again after a time proportional to the number of
 	// gateways: more of them compete for a free slot, and any of them may find it.
@@ -30,7 +30,7 @@
 	minRetry        = 40 * time.Millisecond
 	maxRetry        = 150 * time.Millisecond
 
-	// Backoff for an unreachable server, doubled with each failed connection.
+	// Bounds of the backoff for an unreachable server, which doubles with each failed connection.
 	minUnreachable = 300 * time.Millisecond
 	maxUnreachable = time.Second
 
@@ -59,19 +59,21 @@
 	// reservationRefused tells that the last reservation was refused and that no load has been
 	// reported since.
 	reservationRefused bool
-	// unreadPromptTime is the estimated time that the server takes to read this VM's unread prompts, in
-	// ms; readingLimit is its limit.
+	// unreadPromptTime is the estimated time that the server takes to read this VM's unread prompts,
+	// in ms; unreadPromptLimit is its limit.
 	unreadPromptTime  float64
 	unreadPromptLimit float64
-	recentFailures    float64
-	failedAt          time.Time
-	// failedSinceReport and answeredSinceReport count outcomes since the last report of this server.
+	// recentFailures is the decaying count of failures, as of failedAt.
+	recentFailures float64
+	failedAt       time.Time
+	// failedSinceReport and answeredSinceReport count attempts since Outcomes last reported the server.
 	failedSinceReport, answeredSinceReport int
-	// unreachableUntil is the end of the current backoff, unreachableTime its length.
+	// unreachableUntil is the end of the last backoff, unreachableTime its length; 0 after an
+	// attempt that did not fail.
 	unreachableUntil time.Time
 	unreachableTime  time.Duration
-	// absent and added hold the models and adapters of which answers are newer than the heartbeat;
-	// an entry expires at its time.
+	// absent are the models and adapters that the server has answered to be absent, added those that
+	// ModelLoaded has reported. Until its time, an entry overrides the heartbeat, which may be older.
 	absent map[heldModel]time.Time
 	added  map[heldModel]time.Time
 }
@@ -82,8 +84,9 @@
 	return float64(s.own) + max(0, fade)*s.others
 }
 
-// mayBeFull tells whether the load is too old to rely on and the server may be full. The load of
-// a server that was nearly idle is relied on for longer.
+// mayBeFull tells whether the server may be full, since its last reservation was refused or its load
+// is too old to rely on. A load is too old after currentLoadAge, or after loadDecay if it is below
+// idleShare of the slots.
 func (s *server) mayBeFull(now time.Time) bool {
 	age := now.Sub(s.othersAt)
 	if age < currentLoadAge && !s.reservationRefused {
@@ -92,7 +95,8 @@
 	return s.reservationRefused || age > loadDecay || float64(s.own)+s.others >= idleShare*float64(s.record.Heartbeat.Slots)
 }
 
-// adaptUnreadPromptLimit adapts the limit on unread prompts after an answer has started. Additive
+// adaptUnreadPromptLimit adapts the limit on unread prompts after an answer has started. took is the
+// time that the answer took to start, target the latency target, 0 for none. Additive
 // increase and multiplicative decrease converge to equal shares among the VMs that send to the
 // server.
 func (s *server) adaptUnreadPromptLimit(took, target time.Duration) {
@@ -126,19 +130,21 @@
 	return s.recentFailures / math.Exp2(age)
 }
 
-// markOutlier counts an outlier detection as one failure, unless this VM has seen failures itself.
+// markOutlier raises the number of recent failures to at least 1, after the director has detected the
+// server as an outlier. Failures that this VM has seen itself are not counted again.
 func (s *server) markOutlier(now time.Time) {
 	s.recentFailures = max(1, s.failuresAt(now))
 	s.failedAt = now
 }
 
+// recordFailure adds a failure to the recent ones, up to maxFailures.
 func (s *server) recordFailure(now time.Time) {
 	s.recentFailures = min(s.failuresAt(now)+1, maxFailures)
 	s.failedAt = now
 }
 
-// holds tells whether the server holds the model and adapter, by its heartbeat, the placement
-// leader's overlay and newer answers.
+// holds tells whether the server holds the model and adapter, by its heartbeat, the overlay (what the
+// director knows beyond heartbeats) and newer answers.
 func (s *server) holds(model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) bool {
 	if model == "" {
 		return true
@@ -156,7 +162,7 @@
 		(adapter == "" || s.holds(model, "", now))
 }
 
-// wasAdded tells whether the model, or an adapter of it, is in added.
+// wasAdded tells whether the model, or an adapter of it, is in added, even if the entry has expired.
 func (s *server) wasAdded(model laburnumlever.ModelName) bool {
 	for key := range s.added {
 		if key.model == model {
--- a/laburnumdemand/counter.go
+++ b/laburnumdemand/counter.go
@@ -8,13 +8,13 @@
 	"laburnumlever"
 )
 
-// demandReportInterval is how often demand is reported. A model gets a few requests a second, so
-// that rates over a shorter time would be too noisy.
+// demandReportInterval is the least time between two reports of demand. A model gets a few requests
+// per second, so rates over a shorter time would be too noisy.
 const demandReportInterval = time.Second
 
 // refusedWeight is the weight of a refused request in the demand. Its caller retries at least once,
-// under another request ID, and would be counted twice: the demand for a model that no engine holds
-// looked twice as high as it was, and the model was placed on engines that others needed.
+// under another request ID. With full weights, the demand for a model that no engine holds would
+// look at least twice as high as it is, and the model would take engines that others need.
 const refusedWeight = 0.5
 
 // Request is the work that a request demands of a model.
@@ -53,8 +53,8 @@
 	return &Counter{vm: vm, models: map[laburnumlever.ModelName]*modelCount{}}
 }
 
-// Received counts a request on arrival. Counted at its end, a shift of demand would be seen only
-// after the time that an answer takes.
+// Received counts a request. Call it when the request arrives: if requests were counted at their end,
+// a shift of demand would show only after the time that an answer takes.
 func (c *Counter) Received(r Request) { c.addWeighted(r, 1) }
 
 // Refused records that a request counted by Received was refused, and lowers its weight to
@@ -80,8 +80,8 @@
 	count.answer += weight * float64(r.AnswerTokens)
 }
 
-// Take returns the rates since its last report, sorted by model. It returns nil within
-// demandReportInterval of that report, since rates over a few requests are too noisy.
+// Take returns the rates since its last report, or else its first call, sorted by model. It returns
+// nil within demandReportInterval of that.
 func (c *Counter) Take(now time.Time, times ReadTimes) []laburnumlever.ModelDemand {
 	if c.since.IsZero() {
 		c.since = now
--- a/laburnumdirector/adapters.go
+++ b/laburnumdirector/adapters.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	adapterLoadTime       = 12 * time.Millisecond  // expected duration of an adapter load
-	adapterRequestTimeout = 400 * time.Millisecond // timeout of a gateway's request for an adapter
-	adapterUnloadAge      = 400 * time.Millisecond // since its last use, before an adapter may be evicted
-	adapterUseWindow      = 3 * time.Second        // since its last use, while an adapter counts as in use
+	adapterLoadTime       = 12 * time.Millisecond  // an accepted adapter load counts as complete after it
+	adapterRequestTimeout = 400 * time.Millisecond // time after which a pending adapter request fails
+	adapterUnloadAge      = 400 * time.Millisecond // time without use after which an adapter may be unloaded
+	adapterUseWindow      = 3 * time.Second        // time since its last use in which an adapter is in use
 	maxAdapterLoads       = 4                      // concurrent adapter loads on an engine
 )
 
-// adapterRequest is a gateway's request for an adapter.
+// adapterRequest is a gateway's request for an adapter on engines other than those in except.
 type adapterRequest struct {
 	service laburnumlever.ServiceName
 	key     adapterKey
@@ -38,7 +38,7 @@
 }
 
 // EnsureAdapterAsync requests an adapter, which is loaded if no engine holds it. It calls reply
-// once, on the control thread.
+// once, on the control thread (the goroutine of the event loop).
 func (d *Director) EnsureAdapterAsync(request laburnumlever.AdapterNeed, reply AdapterFunc) {
 	d.loop.Post(d, adapterRequested{request: &adapterRequest{
 		service: request.Service, key: adapterKey{model: request.Model, adapter: request.Adapter}, except: request.Except,
@@ -81,7 +81,7 @@
 			continue
 		}
 		if now.Sub(request.since) > adapterRequestTimeout {
-			request.reply(nil, &NoAdapterSlotError{Model: request.key.model, Adapter: request.key.adapter, Detail: "no slot became free in time"})
+			request.reply(nil, &NoAdapterSlotError{Model: request.key.model, Adapter: request.key.adapter, Detail: "no engine loaded the adapter in time"})
 			continue
 		}
 		pending = append(pending, request)
@@ -89,6 +89,7 @@
 	d.adapterRequests = pending
 }
 
+// failAdapterRequests fails the pending requests when this VM is no longer the director.
 func (d *Director) failAdapterRequests() {
 	for _, request := range d.adapterRequests {
 		request.reply(nil, &NotDirectorError{VM: d.self.ID})
@@ -97,7 +98,7 @@
 }
 
 // tryAnswer replies to a request whose adapter is loaded, and tells whether it did. Otherwise it
-// orders the load, unless one is in progress.
+// orders the load, unless a load of the adapter is in progress.
 func (d *Director) tryAnswer(request *adapterRequest) bool {
 	now := d.timers.Now()
 	var ready []laburnumlever.BackendID
@@ -168,14 +169,15 @@
 	}
 }
 
-// acceptsAdapterOrderFor tells whether the engine holds the model and accepts an order for an adapter.
+// acceptsAdapterOrderFor tells whether the engine holds the model and accepts an order for one of the
+// model's adapters.
 func (e *engine) acceptsAdapterOrderFor(model laburnumlever.ModelName, now time.Time) bool {
 	h := e.held[model]
 	return h != nil && !h.withdrawn && e.acceptsAdapterOrders(now)
 }
 
-// acceptsAdapterOrders tells whether the engine accepts an order for an adapter. An engine that is
-// loading a model refuses it.
+// acceptsAdapterOrders tells whether the engine accepts an order for an adapter: it is ready for an
+// order, which an engine that is loading a model is not, and loads fewer than maxAdapterLoads adapters.
 func (e *engine) acceptsAdapterOrders(now time.Time) bool {
 	loading := 0
 	for _, h := range e.held {
@@ -198,7 +200,8 @@
 	return used+m.AdapterMB <= class.WeightsMB
 }
 
-// leastRecentlyUsed returns the least recently used adapter, or false if all are in recent use.
+// leastRecentlyUsed returns the least recently used loaded adapter, or false if all have been used
+// within adapterUnloadAge.
 func (e *engine) leastRecentlyUsed(now time.Time) (adapterKey, bool) {
 	var oldest *heldAdapter
 	var key adapterKey
--- a/laburnumdirector/orders.go
+++ b/laburnumdirector/orders.go
@@ -12,8 +12,8 @@
 	"github.com/go-kit/log/level"
 )
 
-// send sends an order to an engine. It checks the lease again, as the VM may have been suspended
-// since the last tick.
+// send sends an order to an engine, unless an order awaits its answer or the number of accepted orders
+// is unknown. It checks the lease again, as the VM may have been suspended since the last tick.
 func (d *Director) send(e *engine, order laburnumlever.EngineOrder) {
 	if !d.lease.valid(d.clock()) || e.inFlight != nil || !e.acceptedKnown {
 		return
@@ -37,7 +37,7 @@
 	})
 }
 
-// recordLoad counts a model or adapter as held as soon as its load is sent.
+// recordLoad counts a model or adapter as held as soon as the order to load it is sent.
 func (e *engine) recordLoad(order laburnumlever.EngineOrder, now time.Time) {
 	if order.Kind != laburnumlever.Load {
 		return
@@ -102,7 +102,7 @@
 		delete(d.records, ev.backend)
 		d.onReplaced(ev.backend)
 	default:
-		// The engine has accepted an order of another director.
+		// The engine may have accepted an order of another director, so the count is requested again.
 		e.revertLoad(ev.order)
 		e.acceptedKnown, e.retryAt = false, now.Add(stateRetryDelay)
 	}
@@ -123,7 +123,8 @@
 	d.cfg.scope.Counter("orders-unsure").Inc(1)
 }
 
-// onOrderAccepted records an accepted order as the one in progress.
+// onOrderAccepted records an accepted order for a model as the one in progress, and leaves an order for
+// an adapter to onAdapterAccepted.
 func (d *Director) onOrderAccepted(e *engine, order laburnumlever.EngineOrder, now time.Time) {
 	if order.Adapter != "" {
 		d.onAdapterAccepted(e, order)
@@ -136,15 +137,15 @@
 	}
 	e.activeAfterSequence = e.sentAfterSequence
 	if e.orderEnded(e.heartbeat) {
-		// The heartbeat that shows the end has overtaken the answer, and later ones bring no change.
+		// A heartbeat that shows the end has arrived before the answer; later ones may show no change.
 		e.activeModel = ""
 	}
 	e.markChanged()
 }
 
 // onOrderWithoutEffect handles an order whose model or adapter already was in the ordered state. The
-// unload of an unused adapter is answered like this too: it ends at once, and the engine counts it
-// as an accepted order.
+// unload of an unused adapter gets the same verdict, since it ends at once, but the engine counts it as
+// an accepted order.
 func (d *Director) onOrderWithoutEffect(e *engine, order laburnumlever.EngineOrder) {
 	switch {
 	case order.Kind == laburnumlever.Load && order.Adapter != "":
@@ -159,8 +160,9 @@
 	}
 }
 
-// maintainEngine retries an order of unknown outcome, requests the state if an order is overdue, and
-// orders unloads whose withdrawDelay is over.
+// maintainEngine does the first of these that applies: it resends an order of unknown outcome, requests
+// the state if the order in progress is overdue, or orders the unload of a withdrawn model whose
+// withdrawDelay is over. It does nothing before retryAt, or while an order awaits its answer.
 func (d *Director) maintainEngine(e *engine, now time.Time) {
 	if e.inFlight != nil || now.Before(e.retryAt) {
 		return
@@ -185,8 +187,8 @@
 	}
 }
 
-// resend retries an order of unknown outcome with the same number, so that it can't take effect
-// twice.
+// resend sends an order of unknown outcome again with the same expected number of accepted orders, so
+// that it can't take effect twice.
 func (d *Director) resend(e *engine) {
 	order := *e.unresolved
 	class := d.engineClasses[e.heartbeat.Service]
@@ -213,7 +215,8 @@
 	return class.Model(name)
 }
 
-// requestState requests an engine's state unless maxStateRequests are in flight.
+// requestState requests an engine's state, unless a request or an order to it is in flight, retryAt has
+// not come, or maxStateRequests are in flight to all engines.
 func (d *Director) requestState(e *engine, now time.Time) {
 	if e.stateRequested || e.inFlight != nil || now.Before(e.retryAt) || d.stateRequests >= maxStateRequests {
 		return
@@ -248,7 +251,7 @@
 		return
 	}
 	if e.inFlight != nil || (e.acceptedKnown && ev.state.Accepted < e.accepted) {
-		return // the report is older than an order
+		return // the state may be older than an order
 	}
 	e.applyState(ev.state, d.timers.Now())
 }
--- a/laburnumdiskfault/supervise_linux.go
+++ b/laburnumdiskfault/supervise_linux.go
@@ -179,8 +179,10 @@
 	}
 }
 
-// shortWrite performs half of a write on the program's own descriptor. The program retries the
-// rest until a write of a single byte fails with ENOSPC.
+// shortWrite acts like a disk that fills up during a write: it performs the first half of the write
+// on the program's own descriptor and returns its length. The program then writes the rest, which is
+// halved again, until a write of a single byte fails with ENOSPC. Calls other than write fail at
+// once.
 func (s *supervisor) shortWrite(n notification) response {
 	half := int(n.args[2]) / 2 //nolint:gosec // a length
 	if half == 0 || n.number != unix.SYS_WRITE {
--- a/laburnumdispatch/simulation_test.go
+++ b/laburnumdispatch/simulation_test.go
@@ -14,13 +14,13 @@
 	reportInterval  = 500 * time.Millisecond
 	reportLag       = 300 * time.Millisecond
 	tickInterval    = 100 * time.Millisecond
-	callerTimeout   = 30 * time.Second // a caller without a first token disconnects then
+	callerTimeout   = 30 * time.Second // after which a caller without a first token disconnects
 	engineQueueSize = 4                // of engines with a bounded queue
 )
 
 var start = time.Unix(1_000_000, 0)
 
-// call is one request in a simulated load.
+// call is a request in a simulated load, with its retries.
 type call struct {
 	key                     string
 	class                   laburnumlever.Class
@@ -44,7 +44,7 @@
 	reportSequence uint64
 }
 
-// policy is the routing policy of a VM.
+// policy routes the calls that arrive at a VM.
 type policy interface {
 	arrive(c *call)
 	ended(c *call, e *engine)
@@ -211,7 +211,7 @@
 
 // callStats summarises the calls of one kind.
 type callStats struct {
-	calls, onTime, late, noFirstToken int
+	calls, onTime, late, noFirstToken int           // calls is the sum of the others
 	longest                           time.Duration // wait for a first token
 }
 
--- a/laburnumdistribution/failures_test.go
+++ b/laburnumdistribution/failures_test.go
@@ -52,8 +52,8 @@
 	require.True(t, ok)
 }
 
-// All VMs of a cut-off zone restart without a disk. Guards against inventing a revision that no
-// VM holds.
+// The VMs hold no catalogue and reach no others that do. Guards against reporting a revision that
+// no VM holds.
 func TestVMsWithoutCatalogueReportNone(t *testing.T) {
 	f := laburnumdistribution.NewFleet(2, 2)
 	_, ok := f.Until(30*time.Second, func() bool { return f.Revision(0)+f.Revision(1) > 0 })
--- a/laburnumdistribution/fleet_test.go
+++ b/laburnumdistribution/fleet_test.go
@@ -16,8 +16,9 @@
 	VMs    []laburnumlever.VM
 	Cores  []*core
 	Random *rand.Rand
-	// Blocked tells which messages are lost, and Loss the share of the others that are.
-	Loss    float64
+	// Loss is the share of messages that are lost at random, among those that Blocked lets pass.
+	Loss float64
+	// Blocked tells whether all messages from one VM to another are lost.
 	Blocked func(from, to int) bool
 	// Bytes and Messages count what each VM sent, Bodies the catalogues that each received.
 	Bytes, Messages, Bodies []int
@@ -31,7 +32,7 @@
 
 const (
 	offerLatency = time.Millisecond
-	// transferTime is a generous estimate for tens of kilobytes between zones.
+	// transferTime is the assumed time to transfer a catalogue of any size to another VM.
 	transferTime = 10 * time.Millisecond
 	// offerBytes is the size of an offer or its answer, with the envelope of jsonrpc2.
 	offerBytes = 95
@@ -67,10 +68,10 @@
 	return append(slices.Clone(f.VMs[:i]), f.VMs[i+1:]...)
 }
 
-// Restart restarts a VM without its state, as on a VM without a disk.
+// Restart restarts a VM without its state, as if it had no disk.
 func (f *Fleet) Restart(i int) { f.Cores[i] = &core{random: f.Cores[i].random} }
 
-// Publish hands in a catalogue on one VM.
+// Publish publishes a catalogue on one VM.
 func (f *Fleet) Publish(i int, c laburnumlever.Catalogue) {
 	f.Cores[i].adopt(&catalogueBody{catalogue: c}, f.others(i))
 	f.send(i)
--- a/laburnumfeed/itemlog.go
+++ b/laburnumfeed/itemlog.go
@@ -67,8 +67,8 @@
 	return found
 }
 
-// pageEnd returns the last cursor of an answer that begins after the cursor after. It is last, or less if that
-// would take more than pageItems items.
+// pageEnd returns the cursor at which an answer with the items in (after, last] ends: last, or the
+// cursor of item number pageItems if there are that many.
 func (l *itemLog) pageEnd(after, last uint64) uint64 {
 	n := 0
 	end := last
@@ -82,7 +82,7 @@
 	return end
 }
 
-// each calls fn for the current items with cursors in (after, last] until it returns false.
+// each calls fn for the current items with cursors in (after, last], until fn returns false.
 func (l *itemLog) each(after, last uint64, fn func(logItem) bool) {
 	from, _ := slices.BinarySearchFunc(l.items, after+1, func(item logItem, first uint64) int {
 		if item.cursor < first {
--- a/laburnumorder/ledger.go
+++ b/laburnumorder/ledger.go
@@ -23,8 +23,9 @@
 // PendingOrder is a load order that may still take effect.
 type PendingOrder struct {
 	Order laburnumlever.Order
-	// SettleAfter is the time from which it can no longer arrive. Zero until it is sent
-	// and answered or its outcome is unknown.
+	// SettleAfter is the time from which the order, or a duplicate of it, can no longer reach
+	// the engine. It is zero until the order is answered or its answer is lost; an order that
+	// an earlier owner may have sent has it from the start.
 	SettleAfter time.Time
 }
 
@@ -40,7 +41,7 @@
 	return a
 }
 
-// AddOrder adds a load order. Other orders and known ones are ignored.
+// AddOrder adds a load order. It ignores an unload order, and an order that is already pending.
 func (l *Ledger) AddOrder(backend laburnumlever.BackendID, order laburnumlever.Order) {
 	a := l.account(backend)
 	if order.Kind != laburnumlever.Load || a.indexOf(order.ID) >= 0 {
@@ -49,7 +50,7 @@
 	a.pending = append(a.pending, PendingOrder{Order: order})
 }
 
-// SetSettleTime sets the time from which a sent order can no longer arrive.
+// SetSettleTime sets the time from which a pending order can no longer reach the engine.
 func (l *Ledger) SetSettleTime(backend laburnumlever.BackendID, id laburnumlever.OrderID, settleAfter time.Time) {
 	a := l.account(backend)
 	if i := a.indexOf(id); i >= 0 {
@@ -72,7 +73,7 @@
 }
 
 // ApplyInventory replaces the inventory by one whose read started at began, and removes
-// the orders that could no longer arrive by then.
+// the orders that could no longer reach the engine by then.
 func (l *Ledger) ApplyInventory(backend laburnumlever.BackendID, inventory laburnumlever.Inventory, began time.Time) {
 	a := l.account(backend)
 	a.loaded = inventory.Loaded
@@ -127,8 +128,9 @@
 	return l.account(backend).committed(id, nil)
 }
 
-// committed counts each copy once, at its largest size in the inventory and the pending
-// orders: while a copy changes in place it may have either size.
+// committed returns the memory committed on an accelerator, in MiB, including the copy more
+// unless it is nil. It counts each copy once, at its largest size in the inventory and the
+// pending orders: until an order that changes a copy's size settles, either size may hold.
 func (a *account) committed(id laburnumlever.AcceleratorID, more *laburnumlever.Loaded) int {
 	sizes := make(map[string]int, len(a.loaded)+len(a.pending))
 	count := func(c laburnumlever.Loaded) {
@@ -157,8 +159,8 @@
 	return slices.IndexFunc(a.pending, func(p PendingOrder) bool { return p.Order.ID == id })
 }
 
-// copyKey identifies a copy within an engine: it holds a version of a model on the same
-// accelerators only once.
+// copyKey identifies a copy within an engine, which holds a version of a model at most once on
+// the same accelerators.
 func copyKey(c laburnumlever.Loaded) string {
 	var b strings.Builder
 	b.WriteString(string(c.Model))
--- a/laburnumorder/send.go
+++ b/laburnumorder/send.go
@@ -53,8 +53,9 @@
 	return e.orderable && !e.gone && e.order == nil && e.activeRead == 0 && !now.Before(e.pauseUntil) && o.leasePermits(e, now)
 }
 
-// recordIntent commits the order's intent before the send. If this VM fails before the
-// answer arrives, the next owner learns from the log that the order may have been sent.
+// recordIntent proposes the order's intent to the log. The order is sent once the intent is
+// committed: if this VM fails before the answer arrives, the next owner learns from the log
+// that the order may have been sent.
 func (o *Owner) recordIntent(e *engine) {
 	o.advance(e, "intent-proposed")
 	intent := laburnumlever.OrderIntent{
@@ -93,8 +94,8 @@
 }
 
 // send sends the order from a worker. For an engine that does not check fencing numbers,
-// the worker checks the lease's deadline again just before the write: since the control
-// thread checked it, events may have been queued or this VM may have been frozen.
+// the worker checks the lease's deadline again just before the write: this VM may have been
+// frozen, or the worker delayed, since the control thread checked it.
 func (o *Owner) send(e *engine) {
 	o.advance(e, "send-started")
 	order, to := e.order.order, e.announcement
@@ -154,12 +155,13 @@
 		_ = level.Warn(o.logger).Log("event", laburnumlever.EventOrderRefused, "backend", backend, "order", order.ID, "outcome", answer.Outcome, "detail", answer.Detail)
 	}
 	o.trackLoads(e, now)
-	// An earlier read keeps its time. If each order postponed it, an engine that is ordered
-	// in every round would never be read, and settled orders would count forever.
+	// A read that is due earlier keeps its time. If each order postponed the read, an engine
+	// that gets an order in every round would never be read, and settled orders would count
+	// forever.
 	e.readNoLaterThan(now.Add(busyReadPeriod))
 }
 
-// dropOrder removes an order that was certainly never sent.
+// dropOrder removes the current order, which was certainly never sent, and resolves its intent.
 func (o *Owner) dropOrder(e *engine) {
 	order := e.order.order
 	o.ledger.RemoveOrder(e.announcement.Backend, order.ID)
@@ -169,10 +171,10 @@
 	o.resolveIntent(e, order.ID)
 }
 
-// settleOrders completes the orders and intents that an inventory has settled. At an engine
-// that checks fencing numbers, a claim with a higher number rules out a lost order at once.
-// The ledger still counts it until it can no longer arrive, because an engine loses its
-// number when it restarts.
+// settleOrders completes the orders and intents that an inventory has settled. An engine that
+// checks fencing numbers refuses a lost order once the read has claimed the engine with a
+// higher number. The ledger still counts the order until it can no longer reach the engine,
+// because an engine loses its number when it restarts.
 func (o *Owner) settleOrders(e *engine, ev readAnswered) {
 	if e.order != nil && e.order.is(stateUnknown) {
 		if e.announcement.ChecksFencing || !ev.began.Before(e.order.settleAfter) {
@@ -202,6 +204,7 @@
 	})
 }
 
+// onResolved forgets a resolved intent, or schedules a read after which it is resolved again.
 func (o *Owner) onResolved(ev intentResolved) {
 	e := o.engine(ev.backend)
 	if ev.err == nil {
@@ -211,6 +214,7 @@
 	e.readNoLaterThan(o.timers.Now().Add(idleReadPeriod))
 }
 
+// advance applies an event to the state chart of the engine's order.
 func (o *Owner) advance(e *engine, event string) {
 	if err := e.order.apply(event); err != nil {
 		_ = level.Error(o.logger).Log("event", laburnumlever.EventOrderChart, "backend", e.announcement.Backend, "order", e.order.order.ID, "err", err)
--- a/laburnumproxy/claim.go
+++ b/laburnumproxy/claim.go
@@ -23,7 +23,7 @@
 )
 
 // claimAndRun claims the call's idempotency key in the replicated state, runs the call and
-// records its outcome. If the VM dies in between, the claim has no recorded response; a
+// records its outcome. If the VM fails in between, the claim has no recorded response; a
 // resend then gets outcome-unknown and is not run.
 func (p *Proxy) claimAndRun(ctx context.Context, q *request, out *callerResponse) error {
 	result, err := p.claim(ctx, q)
@@ -71,8 +71,8 @@
 	if err == nil {
 		return result, nil
 	}
-	// Even if the claim is applied later, the call was not forwarded and will not be
-	// forwarded under it, so not-run is correct.
+	// The call has not been forwarded and is refused below, so its outcome is not-run, even if
+	// the claim is applied after all. In that case the release frees the key for a resend.
 	var unknown *laburnumlever.OutcomeUnknownError
 	if errors.As(err, &unknown) {
 		p.releaseInBackground(p.recordCommand(q, laburnumlever.OutcomeNotRun, nil))
@@ -108,7 +108,7 @@
 	case laburnumlever.ResultMismatch:
 		return q.refusal(laburnumlever.RefusedKeyMismatch, laburnumlever.OutcomeNotRun, "the idempotency key was already used for a different call")
 	case laburnumlever.ResultFull:
-		return q.refusal(laburnumlever.RefusedQueueFull, laburnumlever.OutcomeNotRun, "too many claims are held")
+		return q.refusal(laburnumlever.RefusedQueueFull, laburnumlever.OutcomeNotRun, "the table of claims, or the owner's share of it, is full")
 	default:
 		return q.refusal(laburnumlever.RefusedNoQuorum, laburnumlever.OutcomeNotRun, "the claim was rejected: "+result.Code.String()+" "+result.Detail)
 	}
@@ -118,7 +118,7 @@
 func (p *Proxy) writeRecordedAnswer(q *request, out *callerResponse, result laburnumlever.Result) error {
 	if result.Outcome != laburnumlever.OutcomeAnswered || result.Answer == nil {
 		return q.refusal(laburnumlever.RefusedOutcomeUnknown, laburnumlever.OutcomeUnknown,
-			"the call was sent once and its outcome is unknown; it is not run again")
+			"the call may have been sent before, but its response is not recorded; it is not run again")
 	}
 	q.trace.add(p.timers.Now(), "answered from the recorded response")
 	p.counters.fromRecord.Inc(1)
@@ -126,13 +126,13 @@
 }
 
 // refuseInProgress refuses a resend whose first call has no recorded response yet. If the VM
-// that sent the call is down, none will follow and the outcome is unknown.
+// that holds the claim is down, none will follow and the outcome is unknown.
 func (p *Proxy) refuseInProgress(q *request, holder laburnumlever.VMID) error {
 	if holder != "" && !p.isUp(holder) {
 		return q.refusal(laburnumlever.RefusedOutcomeUnknown, laburnumlever.OutcomeUnknown,
-			"the VM that sent the call is down; the call is not run again")
+			"the VM that claimed the idempotency key is down; the call is not run again")
 	}
-	return q.refusal(laburnumlever.RefusedKeyInProgress, laburnumlever.OutcomeUnknown, "the call is in progress")
+	return q.refusal(laburnumlever.RefusedKeyInProgress, laburnumlever.OutcomeUnknown, "the first call with this idempotency key has no recorded response yet")
 }
 
 func (p *Proxy) isUp(id laburnumlever.VMID) bool {
@@ -150,7 +150,7 @@
 	ctx, cancel := p.withTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
 	if outcome == laburnumlever.OutcomeAnswered && response == nil {
-		outcome = laburnumlever.OutcomeUnknown // longer than maxRecordedBody
+		outcome = laburnumlever.OutcomeUnknown // the response is too long to be recorded
 	}
 	_, err := p.proposer.Propose(ctx, p.recordCommand(q, outcome, response))
 	if err != nil {
--- a/laburnumsimulation/gateway.go
+++ b/laburnumsimulation/gateway.go
@@ -13,10 +13,11 @@
 )
 
 const (
-	// budgetRatio, budgetSlack and budgetWindow limit retries over all gateways: the ratio of
-	// retries to requests, and the retries beyond it for each gateway in a window.
-	budgetRatio  = 0.2
-	budgetSlack  = 2
+	// budgetRatio limits the retries of all gateways, as a ratio of their requests in budgetWindow.
+	budgetRatio = 0.2
+	// budgetSlack is the number of retries in budgetWindow beyond that ratio, for each gateway.
+	budgetSlack = 2
+	// budgetWindow is the window in which requests and retries are counted.
 	budgetWindow = 10 * time.Second
 	// dialTimeout is the time until a connection to an engine that hangs fails.
 	dialTimeout = 200 * time.Millisecond
@@ -39,6 +40,8 @@
 	random      *rand.Rand
 }
 
+// newGateway returns a gateway that the caller appends to sim.gateways. The slack of its retry budget
+// is for the gateways so far, including this one.
 func newGateway(sim *simulation, id laburnumlever.VMID, zone laburnumlever.ZoneName, seed uint64) *gateway {
 	g := &gateway{
 		sim: sim, id: id, zone: zone, table: laburnumbalance.New(zone, seed, sim.policy.balance...),
@@ -84,19 +87,20 @@
 	})
 }
 
-// workOf returns a request as the workOf counter takes it.
+// workOf returns the work that a request demands of its model.
 func (g *gateway) workOf(q *request) laburnumdemand.Request {
 	return laburnumdemand.Request{Model: g.sim.models[q.model].name, PromptTokens: q.promptTokens, AnswerTokens: q.answerHint}
 }
 
-// countArrival counts a request when it arrives, countEnd counts it at its end if the policy says
-// so. countEnd also counts requests that were not served.
+// countArrival counts the demand of an arriving request, unless the policy counts it at the end.
 func (g *gateway) countArrival(q *request) {
 	if !g.sim.policy.countsAtEnd {
 		g.counter.Received(g.workOf(q))
 	}
 }
 
+// countEnd counts the demand of a request at its end, if the policy says so, and its refusal if it was
+// not served.
 func (g *gateway) countEnd(q *request, served bool) {
 	if g.sim.policy.countsAtEnd {
 		g.counter.Received(g.workOf(q))
--- a/laburnumupstream/conn.go
+++ b/laburnumupstream/conn.go
@@ -104,8 +104,9 @@
 	buf.Write(q.Body)
 }
 
-// noPendingInput tells whether neither received bytes nor the end of the stream (EOF) wait to be
-// read. It peeks at the socket without blocking.
+// noPendingInput tells whether an idle connection can be reused: it can't if there are bytes to read
+// or the peer has closed it. It peeks at the socket without blocking; a connection that isn't a
+// syscall.Conn passes.
 func (c *Conn) noPendingInput() bool {
 	if c.r.Buffered() > 0 {
 		return false
--- a/laburnumvoter/lead.go
+++ b/laburnumvoter/lead.go
@@ -50,10 +50,10 @@
 	return v.clockBase + now.Sub(v.clockStart).Milliseconds()
 }
 
-// expireLeases proposes the expiry of leases that were not renewed within their term, measured
-// from when this VM applied the last renewal. The holder measures from when it sent the renewal,
-// so it always stops first. All replicas track renewals, so that a new leader doesn't have to wait
-// for a whole lease term.
+// expireLeases proposes the expiry of leases that were not renewed within their TTL, measured from
+// when this VM applied the last renewal. The holder measures the TTL from when it sent the renewal,
+// so it always stops using the lease before the expiry is proposed. All replicas track renewals, so
+// that a new leader doesn't have to wait for a whole TTL.
 func (v *Voter) expireLeases(now time.Time) {
 	leads := v.log.Role() == laburnumlog.Leader
 	for _, l := range v.machine.Leases() {
@@ -69,7 +69,7 @@
 		if !leads || now.Sub(last.expiryProposed) < time.Duration(l.TTL) {
 			continue
 		}
-		last.expiryProposed = now // a lost expiry is proposed again after another lease term
+		last.expiryProposed = now // a lost expiry is proposed again after another TTL
 		v.renewals[l.Name] = last
 		v.proposeExpiry(laburnumlever.LeaseCommand{
 			Name: l.Name, Holder: l.Holder, Incarnation: l.Incarnation, Fence: l.Fence, Renewals: l.Renewals,
@@ -88,8 +88,9 @@
 	v.step(laburnumlog.Propose{Data: [][]byte{data}})
 }
 
-// HandOver transfers leadership to another voter. It returns nil once this VM is not the leader
-// or the voter is closed, or ctx's error.
+// HandOver transfers leadership to another voter. It returns nil once this VM is not the leader or
+// the voter is closed. It also returns nil if there is only one voter; this VM may still be the leader
+// then. The only error is that of ctx.
 func (v *Voter) HandOver(ctx context.Context) error {
 	done := make(chan struct{})
 	v.loop.Post(v, handOverRequested{done: done})
