--- a/laburnumbalance/server.go
+++ b/laburnumbalance/server.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// The limit on unread prompts of this VM at a server, in ms of reading time, adapts by
-	// additive increase and multiplicative decrease.
-	initialReadingLimit = 120
-	minReadingLimit     = 25
-	maxReadingLimit     = 300
-	readingIncrease     = 4
-	readingDecrease     = 0.9
-	// readingTarget divides the latency target: an answer that starts later than this part of it
-	// lowers the limit. The rest is for the network and the queue.
-	readingTarget = 2
-
-	loadDecay       = 3 * time.Second        // time in which a reported load decays to 0
-	currentLoadAge  = 200 * time.Millisecond // age up to which a reported load is current
-	failureHalfLife = 4 * time.Second
+	// The limit on this VM's unread prompts at a server, in ms that the server takes to read
+	// (prefill) them, adapts by additive increase and multiplicative decrease.
+	initialUnreadPromptLimit = 120
+	minUnreadPromptLimit     = 25
+	maxUnreadPromptLimit     = 300
+	unreadPromptIncrease     = 4
+	unreadPromptDecrease     = 0.9
+	// latencyTargetDivisor is the divisor of the latency target: an answer that starts later than
+	// the quotient lowers the limit. The rest of the target is for the network and the queue.
+	latencyTargetDivisor = 2
+
+	loadDecay       = 3 * time.Second        // time in which the reported load of other VMs decays to 0
+	currentLoadAge  = 200 * time.Millisecond // age up to which a reported load counts as current
+	failureHalfLife = 4 * time.Second        // time in which the number of recent failures halves
 
 	// A server whose slots are all taken is tried again after a time proportional to the number of
 	// gateways: more of them compete for a free slot, and any of them may find it.
@@ -30,7 +30,7 @@
 	minRetry        = 40 * time.Millisecond
 	maxRetry        = 150 * time.Millisecond
 
-	// Backoff for an unreachable server, doubled with each failed connection.
+	// Bounds of the backoff for an unreachable server, which doubles with each failed connection.
 	minUnreachable = 300 * time.Millisecond
 	maxUnreachable = time.Second
 
@@ -59,19 +59,21 @@
 	// reservationRefused tells that the last reservation was refused and that no load has been
 	// reported since.
 	reservationRefused bool
-	// reading is the estimated time that the server takes to read this VM's unread prompts, in
-	// ms; readingLimit is its limit.
-	reading      float64
-	readingLimit float64
-	failures     float64
-	failedAt     time.Time
-	// failed and answered count outcomes since the last report of this server.
-	failed, answered int
-	// unreachableUntil is the end of the current backoff, unreachableTime its length.
+	// unreadPromptTime is the estimated time that the server takes to read this VM's unread prompts,
+	// in ms; unreadPromptLimit is its limit.
+	unreadPromptTime  float64
+	unreadPromptLimit float64
+	// recentFailures is the decaying count of failures, as of failedAt.
+	recentFailures float64
+	failedAt       time.Time
+	// failedSinceReport and answeredSinceReport count attempts since Outcomes last reported the server.
+	failedSinceReport, answeredSinceReport int
+	// unreachableUntil is the end of the last backoff, unreachableTime its length; 0 after an
+	// attempt that did not fail.
 	unreachableUntil time.Time
 	unreachableTime  time.Duration
-	// absent and loaded hold the models and adapters of which answers are newer than the heartbeat;
-	// an entry expires at its time.
+	// absent are the models and adapters that the server has answered to be absent, loaded those that
+	// ModelLoaded has reported. Until its time, an entry overrides the heartbeat, which may be older.
 	absent map[heldModel]time.Time
 	loaded map[heldModel]time.Time
 }
@@ -82,8 +84,9 @@
 	return float64(s.own) + max(0, fade)*s.others
 }
 
-// mayBeFull tells whether the load is too old to rely on and the server may be full. The load of
-// a server that was nearly idle is relied on for longer.
+// mayBeFull tells whether the server may be full, since its last reservation was refused or its load
+// is too old to rely on. A load is too old after currentLoadAge, or after loadDecay if it is below
+// idleShare of the slots.
 func (s *server) mayBeFull(now time.Time) bool {
 	age := now.Sub(s.othersAt)
 	if age < currentLoadAge && !s.reservationRefused {
@@ -92,23 +95,24 @@
 	return s.reservationRefused || age > loadDecay || float64(s.own)+s.others >= idleShare*float64(s.record.Heartbeat.Slots)
 }
 
-// adaptReadingLimit adapts the limit on unread prompts after an answer has started. Additive
+// adaptUnreadPromptLimit adapts the limit on unread prompts after an answer has started. took is the
+// time that the answer took to start, target the latency target, 0 for none. Additive
 // increase and multiplicative decrease converge to equal shares among the VMs that send to the
 // server.
-func (s *server) adaptReadingLimit(took, target time.Duration) {
+func (s *server) adaptUnreadPromptLimit(took, target time.Duration) {
 	if target <= 0 {
 		return
 	}
-	if took > target/readingTarget {
-		s.readingLimit = max(minReadingLimit, s.readingLimit*readingDecrease)
+	if took > target/latencyTargetDivisor {
+		s.unreadPromptLimit = max(minUnreadPromptLimit, s.unreadPromptLimit*unreadPromptDecrease)
 		return
 	}
-	s.readingLimit = min(maxReadingLimit, s.readingLimit+readingIncrease)
+	s.unreadPromptLimit = min(maxUnreadPromptLimit, s.unreadPromptLimit+unreadPromptIncrease)
 }
 
 // failurePenalty is the term of the score for recent failures, in ms.
 func (s *server) failurePenalty(now time.Time) float64 {
-	if s.failures == 0 {
+	if s.recentFailures == 0 {
 		return 0
 	}
 	return failureMillis * s.failuresAt(now)
@@ -123,22 +127,24 @@
 // failuresAt returns the number of recent failures, which halves every failureHalfLife.
 func (s *server) failuresAt(now time.Time) float64 {
 	age := now.Sub(s.failedAt).Seconds() / failureHalfLife.Seconds()
-	return s.failures / math.Exp2(age)
+	return s.recentFailures / math.Exp2(age)
 }
 
-// markOutlier counts an outlier detection as one failure, unless this VM has seen failures itself.
+// markOutlier raises the number of recent failures to at least 1, after the director has detected the
+// server as an outlier. Failures that this VM has seen itself are not counted again.
 func (s *server) markOutlier(now time.Time) {
-	s.failures = max(1, s.failuresAt(now))
+	s.recentFailures = max(1, s.failuresAt(now))
 	s.failedAt = now
 }
 
-func (s *server) fail(now time.Time) {
-	s.failures = min(s.failuresAt(now)+1, maxFailures)
+// recordFailure adds a failure to the recent ones, up to maxFailures.
+func (s *server) recordFailure(now time.Time) {
+	s.recentFailures = min(s.failuresAt(now)+1, maxFailures)
 	s.failedAt = now
 }
 
-// holds tells whether the server holds the model and adapter, by its heartbeat, the placement
-// leader's overlay and newer answers.
+// holds tells whether the server holds the model and adapter, by its heartbeat, the overlay (what the
+// director knows beyond heartbeats) and newer answers.
 func (s *server) holds(model laburnumlever.ModelName, adapter laburnumlever.AdapterName, now time.Time) bool {
 	if model == "" {
 		return true
@@ -156,7 +162,7 @@
 		(adapter == "" || s.holds(model, "", now))
 }
 
-// wasLoaded tells whether the model, or an adapter of it, is in loaded.
+// wasLoaded tells whether the model, or an adapter of it, is in loaded, even if the entry has expired.
 func (s *server) wasLoaded(model laburnumlever.ModelName) bool {
 	for key := range s.loaded {
 		if key.model == model {
--- a/laburnumdirector/adapters.go
+++ b/laburnumdirector/adapters.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	adapterLoadTime       = 12 * time.Millisecond  // expected duration of an adapter load
-	adapterRequestTimeout = 400 * time.Millisecond // timeout of a gateway's request for an adapter
-	adapterEvictAge       = 400 * time.Millisecond // since its last use, before an adapter may be evicted
-	adapterUseWindow      = 3 * time.Second        // since its last use, while an adapter counts as in use
+	adapterLoadTime       = 12 * time.Millisecond  // an accepted adapter load counts as complete after it
+	adapterRequestTimeout = 400 * time.Millisecond // time after which a pending adapter request fails
+	adapterUnloadAge      = 400 * time.Millisecond // time without use after which an adapter may be unloaded
+	adapterUseWindow      = 3 * time.Second        // time since its last use in which an adapter is in use
 	maxAdapterLoads       = 4                      // concurrent adapter loads on an engine
 )
 
-// adapterRequest is a gateway's request for an adapter.
+// adapterRequest is a gateway's request for an adapter on engines other than those in except.
 type adapterRequest struct {
 	service laburnumlever.ServiceName
 	key     adapterKey
@@ -38,7 +38,7 @@
 }
 
 // EnsureAdapterAsync requests an adapter, which is loaded if no engine holds it. It calls reply
-// once, on the control thread.
+// once, on the control thread (the goroutine of the event loop).
 func (d *Director) EnsureAdapterAsync(request laburnumlever.AdapterRequest, reply AdapterFunc) {
 	d.loop.Post(d, adapterRequested{request: &adapterRequest{
 		service: request.Service, key: adapterKey{model: request.Model, adapter: request.Adapter}, except: request.Except,
@@ -63,48 +63,49 @@
 	}
 }
 
-func (d *Director) onAdapterRequest(r *adapterRequest) {
+func (d *Director) onAdapterRequest(request *adapterRequest) {
 	if !d.lease.valid(d.clock()) {
-		r.reply(nil, &NotDirectorError{VM: d.self.ID})
+		request.reply(nil, &NotDirectorError{VM: d.self.ID})
 		return
 	}
-	if !d.tryAnswer(r) {
-		d.adapterRequests = append(d.adapterRequests, r)
+	if !d.tryAnswer(request) {
+		d.adapterRequests = append(d.adapterRequests, request)
 	}
 }
 
 // retryAdapterRequests retries the pending requests and fails those that have timed out.
 func (d *Director) retryAdapterRequests(now time.Time) {
 	var pending []*adapterRequest
-	for _, r := range d.adapterRequests {
-		if d.tryAnswer(r) {
+	for _, request := range d.adapterRequests {
+		if d.tryAnswer(request) {
 			continue
 		}
-		if now.Sub(r.since) > adapterRequestTimeout {
-			r.reply(nil, &NoAdapterPlaceError{Model: r.key.model, Adapter: r.key.adapter, Detail: "no slot became free in time"})
+		if now.Sub(request.since) > adapterRequestTimeout {
+			request.reply(nil, &NoAdapterPlaceError{Model: request.key.model, Adapter: request.key.adapter, Detail: "no engine loaded the adapter in time"})
 			continue
 		}
-		pending = append(pending, r)
+		pending = append(pending, request)
 	}
 	d.adapterRequests = pending
 }
 
+// failAdapterRequests fails the pending requests when this VM is no longer the director.
 func (d *Director) failAdapterRequests() {
-	for _, r := range d.adapterRequests {
-		r.reply(nil, &NotDirectorError{VM: d.self.ID})
+	for _, request := range d.adapterRequests {
+		request.reply(nil, &NotDirectorError{VM: d.self.ID})
 	}
 	d.adapterRequests = nil
 }
 
 // tryAnswer replies to a request whose adapter is loaded, and tells whether it did. Otherwise it
-// orders the load, unless one is in progress.
-func (d *Director) tryAnswer(r *adapterRequest) bool {
+// orders the load, unless a load of the adapter is in progress.
+func (d *Director) tryAnswer(request *adapterRequest) bool {
 	now := d.timers.Now()
 	var ready []laburnumlever.BackendID
 	found := false
-	for _, e := range d.engines.holdersOf(r.key.model) {
-		a := e.adapter(r.key)
-		if a == nil || slices.Contains(r.except, e.heartbeat.Backend) {
+	for _, e := range d.engines.holdersOf(request.key.model) {
+		a := e.adapter(request.key)
+		if a == nil || slices.Contains(request.except, e.heartbeat.Backend) {
 			continue
 		}
 		found = true
@@ -114,11 +115,11 @@
 		}
 	}
 	if len(ready) > 0 {
-		r.reply(ready, nil)
+		request.reply(ready, nil)
 		return true
 	}
 	if !found {
-		d.orderAdapter(r, now)
+		d.orderAdapter(request, now)
 	}
 	return false
 }
@@ -142,14 +143,14 @@
 
 // orderAdapter orders the load of an adapter on the engine with the fewest adapters. If that engine
 // has no free slot or memory, it orders the unload of the least recently used adapter there.
-func (d *Director) orderAdapter(r *adapterRequest, now time.Time) {
-	class := d.services[r.service]
+func (d *Director) orderAdapter(request *adapterRequest, now time.Time) {
+	class := d.engineClasses[request.service]
 	if class == nil {
 		return
 	}
 	var best *engine
-	for _, e := range d.engines.holdersOf(r.key.model) {
-		if slices.Contains(r.except, e.heartbeat.Backend) || !e.acceptsAdapterOf(r.key.model, now) {
+	for _, e := range d.engines.holdersOf(request.key.model) {
+		if slices.Contains(request.except, e.heartbeat.Backend) || !e.acceptsAdapterOrderFor(request.key.model, now) {
 			continue
 		}
 		if best == nil || e.adapterCount() < best.adapterCount() {
@@ -159,24 +160,25 @@
 	if best == nil {
 		return
 	}
-	if best.adapterCount() < class.AdapterSlots && best.hasMemoryFor(class, r.key.model) {
-		d.send(best, laburnumlever.EngineOrder{Kind: laburnumlever.Load, Model: r.key.model, Adapter: r.key.adapter})
+	if best.adapterCount() < class.AdapterSlots && best.hasMemoryFor(class, request.key.model) {
+		d.send(best, laburnumlever.EngineOrder{Kind: laburnumlever.Load, Model: request.key.model, Adapter: request.key.adapter})
 		return
 	}
-	if victim, ok := best.leastRecentlyUsed(now); ok {
-		d.send(best, laburnumlever.EngineOrder{Kind: laburnumlever.Unload, Model: victim.model, Adapter: victim.adapter})
+	if oldest, ok := best.leastRecentlyUsed(now); ok {
+		d.send(best, laburnumlever.EngineOrder{Kind: laburnumlever.Unload, Model: oldest.model, Adapter: oldest.adapter})
 	}
 }
 
-// acceptsAdapterOf tells whether the engine holds the model and accepts an order for an adapter.
-func (e *engine) acceptsAdapterOf(model laburnumlever.ModelName, now time.Time) bool {
+// acceptsAdapterOrderFor tells whether the engine holds the model and accepts an order for one of the
+// model's adapters.
+func (e *engine) acceptsAdapterOrderFor(model laburnumlever.ModelName, now time.Time) bool {
 	h := e.held[model]
-	return h != nil && !h.withdrawn && e.acceptsAdapterOrder(now)
+	return h != nil && !h.withdrawn && e.acceptsAdapterOrders(now)
 }
 
-// acceptsAdapterOrder tells whether the engine accepts an order for an adapter. An engine that is
-// loading a model refuses it.
-func (e *engine) acceptsAdapterOrder(now time.Time) bool {
+// acceptsAdapterOrders tells whether the engine accepts an order for an adapter: it is ready for an
+// order, which an engine that is loading a model is not, and loads fewer than maxAdapterLoads adapters.
+func (e *engine) acceptsAdapterOrders(now time.Time) bool {
 	loading := 0
 	for _, h := range e.held {
 		for _, a := range h.adapters {
@@ -185,7 +187,7 @@
 			}
 		}
 	}
-	return e.idle(now) && loading < maxAdapterLoads
+	return e.readyForOrder(now) && loading < maxAdapterLoads
 }
 
 func (e *engine) hasMemoryFor(class *laburnumlever.EngineClass, model laburnumlever.ModelName) bool {
@@ -198,14 +200,15 @@
 	return used+m.AdapterMB <= class.WeightsMB
 }
 
-// leastRecentlyUsed returns the least recently used adapter, or false if all are in recent use.
+// leastRecentlyUsed returns the least recently used loaded adapter, or false if all have been used
+// within adapterUnloadAge.
 func (e *engine) leastRecentlyUsed(now time.Time) (adapterKey, bool) {
 	var oldest *heldAdapter
 	var key adapterKey
 	for model, h := range e.held {
 		for name, a := range h.adapters {
 			k := adapterKey{model: model, adapter: name}
-			if !a.ready || now.Sub(a.usedAt) < adapterEvictAge || (oldest != nil && !usedEarlier(a, k, oldest, key)) {
+			if !a.ready || now.Sub(a.usedAt) < adapterUnloadAge || (oldest != nil && !usedEarlier(a, k, oldest, key)) {
 				continue
 			}
 			oldest, key = a, k
