--- a/cmd/laburnumlever/standincmd.go
+++ b/cmd/laburnumlever/standincmd.go
@@ -26,9 +26,8 @@
 	return &cli.Command{
 		Name:  "stand-in",
 		Usage: "run a stand-in for a component outside the system",
-		Description: "Stand-ins are for demonstrations and tests. Each prints a line that starts with ready\n" +
-			"once it listens, and runs until it is interrupted. A stand-in for a backend server then\n" +
-			"announces that it leaves, and completes its running requests.",
+		Description: "For demonstrations and tests. Each prints a line starting with ready once it listens, and runs\n" +
+			"until interrupted; one for a backend server then announces that it leaves and completes its requests.",
 		Subcommands: []*cli.Command{
 			standInEngineCommand(),
 			standInServiceCommand(),
--- a/cmd/laburnumlever/statuscmd.go
+++ b/cmd/laburnumlever/statuscmd.go
@@ -16,9 +16,8 @@
 		Name:  "status",
 		Usage: "show the state of a VM and its view of the fleet",
 		Description: "Shows the revision, the VMs, the backend servers with their models, and the zone owners.\n" +
-			"For a gateway or a control VM, queried at its metrics address, it shows the director and counts\n" +
-			"of VMs, backend servers and models; for a gateway also whether it is ready and its requests,\n" +
-			"for a control VM the log.\n\n" +
+			"For a gateway or control VM, queried at its metrics address, shows the director and counts of VMs,\n" +
+			"backend servers and models; for a gateway also readiness and requests, for a control VM the log.\n\n" +
 			"Example: laburnumlever status --vm 10.0.1.7:8081\n\n" + exitCodesText,
 		Flags:        []cli.Flag{vmFlag(), timeoutFlag(), outputFlag()},
 		OnUsageError: onUsageError,
--- a/laburnumnode/wiring.go
+++ b/laburnumnode/wiring.go
@@ -148,8 +148,8 @@
 	n.cancels = append(n.cancels, n.timers.Every(demandPeriod, n.publishDemand))
 }
 
-// publishDemand gives the membership this VM's demand and whether this VM owns its
-// zone, for gossip to the zones' owners.
+// publishDemand passes this VM's demand, and whether this VM owns its zone, to the membership,
+// for gossip to the zones' owners.
 func (n *Node) publishDemand(time.Time) {
 	rows := n.proxy.Demand()
 	owns := n.owner.Owns()
--- a/laburnumorder/options.go
+++ b/laburnumorder/options.go
@@ -17,8 +17,8 @@
 	defaultTick          = 500 * time.Millisecond
 	// renewalsPerTTL tolerates two lost renewals per lease term.
 	renewalsPerTTL = 3
-	// leaseMarginDivisor gives the part of the lease term, a tenth, that is kept as a margin:
-	// this VM's clock may be slower than the leader's by that much.
+	// leaseMarginDivisor divides the lease term to get the margin, a tenth of the term: this VM's
+	// clock may be slower than the leader's by that much.
 	leaseMarginDivisor = 10
 	// idleReadPeriod is how often an engine's inventory is read when no change is expected.
 	idleReadPeriod = 15 * time.Second
--- a/laburnumorder/owner.go
+++ b/laburnumorder/owner.go
@@ -55,7 +55,7 @@
 	cancels   []func()
 }
 
-// New returns an owner that is idle until Start. self gives the zone and the incarnation,
+// New returns an owner that is idle until Start. self holds the zone and the incarnation,
 // which distinguishes this process from earlier ones on the same VM.
 func New(
 	loop laburnumlever.Loop,
--- a/laburnumvoter/lead.go
+++ b/laburnumvoter/lead.go
@@ -88,9 +88,9 @@
 	v.step(laburnumlog.Propose{Data: [][]byte{data}})
 }
 
-// TransferLeadership transfers leadership to another voter. It returns nil once this VM is not the leader or
-// the voter is closed. It also returns nil if there is only one voter; this VM may still be the leader
-// then. The only error is that of ctx.
+// TransferLeadership transfers leadership to another voter. It returns nil once this VM is not the
+// leader or the voter is closed. It also returns nil if there is only one voter; this VM may still
+// be the leader then. The only error is that of ctx.
 func (v *Voter) TransferLeadership(ctx context.Context) error {
 	done := make(chan struct{})
 	v.loop.Post(v, transferRequested{done: done})
