--- a/laburnumroles/process.go
+++ b/laburnumroles/process.go
@@ -22,7 +22,7 @@
 // headerTimeout bounds the time for a request's headers, so that half-open connections are closed.
 const headerTimeout = 5 * time.Second
 
-// idleTimeout is a few heartbeat periods. Backend servers that switched to another control VM leave
+// idleTimeout is about three heartbeat periods. Backend servers that switched to another control VM leave
 // their connections open, and thousands of these exhaust a control VM's memory.
 const idleTimeout = 4 * time.Second
 
