--- a/days/play.py
+++ b/days/play.py
@@ -1,10 +1,10 @@
-"""Plays each kind of trouble alone, and pairs with planned work, on a deployment.
+"""Runs each kind of fault on its own, or paired with planned work, on a deployment.
 
 Usage: python3 days/play.py FLEETBENCH SITE [--pairs] [--jobs N] > table.md
 
-Each entry of TROUBLES is one day: the trouble twice, ten seconds apart, in the calm
-traffic of the site. With --pairs each is played once beside planned work. The table says
-which rules broke and what the day was worth.
+Each entry of TROUBLES is one day: the fault occurs twice, ten seconds apart, under the
+steady traffic of the site. With --pairs each day also includes a planned operation. The
+table lists the broken rules and the score ("worth") of each day.
 """
 
 import argparse
@@ -112,7 +112,7 @@
 
 
 def day(name, kind, fields, number, pair):
-    """The text of one day."""
+    """Returns the TOML text of one day."""
     entries = ["{ at = %.1f, kind = \"%s\"%s }" % (at, kind, ", " + fields if fields else "") for at in (5.0, 15.0)]
     plan, faults = [], []
     (plan if kind in PLANNED_KINDS else faults).extend(entries)
@@ -126,7 +126,7 @@
 
 
 def play(args, number, kind, fields):
-    """Plays one day and returns its row."""
+    """Runs one day and returns its table row."""
     name = "alone-%d" % number if not args.pairs else "pair-%d" % number
     with tempfile.NamedTemporaryFile("w", suffix=".toml", delete=False) as f:
         f.write(day(name, kind, fields, number, args.pairs))
@@ -142,7 +142,7 @@
 
 
 def main():
-    """Plays all days."""
+    """Runs all days and prints the table."""
     parser = argparse.ArgumentParser()
     parser.add_argument("fleetbench")
     parser.add_argument("site")
